--- a/figstep/gateway/copies.py
+++ b/figstep/gateway/copies.py
@@ -91,7 +91,7 @@
     hit = []
     for request in state.requests.values():
         current = request.current
-        if current is None or not request.begun:
+        if current is None or not request.stream_begun:
             continue
         if current.target.standing is Standing.READY:
             continue
@@ -121,7 +121,7 @@
         return []
     if request.copying and not _is_refresh_late(request, now):
         return []
-    if current.target.standing is Standing.READY or not request.begun:
+    if current.target.standing is Standing.READY or not request.stream_begun:
         return []
     if request.route.resumable:
         # Short ones end before their engine does; the rest go on anew.
@@ -176,7 +176,7 @@
 
 
 def _is_young(attempt: Attempt, now: Millis) -> bool:
-    since = attempt.delivers_since
+    since = attempt.first_delivery_at
     return since is None or now - since < COPY_ARRIVES
 
 
@@ -333,7 +333,7 @@
 
 def _needs_copy(state: State, request: Request, now: Millis) -> bool:
     current = request.current
-    if current is None or not request.begun or request.standby is not None:
+    if current is None or not request.stream_begun or request.standby is not None:
         return False
     if request.copying or request.route.resumable:
         return False
@@ -359,7 +359,7 @@
 
 def _has_backup(attempt: Attempt) -> bool:
     holder = attempt.holder
-    if holder is None or attempt.holder_spoiled:
+    if holder is None or attempt.backup_unusable:
         return False
     return holder.takes_work
 
--- a/figstep/gateway/crashes.py
+++ b/figstep/gateway/crashes.py
@@ -45,7 +45,7 @@
     only there. A target that leaves ends all that is left.
     """
     target = attempt.target
-    if request.begun or target.standing is not Standing.READY:
+    if request.stream_begun or target.standing is not Standing.READY:
         return []
     digest = request.spec.digest
     if target.ended_at is not None and attempt.opened <= target.ended_at:
--- a/figstep/gateway/departures.py
+++ b/figstep/gateway/departures.py
@@ -11,7 +11,7 @@
 from figstep.core.clock import Millis
 from figstep.gateway import copies
 from figstep.gateway.effects import Announce, Effect, Note
-from figstep.gateway.state import LEAVING_KEPT, Departure, State
+from figstep.gateway.state import LEAVING_RETENTION, Departure, State
 from figstep.gateway.targets import Incarnation, Registration, Standing, Target
 
 
@@ -63,5 +63,5 @@
 def forget_old(state: State, now: Millis) -> None:
     """Drop words of which no record can be read any more."""
     for incarnation, departure in list(state.departures.items()):
-        if now - departure.at >= LEAVING_KEPT:
+        if now - departure.at >= LEAVING_RETENTION:
             del state.departures[incarnation]
--- a/figstep/gateway/recovery.py
+++ b/figstep/gateway/recovery.py
@@ -54,7 +54,7 @@
         effects.append(Announce())
     if not was_current and request.current is not None:
         # The run goes on where it was; its copy was used up or never there.
-        request.current.holder_spoiled = True
+        request.current.backup_unusable = True
         return effects
     if request.standby is not None:
         request.current = request.standby
@@ -121,13 +121,13 @@
 def _start_anew(
     state: State, request: Request, attempt: Attempt, event: AttemptLost, now: Millis
 ) -> list[Effect]:
-    if event.loss in NOT_RUN and not request.begun:
+    if event.loss in NOT_RUN and not request.stream_begun:
         return _try_elsewhere(state, request, event, now)
     if request.route.idempotent and _may_run_again(request):
         effects = _repeat(state, request, event, now)
         if effects:
             return effects
-    if event.status is not None and not request.begun:
+    if event.status is not None and not request.stream_begun:
         return requests.deliver_answer(
             state, request, attempt.number, event.status, now
         )
@@ -193,7 +193,7 @@
         request = state.requests[attempt.request]
         if not request.route.idempotent or attempt is not request.current:
             continue
-        if request.begun or request.runs + 1 >= request.route.attempts:
+        if request.stream_begun or request.runs + 1 >= request.route.attempts:
             continue
         if now - attempt.opened < choose_patience(request):
             continue
--- a/figstep/gateway/requests.py
+++ b/figstep/gateway/requests.py
@@ -206,7 +206,7 @@
     state: State, request: Request, attempt: int, status: int, now: Millis
 ) -> list[Effect]:
     """Hand on the whole answer that an attempt got."""
-    if request.begun:
+    if request.stream_begun:
         # A stream that has begun can't become another answer.
         return break_stream(state, request, "answered_in_mid_stream", now)
     effects = attempts.close_request(state, request, now)
@@ -229,7 +229,7 @@
     be repeated is refused in the same way where it has begun nowhere.
     """
     effects = attempts.close_request(state, request, now)
-    if request.begun:
+    if request.stream_begun:
         return [*effects, *break_stream(state, request, reason, now)]
     if request.spec.prompt is not None:
         effects.append(_note_refusal(state, request, reason, now))
@@ -345,7 +345,7 @@
             "reason": reason,
             "sent": request.sent,
             "events": request.pieces,
-            "first_ms": request.first_after,
+            "first_ms": request.time_to_first_event,
             "longest_pause_ms": request.longest_pause,
             "took_ms": now - request.arrived,
         },
--- a/figstep/gateway/state.py
+++ b/figstep/gateway/state.py
@@ -13,21 +13,21 @@
 from figstep.gateway.routes import Route, RoutingTable
 from figstep.gateway.targets import Incarnation, Target, TargetTable
 
-LEAVING_TOLD = Millis(10_000)
+LEAVING_ANNOUNCE_DURATION = Millis(10_000)
 """How long others are told that a target has said that it leaves."""
 
-LEAVING_KEPT = Millis(600_000)
+LEAVING_RETENTION = Millis(600_000)
 """How long that is remembered: the target's registration from before may be read
 until long after an outage of the store."""
 
 
-FULL_MESH = 16
+FULL_MESH_MAX_ENTRIES = 16
 """Entries up to which all tell all: messages grow with the square of the fleet.
 Above it, entries tell those of their own failure domain, and sums go to the
 others."""
 
 
-RATES_TOLD = Millis(3_000)
+RATE_ANNOUNCE_DURATION = Millis(3_000)
 """How long others are told what an answer named: several times, as a datagram may
 be lost. Each further answer of the target begins it anew."""
 
@@ -58,10 +58,10 @@
         reading: Prompt tokens that its target has still to read for it.
         reading_ahead: Those of others that were there before it.
         holder: Target that its run is copied to as it grows, or None.
-        holder_spoiled: Whether that copy was used up or refused.
+        backup_unusable: Whether that copy was used up or refused.
         source: Copy that it goes on from, or None for a run from the start.
         answered: Whether its headers came.
-        delivers_since: When its first event went to the caller, or None.
+        first_delivery_at: When its first event went to the caller, or None.
     """
 
     number: int
@@ -72,10 +72,10 @@
     reading: int = 0
     reading_ahead: int = 0
     holder: Target | None = None
-    holder_spoiled: bool = False
+    backup_unusable: bool = False
     source: RunCopy | None = None
     answered: bool = False
-    delivers_since: Millis | None = None
+    first_delivery_at: Millis | None = None
 
 
 @dataclass(slots=True)
@@ -102,13 +102,13 @@
         copy_source: Target that it is being copied from, or None.
         copy_tokens: Tokens that are being copied.
         copied_tokens: Tokens that its copy on order had when it was made.
-        begun: Whether the caller's stream has begun.
+        stream_begun: Whether the caller's stream has begun.
         delivered: Id of the last event handed to the caller.
         delivered_at: When that was.
         pieces: Events handed to the caller.
-        first_after: Time from its arrival to its first event.
+        time_to_first_event: Time from its arrival to its first event.
         longest_pause: Longest time between two deliveries.
-        usual_pause: Smoothed time between two deliveries.
+        smoothed_pause: Smoothed time between two deliveries.
         sent: Attempts so far.
         unreached: Those that found no connection.
         runs: Lost attempts that may have run.
@@ -140,13 +140,13 @@
     copy_source: Target | None = None
     copy_tokens: int = 0
     copied_tokens: int = 0
-    begun: bool = False
+    stream_begun: bool = False
     delivered: int = 0
     delivered_at: Millis = Millis(0)
     pieces: int = 0
-    first_after: Millis = Millis(0)
+    time_to_first_event: Millis = Millis(0)
     longest_pause: Millis = Millis(0)
-    usual_pause: float = 0.0
+    smoothed_pause: float = 0.0
     sent: int = 0
     unreached: int = 0
     runs: int = 0
@@ -285,14 +285,14 @@
     @property
     def is_large(self) -> bool:
         """Whether the fleet is too large for all to hear all."""
-        return self.entries > FULL_MESH
+        return self.entries > FULL_MESH_MAX_ENTRIES
 
     def list_leaving(self, now: Millis) -> list[Incarnation]:
         """Return the targets that told this entry of late that they leave."""
         return [
             incarnation
             for incarnation, departure in self.departures.items()
-            if departure.own and now - departure.at < LEAVING_TOLD
+            if departure.own and now - departure.at < LEAVING_ANNOUNCE_DURATION
         ]
 
     def list_rates(self, now: Millis) -> list[RateReport]:
@@ -300,7 +300,7 @@
         reports = []
         for target in self.targets.targets.values():
             limit = target.limit
-            if limit is None or now - limit.heard_at >= RATES_TOLD:
+            if limit is None or now - limit.heard_at >= RATE_ANNOUNCE_DURATION:
                 continue
             age = Millis(now - limit.heard_at)
             incarnation = target.info.incarnation
--- a/figstep/gateway/streams.py
+++ b/figstep/gateway/streams.py
@@ -69,18 +69,18 @@
         if piece.index <= last and request.pieces + request.delivered:
             # The engine that went on repeats what the other had sent meanwhile.
             continue
-        if request.begun and piece.index != last + 1:
+        if request.stream_begun and piece.index != last + 1:
             return effects + _break_out_of_order(state, request, piece.index, now)
         data.append(piece.data)
         last = piece.index
     if not data:
         return effects
-    if attempt.delivers_since is None:
-        attempt.delivers_since = now
-    if request.begun:
+    if attempt.first_delivery_at is None:
+        attempt.first_delivery_at = now
+    if request.stream_begun:
         pause = Millis(now - request.delivered_at)
         request.longest_pause = max(request.longest_pause, pause)
-        request.usual_pause += PAUSE_STEP * (pause - request.usual_pause)
+        request.smoothed_pause += PAUSE_STEP * (pause - request.smoothed_pause)
     else:
         effects += _begin(state, request, attempt, now)
     request.delivered = last
@@ -98,8 +98,8 @@
 def _begin(
     state: State, request: Request, attempt: Attempt, now: Millis
 ) -> list[Effect]:
-    request.begun = True
-    request.first_after = Millis(now - request.arrived)
+    request.stream_begun = True
+    request.time_to_first_event = Millis(now - request.arrived)
     attempt.target.note_success(now)
     crashes.note_answer(state, attempt.target, attempt.opened)
     number = request.spec.number
@@ -112,7 +112,7 @@
 
 def _note_backup(request: Request, attempt: Attempt) -> None:
     holder = attempt.holder
-    if attempt.holder_spoiled:
+    if attempt.backup_unusable:
         return
     if holder is None or not holder.takes_work:
         return
@@ -174,7 +174,7 @@
     effects: list[Effect] = []
     if attempt is request.standby:
         effects += _promote_standby(state, request, attempt, now)
-    if not request.begun:
+    if not request.stream_begun:
         effects += _begin(state, request, attempt, now)
     if event.tail:
         effects.append(Deliver(request.spec.number, event.tail))
@@ -208,12 +208,12 @@
 
 
 def _is_stalled(request: Request, now: Millis) -> bool:
-    if not request.begun:
+    if not request.stream_begun:
         return False
     limit = float(STALL)
     if request.longest_pause <= request.route.longest_pause:
         in_time = STALL_SHARE * request.route.longest_pause
-        limit = min(limit, max(in_time, STALL_PAUSES * request.usual_pause))
+        limit = min(limit, max(in_time, STALL_PAUSES * request.smoothed_pause))
     return now - request.delivered_at >= limit
 
 
@@ -226,5 +226,5 @@
         # It was accepted and will deliver, or there is no time for another copy:
         # the run must not go on at both.
         return attempts.close_attempt(state, request.current, now)
-    request.current.holder_spoiled = True
+    request.current.backup_unusable = True
     return attempts.close_attempt(state, standby, now)
--- a/figstep/net/links.py
+++ b/figstep/net/links.py
@@ -15,7 +15,7 @@
 from figstep.gateway.events import PeerHeard, PeerLoad
 from figstep.gateway.news import LoadNews, forget_ages
 from figstep.gateway.peers import select_changed
-from figstep.gateway.state import FULL_MESH
+from figstep.gateway.state import FULL_MESH_MAX_ENTRIES
 from figstep.net.hellos import (
     MOST_COPY_BYTES,
     Hello,
@@ -161,7 +161,7 @@
     @property
     def is_large(self) -> bool:
         """Whether the fleet is too large for all to hear all."""
-        return len(self._neighbors) >= FULL_MESH
+        return len(self._neighbors) >= FULL_MESH_MAX_ENTRIES
 
     @Service.task
     async def _run(self) -> None:
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -21,7 +21,7 @@
     TargetsListed,
     Ticked,
 )
-from figstep.gateway.state import LEAVING_KEPT, LEAVING_TOLD
+from figstep.gateway.state import LEAVING_ANNOUNCE_DURATION, LEAVING_RETENTION
 from figstep.gateway.targets import Incarnation, Registration, Standing
 from tests.gateway.worlds import BOOKINGS, ENGINES, World, build_fleet
 
@@ -76,7 +76,7 @@
     assert world.find(Refuse).problem.status == 503
 
 
-@pytest.mark.parametrize("pause", [0, 5_000, LEAVING_TOLD + 1, 60_000])
+@pytest.mark.parametrize("pause", [0, 5_000, LEAVING_ANNOUNCE_DURATION + 1, 60_000])
 def test_a_registration_from_before_does_not_bring_a_target_back(pause: int) -> None:
     """Guards against work for a target whose old record is read after an outage."""
     world = build_world("b-1", "b-2")
@@ -158,10 +158,10 @@
     world = build_world("b-1", "b-2")
     world.handle(say("b-1"))
     assert peers.describe_own(world.state, world.clock.now()).leaving
-    world.clock.advance(LEAVING_TOLD)
+    world.clock.advance(LEAVING_ANNOUNCE_DURATION)
     assert not peers.describe_own(world.state, world.clock.now()).leaving
     assert world.state.departures
-    world.clock.advance(LEAVING_KEPT)
+    world.clock.advance(LEAVING_RETENTION)
     world.handle(Ticked())
     assert not world.state.departures
 
