--- a/figstep/gateway/eligibility.py
+++ b/figstep/gateway/eligibility.py
@@ -10,11 +10,11 @@
 
     Where both its route and its customer are bound to regions, both hold.
     """
-    if customer is None or customer.homes is None:
-        return route.homes
-    if route.homes is None:
-        return customer.homes
-    return route.homes & customer.homes
+    if customer is None or customer.allowed_regions is None:
+        return route.allowed_regions
+    if route.allowed_regions is None:
+        return customer.allowed_regions
+    return route.allowed_regions & customer.allowed_regions
 
 
 def renew_homes(table: RoutingTable, request: Request) -> None:
@@ -31,7 +31,7 @@
         customer = table.customers.get(spec.key or "")
         if customer is None:
             return
-    request.homes = find_homes(route, customer)
+    request.allowed_regions = find_homes(route, customer)
 
 
 def is_eligible(state: State, request: Request, target: Target) -> bool:
@@ -42,7 +42,7 @@
 def list_eligible(state: State, request: Request) -> list[Target]:
     """Return the targets of a request's service that may get it now."""
     ready = state.targets.list_ready(request.service)
-    if request.homes is None:
+    if request.allowed_regions is None:
         return ready
     return [target for target in ready if _is_at_home(state, request, target)]
 
@@ -59,8 +59,8 @@
 
 
 def _is_at_home(state: State, request: Request, target: Target) -> bool:
-    if request.homes is None:
+    if request.allowed_regions is None:
         return True
     # A failure domain of unknown region is nobody's home.
     region = state.regions.get(target.info.failure_domain)
-    return region is not None and region in request.homes
+    return region is not None and region in request.allowed_regions
--- a/figstep/gateway/requests.py
+++ b/figstep/gateway/requests.py
@@ -102,7 +102,7 @@
         _find_first_arrival(state, spec.digest, now),
         Millis(now + patience),
         delivered=spec.after or 0,
-        homes=eligibility.find_homes(route, customer),
+        allowed_regions=eligibility.find_homes(route, customer),
     )
 
 
--- a/figstep/gateway/routes.py
+++ b/figstep/gateway/routes.py
@@ -32,7 +32,7 @@
         priority: Rank; 0 is the most urgent.
         public: Whether it is open to callers without a key.
         resumable: Whether a stream may go on as a new run elsewhere.
-        homes: Regions that its requests may be sent to; None for any.
+        allowed_regions: Regions that its requests may be sent to; None for any.
     """
 
     name: str
@@ -47,7 +47,7 @@
     priority: int = 0
     public: bool = False
     resumable: bool = False
-    homes: frozenset[str] | None = None
+    allowed_regions: frozenset[str] | None = None
 
     @property
     def idempotent(self) -> bool:
@@ -129,12 +129,12 @@
     Attributes:
         name: Its name, which targets are told.
         priority: Its rank, before the route's; None if the route's holds.
-        homes: Regions that its requests may be sent to; None for any.
+        allowed_regions: Regions that its requests may be sent to; None for any.
     """
 
     name: str
     priority: int | None = None
-    homes: frozenset[str] | None = None
+    allowed_regions: frozenset[str] | None = None
 
 
 @dataclass(frozen=True, slots=True)
--- a/figstep/gateway/state.py
+++ b/figstep/gateway/state.py
@@ -118,7 +118,7 @@
         no_copy_at: Targets that could not take a copy of its run, and when.
         queued: Whether it waits for room.
         denied: Whether the retry budget has denied it a repeat.
-        homes: Regions whose targets it may be sent to; None for any.
+        allowed_regions: Regions whose targets it may be sent to; None for any.
     """
 
     spec: RoutedRequest
@@ -156,7 +156,7 @@
     no_copy_at: dict[str, Millis] = field(default_factory=dict)
     queued: bool = False
     denied: bool = False
-    homes: frozenset[str] | None = None
+    allowed_regions: frozenset[str] | None = None
 
 
 @dataclass(slots=True)
--- a/figstep/platform/documents.py
+++ b/figstep/platform/documents.py
@@ -140,7 +140,7 @@
         priority=route.priority,
         public=route.public,
         resumable=route.resumable,
-        homes=_build_homes(route.regions_allowed),
+        allowed_regions=_build_homes(route.regions_allowed),
     )
 
 
@@ -175,8 +175,8 @@
         return None
     customers = {}
     for tenant in tenants:
-        homes = _build_homes(tenant.regions_allowed)
-        customer = Customer(tenant.name, tenant.priority, homes)
+        allowed_regions = _build_homes(tenant.regions_allowed)
+        customer = Customer(tenant.name, tenant.priority, allowed_regions)
         for key in tenant.api_keys:
             customers[key] = customer
     return customers
--- a/tests/gateway/test_eligibility.py
+++ b/tests/gateway/test_eligibility.py
@@ -30,11 +30,18 @@
 Homes = frozenset[str] | None
 
 
-def bind(homes: Homes, customer: Homes = None, version: int = 2) -> RoutingTable:
+def bind(
+    allowed_regions: Homes, customer: Homes = None, version: int = 2
+) -> RoutingTable:
     """Return a configuration whose routes and customer are bound to regions."""
-    routes = [replace(route, homes=homes) for route in (PLAN, QUESTION, ORDER, LOOKUP)]
+    routes = [
+        replace(route, allowed_regions=allowed_regions)
+        for route in (PLAN, QUESTION, ORDER, LOOKUP)
+    ]
     table = build_table(version, routes)
-    return replace(table, customers={KEY: Customer("gurdwara", homes=customer)})
+    return replace(
+        table, customers={KEY: Customer("gurdwara", allowed_regions=customer)}
+    )
 
 
 def register(world: World, name: str, domain: str, service: str = BOOKINGS) -> None:
@@ -43,11 +50,11 @@
     world.handle(TargetRegistered(info))
 
 
-def build_world(homes: Homes, customer: Homes = None) -> World:
+def build_world(allowed_regions: Homes, customer: Homes = None) -> World:
     """Return an entry in one of three regions, each with a target."""
     world = World()
     world.handle(SettingsRead(0.2, 56.0, world.state.budget.window, REGIONS))
-    world.handle(ConfigurationRead(bind(homes, customer)))
+    world.handle(ConfigurationRead(bind(allowed_regions, customer)))
     for domain in REGIONS:
         register(world, f"b-{domain}", domain)
     return world
@@ -137,4 +144,4 @@
     number = world.arrive("/order/a")
     table = replace(bind(None, version=3), routes={})
     world.handle(ConfigurationRead(table))
-    assert world.state.requests[number].homes == frozenset({"eire"})
+    assert world.state.requests[number].allowed_regions == frozenset({"eire"})
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -92,10 +92,10 @@
     table = parse_configuration(orjson.dumps(document))
     route = table.find_route(ROUTE_HOST, "/plan/a")
     assert route is not None
-    assert route.homes == frozenset({"bayern", "eire"})
+    assert route.allowed_regions == frozenset({"bayern", "eire"})
     assert table.customers is not None
     key = document["tenants"][0]["api_keys"][0]
-    assert table.customers[key].homes == frozenset({"eire"})
+    assert table.customers[key].allowed_regions == frozenset({"eire"})
     service = table.services[document["services"][0]["name"]]
     assert (service.warmup, service.warmup_rate) == (1_500, 25.0)
 
@@ -107,7 +107,7 @@
     table = parse_configuration(orjson.dumps(document))
     route = table.find_route(ROUTE_HOST, "/plan/a")
     assert route is not None
-    assert route.homes is None
+    assert route.allowed_regions is None
 
 
 @pytest.mark.parametrize(
