--- a/figstep/gateway/admission.py
+++ b/figstep/gateway/admission.py
@@ -78,13 +78,13 @@
 
 def note_start(state: State, request: Request, now: Millis) -> None:
     """Count that a generation was started."""
-    starts = state.starts.setdefault(request.service, [])
+    starts = state.start_times.setdefault(request.service, [])
     starts[:] = [at for at in starts if now - at < RATE_WINDOW]
     starts.append(now)
 
 
 def _count_starts(state: State, service: str, now: Millis, within: Millis) -> int:
-    return sum(1 for at in state.starts.get(service, ()) if now - at < within)
+    return sum(1 for at in state.start_times.get(service, ()) if now - at < within)
 
 
 def choose_return(state: State, request: Request, now: Millis) -> Millis:
@@ -97,7 +97,7 @@
     started = _count_starts(state, request.service, now, RATE_WINDOW)
     interval = RATE_WINDOW // max(1, started)
     state.refused_at[request.service] = now
-    returns = state.returns.setdefault(request.service, [])
+    returns = state.scheduled_returns.setdefault(request.service, [])
     returns[:] = [at for at in returns if at > now]
     behind = 1 + len(returns) + _count_ahead(state, request)
     pause = max(SHORTEST_RETURN, min(LONGEST_RETURN, behind * interval))
--- a/figstep/gateway/attempts.py
+++ b/figstep/gateway/attempts.py
@@ -95,35 +95,35 @@
     state: State, request: Request, source: Target, holder: Target
 ) -> None:
     """Count what a copy on order takes of its holder's memory and of both links."""
-    copied = request.copied_tokens if request.copy_place is holder else 0
+    copied = request.copied_tokens if request.copy_destination is holder else 0
     release_copy(request)
     memory = placement.estimate_memory(state, request)
     request.copying = True
-    request.copy_place = holder
+    request.copy_destination = holder
     request.copy_memory = memory
     holder.memory += memory
     request.copy_source = source
-    request.copy_tokens = max(0, memory - copied)
-    source.outgoing += request.copy_tokens
-    holder.incoming += request.copy_tokens
+    request.copying_tokens = max(0, memory - copied)
+    source.outgoing += request.copying_tokens
+    holder.incoming += request.copying_tokens
 
 
 def end_copying(request: Request) -> None:
     """Stop counting a copy on its links: it is made, or never will be."""
-    if request.copy_source is not None and request.copy_place is not None:
-        request.copy_source.outgoing -= request.copy_tokens
-        request.copy_place.incoming -= request.copy_tokens
+    if request.copy_source is not None and request.copy_destination is not None:
+        request.copy_source.outgoing -= request.copying_tokens
+        request.copy_destination.incoming -= request.copying_tokens
     request.copying = False
     request.copy_source = None
-    request.copy_tokens = 0
+    request.copying_tokens = 0
 
 
 def release_copy(request: Request) -> None:
     """Stop counting a copy on order: it failed, was used, or is dropped."""
     end_copying(request)
-    if request.copy_place is not None:
-        request.copy_place.memory -= request.copy_memory
-    request.copy_place = None
+    if request.copy_destination is not None:
+        request.copy_destination.memory -= request.copy_memory
+    request.copy_destination = None
     request.copy_memory = 0
     request.copied_tokens = 0
 
@@ -229,8 +229,8 @@
     target.reading += reading
     if holder is not None:
         holder.memory += memory
-    request.sent += 1
-    request.tried.add(target.name)
+    request.attempts_sent += 1
+    request.tried_targets.add(target.name)
     return attempt
 
 
--- a/figstep/gateway/copies.py
+++ b/figstep/gateway/copies.py
@@ -73,7 +73,7 @@
     if request is None:
         return []
     attempts.release_copy(request)
-    request.no_copy_at[event.holder] = now
+    request.copy_refused_at[event.holder] = now
     note = Note(
         "copy failed",
         {
@@ -310,7 +310,7 @@
     request: Request, copy: RunCopy, holder: Target, now: Millis
 ) -> list[Effect]:
     request.copy = None
-    request.no_copy_at[holder.name] = now
+    request.copy_refused_at[holder.name] = now
     attempts.release_copy(request)
     note = Note(
         "copy dropped for lack of room",
--- a/figstep/gateway/peers.py
+++ b/figstep/gateway/peers.py
@@ -45,7 +45,7 @@
         position=event.position,
         store_well=event.store_well,
         answered=event.answered,
-        well_since=sources.find_well_since(state, event, now),
+        healthy_since=sources.find_well_since(state, event, now),
         far=event.far,
         reading=event.reading,
         leaving=event.leaving,
@@ -56,12 +56,12 @@
         # it; its own loads come with its next message.
         return
     if event.far:
-        state.far_peers[event.node] = peer
+        state.remote_peers[event.node] = peer
         _take_domain(state, event, now)
     elif event.closing:
         known = state.peers.pop(event.node, None)
         _replace_loads(state, () if known is None else known.loads.values(), ())
-        state.missed.pop(event.node, None)
+        state.silent_peers.pop(event.node, None)
     else:
         _take_loads(state, peer, event)
         for name in event.unreached:
@@ -69,7 +69,7 @@
             if target is not None:
                 target.note_told_unreached(event.node, now)
         state.peers[event.node] = peer
-        state.missed.pop(event.node, None)
+        state.silent_peers.pop(event.node, None)
 
 
 def _take_loads(state: State, peer: Peer, event: PeerHeard) -> None:
@@ -82,15 +82,15 @@
     before = {} if known is None else known.loads
     told = {load.target: load for load in event.loads}
     if not event.partial:
-        peer.loads = peer.whole = told
+        peer.loads = peer.full_loads = told
         _replace_loads(state, before.values(), told.values())
         return
     renewed = frozenset(told)
     if known is not None:
-        peer.whole = known.whole
-        renewed |= known.changed
-    peer.changed = frozenset(told)
-    peer.loads = {**peer.whole, **told}
+        peer.full_loads = known.full_loads
+        renewed |= known.changed_targets
+    peer.changed_targets = frozenset(told)
+    peer.loads = {**peer.full_loads, **told}
     _replace_loads(
         state,
         [before[target] for target in renewed if target in before],
@@ -99,8 +99,8 @@
 
 
 def _take_domain(state: State, event: PeerHeard, now: Millis) -> None:
-    domain = state.far_loads.setdefault(event.failure_domain, DomainLoads(now))
-    domain.heard = now
+    domain = state.remote_loads.setdefault(event.failure_domain, DomainLoads(now))
+    domain.last_received_at = now
     if not event.partial:
         _replace_loads(state, domain.loads.values(), event.loads)
         domain.loads = {load.target: load for load in event.loads}
@@ -128,19 +128,23 @@
     """Drop peers that have not been heard for long."""
     for name in _list_silent(state.peers, now):
         _replace_loads(state, state.peers.pop(name).loads.values(), ())
-        state.missed[name] = now
-    for name in _list_silent(state.far_peers, now):
-        del state.far_peers[name]
-    for domain, far in list(state.far_loads.items()):
-        if now - far.heard >= FAR_KEPT:
-            _replace_loads(state, state.far_loads.pop(domain).loads.values(), ())
-    for name, since in list(state.missed.items()):
+        state.silent_peers[name] = now
+    for name in _list_silent(state.remote_peers, now):
+        del state.remote_peers[name]
+    for domain, far in list(state.remote_loads.items()):
+        if now - far.last_received_at >= FAR_KEPT:
+            _replace_loads(state, state.remote_loads.pop(domain).loads.values(), ())
+    for name, since in list(state.silent_peers.items()):
         if now - since >= MISSED_FOR:
-            del state.missed[name]
+            del state.silent_peers[name]
 
 
 def _list_silent(peers: dict[str, Peer], now: Millis) -> list[str]:
-    return [name for name, peer in peers.items() if now - peer.heard >= SILENT_AFTER]
+    return [
+        name
+        for name, peer in peers.items()
+        if now - peer.last_received_at >= SILENT_AFTER
+    ]
 
 
 def recount_loads(state: State) -> None:
@@ -155,7 +159,7 @@
         target.peer_outgoing = 0
     told: list[Iterable[PeerLoad]] = []
     told += [peer.loads.values() for peer in state.peers.values()]
-    told += [far.loads.values() for far in state.far_loads.values()]
+    told += [far.loads.values() for far in state.remote_loads.values()]
     for loads in told:
         for load in loads:
             _add_load(state, load, 1)
@@ -203,9 +207,9 @@
             if use.service == service:
                 requests += use.requests
                 repeats += use.repeats
-    sharing = 1 + len(state.peers) + len(state.missed)
+    sharing = 1 + len(state.peers) + len(state.silent_peers)
     part = min(1.0, sharing / max(1, state.entries))
-    return FleetUse(requests, repeats, sharing, not state.missed, part)
+    return FleetUse(requests, repeats, sharing, not state.silent_peers, part)
 
 
 def spend_repeat(state: State, service: str, now: Millis, urgent: bool = False) -> bool:
@@ -219,9 +223,9 @@
 def note_denied(state: State, request: Request, now: Millis) -> list[Effect]:
     """Return the count of a denied repeat; the first of a request is logged."""
     counted: list[Effect] = [Count("repeats_denied", (request.route.name,))]
-    if request.denied:
+    if request.retry_denied:
         return counted
-    request.denied = True
+    request.retry_denied = True
     fleet = sum_uses(state, request.service)
     note = Note(
         "repeat denied by the fleet's budget",
@@ -251,7 +255,7 @@
         position=state.position,
         failure_domain=state.failure_domain,
         entries=state.entries,
-        store_well=not state.store_away,
+        store_well=not state.store_unreachable,
         answered=not state.read_failed,
         reading=sources.reads_store(state, now),
         leaving=tuple(state.list_leaving(now)),
@@ -305,7 +309,7 @@
     newest = {report.incarnation: report for report in state.list_rates(now)}
     for peer in state.peers.values():
         for told in peer.rates:
-            report = replace(told, age=Millis(told.age + now - peer.heard))
+            report = replace(told, age=Millis(told.age + now - peer.last_received_at))
             known = newest.get(report.incarnation)
             if known is None or report.age < known.age:
                 newest[report.incarnation] = report
--- a/figstep/gateway/placement.py
+++ b/figstep/gateway/placement.py
@@ -199,7 +199,7 @@
     for target in eligibility.list_eligible(state, request):
         fit = _fit_engine(state, request, target, now)
         reason = "none" if fit.obstacle is None else fit.obstacle.value
-        if target.name in request.tried:
+        if target.name in request.tried_targets:
             reason = "tried"
         elif target.avoid_until > now:
             reason = "avoided"
@@ -289,7 +289,7 @@
         now: Monotonic time.
         ahead: Whether the run's engine stays, as far as is known.
     """
-    refused = request.no_copy_at.get(name)
+    refused = request.copy_refused_at.get(name)
     pause = NO_ROOM_FOR if ahead else NO_ROOM_IN_NOTICE
     return refused is not None and now - refused < pause
 
@@ -322,7 +322,7 @@
     Without one, waiting would only hold its caller.
     """
     for target in eligibility.list_eligible(state, request):
-        if target.name not in request.tried:
+        if target.name not in request.tried_targets:
             return True
     return False
 
@@ -333,7 +333,7 @@
     Those that name a rate may be known to take none before.
     """
     for target in eligibility.list_eligible(state, request):
-        if target.name in request.tried:
+        if target.name in request.tried_targets:
             continue
         if limits.find_opening(state, target, now) <= until:
             return True
@@ -343,7 +343,7 @@
 def _list_candidates(state: State, request: Request, now: Millis) -> list[Target]:
     open_now = []
     for target in eligibility.list_eligible(state, request):
-        if target.name in request.tried:
+        if target.name in request.tried_targets:
             continue
         if not warmups.may_send(state, target, now):
             continue
--- a/figstep/gateway/recovery.py
+++ b/figstep/gateway/recovery.py
@@ -37,7 +37,7 @@
     found = _judge_target(state, attempt, event, now)
     if event.loss not in NOT_RUN:
         request.may_have_run = True
-        request.runs += 1
+        request.lost_runs += 1
         if event.loss is not Loss.FAILED:
             request.lost_domains.add(attempt.target.info.failure_domain)
         found += crashes.note_lost(state, request, attempt, now)
@@ -157,7 +157,10 @@
 ) -> list[Effect]:
     """Send a request that did not run to another target."""
     # One that was not reached took no time of anybody's but the caller's.
-    if request.sent - request.unreached >= MOST_SENDS or now >= request.deadline:
+    if (
+        request.attempts_sent - request.unreached >= MOST_SENDS
+        or now >= request.deadline
+    ):
         return requests.refuse_request(state, request, f"lost_{event.loss.value}", now)
     arrived = event.loss is not Loss.UNREACHED
     if arrived and not peers.spend_repeat(state, request.service, now):
@@ -167,7 +170,7 @@
 
 def _may_run_again(request: Request) -> bool:
     # Runs count against the route's attempts, refusals don't.
-    return request.runs < request.route.attempts
+    return request.lost_runs < request.route.attempts
 
 
 def _repeat(
@@ -193,7 +196,7 @@
         request = state.requests[attempt.request]
         if not request.route.idempotent or attempt is not request.current:
             continue
-        if request.stream_begun or request.runs + 1 >= request.route.attempts:
+        if request.stream_begun or request.lost_runs + 1 >= request.route.attempts:
             continue
         if now - attempt.opened < choose_patience(request):
             continue
--- a/figstep/gateway/reducer.py
+++ b/figstep/gateway/reducer.py
@@ -201,9 +201,9 @@
         return []
     if target.seems_gone:
         return _note_departure(state, event.target, now)
-    returning = state.store_away or now < state.store_back_at + LAPSE
+    returning = state.store_unreachable or now < state.store_regained_at + LAPSE
     if returning and not sources.has_store_been_well(state):
-        state.targets.doubt(event.target, Millis(state.store_back_at + LAPSE))
+        state.targets.doubt(event.target, Millis(state.store_regained_at + LAPSE))
         return []
     if state.targets.looks_lapsed(event.target, now):
         state.targets.doubt(event.target, Millis(now + MASS_LAPSE))
--- a/figstep/gateway/reports.py
+++ b/figstep/gateway/reports.py
@@ -36,7 +36,7 @@
             continue
         if now - target.asked_at < ASK_PERIOD:
             continue
-        asked = state.store_away and _asks_for(state, target, heard, now)
+        asked = state.store_unreachable and _asks_for(state, target, heard, now)
         if not asked and not _may_hold_unclaimed(state, target, now):
             continue
         _note_question(target, now)
--- a/figstep/gateway/requests.py
+++ b/figstep/gateway/requests.py
@@ -302,7 +302,7 @@
     for request in list(state.requests.values()):
         if now < request.deadline:
             continue
-        request.may_have_run = request.may_have_run or request.sent > 0
+        request.may_have_run = request.may_have_run or request.attempts_sent > 0
         effects += refuse_request(state, request, "deadline", now)
     return effects
 
@@ -343,7 +343,7 @@
             "customer": request.customer,
             "outcome": outcome,
             "reason": reason,
-            "sent": request.sent,
+            "sent": request.attempts_sent,
             "events": request.pieces,
             "first_ms": request.time_to_first_event,
             "longest_pause_ms": request.longest_pause,
--- a/figstep/gateway/shares.py
+++ b/figstep/gateway/shares.py
@@ -31,7 +31,7 @@
     budget = state.budget
     if not budget.fresh and now < budget.started + SETTLED_AFTER:
         return 0
-    others = {*state.peers, *state.missed}
+    others = {*state.peers, *state.silent_peers}
     sharing = 1 + len(others)
     part = min(1.0, sharing / max(1, state.entries))
     near = _share_domain(state, key, requests * part)
@@ -47,7 +47,7 @@
     equal parts leave over is rounded up in some of them, which all draw alike.
     """
     own = draw(state.failure_domain, key)
-    before = sum(1 for name in state.far_loads if draw(name, key) < own)
+    before = sum(1 for name in state.remote_loads if draw(name, key) < own)
     return int((before + 1) * part) - int(before * part)
 
 
--- a/figstep/gateway/sources.py
+++ b/figstep/gateway/sources.py
@@ -34,7 +34,7 @@
     """Return the entries of this failure domain that were heard of late."""
     heard = {}
     for name, peer in state.peers.items():
-        if now - peer.heard < READER_SILENT:
+        if now - peer.last_received_at < READER_SILENT:
             heard[name] = peer
     return heard
 
@@ -64,7 +64,7 @@
 
 def _share_readers(state: State, readers: int) -> int:
     """Return how many of the fleet's readers each failure domain has."""
-    domains = 1 + len(state.far_loads)
+    domains = 1 + len(state.remote_loads)
     return -(-readers // domains)
 
 
@@ -77,18 +77,18 @@
     away = state.read_failed
     if state.is_large and (away or not reads_store(state, now)):
         away = not _hears_reader(state, now)
-    if away and not state.store_away:
+    if away and not state.store_unreachable:
         state.store_lost_at = now
-    if state.store_away and not away:
-        state.store_back_at = now
-    state.store_away = away
+    if state.store_unreachable and not away:
+        state.store_regained_at = now
+    state.store_unreachable = away
 
 
 def _hears_reader(state: State, now: Millis) -> bool:
     # Readers that fail together must not take each other's word that records reach
     # them: only one that is answered itself has any.
-    for peer in [*state.peers.values(), *state.far_peers.values()]:
-        if now - peer.heard >= READER_SILENT:
+    for peer in [*state.peers.values(), *state.remote_peers.values()]:
+        if now - peer.last_received_at >= READER_SILENT:
             continue
         if peer.reading and peer.answered and peer.store_well:
             return True
@@ -97,30 +97,30 @@
 
 def is_unread(state: State, now: Millis) -> bool:
     """Tell whether no entry that is heard is answered by the store."""
-    return state.store_away and not _hears_reader(state, now)
+    return state.store_unreachable and not _hears_reader(state, now)
 
 
 def find_well_since(state: State, event: PeerHeard, now: Millis) -> Millis | None:
     """Return since when the store has answered a peer that reads it, or None."""
     if not (event.reading and event.answered and event.store_well):
         return None
-    known = (state.far_peers if event.far else state.peers).get(event.node)
-    if known is None or known.well_since is None:
+    known = (state.remote_peers if event.far else state.peers).get(event.node)
+    if known is None or known.healthy_since is None:
         return now
-    return known.well_since
+    return known.healthy_since
 
 
 def has_store_been_well(state: State) -> bool:
     """Tell whether a peer read the store all the while that this entry could not."""
-    for peer in [*state.peers.values(), *state.far_peers.values()]:
-        if peer.well_since is not None and peer.well_since < state.store_lost_at:
+    for peer in [*state.peers.values(), *state.remote_peers.values()]:
+        if peer.healthy_since is not None and peer.healthy_since < state.store_lost_at:
             return True
     return False
 
 
 def catch_up(state: State, now: Millis) -> list[Effect]:
     """Ask a peer for records that the store has not told this entry."""
-    known = [*state.peers.values(), *state.far_peers.values()]
+    known = [*state.peers.values(), *state.remote_peers.values()]
     ahead = [peer for peer in known if _is_ahead(state, peer)]
     if not ahead:
         state.behind_since = None
--- a/figstep/gateway/state.py
+++ b/figstep/gateway/state.py
@@ -97,10 +97,10 @@
         copy_ordered_at: When a copy was last ordered.
         copied_at: When that copy was made or last brought up to date on order.
         copying: Whether a copy is being made on order.
-        copy_place: Target that a copy on order was made at, or is, or None.
+        copy_destination: Target that a copy on order was made at, or is, or None.
         copy_memory: Tokens that it takes there.
         copy_source: Target that it is being copied from, or None.
-        copy_tokens: Tokens that are being copied.
+        copying_tokens: Tokens that are being copied.
         copied_tokens: Tokens that its copy on order had when it was made.
         stream_begun: Whether the caller's stream has begun.
         delivered: Id of the last event handed to the caller.
@@ -109,15 +109,15 @@
         time_to_first_event: Time from its arrival to its first event.
         longest_pause: Longest time between two deliveries.
         smoothed_pause: Smoothed time between two deliveries.
-        sent: Attempts so far.
+        attempts_sent: Attempts so far.
         unreached: Those that found no connection.
-        runs: Lost attempts that may have run.
+        lost_runs: Lost attempts that may have run.
         may_have_run: Whether a target may have begun to run it.
-        tried: Targets that lost or refused it.
+        tried_targets: Targets that lost or refused it.
         lost_domains: Failure domains of targets that were lost while they had it.
-        no_copy_at: Targets that could not take a copy of its run, and when.
+        copy_refused_at: Targets that could not take a copy of its run, and when.
         queued: Whether it waits for room.
-        denied: Whether the retry budget has denied it a repeat.
+        retry_denied: Whether the retry budget has denied it a repeat.
         allowed_regions: Regions whose targets it may be sent to; None for any.
     """
 
@@ -135,10 +135,10 @@
     copy_ordered_at: Millis = Millis(0)
     copied_at: Millis = Millis(0)
     copying: bool = False
-    copy_place: Target | None = None
+    copy_destination: Target | None = None
     copy_memory: int = 0
     copy_source: Target | None = None
-    copy_tokens: int = 0
+    copying_tokens: int = 0
     copied_tokens: int = 0
     stream_begun: bool = False
     delivered: int = 0
@@ -147,15 +147,15 @@
     time_to_first_event: Millis = Millis(0)
     longest_pause: Millis = Millis(0)
     smoothed_pause: float = 0.0
-    sent: int = 0
+    attempts_sent: int = 0
     unreached: int = 0
-    runs: int = 0
+    lost_runs: int = 0
     may_have_run: bool = False
-    tried: set[str] = field(default_factory=set)
+    tried_targets: set[str] = field(default_factory=set)
     lost_domains: set[str] = field(default_factory=set)
-    no_copy_at: dict[str, Millis] = field(default_factory=dict)
+    copy_refused_at: dict[str, Millis] = field(default_factory=dict)
     queued: bool = False
-    denied: bool = False
+    retry_denied: bool = False
     allowed_regions: frozenset[str] | None = None
 
 
@@ -164,15 +164,15 @@
     """Another entry, as its messages tell.
 
     Attributes:
-        heard: When its last message came.
+        last_received_at: When its last message came.
         loads: What it has open, by target.
-        whole: The same as it was last told whole.
-        changed: Targets of which other loads were told since.
+        full_loads: The same as it was last told whole.
+        changed_targets: Targets of which other loads were told since.
         uses: What it sent to each service of late.
         address: Where it listens for peers.
         configuration: Version that it has in force; -1 for none.
         position: How far it has read the registrations; -1 for nothing.
-        well_since: Since when it has said without a break that it reads the
+        healthy_since: Since when it has said without a break that it reads the
             store and is answered; None if it last said otherwise.
         store_well: Whether records of the store reach it, from whomever.
         answered: Whether the store answers it, as far as it reads the store.
@@ -181,17 +181,17 @@
         leaving: Targets that told it, or its failure domain, that they leave.
     """
 
-    heard: Millis
+    last_received_at: Millis
     loads: dict[str, PeerLoad] = field(default_factory=dict)
-    whole: dict[str, PeerLoad] = field(default_factory=dict)
-    changed: frozenset[str] = frozenset()
+    full_loads: dict[str, PeerLoad] = field(default_factory=dict)
+    changed_targets: frozenset[str] = frozenset()
     uses: tuple[UseReport, ...] = ()
     address: str = ""
     configuration: int = -1
     position: int = -1
     store_well: bool = True
     answered: bool = True
-    well_since: Millis | None = None
+    healthy_since: Millis | None = None
     far: bool = False
     reading: bool = False
     leaving: tuple[Incarnation, ...] = ()
@@ -203,11 +203,11 @@
     """What the entries of another failure domain have open at all targets.
 
     Attributes:
-        heard: When one of them told it.
+        last_received_at: When one of them told it.
         loads: Their sums, by target.
     """
 
-    heard: Millis
+    last_received_at: Millis
     loads: dict[str, PeerLoad] = field(default_factory=dict)
 
 
@@ -226,28 +226,28 @@
         requests: Requests without a final answer, by number.
         attempts: Open attempts by number.
         queue: Numbers of requests that wait for room, in order of arrival.
-        starts: When requests that had waited for room were started, by service.
+        start_times: When requests that had waited for room were started, by service.
         refused_at: When a caller was last refused for want of room, by service.
-        returns: When refused callers were told to come back, by service.
+        scheduled_returns: When refused callers were told to come back, by service.
         refused: Requests that were refused for want of room, by digest.
         peers: Other entries by name.
-        far_peers: Entries of other failure domains that were heard of late.
-        far_loads: Loads of other failure domains' entries, by domain.
+        remote_peers: Entries of other failure domains that were heard of late.
+        remote_loads: Loads of other failure domains' entries, by domain.
         entries: Entries of the fleet, this one included.
-        missed: Peers that fell silent without saying that they end, and when.
+        silent_peers: Peers that fell silent without saying that they end, and when.
         budget: Repeats that this entry may still make.
         crashes: Crashes of targets, and the requests that were there.
         next_attempt: Number of the next attempt.
         position: How far the registrations were read; -1 for nothing.
         behind_since: Since when a peer has known newer records, or None.
         read_failed: Whether the store does not answer this entry.
-        store_away: Whether no record of the store reaches this entry, from the
+        store_unreachable: Whether no record of the store reaches this entry, from the
             store or from others that read it.
         store_lost_at: When that began.
-        store_back_at: When it ended.
+        store_regained_at: When it ended.
         departures: Targets that have said that they leave.
         closes_at: When the process ends, or None.
-        watched_at: When its streams were last looked at.
+        streams_checked_at: When its streams were last looked at.
     """
 
     node: str
@@ -261,25 +261,25 @@
     requests: dict[int, Request] = field(default_factory=dict)
     attempts: dict[int, Attempt] = field(default_factory=dict)
     queue: list[int] = field(default_factory=list)
-    starts: dict[str, list[Millis]] = field(default_factory=dict)
+    start_times: dict[str, list[Millis]] = field(default_factory=dict)
     refused_at: dict[str, Millis] = field(default_factory=dict)
-    returns: dict[str, list[Millis]] = field(default_factory=dict)
+    scheduled_returns: dict[str, list[Millis]] = field(default_factory=dict)
     refused: RefusalTable = field(default_factory=RefusalTable)
     peers: dict[str, Peer] = field(default_factory=dict)
-    far_peers: dict[str, Peer] = field(default_factory=dict)
-    far_loads: dict[str, DomainLoads] = field(default_factory=dict)
+    remote_peers: dict[str, Peer] = field(default_factory=dict)
+    remote_loads: dict[str, DomainLoads] = field(default_factory=dict)
     entries: int = 1
-    missed: dict[str, Millis] = field(default_factory=dict)
+    silent_peers: dict[str, Millis] = field(default_factory=dict)
     crashes: CrashTable = field(default_factory=CrashTable)
     next_attempt: int = 1
     position: int = -1
     behind_since: Millis | None = None
     read_failed: bool = False
-    store_away: bool = False
+    store_unreachable: bool = False
     store_lost_at: Millis = Millis(-1_000_000)
-    store_back_at: Millis = Millis(-1_000_000)
+    store_regained_at: Millis = Millis(-1_000_000)
     closes_at: Millis | None = None
-    watched_at: Millis = Millis(0)
+    streams_checked_at: Millis = Millis(0)
     departures: dict[Incarnation, Departure] = field(default_factory=dict)
 
     @property
--- a/figstep/gateway/streams.py
+++ b/figstep/gateway/streams.py
@@ -192,8 +192,8 @@
 def watch_streams(state: State, now: Millis) -> list[Effect]:
     """Look after streams that stall or are in the middle of a change."""
     effects: list[Effect] = []
-    stood_still = now - state.watched_at >= LATE_TICK
-    state.watched_at = now
+    stood_still = now - state.streams_checked_at >= LATE_TICK
+    state.streams_checked_at = now
     for request in list(state.requests.values()):
         if request.route.kind is not RouteKind.STREAM:
             continue
--- a/tests/gateway/test_recovery.py
+++ b/tests/gateway/test_recovery.py
@@ -125,7 +125,7 @@
     world = build_world()
     world.arrive("/lookup/a")
     first = world.find(OpenAttempt)
-    world.state.requests[first.number].runs = 1
+    world.state.requests[first.number].lost_runs = 1
     world.clock.advance(400)
     world.handle(Ticked())
     assert world.effects == []
--- a/tests/gateway/test_sources.py
+++ b/tests/gateway/test_sources.py
@@ -136,13 +136,13 @@
     world = build_large_world()
     hear_readers(world, 6, store_well=True)
     world.handle(Ticked())
-    assert not world.state.store_away
+    assert not world.state.store_unreachable
     hear_readers(world, 6, store_well=False)
     world.handle(Ticked())
-    assert world.state.store_away
+    assert world.state.store_unreachable
     hear_domain(world, "muc-b", reading=True)
     world.handle(Ticked())
-    assert not world.state.store_away
+    assert not world.state.store_unreachable
 
 
 def talk(fleet: list[World], millis: int) -> None:
@@ -170,13 +170,13 @@
     fleet = build_fleet(24, domains)
     for _ in range(10):
         talk(fleet, 200)
-    assert not any(world.state.store_away for world in fleet)
+    assert not any(world.state.store_unreachable for world in fleet)
     for _ in range(10):
         for world in fleet:
             if sources.reads_store(world.state, world.clock.now()):
                 world.handle(StoreLost())
         talk(fleet, 200)
-    assert all(world.state.store_away for world in fleet)
+    assert all(world.state.store_unreachable for world in fleet)
 
 
 def test_one_reader_that_is_answered_is_enough_for_all() -> None:
@@ -189,7 +189,7 @@
             if sources.reads_store(world.state, world.clock.now()):
                 world.handle(StoreLost())
         talk(fleet, 200)
-    assert not any(world.state.store_away for world in fleet)
+    assert not any(world.state.store_unreachable for world in fleet)
 
 
 def test_an_entry_that_does_not_read_is_no_witness_of_the_store() -> None:
