--- a/figstep/gateway/peers.py
+++ b/figstep/gateway/peers.py
@@ -36,7 +36,7 @@
 
 def _take_peer(state: State, event: PeerHeard, now: Millis) -> None:
     for refusal in event.refused:
-        state.refused.note_told(refusal, now)
+        state.refused.record_announced(refusal, now)
     peer = Peer(
         now,
         uses=event.uses,
@@ -259,7 +259,7 @@
         answered=not state.read_failed,
         reading=sources.reads_store(state, now),
         leaving=tuple(state.list_leaving(now)),
-        refused=state.refused.list_told(now),
+        refused=state.refused.list_announced(now),
         evacuations=state.evacuations,
         unreached=tuple(state.list_unreached(now)),
         rates=tuple(state.list_rates(now)),
--- a/figstep/gateway/refusals.py
+++ b/figstep/gateway/refusals.py
@@ -4,13 +4,13 @@
 
 from figstep.core.clock import Millis
 
-REMEMBERED_FOR = Millis(15_000)
+REFUSAL_RETENTION = Millis(15_000)
 """Callers come back within a third of the time that they have."""
 
-TOLD_FOR = Millis(2_000)
+REFUSAL_ANNOUNCE_DURATION = Millis(2_000)
 """How long others are told: twice at least, as a datagram may be lost."""
 
-MOST_TOLD = 16
+MAX_ANNOUNCED_REFUSALS = 16
 """Refusals in a message."""
 
 
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class _Known:
+class _KnownRefusal:
     first_arrived: Millis
     refused_at: Millis
     own: bool
@@ -38,18 +38,18 @@
 class RefusalTable:
     """Refused requests of this entry and of those that it hears."""
 
-    _known: dict[str, _Known] = field(default_factory=dict)
+    _known: dict[str, _KnownRefusal] = field(default_factory=dict)
 
-    def note_own(self, digest: str, first_arrived: Millis, now: Millis) -> None:
+    def record_own(self, digest: str, first_arrived: Millis, now: Millis) -> None:
         """Remember a request that this entry refuses."""
-        self._known[digest] = _Known(first_arrived, now, True)
+        self._known[digest] = _KnownRefusal(first_arrived, now, True)
 
-    def note_told(self, refusal: Refusal, now: Millis) -> None:
+    def record_announced(self, refusal: Refusal, now: Millis) -> None:
         """Remember a request that another entry refused."""
-        known = _Known(Millis(now - refusal.age), now, False)
+        known = _KnownRefusal(Millis(now - refusal.age), now, False)
         self._known.setdefault(refusal.digest, known)
 
-    def take(self, digest: str) -> Millis | None:
+    def pop_first_arrival(self, digest: str) -> Millis | None:
         """Return when a caller first came with a request that was refused.
 
         It is forgotten with that, as callers may send the same anew later.
@@ -57,16 +57,16 @@
         known = self._known.pop(digest, None)
         return None if known is None else known.first_arrived
 
-    def list_told(self, now: Millis) -> tuple[Refusal, ...]:
+    def list_announced(self, now: Millis) -> tuple[Refusal, ...]:
         """Return what others are told, the newest last."""
         told = []
         for digest, known in self._known.items():
-            if known.own and now - known.refused_at < TOLD_FOR:
+            if known.own and now - known.refused_at < REFUSAL_ANNOUNCE_DURATION:
                 told.append(Refusal(digest, Millis(now - known.first_arrived)))
-        return tuple(told[-MOST_TOLD:])
+        return tuple(told[-MAX_ANNOUNCED_REFUSALS:])
 
     def forget_old(self, now: Millis) -> None:
         """Drop refusals whose callers won't come any more."""
         for digest, known in list(self._known.items()):
-            if now - known.refused_at >= REMEMBERED_FOR:
+            if now - known.refused_at >= REFUSAL_RETENTION:
                 del self._known[digest]
--- a/figstep/gateway/requests.py
+++ b/figstep/gateway/requests.py
@@ -108,7 +108,7 @@
 
 def _find_first_arrival(state: State, digest: str, now: Millis) -> Millis:
     # A caller counts its wait from its first try, wherever that was refused.
-    refused = state.refused.take(digest)
+    refused = state.refused.pop_first_arrival(digest)
     return now if refused is None else refused
 
 
@@ -233,7 +233,7 @@
         return [*effects, *break_stream(state, request, reason, now)]
     if request.spec.prompt is not None:
         effects.append(_note_refusal(state, request, reason, now))
-        state.refused.note_own(request.spec.digest, request.first_arrived, now)
+        state.refused.record_own(request.spec.digest, request.first_arrived, now)
     if request.may_have_run:
         status, retry_after, ran = 502, None, Ran.UNKNOWN
         if now >= request.deadline:
--- a/tests/gateway/test_refusals.py
+++ b/tests/gateway/test_refusals.py
@@ -1,40 +1,45 @@
 """Tests of requests that were refused and come again."""
 
 from figstep.core.clock import Millis
-from figstep.gateway.refusals import REMEMBERED_FOR, TOLD_FOR, Refusal, RefusalTable
+from figstep.gateway.refusals import (
+    REFUSAL_ANNOUNCE_DURATION,
+    REFUSAL_RETENTION,
+    Refusal,
+    RefusalTable,
+)
 
 NOW = Millis(100_000)
 
 
 def test_a_return_is_known_with_the_time_of_its_first_try() -> None:
     table = RefusalTable()
-    table.note_own("digest", Millis(NOW - 700), NOW)
-    assert table.take("digest") == NOW - 700
+    table.record_own("digest", Millis(NOW - 700), NOW)
+    assert table.pop_first_arrival("digest") == NOW - 700
 
 
 def test_a_request_sent_anew_after_its_return_is_a_new_one() -> None:
     """Guards against a caller whose every later request counts as late."""
     table = RefusalTable()
-    table.note_own("digest", NOW, NOW)
-    table.take("digest")
-    assert table.take("digest") is None
+    table.record_own("digest", NOW, NOW)
+    table.pop_first_arrival("digest")
+    assert table.pop_first_arrival("digest") is None
 
 
 def test_a_return_to_another_entry_is_known_there() -> None:
     """Guards against returns that displace callers who can still be in time."""
     table = RefusalTable()
-    table.note_own("digest", Millis(NOW - 700), NOW)
-    told = table.list_told(Millis(NOW + 100))
+    table.record_own("digest", Millis(NOW - 700), NOW)
+    told = table.list_announced(Millis(NOW + 100))
     assert told == (Refusal("digest", Millis(800)),)
     other = RefusalTable()
-    other.note_told(told[0], Millis(NOW + 100))
-    assert other.list_told(NOW) == ()
-    assert other.take("digest") == NOW - 700
+    other.record_announced(told[0], Millis(NOW + 100))
+    assert other.list_announced(NOW) == ()
+    assert other.pop_first_arrival("digest") == NOW - 700
 
 
 def test_refusals_are_told_for_a_while_and_forgotten() -> None:
     table = RefusalTable()
-    table.note_own("digest", NOW, NOW)
-    assert table.list_told(Millis(NOW + TOLD_FOR)) == ()
-    table.forget_old(Millis(NOW + REMEMBERED_FOR))
-    assert table.take("digest") is None
+    table.record_own("digest", NOW, NOW)
+    assert table.list_announced(Millis(NOW + REFUSAL_ANNOUNCE_DURATION)) == ()
+    table.forget_old(Millis(NOW + REFUSAL_RETENTION))
+    assert table.pop_first_arrival("digest") is None
