--- a/figstep/gateway/budgets.py
+++ b/figstep/gateway/budgets.py
@@ -11,22 +11,22 @@
 
 from figstep.core.clock import Millis
 
-SHARED_PART = 0.6
+SHARED_FRACTION = 0.6
 """Part of the fleet's bound that is used while all entries hear each other. A
 message takes up to 0.1 s; what all of them start meanwhile fits the rest."""
 
-URGENT_PART = 0.8
+URGENT_FRACTION = 0.8
 """The same for streams whose engine leaves: denied, they would be lost. The rest
 holds what all entries start within one message's time."""
 
-ALONE_PART = 0.7
+ISOLATED_FRACTION = 0.7
 """Part of an entry's own share that is used while others are not heard: windows
 slide, and a target counts a repeat some milliseconds after it was sent."""
 
-UNSEEN_ENTRIES = 4
+UNKNOWN_ENTRIES = 4
 """Entries that may exist without having been heard of: added or restarting."""
 
-URGENT_RESERVE = 0.3
+URGENT_RESERVE_FRACTION = 0.3
 """Part of the bound that is kept for streams whose engine leaves. One of these
 is worth tens of short requests that could be tried again instead."""
 
@@ -63,14 +63,14 @@
         repeats: Their arrivals beyond the first of each request.
         entries: Entries that share, this one included.
         complete: Whether all of them are heard now.
-        part: Their part of all entries of the fleet.
+        fleet_fraction: Their part of all entries of the fleet.
     """
 
     requests: int
     repeats: int
     entries: int
     complete: bool
-    part: float = 1.0
+    fleet_fraction: float = 1.0
 
 
 @dataclass(slots=True)
@@ -83,7 +83,7 @@
         window: Length of the sliding window.
         started: When this entry started; before a window has passed, repeats
             of its earlier process may still count.
-        fresh: Whether no earlier process of this entry can have sent anything.
+        first_start: Whether no earlier process of this entry can have sent anything.
         uses: What was sent, by service.
     """
 
@@ -91,10 +91,10 @@
     allowance: float
     window: Millis
     started: Millis = Millis(0)
-    fresh: bool = True
+    first_start: bool = True
     uses: dict[str, ServiceUse] = field(default_factory=dict)
 
-    def note_request(self, service: str, now: Millis) -> None:
+    def record_request(self, service: str, now: Millis) -> None:
         """Count a caller's request for a service."""
         self._trim(service, now).requests.append(now)
 
@@ -114,21 +114,21 @@
             urgent: Whether it may use what is kept for streams in danger.
         """
         use = self._trim(service, now)
-        keep = 1.0 if urgent else 1.0 - URGENT_RESERVE
-        shared = URGENT_PART if urgent else SHARED_PART
+        usable_fraction = 1.0 if urgent else 1.0 - URGENT_RESERVE_FRACTION
+        safety_fraction = URGENT_FRACTION if urgent else SHARED_FRACTION
         if fleet.complete and fleet.entries > 1:
             requests = len(use.requests) + fleet.requests
-            allowance = self.allowance * fleet.part
-            bound = shared * (self.ratio * requests + allowance)
-            return len(use.repeats) + fleet.repeats + 1 <= keep * bound
-        entries = fleet.entries / fleet.part
-        part = self.allowance / (entries + UNSEEN_ENTRIES)
-        if not self.fresh and now < self.started + self.window:
-            part = 0.0
-        bound = ALONE_PART * (self.ratio * len(use.requests) + part)
-        return len(use.repeats) + 1 <= keep * bound
-
-    def note_repeat(self, service: str, now: Millis) -> None:
+            allowance = self.allowance * fleet.fleet_fraction
+            bound = safety_fraction * (self.ratio * requests + allowance)
+            return len(use.repeats) + fleet.repeats + 1 <= usable_fraction * bound
+        entries = fleet.entries / fleet.fleet_fraction
+        allowance_share = self.allowance / (entries + UNKNOWN_ENTRIES)
+        if not self.first_start and now < self.started + self.window:
+            allowance_share = 0.0
+        bound = ISOLATED_FRACTION * (self.ratio * len(use.requests) + allowance_share)
+        return len(use.repeats) + 1 <= usable_fraction * bound
+
+    def record_repeat(self, service: str, now: Millis) -> None:
         """Count an arrival beyond the first of a request."""
         self._trim(service, now).repeats.append(now)
 
--- a/figstep/gateway/limits.py
+++ b/figstep/gateway/limits.py
@@ -101,7 +101,7 @@
     fleet = peers.sum_uses(state, service)
     requests = state.budget.count_requests(service, now) + fleet.requests
     ready = max(1, len(state.targets.list_ready(service)))
-    return requests / fleet.part / ready * 1_000 / state.budget.window
+    return requests / fleet.fleet_fraction / ready * 1_000 / state.budget.window
 
 
 def note_pause(target: Target, pause: Millis, now: Millis) -> None:
--- a/figstep/gateway/peers.py
+++ b/figstep/gateway/peers.py
@@ -216,7 +216,7 @@
     """Take one repeat from the fleet's budget; False if none is left."""
     if not state.budget.can_repeat(service, sum_uses(state, service), now, urgent):
         return False
-    state.budget.note_repeat(service, now)
+    state.budget.record_repeat(service, now)
     return True
 
 
@@ -235,7 +235,7 @@
             "own_repeats": state.budget.count_repeats(request.service, now),
             "fleet_repeats": fleet.repeats,
             "fleet_requests": fleet.requests,
-            "part": fleet.part,
+            "part": fleet.fleet_fraction,
             "complete": fleet.complete,
         },
     )
--- a/figstep/gateway/reports.py
+++ b/figstep/gateway/reports.py
@@ -84,7 +84,7 @@
 
 def _may_hold_unclaimed(state: State, target: Target, now: Millis) -> bool:
     pool = placement.find_engine_pool(state, target.info.service)
-    if pool is None or state.budget.fresh:
+    if pool is None or state.budget.first_start:
         return False
     if state.is_large:
         # Questions of all entries to all engines would grow with the square of
--- a/figstep/gateway/requests.py
+++ b/figstep/gateway/requests.py
@@ -74,7 +74,7 @@
         return _turn_away(spec.number, spec.id, 503, "entry_leaving", CLOSING_RETURN)
     request = _build_request(state, event, route, customer, now)
     state.requests[spec.number] = request
-    state.budget.note_request(request.service, now)
+    state.budget.record_request(request.service, now)
     return [Count("arrived", (route.name,)), *place_request(state, request, now)]
 
 
--- a/figstep/gateway/shares.py
+++ b/figstep/gateway/shares.py
@@ -29,7 +29,7 @@
         now: Monotonic time.
     """
     budget = state.budget
-    if not budget.fresh and now < budget.started + SETTLED_AFTER:
+    if not budget.first_start and now < budget.started + SETTLED_AFTER:
         return 0
     others = {*state.peers, *state.silent_peers}
     sharing = 1 + len(others)
--- a/figstep/platform/entry.py
+++ b/figstep/platform/entry.py
@@ -424,7 +424,7 @@
         settings.retry_allowance,
         settings.retry_window,
         started=now,
-        fresh=settings.first_start,
+        first_start=settings.first_start,
     )
     seed = int.from_bytes(os.urandom(16))
     return State(
--- a/tests/gateway/test_budgets.py
+++ b/tests/gateway/test_budgets.py
@@ -10,7 +10,7 @@
 def spend(budget: RetryBudget, fleet: FleetUse, urgent: bool = True) -> int:
     spent = 0
     while budget.can_repeat("engines", fleet, NOW, urgent):
-        budget.note_repeat("engines", NOW)
+        budget.record_repeat("engines", NOW)
         spent += 1
     return spent
 
@@ -46,7 +46,7 @@
     An entry uses its part, is killed and comes back within the window. It
     remembers nothing; the service counts what both processes sent.
     """
-    budget = RetryBudget(0.2, 56.0, WINDOW, started=NOW, fresh=False)
+    budget = RetryBudget(0.2, 56.0, WINDOW, started=NOW, first_start=False)
     alone = FleetUse(0, 0, 1, complete=True)
     assert spend(budget, alone) == 0
     later = Millis(NOW + WINDOW)
@@ -75,8 +75,8 @@
     fleet, goes on with 45 streams in a window whose bound for it is 46 of 186.
     """
     budget = RetryBudget(0.0, 186.0, Millis(10_000))
-    fleet = FleetUse(0, 36, 18, True, part=0.25)
+    fleet = FleetUse(0, 36, 18, True, fleet_fraction=0.25)
     assert budget.can_repeat("engines", fleet, Millis(100_000), urgent=True)
     assert not budget.can_repeat("engines", fleet, Millis(100_000))
-    spent = FleetUse(0, 37, 18, True, part=0.25)
+    spent = FleetUse(0, 37, 18, True, fleet_fraction=0.25)
     assert not budget.can_repeat("engines", spent, Millis(100_000), urgent=True)
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -98,7 +98,7 @@
     world = build_large_world()
     fleet = peers.sum_uses(world.state, "engines")
     assert fleet.entries == 19
-    assert fleet.part == 19 / 73
+    assert fleet.fleet_fraction == 19 / 73
 
 
 def test_sums_of_loads_stay_right_over_messages_silence_and_new_targets() -> None:
--- a/tests/gateway/test_reports.py
+++ b/tests/gateway/test_reports.py
@@ -31,7 +31,7 @@
     """Return a world whose entry has just started in place of one that was killed."""
     world = World()
     world.state.budget.started = world.clock.now()
-    world.state.budget.fresh = False
+    world.state.budget.first_start = False
     return world
 
 
--- a/tests/gateway/test_warmups.py
+++ b/tests/gateway/test_warmups.py
@@ -101,7 +101,7 @@
 def test_restarted_entries_spare_a_cold_target() -> None:
     """Guards against processes that restart together and know of no other yet."""
     world = build_world()
-    world.state.budget.fresh = False
+    world.state.budget.first_start = False
     world.state.budget.started = world.clock.now()
     register(world, "b-1", 1_000)
     assert count_sends(world) == 0
