--- a/figstep/gateway/refusals.py
+++ b/figstep/gateway/refusals.py
@@ -59,11 +59,11 @@
 
     def list_announced(self, now: Millis) -> tuple[Refusal, ...]:
         """Return what others are told, the newest last."""
-        told = []
+        announced = []
         for digest, known in self._known.items():
             if known.own and now - known.refused_at < REFUSAL_ANNOUNCE_DURATION:
-                told.append(Refusal(digest, Millis(now - known.first_arrived)))
-        return tuple(told[-MAX_ANNOUNCED_REFUSALS:])
+                announced.append(Refusal(digest, Millis(now - known.first_arrived)))
+        return tuple(announced[-MAX_ANNOUNCED_REFUSALS:])
 
     def forget_old(self, now: Millis) -> None:
         """Drop refusals whose callers won't come any more."""
