--- a/figstep/gateway/admission.py
+++ b/figstep/gateway/admission.py
@@ -44,7 +44,7 @@
     share = WAIT_SHARE
     if _is_overloaded(state, request.service, now):
         # Room goes to those who can be in time; the others wait in vain.
-        share = placement.LATE_SHARE
+        share = placement.LATE_OBJECTIVE_FRACTION
     wait = max(
         request.first_arrived + round(objective * share),
         request.arrived + round(objective * RETURNED_SHARE),
@@ -61,7 +61,7 @@
 def can_wait(state: State, request: Request, now: Millis) -> bool:
     """Tell whether a request that finds no room may expect some in time."""
     limit = find_wait_limit(state, request, now)
-    if now >= limit or not placement.has_opening(state, request, now, limit):
+    if now >= limit or not placement.can_send_before(state, request, now, limit):
         return False
     started = _count_starts(state, request.service, now, Millis(limit - now))
     return _count_ahead(state, request) < max(LEAST_QUEUE, started)
--- a/figstep/gateway/attempts.py
+++ b/figstep/gateway/attempts.py
@@ -192,7 +192,7 @@
     if request.route.kind is not RouteKind.STREAM:
         return None
     return placement.choose_copy_holder(
-        state, request, source.name, now, placement.BACKUP_ROOM
+        state, request, source.name, now, placement.BACKUP_MAX_MEMORY_FRACTION
     )
 
 
--- a/figstep/gateway/copies.py
+++ b/figstep/gateway/copies.py
@@ -220,7 +220,11 @@
     if pool is None or not pool.moves or current is None:
         return []
     holder = placement.choose_copy_holder(
-        state, request, current.target.name, now, placement.MOVE_ROOM
+        state,
+        request,
+        current.target.name,
+        now,
+        placement.MIGRATION_MAX_MEMORY_FRACTION,
     )
     if holder is None:
         return []
@@ -299,7 +303,7 @@
         holder = state.targets.find(copy.holder)
         if holder is None or request.copying:
             continue
-        if holder.memory_load <= placement.read_memory(state, request.service):
+        if holder.memory_load <= placement.find_engine_memory(state, request.service):
             continue
         relieved.add(copy.holder)
         effects += _drop_spare(request, copy, holder, now)
@@ -351,7 +355,9 @@
     if now - request.copied_at >= pool.copy_kept:
         request.copy = None
     if request.copy is not None:
-        if placement.was_refused_copy(request, request.copy.holder, now, ahead=True):
+        if placement.was_refused_copy(
+            request, request.copy.holder, now, proactive=True
+        ):
             return False
         return now - request.copied_at >= REFRESH_SHARE * pool.copy_kept
     return count_left(state, request) >= LEAST_LEFT
@@ -374,7 +380,12 @@
     elif not state.queue:
         # A prompt that waits is worth more than a copy that may not be needed.
         holder = placement.choose_copy_holder(
-            state, request, current.target.name, now, placement.AHEAD_ROOM, ahead=True
+            state,
+            request,
+            current.target.name,
+            now,
+            placement.PROACTIVE_MAX_MEMORY_FRACTION,
+            proactive=True,
         )
     if holder is None or _is_copying(current.target, holder):
         return []
--- a/figstep/gateway/placement.py
+++ b/figstep/gateway/placement.py
@@ -9,92 +9,92 @@
 from figstep.gateway.state import Request, State
 from figstep.gateway.targets import USUAL_READ_RATE, Target
 
-ROOM = 0.95
+MAX_MEMORY_FRACTION = 0.95
 """Part of an engine's memory that expected work may fill. Lengths are known at
 the median only; what is left takes the answers that outgrow their hint."""
 
-LATE_ROOM = 0.7
+LATE_MAX_MEMORY_FRACTION = 0.7
 """The same for requests that will be late in any case. They yield to those that
 can be in time, also where these wait at other entries."""
 
-LATE_SHARE = 0.5
+LATE_OBJECTIVE_FRACTION = 0.5
 """Part of its objective after which a waiting request will be late: reading its
 prompt takes most of the rest."""
 
-BACKUP_ROOM = 0.7
+BACKUP_MAX_MEMORY_FRACTION = 0.7
 """The same for running backups. Under load a prompt that finds no room costs more
 than a run that is lost only if its engine leaves."""
 
-AHEAD_ROOM = 0.6
+PROACTIVE_MAX_MEMORY_FRACTION = 0.6
 """The same for copies made ahead on order, which most runs can still be given in
 the notice: prompts need room for all that one engine held when it leaves."""
 
-NO_ROOM_FOR = Millis(1_000)
+COPY_RETRY_DELAY = Millis(1_000)
 """How long an engine that had no room for a copy is not asked for the same run."""
 
-NO_ROOM_IN_NOTICE = Millis(250)
+NOTICE_COPY_RETRY_DELAY = Millis(250)
 """The same once the run's engine leaves: runs end at the others several times a
 second, and a notice is 1.5 s long."""
 
-MOVE_ROOM = 1.1
+MIGRATION_MAX_MEMORY_FRACTION = 1.1
 """The same for a run whose engine leaves: it is lost otherwise. Expected memory
 holds two seconds of growth, so an engine at 1.0 has some room yet."""
 
-FAILURE_WEIGHT = 8.0
+FAILURE_COST = 8.0
 """Open calls that a target failing everything is worth in a comparison."""
 
-ORDINARY_FAILURES = 0.25
+TOLERATED_FAILURE_FRACTION = 0.25
 """Failed part that is no reason to avoid a target: services answer some calls
 with errors of their own while they are well."""
 
-NEAR_BONUS = 0.5
+REMOTE_CALL_COST = 0.5
 """Open calls that the caller's own failure domain is worth in a comparison.
 Bytes between failure domains cost; half a call never outweighs real load."""
 
-FAR_COPY = 0.15
+REMOTE_COPY_COST = 0.15
 """Part of its memory that a holder in the run's own failure domain is worth in
 a comparison: copies between failure domains take twice as long."""
 
-FAR_COPY_UNSEEN = 0.6
+LARGE_FLEET_REMOTE_COPY_COST = 0.6
 """The same in a large fleet, where far loads are known a little later."""
 
-NEAR_COPY_AHEAD = 0.6
+LOCAL_PROACTIVE_COPY_COST = 0.6
 """The same for a holder elsewhere of a copy made ahead: a failure domain that is
 lost as a whole takes its runs and the copies that lie there."""
 
-COPY_WAIT = 3.0
+COPY_QUEUE_COST = 3.0
 """The same for each part of its memory that is being copied there already: links
 carry copies one after another, and a notice has time for a few."""
 
-SLOW_COPY = 0.2
+SLOW_HOLDER_COST = 0.2
 """The same for a holder that reads half as fast as the usual: the caller sees a
 pause of some of its events when the run goes on there."""
 
-READING_SHARE = 0.9
+READING_OBJECTIVE_FRACTION = 0.9
 """Part of a stream's objective by which its prompt has to be read."""
 
-MEMORY_WEIGHT = 400.0
+FULL_MEMORY_COST_MS = 400.0
 """Milliseconds of reading that a full engine is worth in a comparison: it will
 preempt runs, which pause for about as long as a prompt takes to read."""
 
-LENGTH_WEIGHT = 0.2
+OUTPUT_TOKEN_COST_MS = 0.2
 """Milliseconds a token of expected output that an engine of the usual speed is
 worth in a comparison; a slow one holds a long run's memory for longer."""
 
-FAILURE_DELAY = 2_000.0
+FAILURE_COST_MS = 2_000.0
 """The same for an engine that fails everything."""
 
-FAR_DELAY = 20.0
+REMOTE_COST_MS = 20.0
 """The same for an engine in another failure domain."""
 
-FAR_DELAY_UNSEEN = 800.0
+LARGE_FLEET_REMOTE_COST_MS = 800.0
 """The same in a large fleet, where prompts that others send to their own engines
 are known a little later: meanwhile one more may have gone there unseen."""
 
-MOST_DESCRIBED = 8
+MAX_DESCRIBED_ENGINES = 8
 """Engines named in the log line of a refusal; a large fleet has dozens."""
 
-TIE_SPREAD = 20.0
+TIE_BREAK_SPREAD_MS = 20.0
 """Random milliseconds that keep entries from choosing alike between messages."""
 
 
@@ -115,9 +115,9 @@
     best_cost = 0.0
     for target in _list_candidates(state, request, now):
         cost = target.load / max(1, target.info.slots)
-        cost += FAILURE_WEIGHT * max(0.0, target.failures - ORDINARY_FAILURES)
+        cost += FAILURE_COST * max(0.0, target.failures - TOLERATED_FAILURE_FRACTION)
         if target.info.failure_domain != state.failure_domain:
-            cost += NEAR_BONUS / max(1, target.info.slots)
+            cost += REMOTE_CALL_COST / max(1, target.info.slots)
         cost += 0.01 * state.rng.random()
         if best is None or cost < best_cost:
             best, best_cost = target, cost
@@ -138,12 +138,12 @@
         fit = _fit_engine(state, request, target, now)
         if fit.obstacle is not None:
             continue
-        cost = fit.reading + MEMORY_WEIGHT * fit.filled
-        cost += LENGTH_WEIGHT * output * USUAL_READ_RATE / target.read_rate
-        cost += FAILURE_DELAY * max(0.0, target.failures - ORDINARY_FAILURES)
+        cost = fit.reading + FULL_MEMORY_COST_MS * fit.filled
+        cost += OUTPUT_TOKEN_COST_MS * output * USUAL_READ_RATE / target.read_rate
+        cost += FAILURE_COST_MS * max(0.0, target.failures - TOLERATED_FAILURE_FRACTION)
         if target.info.failure_domain != state.failure_domain:
-            cost += FAR_DELAY_UNSEEN if state.is_large else FAR_DELAY
-        cost += TIE_SPREAD * state.rng.random()
+            cost += LARGE_FLEET_REMOTE_COST_MS if state.is_large else REMOTE_COST_MS
+        cost += TIE_BREAK_SPREAD_MS * state.rng.random()
         if best is None or cost < best_cost:
             best, best_cost = target, cost
     return best
@@ -177,14 +177,18 @@
     prompt = request.spec.prompt
     tokens = 0 if prompt is None else prompt.tokens
     need = estimate_memory(state, request)
-    filled = (target.memory_load + need) / read_memory(state, request.service)
+    filled = (target.memory_load + need) / find_engine_memory(state, request.service)
     reading = target.predict_reading(tokens, now)
-    latest = request.first_arrived + READING_SHARE * request.route.objective
-    room = LATE_ROOM if is_late(request, now) else ROOM
+    latest = (
+        request.first_arrived + READING_OBJECTIVE_FRACTION * request.route.objective
+    )
+    max_fraction = (
+        LATE_MAX_MEMORY_FRACTION if is_late(request, now) else MAX_MEMORY_FRACTION
+    )
     obstacle = None
     if target.load >= target.info.slots:
         obstacle = Obstacle.SLOTS
-    elif filled > room and (target.load > 0 or target.unclaimed > 0):
+    elif filled > max_fraction and (target.load > 0 or target.unclaimed > 0):
         obstacle = Obstacle.MEMORY
     elif now + reading > request.deadline:
         obstacle = Obstacle.DEADLINE
@@ -209,7 +213,7 @@
             reason = "limited"
         told = f"{reason} {fit.filled:.2f} {fit.reading:.0f} ms"
         found.append(f"{target.name}: {told}")
-    return "; ".join(found[:MOST_DESCRIBED])
+    return "; ".join(found[:MAX_DESCRIBED_ENGINES])
 
 
 def describe_choice(
@@ -228,7 +232,9 @@
 
 def is_late(request: Request, now: Millis) -> bool:
     """Tell whether a request that has not started will miss its objective."""
-    return now - request.first_arrived > LATE_SHARE * request.route.objective
+    return (
+        now - request.first_arrived > LATE_OBJECTIVE_FRACTION * request.route.objective
+    )
 
 
 def choose_copy_holder(
@@ -236,8 +242,8 @@
     request: Request,
     source: str,
     now: Millis,
-    room: float,
-    ahead: bool = False,
+    max_fraction: float,
+    proactive: bool = False,
 ) -> Target | None:
     """Return the engine that a run's copy goes to, or None for no room.
 
@@ -246,52 +252,52 @@
         request: Request whose run it is.
         source: Target that runs it.
         now: Monotonic time.
-        room: Part of an engine's memory that may be filled with it.
-        ahead: Whether the run's engine stays, as far as is known.
+        max_fraction: Part of an engine's memory that may be filled with it.
+        proactive: Whether the run's engine stays, as far as is known.
     """
-    memory = read_memory(state, request.service)
+    memory = find_engine_memory(state, request.service)
     need = estimate_memory(state, request)
     best = None
     best_cost = 0.0
     for target in eligibility.list_eligible(state, request):
         if target.name == source:
             continue
-        if was_refused_copy(request, target.name, now, ahead):
+        if was_refused_copy(request, target.name, now, proactive):
             continue
         if target.avoid_until > now or not limits.may_send(state, target, now):
             continue
         cost = (target.memory_load + need) / memory
-        if cost > room:
+        if cost > max_fraction:
             continue
-        waiting = COPY_WAIT * target.incoming_load / memory
-        far = target.info.failure_domain != _find_domain(state, source)
-        if far:
+        waiting = COPY_QUEUE_COST * target.incoming_load / memory
+        is_remote = target.info.failure_domain != _find_domain(state, source)
+        if is_remote:
             # A copy between failure domains takes twice as long.
             waiting *= 2.0
-        if ahead and not far:
-            cost += NEAR_COPY_AHEAD
-        if far and not ahead:
-            cost += FAR_COPY_UNSEEN if state.is_large else FAR_COPY
+        if proactive and not is_remote:
+            cost += LOCAL_PROACTIVE_COPY_COST
+        if is_remote and not proactive:
+            cost += LARGE_FLEET_REMOTE_COPY_COST if state.is_large else REMOTE_COPY_COST
         cost += waiting
-        cost += SLOW_COPY * (USUAL_READ_RATE / target.read_rate - 1.0)
+        cost += SLOW_HOLDER_COST * (USUAL_READ_RATE / target.read_rate - 1.0)
         cost += 0.01 * state.rng.random()
         if best is None or cost < best_cost:
             best, best_cost = target, cost
     return best
 
 
-def was_refused_copy(request: Request, name: str, now: Millis, ahead: bool) -> bool:
+def was_refused_copy(request: Request, name: str, now: Millis, proactive: bool) -> bool:
     """Tell whether an engine has just had no room for a copy of a run.
 
     Args:
         request: Request whose run it is.
         name: The engine.
         now: Monotonic time.
-        ahead: Whether the run's engine stays, as far as is known.
+        proactive: Whether the run's engine stays, as far as is known.
     """
     refused = request.copy_refused_at.get(name)
-    pause = NO_ROOM_FOR if ahead else NO_ROOM_IN_NOTICE
-    return refused is not None and now - refused < pause
+    retry_delay = COPY_RETRY_DELAY if proactive else NOTICE_COPY_RETRY_DELAY
+    return refused is not None and now - refused < retry_delay
 
 
 def estimate_memory(state: State, request: Request) -> int:
@@ -310,7 +316,7 @@
     return None if found is None else found.engine
 
 
-def read_memory(state: State, service: str) -> int:
+def find_engine_memory(state: State, service: str) -> int:
     """Return the memory of one engine of a service, in tokens."""
     pool = find_engine_pool(state, service)
     return 1 << 30 if pool is None else pool.memory
@@ -327,7 +333,7 @@
     return False
 
 
-def has_opening(state: State, request: Request, now: Millis, until: Millis) -> bool:
+def can_send_before(state: State, request: Request, now: Millis, until: Millis) -> bool:
     """Tell whether an untried target will take one more request by some time.
 
     Those that name a rate may be known to take none before.
@@ -341,15 +347,15 @@
 
 
 def _list_candidates(state: State, request: Request, now: Millis) -> list[Target]:
-    open_now = []
+    accepting = []
     for target in eligibility.list_eligible(state, request):
         if target.name in request.tried_targets:
             continue
         if not warmups.may_send(state, target, now):
             continue
         if limits.may_send(state, target, now):
-            open_now.append(target)
-    trusted = [target for target in open_now if target.avoid_until <= now]
+            accepting.append(target)
+    trusted = [target for target in accepting if target.avoid_until <= now]
     silent = state.targets.find_silent_domains(request.service, now)
     heard = [t for t in trusted if t.info.failure_domain not in silent]
     # A failure domain that is being lost may take the next target as well.
@@ -359,7 +365,7 @@
         return elsewhere or heard
     # Where all are avoided, asking one is better than turning callers away for
     # losses that may be over.
-    return trusted or open_now
+    return trusted or accepting
 
 
 def _find_domain(state: State, name: str) -> str:
