--- a/figstep/gateway/prompts.py
+++ b/figstep/gateway/prompts.py
@@ -2,14 +2,14 @@
 
 from dataclasses import dataclass
 
-UNKNOWN_LENGTH = 256
+DEFAULT_OUTPUT_TOKENS = 256
 """Tokens expected of an answer whose caller gives neither hint nor maximum."""
 
-LEAST_AHEAD = 128
+MIN_RESERVED_GROWTH = 128
 """Tokens that a run is expected to grow by at least: half of all runs outgrow
 their hint, and a run that has done so tells nothing of its end."""
 
-MOST_AHEAD = 320
+MAX_RESERVED_GROWTH = 320
 """Tokens of growth that are reserved for a run: about two seconds of it. What
 comes later finds room that other runs have left by then."""
 
@@ -21,14 +21,14 @@
     Attributes:
         model: Model that it asks for.
         tokens: Tokens of the prompt.
-        most_output: Most tokens that it may generate.
+        max_output: Most tokens that it may generate.
         hint: The caller's estimate of its output, in tokens; None if not given.
         parts: Ids and tokens of the parts of its prompt, in order.
     """
 
     model: str
     tokens: int
-    most_output: int
+    max_output: int
     hint: int | None = None
     parts: tuple[tuple[str, int], ...] = ()
 
@@ -36,8 +36,8 @@
     def expected_output(self) -> int:
         """Tokens that the answer is expected to have."""
         if self.hint is None:
-            return min(self.most_output or UNKNOWN_LENGTH, UNKNOWN_LENGTH)
-        return max(1, min(self.hint, self.most_output or self.hint))
+            return min(self.max_output or DEFAULT_OUTPUT_TOKENS, DEFAULT_OUTPUT_TOKENS)
+        return max(1, min(self.hint, self.max_output or self.hint))
 
     def expect_memory(self, generated: int) -> int:
         """Return the memory that its run needs within the next seconds.
@@ -46,5 +46,5 @@
             generated: Tokens that it has generated so far.
         """
         ahead = self.expected_output - generated
-        ahead = max(LEAST_AHEAD, min(MOST_AHEAD, ahead))
+        ahead = max(MIN_RESERVED_GROWTH, min(MAX_RESERVED_GROWTH, ahead))
         return self.tokens + generated + ahead
--- a/figstep/platform/callers.py
+++ b/figstep/platform/callers.py
@@ -342,7 +342,7 @@
     return Prompt(
         model=headers.get(names.MODEL, ""),
         tokens=tokens,
-        most_output=_read_number(output) or 0,
+        max_output=_read_number(output) or 0,
         hint=_read_number(headers.get(names.LENGTH_HINT)),
         parts=_read_parts(headers.get(names.PARTS, "")),
     )
