--- a/figstep/gateway/placement.py
+++ b/figstep/gateway/placement.py
@@ -357,12 +357,12 @@
             accepting.append(target)
     trusted = [target for target in accepting if target.avoid_until <= now]
     silent = state.targets.find_silent_domains(request.service, now)
-    heard = [t for t in trusted if t.info.failure_domain not in silent]
+    reachable = [t for t in trusted if t.info.failure_domain not in silent]
     # A failure domain that is being lost may take the next target as well.
     lost = request.lost_domains
-    elsewhere = [t for t in heard if t.info.failure_domain not in lost]
-    if elsewhere or heard:
-        return elsewhere or heard
+    elsewhere = [t for t in reachable if t.info.failure_domain not in lost]
+    if elsewhere or reachable:
+        return elsewhere or reachable
     # Where all are avoided, asking one is better than turning callers away for
     # losses that may be over.
     return trusted or accepting
