--- a/figstep/gateway/placement.py
+++ b/figstep/gateway/placement.py
@@ -307,7 +307,7 @@
         return 0
     pool = find_engine_pool(state, request.service)
     event_tokens = 1 if pool is None else pool.event_tokens
-    return prompt.expect_memory(event_tokens * request.pieces)
+    return prompt.estimate_run_memory(event_tokens * request.pieces)
 
 
 def find_engine_pool(state: State, service: str) -> EnginePool | None:
--- a/figstep/gateway/prompts.py
+++ b/figstep/gateway/prompts.py
@@ -39,12 +39,12 @@
             return min(self.max_output or DEFAULT_OUTPUT_TOKENS, DEFAULT_OUTPUT_TOKENS)
         return max(1, min(self.hint, self.max_output or self.hint))
 
-    def expect_memory(self, generated: int) -> int:
+    def estimate_run_memory(self, generated: int) -> int:
         """Return the memory that its run needs within the next seconds.
 
         Args:
             generated: Tokens that it has generated so far.
         """
-        ahead = self.expected_output - generated
-        ahead = max(MIN_RESERVED_GROWTH, min(MAX_RESERVED_GROWTH, ahead))
-        return self.tokens + generated + ahead
+        growth = self.expected_output - generated
+        growth = max(MIN_RESERVED_GROWTH, min(MAX_RESERVED_GROWTH, growth))
+        return self.tokens + generated + growth
