--- a/figstep/gateway/requests.py
+++ b/figstep/gateway/requests.py
@@ -123,7 +123,7 @@
         return refuse_request(state, request, "crashes_targets", now)
     target = placement.choose_target(state, request, now)
     if target is not None:
-        admission.note_start(state, request, now)
+        admission.record_start(state, request, now)
         return attempts.start_attempt(state, request, target, now)
     if not placement.has_untried_target(state, request):
         reason = eligibility.explain_none(state, request)
@@ -165,7 +165,7 @@
             # large one would never find room under load.
             continue
         _leave_queue(state, request)
-        admission.note_start(state, request, now)
+        admission.record_start(state, request, now)
         effects += attempts.start_attempt(state, request, target, now)
     for request in waiting:
         if request.queued and not eligibility.list_eligible(state, request):
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -136,7 +136,7 @@
     engine.peer_calls, engine.peer_memory = 8, 34_000
     world.arrive("/plan/a", Prompt("m", 3_000, 2_000, 300), patience=Millis(2_000))
     assert world.find_all(Refuse) == []
-    world.clock.advance(round(2_000 * admission.PATIENCE_SHARE))
+    world.clock.advance(round(2_000 * admission.WAIT_DEADLINE_FRACTION))
     world.handle(Ticked())
     assert world.find(Refuse).problem.retry_after is not None
 
@@ -149,7 +149,7 @@
     assert engine is not None
     engine.peer_calls, engine.peer_memory = 8, 34_000
     pauses = []
-    for _ in range(admission.LEAST_QUEUE + 3):
+    for _ in range(admission.MIN_QUEUE_LIMIT + 3):
         world.arrive("/plan/a", Prompt("m", 3_000, 2_000, 300))
         pauses += [refused.problem.retry_after for refused in world.find_all(Refuse)]
     assert len(pauses) == 3
