--- a/figstep/gateway/requests.py
+++ b/figstep/gateway/requests.py
@@ -16,10 +16,10 @@
 from figstep.gateway.routes import Customer, Route, RouteKind
 from figstep.gateway.state import Request, State
 
-CLOSING_RETURN = Millis(50)
+SHUTDOWN_RETRY_AFTER = Millis(50)
 """A leaving entry's refusals: another entry can take the request at once."""
 
-UNCONFIGURED_RETURN = Millis(500)
+UNCONFIGURED_RETRY_AFTER = Millis(500)
 """Reading the configuration after a start takes a few hundred milliseconds."""
 
 _DETAILS = {
@@ -46,23 +46,25 @@
     spec = event.request
     table = state.table
     if table is None:
-        return _turn_away(
-            spec.number, spec.id, 503, "no_configuration", UNCONFIGURED_RETURN
+        return _reject_request(
+            spec.number, spec.id, 503, "no_configuration", UNCONFIGURED_RETRY_AFTER
         )
     route = table.find_route(spec.host, spec.path)
     if route is None:
-        return _turn_away(spec.number, spec.id, 404, "no_route", version=table.version)
+        return _reject_request(
+            spec.number, spec.id, 404, "no_route", version=table.version
+        )
     customer = None
     if table.customers is not None and not route.public:
         customer = table.customers.get(spec.key or "")
         if customer is None:
-            return _turn_away(
+            return _reject_request(
                 spec.number, spec.id, 401, "unknown_key", version=table.version
             )
     if spec.body_bytes > table.limits.body_bytes:
-        return _turn_away(spec.number, spec.id, 413, "body_too_large")
+        return _reject_request(spec.number, spec.id, 413, "body_too_large")
     if state.crashes.is_refused(spec.digest, now):
-        return _turn_away(
+        return _reject_request(
             spec.number,
             spec.id,
             503,
@@ -70,8 +72,10 @@
             crashes.choose_return(state, spec.digest, now),
             digest=spec.digest,
         )
-    if state.closes_at is not None and _is_long(route):
-        return _turn_away(spec.number, spec.id, 503, "entry_leaving", CLOSING_RETURN)
+    if state.closes_at is not None and _must_finish_here(route):
+        return _reject_request(
+            spec.number, spec.id, 503, "entry_leaving", SHUTDOWN_RETRY_AFTER
+        )
     request = _build_request(state, event, route, customer, now)
     state.requests[spec.number] = request
     state.budget.record_request(request.service, now)
@@ -86,9 +90,9 @@
     now: Millis,
 ) -> Request:
     spec = event.request
-    patience = route.timeout
+    time_limit = route.timeout
     if spec.patience is not None:
-        patience = Millis(min(patience, spec.patience))
+        time_limit = Millis(min(time_limit, spec.patience))
     priority = route.priority
     if customer is not None and customer.priority is not None:
         priority = customer.priority
@@ -100,7 +104,7 @@
         priority,
         now,
         _find_first_arrival(state, spec.digest, now),
-        Millis(now + patience),
+        Millis(now + time_limit),
         delivered=spec.after or 0,
         allowed_regions=eligibility.find_homes(route, customer),
     )
@@ -112,7 +116,7 @@
     return now if refused is None else refused
 
 
-def _is_long(route: Route) -> bool:
+def _must_finish_here(route: Route) -> bool:
     # A stream that can't go on elsewhere would be cut when the process ends.
     return route.kind is RouteKind.STREAM and not route.resumable
 
@@ -151,14 +155,14 @@
     effects: list[Effect] = []
     waiting = [state.requests[number] for number in state.queue]
     waiting.sort(key=lambda request: _rank(request, now))
-    asked: set[str] = set()
+    considered_services: set[str] = set()
     for request in waiting:
         if state.crashes.is_refused(request.spec.digest, now):
             effects += refuse_request(state, request, "crashes_targets", now)
             continue
-        if request.service in asked:
+        if request.service in considered_services:
             continue
-        asked.add(request.service)
+        considered_services.add(request.service)
         target = placement.choose_target(state, request, now)
         if target is None:
             # It holds up those behind it: were smaller ones to go ahead, a
@@ -216,7 +220,7 @@
         Answer(request.spec.number, attempt),
         Count("answered", (request.route.name, str(status))),
         Observe("answer_time", duration, request.route.name),
-        note_end(request, "answered", str(status), now),
+        describe_end(request, "answered", str(status), now),
     ]
 
 
@@ -232,7 +236,7 @@
     if request.stream_begun:
         return [*effects, *break_stream(state, request, reason, now)]
     if request.spec.prompt is not None:
-        effects.append(_note_refusal(state, request, reason, now))
+        effects.append(_describe_refusal(state, request, reason, now))
         state.refused.record_own(request.spec.digest, request.first_arrived, now)
     if request.may_have_run:
         status, retry_after, ran = 502, None, Ran.UNKNOWN
@@ -248,7 +252,7 @@
         *effects,
         Refuse(request.spec.number, problem),
         Count("refused", (request.route.name, reason)),
-        note_end(request, "refused", reason, now),
+        describe_end(request, "refused", reason, now),
     ]
 
 
@@ -258,7 +262,7 @@
     return admission.choose_return(state, request, now)
 
 
-def _note_refusal(state: State, request: Request, reason: str, now: Millis) -> Note:
+def _describe_refusal(state: State, request: Request, reason: str, now: Millis) -> Note:
     return Note(
         "generation refused",
         {
@@ -280,7 +284,7 @@
         *effects,
         BreakStream(request.spec.number),
         Count("broken", (request.route.name, reason)),
-        note_end(request, "broken", reason, now),
+        describe_end(request, "broken", reason, now),
     ]
 
 
@@ -292,7 +296,7 @@
     return [
         *attempts.close_request(state, request, now),
         Count("callers_gone", (request.route.name,)),
-        note_end(request, "caller gone", "", now),
+        describe_end(request, "caller gone", "", now),
     ]
 
 
@@ -307,7 +311,7 @@
     return effects
 
 
-def _turn_away(
+def _reject_request(
     number: int,
     name: str,
     status: int,
@@ -333,7 +337,7 @@
     ]
 
 
-def note_end(request: Request, outcome: str, reason: str, now: Millis) -> Note:
+def describe_end(request: Request, outcome: str, reason: str, now: Millis) -> Note:
     """Return the log line of a request's final answer."""
     return Note(
         "request ended",
--- a/figstep/gateway/streams.py
+++ b/figstep/gateway/streams.py
@@ -185,7 +185,7 @@
         FinishStream(request.spec.number),
         Count("answered", (request.route.name, "200")),
         Observe("answer_time", now - request.arrived, request.route.name),
-        requests.note_end(request, "whole stream", "", now),
+        requests.describe_end(request, "whole stream", "", now),
     ]
 
 
