--- a/figstep/gateway/copies.py
+++ b/figstep/gateway/copies.py
@@ -14,36 +14,36 @@
 from figstep.gateway.state import Attempt, Request, State
 from figstep.gateway.targets import Standing, Target
 
-QUIET_WAIT = Millis(800)
+SWITCH_WAIT_TIMEOUT = Millis(800)
 """How long after the notice a run waits for its holder to have read all prompts:
 its events take three times as long while it reads one, and the change-over costs
 two of them. The notice leaves 0.7 s for what fails then."""
 
-COPY_ARRIVES = Millis(400)
+BACKUP_ARRIVAL_DELAY = Millis(400)
 """How long after a run's first event its running backup may not be there yet. One
 tried too early is spoiled, and a whole copy has to be made in its place."""
 
-REFRESH_SHARE = 0.6
+REFRESH_AGE_FRACTION = 0.6
 """Part of the time that a copy on order is kept after which it is brought up to
 date: a second try still comes before it is dropped."""
 
-LEAST_LEFT = 250
+MIN_REMAINING_TOKENS = 250
 """Expected tokens still to come below which a run gets no copy on order: it ends
 in a second and a half, and engines leave every few seconds."""
 
-STALE_AFTER = Millis(300)
+STALE_COPY_AGE = Millis(300)
 """Age of a copy from which it is brought up to date before a change-over."""
 
-REFRESH_PATIENCE = Millis(400)
+REFRESH_TIMEOUT = Millis(400)
 """How long that may take: links carry the copies of all runs one after another,
 and a run of which there is a copy must not be lost for a newer one."""
 
-LAST_ORDER = Millis(900)
+LAST_COPY_ORDER_DELAY = Millis(900)
 """How long after the notice a copy that is ordered still arrives in time: it takes
 up to half a second, and engines are gone 1.5 s after their notice at the earliest."""
 
 
-def take_copy(state: State, event: RunCopied, now: Millis) -> list[Effect]:
+def handle_copy_made(state: State, event: RunCopied, now: Millis) -> list[Effect]:
     """A copy is complete: go on there if the run's engine leaves."""
     copy = RunCopy(event.holder, event.source, event.handle)
     request = state.requests.get(event.number)
@@ -64,10 +64,10 @@
             "took_ms": now - request.copy_ordered_at,
         },
     )
-    return [note, *evacuate_request(state, request, now)]
+    return [note, *migrate_request(state, request, now)]
 
 
-def note_not_copied(state: State, event: RunNotCopied, now: Millis) -> list[Effect]:
+def handle_copy_failed(state: State, event: RunNotCopied, now: Millis) -> list[Effect]:
     """A copy could not be made: try another engine."""
     request = state.requests.get(event.number)
     if request is None:
@@ -83,28 +83,30 @@
             "detail": event.detail,
         },
     )
-    return [note, *evacuate_request(state, request, now)]
+    return [note, *migrate_request(state, request, now)]
 
 
-def evacuate_streams(state: State, now: Millis) -> list[Effect]:
+def migrate_streams(state: State, now: Millis) -> list[Effect]:
     """Move streams away from engines that leave, the most valuable first."""
-    hit = []
+    affected = []
     for request in state.requests.values():
         current = request.current
         if current is None or not request.stream_begun:
             continue
         if current.target.standing is Standing.READY:
             continue
-        hit.append(request)
+        affected.append(request)
     # What has most left to come loses most if it is cut.
-    hit.sort(key=lambda request: count_left(state, request), reverse=True)
+    affected.sort(
+        key=lambda request: count_remaining_tokens(state, request), reverse=True
+    )
     effects: list[Effect] = []
-    for request in hit:
-        effects += evacuate_request(state, request, now)
+    for request in affected:
+        effects += migrate_request(state, request, now)
     return effects
 
 
-def count_left(state: State, request: Request) -> int:
+def count_remaining_tokens(state: State, request: Request) -> int:
     """Return how many tokens a run is expected to generate yet."""
     prompt = request.spec.prompt
     if prompt is None:
@@ -114,30 +116,30 @@
     return prompt.expected_output - event_tokens * request.pieces
 
 
-def evacuate_request(state: State, request: Request, now: Millis) -> list[Effect]:
+def migrate_request(state: State, request: Request, now: Millis) -> list[Effect]:
     """Go on elsewhere with a run whose engine leaves."""
     current = request.current
     if current is None or request.standby is not None:
         return []
-    if request.copying and not _is_refresh_late(request, now):
+    if request.copying and not _has_refresh_timed_out(request, now):
         return []
     if current.target.standing is Standing.READY or not request.stream_begun:
         return []
     if request.route.resumable:
         # Short ones end before their engine does; the rest go on anew.
         return []
-    forget_unusable_copy(state, request)
+    discard_unusable_copy(state, request)
     if request.copy is not None:
-        if _is_worth_waiting(state, request, now):
+        if _should_delay_switch(state, request, now):
             return []
         holder = state.targets.find(request.copy.holder)
-        if holder is not None and _is_worth_refreshing(request, current, now):
+        if holder is not None and _should_refresh_copy(request, current, now):
             return _order_copy_to(state, request, current, holder, now)
         return switch_to_copy(state, request, now)
     return _order_copy(state, request, now)
 
 
-def _is_worth_refreshing(request: Request, current: Attempt, now: Millis) -> bool:
+def _should_refresh_copy(request: Request, current: Attempt, now: Millis) -> bool:
     """Tell whether a copy is brought up to date before the run goes on from it.
 
     What it lacks has to be read at its holder while the other engine goes on, and
@@ -149,38 +151,38 @@
         return False
     if request.copying or request.copy_ordered_at >= left_at:
         return False
-    if now - left_at >= LAST_ORDER:
+    if now - left_at >= LAST_COPY_ORDER_DELAY:
         return False
-    return now - request.copied_at >= STALE_AFTER
+    return now - request.copied_at >= STALE_COPY_AGE
 
 
-def _is_refresh_late(request: Request, now: Millis) -> bool:
+def _has_refresh_timed_out(request: Request, now: Millis) -> bool:
     """Tell whether a run goes on from an older copy: the newer one takes too long."""
     if request.copy is None:
         return False
-    return now - request.copy_ordered_at >= REFRESH_PATIENCE
+    return now - request.copy_ordered_at >= REFRESH_TIMEOUT
 
 
-def _is_worth_waiting(state: State, request: Request, now: Millis) -> bool:
+def _should_delay_switch(state: State, request: Request, now: Millis) -> bool:
     """Tell whether a change-over goes better a little later in the notice."""
     current = request.current
     copy = request.copy
     if current is None or copy is None or current.target.left_at is None:
         return False
-    if now - current.target.left_at >= QUIET_WAIT:
+    if now - current.target.left_at >= SWITCH_WAIT_TIMEOUT:
         return False
-    if copy.owner == copy.holder and _is_young(current, now):
+    if copy.owner == copy.holder and _may_lack_backup(current, now):
         return True
     holder = state.targets.find(copy.holder)
     return holder is not None and holder.reading_load > 0
 
 
-def _is_young(attempt: Attempt, now: Millis) -> bool:
+def _may_lack_backup(attempt: Attempt, now: Millis) -> bool:
     since = attempt.first_delivery_at
-    return since is None or now - since < COPY_ARRIVES
+    return since is None or now - since < BACKUP_ARRIVAL_DELAY
 
 
-def is_last_chance(source: Target, now: Millis) -> bool:
+def is_too_late_to_copy(source: Target, now: Millis) -> bool:
     """Tell whether an engine is gone before one more copy of a run could be made.
 
     A copy is used up as a holder is asked to go on from it. One that is busy may
@@ -189,10 +191,10 @@
     """
     if source.left_at is None:
         return False
-    return now - source.left_at >= LAST_ORDER
+    return now - source.left_at >= LAST_COPY_ORDER_DELAY
 
 
-def forget_unusable_copy(state: State, request: Request) -> None:
+def discard_unusable_copy(state: State, request: Request) -> None:
     """Drop what is known of a copy whose holder takes no more work of its run."""
     if request.copy is None:
         return
@@ -253,7 +255,7 @@
     ]
 
 
-def protect_streams(state: State, now: Millis) -> list[Effect]:
+def order_proactive_copies(state: State, now: Millis) -> list[Effect]:
     """Have copies made of long runs whose engine stays, while there is room.
 
     In the notice all runs of an engine are copied at once: copies queue on its
@@ -262,26 +264,26 @@
     One run of each engine is copied at a time, so that none of a notice waits.
     """
     effects: list[Effect] = []
-    busy = _list_copying(state)
+    copy_sources = _list_copy_sources(state)
     for request in sorted(
         state.requests.values(),
-        key=lambda request: count_left(state, request),
+        key=lambda request: count_remaining_tokens(state, request),
         reverse=True,
     ):
         current = request.current
-        if current is None or current.target.name in busy:
+        if current is None or current.target.name in copy_sources:
             continue
         if not _needs_copy(state, request, now):
             continue
-        order = _order_protection(state, request, current, now)
+        order = _order_proactive_copy(state, request, current, now)
         if not order:
             continue
-        busy.add(current.target.name)
+        copy_sources.add(current.target.name)
         effects += order
     return effects
 
 
-def yield_copies(state: State, now: Millis) -> list[Effect]:
+def drop_copies_for_memory(state: State, now: Millis) -> list[Effect]:
     """Drop copies made ahead at engines that are expected to run out of memory.
 
     An engine that does so preempts a run, whose caller then sees a pause of the
@@ -290,12 +292,13 @@
     of each engine goes at a time, as other entries drop theirs as well.
     """
     effects: list[Effect] = []
-    relieved: set[str] = set()
+    relieved_holders: set[str] = set()
     for request in sorted(
-        state.requests.values(), key=lambda request: count_left(state, request)
+        state.requests.values(),
+        key=lambda request: count_remaining_tokens(state, request),
     ):
         copy = request.copy
-        if copy is None or copy.owner == copy.holder or copy.holder in relieved:
+        if copy is None or copy.owner == copy.holder or copy.holder in relieved_holders:
             continue
         current = request.current
         if current is None or current.target.standing is not Standing.READY:
@@ -305,12 +308,12 @@
             continue
         if holder.memory_load <= placement.find_engine_memory(state, request.service):
             continue
-        relieved.add(copy.holder)
-        effects += _drop_spare(request, copy, holder, now)
+        relieved_holders.add(copy.holder)
+        effects += _drop_proactive_copy(request, copy, holder, now)
     return effects
 
 
-def _drop_spare(
+def _drop_proactive_copy(
     request: Request, copy: RunCopy, holder: Target, now: Millis
 ) -> list[Effect]:
     request.copy = None
@@ -327,7 +330,7 @@
     return [DropCopy(copy), note]
 
 
-def _list_copying(state: State) -> set[str]:
+def _list_copy_sources(state: State) -> set[str]:
     return {
         request.current.target.name
         for request in state.requests.values()
@@ -351,7 +354,7 @@
         return False
     if _has_backup(current):
         return False
-    forget_unusable_copy(state, request)
+    discard_unusable_copy(state, request)
     if now - request.copied_at >= pool.copy_kept:
         request.copy = None
     if request.copy is not None:
@@ -359,8 +362,8 @@
             request, request.copy.holder, now, proactive=True
         ):
             return False
-        return now - request.copied_at >= REFRESH_SHARE * pool.copy_kept
-    return count_left(state, request) >= LEAST_LEFT
+        return now - request.copied_at >= REFRESH_AGE_FRACTION * pool.copy_kept
+    return count_remaining_tokens(state, request) >= MIN_REMAINING_TOKENS
 
 
 def _has_backup(attempt: Attempt) -> bool:
@@ -370,7 +373,7 @@
     return holder.takes_work
 
 
-def _order_protection(
+def _order_proactive_copy(
     state: State, request: Request, current: Attempt, now: Millis
 ) -> list[Effect]:
     holder = None
@@ -387,12 +390,12 @@
             placement.PROACTIVE_MAX_MEMORY_FRACTION,
             proactive=True,
         )
-    if holder is None or _is_copying(current.target, holder):
+    if holder is None or _is_link_busy(current.target, holder):
         return []
     return _order_copy_to(state, request, current, holder, now)
 
 
-def _is_copying(source: Target, holder: Target) -> bool:
+def _is_link_busy(source: Target, holder: Target) -> bool:
     """Tell whether a link that a copy made ahead would take is in use.
 
     Links carry copies one after another. As a new engine comes, all entries have
--- a/figstep/gateway/departures.py
+++ b/figstep/gateway/departures.py
@@ -52,7 +52,7 @@
         "told_by": source,
     }
     note = Note("target says that it leaves", fields)
-    return [note, *copies.evacuate_streams(state, now)]
+    return [note, *copies.migrate_streams(state, now)]
 
 
 def has_left(state: State, info: Registration) -> bool:
--- a/figstep/gateway/reducer.py
+++ b/figstep/gateway/reducer.py
@@ -92,9 +92,9 @@
         case CallerGone():
             return requests.drop_caller(state, event, now)
         case RunCopied():
-            return copies.take_copy(state, event, now)
+            return copies.handle_copy_made(state, event, now)
         case RunNotCopied():
-            return copies.note_not_copied(state, event, now)
+            return copies.handle_copy_failed(state, event, now)
         case EngineReported():
             return reports.take_report(state, event, now)
         case TargetLeaving(incarnation=incarnation):
@@ -106,7 +106,7 @@
         case TargetRegistered(info=info):
             return [
                 *_note_registration(state, info, now),
-                *copies.evacuate_streams(state, now),
+                *copies.migrate_streams(state, now),
             ]
         case TargetDeparted():
             return _take_departure(state, event, now)
@@ -221,7 +221,7 @@
         "target departed",
         {"target": name, "service": target.info.service, "calls": target.calls},
     )
-    return [note, *found, *copies.evacuate_streams(state, now)]
+    return [note, *found, *copies.migrate_streams(state, now)]
 
 
 def _take_list(state: State, event: TargetsListed, now: Millis) -> list[Effect]:
@@ -241,7 +241,7 @@
     for name in list(state.targets.targets):
         if name not in listed:
             effects += _take_departure(state, TargetDeparted(name), now)
-    return effects + copies.evacuate_streams(state, now)
+    return effects + copies.migrate_streams(state, now)
 
 
 def _tick(state: State, now: Millis) -> list[Effect]:
@@ -249,11 +249,11 @@
     for name in state.targets.list_lapsed(now):
         effects += _note_departure(state, name, now)
     effects += requests.expire_requests(state, now)
-    effects += copies.evacuate_streams(state, now)
+    effects += copies.migrate_streams(state, now)
     effects += streams.watch_streams(state, now)
     effects += reports.ask_engines(state, now)
-    effects += copies.yield_copies(state, now)
-    effects += copies.protect_streams(state, now)
+    effects += copies.drop_copies_for_memory(state, now)
+    effects += copies.order_proactive_copies(state, now)
     effects += recovery.watch_attempts(state, now)
     effects += requests.start_queued(state, now)
     peers.forget_silent(state, now)
--- a/figstep/gateway/streams.py
+++ b/figstep/gateway/streams.py
@@ -202,7 +202,7 @@
             effects += _watch_standby(state, request, standby, now)
             continue
         if not stood_still and _is_stalled(request, now):
-            copies.forget_unusable_copy(state, request)
+            copies.discard_unusable_copy(state, request)
             effects += copies.switch_to_copy(state, request, now)
     return effects
 
@@ -222,7 +222,7 @@
 ) -> list[Effect]:
     if now - standby.opened < OVERLAP or request.current is None:
         return []
-    if standby.answered or copies.is_last_chance(request.current.target, now):
+    if standby.answered or copies.is_too_late_to_copy(request.current.target, now):
         # It was accepted and will deliver, or there is no time for another copy:
         # the run must not go on at both.
         return attempts.close_attempt(state, request.current, now)
--- a/tests/gateway/test_copies.py
+++ b/tests/gateway/test_copies.py
@@ -3,9 +3,9 @@
 from figstep.core.clock import Millis
 from figstep.gateway import copies
 from figstep.gateway.copies import (
-    COPY_ARRIVES,
-    LAST_ORDER,
-    REFRESH_PATIENCE,
+    BACKUP_ARRIVAL_DELAY,
+    LAST_COPY_ORDER_DELAY,
+    REFRESH_TIMEOUT,
     STALE_AFTER,
 )
 from figstep.gateway.effects import (
@@ -187,7 +187,7 @@
     world.depart(opened.target)
     assert world.find_all(OpenAttempt) == []
     assert world.find_all(CopyRun) == []
-    world.clock.advance(COPY_ARRIVES)
+    world.clock.advance(BACKUP_ARRIVAL_DELAY)
     world.send_pieces(opened.attempt, 2, 9)
     world.handle(Ticked())
     assert world.find(OpenAttempt).target == opened.backup
@@ -298,7 +298,7 @@
     at both. Early in the notice another copy is made; late in it the run is
     ended at the engine that leaves, and the holder goes on with it.
     """
-    for waited, kept in ((Millis(0), False), (LAST_ORDER, True)):
+    for waited, kept in ((Millis(0), False), (LAST_COPY_ORDER_DELAY, True)):
         world, opened = start_with_backup()
         world.depart(opened.target)
         standby = world.find(OpenAttempt)
@@ -418,7 +418,7 @@
     world, _ = start_without_backup()
     request = world.state.requests[1]
     world.state.queue.append(1)
-    assert copies.protect_streams(world.state, world.clock.now()) == []
+    assert copies.order_proactive_copies(world.state, world.clock.now()) == []
     world.state.queue.clear()
     world.handle(Ticked())
     order = world.find(CopyRun)
@@ -426,7 +426,7 @@
     world.state.queue.append(1)
     world.clock.advance(3_000)
     request.delivered_at = world.clock.now()
-    kept = copies.protect_streams(world.state, world.clock.now())
+    kept = copies.order_proactive_copies(world.state, world.clock.now())
     assert [one.holder for one in kept if isinstance(one, CopyRun)] == [order.holder]
 
 
@@ -460,7 +460,7 @@
 def test_a_run_goes_on_from_its_old_copy_where_the_newer_one_takes_too_long() -> None:
     """Guards against runs whose engine is gone before their newer copy is made."""
     world, order = start_with_old_copy()
-    world.clock.advance(REFRESH_PATIENCE)
+    world.clock.advance(REFRESH_TIMEOUT)
     world.handle(Ticked())
     assert world.find(OpenAttempt).source == RunCopy(order.holder, order.source, "h-1")
 
