--- a/figstep/gateway/recovery.py
+++ b/figstep/gateway/recovery.py
@@ -17,7 +17,7 @@
 from figstep.gateway.state import Attempt, Request, State
 from figstep.gateway.targets import Target
 
-MOST_SENDS = 4
+MAX_SENDS = 4
 """Targets that one request reaches, refusals included. Under overload each
 further one would refuse as well, at the price of its caller's time."""
 
@@ -32,24 +32,24 @@
         return []
     request = state.requests[attempt.request]
     was_current = request.current is attempt
-    was_known = attempt.target.is_unreached(now)
+    was_unreached = attempt.target.is_unreached(now)
     attempts.end_attempt(state, attempt)
-    found = _judge_target(state, attempt, event, now)
+    target_effects = _update_target(state, attempt, event, now)
     if event.loss not in NOT_RUN:
         request.may_have_run = True
         request.lost_runs += 1
         if event.loss is not Loss.FAILED:
             request.lost_domains.add(attempt.target.info.failure_domain)
-        found += crashes.note_lost(state, request, attempt, now)
-        found += crashes.probe_target(attempt.target, event.loss, now)
+        target_effects += crashes.note_lost(state, request, attempt, now)
+        target_effects += crashes.probe_target(attempt.target, event.loss, now)
     if event.loss is Loss.UNREACHED:
         request.unreached += 1
     effects: list[Effect] = [
         Count("lost", (request.route.name, event.loss.value)),
         _note_loss(request, attempt, event, now),
-        *found,
+        *target_effects,
     ]
-    if event.loss is Loss.UNREACHED and not was_known:
+    if event.loss is Loss.UNREACHED and not was_unreached:
         # Until the others know, they try it as well, or copy runs to it.
         effects.append(Announce())
     if not was_current and request.current is not None:
@@ -60,10 +60,10 @@
         request.current = request.standby
         request.standby = None
         return effects
-    return effects + _go_on(state, request, attempt, event, now)
+    return effects + _continue_request(state, request, attempt, event, now)
 
 
-def _judge_target(
+def _update_target(
     state: State, attempt: Attempt, event: AttemptLost, now: Millis
 ) -> list[Effect]:
     target = attempt.target
@@ -79,17 +79,17 @@
             crashes.note_answer(state, target, attempt.opened)
         case Loss.MISDIRECTED:
             # Another target has its address: this one is gone for good.
-            found = crashes.note_end(state, target, now)
+            target_effects = crashes.note_end(state, target, now)
             state.targets.note_departure(target.name, now)
-            return found
+            return target_effects
         case Loss.UNREACHED:
-            return _note_unreached(state, target, event.down, now)
+            return _record_unreached(state, target, event.down, now)
         case _:
             target.note_loss(now, True)
     return []
 
 
-def _note_unreached(
+def _record_unreached(
     state: State, target: Target, down: bool, now: Millis
 ) -> list[Effect]:
     target.note_loss(now, False)
@@ -98,16 +98,16 @@
     return crashes.note_end(state, target, now) if down else []
 
 
-def take_down(state: State, event: TargetDown, now: Millis) -> list[Effect]:
+def handle_target_down(state: State, event: TargetDown, now: Millis) -> list[Effect]:
     """Take in that a probe found nobody at a target's address."""
     target = state.targets.find(event.incarnation.target)
     if target is None or target.info.incarnation != event.incarnation:
         return []
     # Until the others know, they try it as well.
-    return [Announce(), *_note_unreached(state, target, True, now)]
+    return [Announce(), *_record_unreached(state, target, True, now)]
 
 
-def _go_on(
+def _continue_request(
     state: State, request: Request, attempt: Attempt, event: AttemptLost, now: Millis
 ) -> list[Effect]:
     effects: list[Effect] = []
@@ -115,16 +115,16 @@
         effects = _resume_from_copy(state, request, now)
         if request.current is not None:
             return effects
-    return effects + _start_anew(state, request, attempt, event, now)
+    return effects + _retry_or_refuse(state, request, attempt, event, now)
 
 
-def _start_anew(
+def _retry_or_refuse(
     state: State, request: Request, attempt: Attempt, event: AttemptLost, now: Millis
 ) -> list[Effect]:
     if event.loss in NOT_RUN and not request.stream_begun:
         return _try_elsewhere(state, request, event, now)
     if request.route.idempotent and _may_run_again(request):
-        effects = _repeat(state, request, event, now)
+        effects = _run_again(state, request, event, now)
         if effects:
             return effects
     if event.status is not None and not request.stream_begun:
@@ -158,7 +158,7 @@
     """Send a request that did not run to another target."""
     # One that was not reached took no time of anybody's but the caller's.
     if (
-        request.attempts_sent - request.unreached >= MOST_SENDS
+        request.attempts_sent - request.unreached >= MAX_SENDS
         or now >= request.deadline
     ):
         return requests.refuse_request(state, request, f"lost_{event.loss.value}", now)
@@ -173,7 +173,7 @@
     return request.lost_runs < request.route.attempts
 
 
-def _repeat(
+def _run_again(
     state: State, request: Request, event: AttemptLost, now: Millis
 ) -> list[Effect]:
     """Run an idempotent request again, if budget, time and room allow."""
@@ -189,7 +189,7 @@
     return attempts.start_attempt(state, request, target, now)
 
 
-def watch_attempts(state: State, now: Millis) -> list[Effect]:
+def abandon_silent_attempts(state: State, now: Millis) -> list[Effect]:
     """Give up on attempts of idempotent requests whose target keeps silent."""
     effects: list[Effect] = []
     for attempt in list(state.attempts.values()):
@@ -198,7 +198,7 @@
             continue
         if request.stream_begun or request.lost_runs + 1 >= request.route.attempts:
             continue
-        if now - attempt.opened < choose_patience(request):
+        if now - attempt.opened < choose_silence_timeout(request):
             continue
         fleet = peers.sum_uses(state, request.service)
         if not state.budget.can_repeat(request.service, fleet, now):
@@ -209,7 +209,7 @@
     return effects
 
 
-def choose_patience(request: Request) -> Millis:
+def choose_silence_timeout(request: Request) -> Millis:
     """Return how long an attempt may stay silent before another is made.
 
     Half of the deadline leaves the second attempt as long as the first, and a
--- a/figstep/gateway/reducer.py
+++ b/figstep/gateway/reducer.py
@@ -88,7 +88,7 @@
         case AttemptLost():
             return recovery.recover_attempt(state, event, now)
         case TargetDown():
-            return recovery.take_down(state, event, now)
+            return recovery.handle_target_down(state, event, now)
         case CallerGone():
             return requests.drop_caller(state, event, now)
         case RunCopied():
@@ -254,7 +254,7 @@
     effects += reports.ask_engines(state, now)
     effects += copies.drop_copies_for_memory(state, now)
     effects += copies.order_proactive_copies(state, now)
-    effects += recovery.watch_attempts(state, now)
+    effects += recovery.abandon_silent_attempts(state, now)
     effects += requests.start_queued(state, now)
     peers.forget_silent(state, now)
     sources.watch_store(state, now)
--- a/tests/gateway/test_recovery.py
+++ b/tests/gateway/test_recovery.py
@@ -13,7 +13,7 @@
     Ticked,
 )
 from figstep.gateway.prompts import Prompt
-from figstep.gateway.recovery import MOST_SENDS
+from figstep.gateway.recovery import MAX_SENDS
 from figstep.gateway.targets import UNREACHED_FOR, Incarnation, Registration
 from tests.gateway.worlds import BOOKINGS, ENGINES, World, start_with_backup
 
@@ -250,7 +250,7 @@
         tries += 1
         opened = world.find(OpenAttempt)
         world.handle(AttemptLost(opened.attempt, Loss.REFUSED))
-    assert tries == MOST_SENDS
+    assert tries == MAX_SENDS
 
 
 def test_a_read_goes_on_in_another_failure_domain() -> None:
