--- a/figstep/gateway/attempts.py
+++ b/figstep/gateway/attempts.py
@@ -15,37 +15,37 @@
 from figstep.gateway.state import Attempt, Request, State
 from figstep.gateway.targets import Target
 
-FIRST_PRIORITY = 4
+BASE_PRIORITY = 4
 """Urgency at an engine of the most urgent route, of 0 to 9. Runs that go on
 elsewhere get a better one, less urgent routes a worse one."""
 
 RESUMED_PRIORITY = 1
 """Urgency of a run that goes on: its caller is waiting in mid-answer."""
 
-LEAST_PRIORITY = 9
+LOWEST_PRIORITY = 9
 
 
 def start_attempt(
     state: State, request: Request, target: Target, now: Millis
 ) -> list[Effect]:
     """Send a request to a target as a run from its start."""
-    forecast: dict[str, str | int | float | None] = {}
+    choice_fields: dict[str, str | int | float | None] = {}
     if request.spec.prompt is not None:
         # As it was when the choice was made.
-        forecast = placement.describe_choice(state, request, target, now)
+        choice_fields = placement.describe_choice(state, request, target, now)
     attempt = _add_attempt(state, request, target, None, now)
     request.current = attempt
     after = request.delivered or request.spec.after
     effects: list[Effect] = [
-        _open(state, request, attempt, after),
-        _note(request, attempt, now, forecast),
+        _build_open(state, request, attempt, after),
+        _describe_attempt(request, attempt, now, choice_fields),
     ]
-    if request.spec.prompt is not None and _is_shared_far(state, target):
+    if request.spec.prompt is not None and _is_remote_in_large_fleet(state, target):
         effects.append(AnnounceTarget(target.name))
     return effects
 
 
-def _is_shared_far(state: State, target: Target) -> bool:
+def _is_remote_in_large_fleet(state: State, target: Target) -> bool:
     """Tell whether other failure domains choose a target without knowing of this.
 
     Those that have few engines of their own use those of others. Told a moment
@@ -68,8 +68,8 @@
     request.standby = attempt
     request.copy = None
     return [
-        _open(state, request, attempt, request.delivered),
-        _note(request, attempt, now),
+        _build_open(state, request, attempt, request.delivered),
+        _describe_attempt(request, attempt, now),
     ]
 
 
@@ -128,7 +128,7 @@
     request.copied_tokens = 0
 
 
-def note_read(attempt: Attempt, now: Millis) -> None:
+def record_prompt_read(attempt: Attempt, now: Millis) -> None:
     """Note that an attempt's first event came: its prompt has been read."""
     if not attempt.reading:
         return
@@ -138,7 +138,7 @@
     attempt.reading = 0
 
 
-def note_growth(state: State, request: Request, attempt: Attempt) -> None:
+def update_memory(state: State, request: Request, attempt: Attempt) -> None:
     """Count what a run has come to need, at its engine and in its copy."""
     memory = placement.estimate_memory(state, request)
     grown = memory - attempt.memory
@@ -234,12 +234,12 @@
     return attempt
 
 
-def _open(
+def _build_open(
     state: State, request: Request, attempt: Attempt, after: int | None
 ) -> OpenAttempt:
     priority = None
     if request.spec.prompt is not None:
-        priority = min(LEAST_PRIORITY, FIRST_PRIORITY + request.priority)
+        priority = min(LOWEST_PRIORITY, BASE_PRIORITY + request.priority)
         if attempt.source is not None:
             priority = RESUMED_PRIORITY
     return OpenAttempt(
@@ -249,22 +249,22 @@
         request.customer,
         request.deadline,
         priority=priority,
-        backup=_name(attempt.holder),
+        backup=_name_or_empty(attempt.holder),
         source=attempt.source,
         after=after,
         stream=request.route.kind is RouteKind.STREAM,
     )
 
 
-def _name(target: Target | None) -> str:
+def _name_or_empty(target: Target | None) -> str:
     return "" if target is None else target.name
 
 
-def _note(
+def _describe_attempt(
     request: Request,
     attempt: Attempt,
     now: Millis,
-    forecast: dict[str, str | int | float | None] | None = None,
+    choice_fields: dict[str, str | int | float | None] | None = None,
 ) -> Note:
     return Note(
         "attempt opened",
@@ -272,10 +272,10 @@
             "request": request.spec.id,
             "attempt": attempt.number,
             "target": attempt.target.name,
-            "backup": _name(attempt.holder),
+            "backup": _name_or_empty(attempt.holder),
             "goes_on_from": attempt.source.owner if attempt.source else "",
             "after": request.delivered,
             "waited_ms": now - request.arrived,
-            **(forecast or {}),
+            **(choice_fields or {}),
         },
     )
--- a/figstep/gateway/streams.py
+++ b/figstep/gateway/streams.py
@@ -59,7 +59,7 @@
     if attempt is None:
         return []
     request = state.requests[attempt.request]
-    attempts.note_read(attempt, now)
+    attempts.record_prompt_read(attempt, now)
     effects: list[Effect] = []
     if attempt is request.standby:
         effects += _promote_standby(state, request, attempt, now)
@@ -88,7 +88,7 @@
     request.pieces += len(data)
     request.may_have_run = True
     if request.pieces // GROWTH_EVENTS > (request.pieces - len(data)) // GROWTH_EVENTS:
-        attempts.note_growth(state, request, attempt)
+        attempts.update_memory(state, request, attempt)
     if request.standby is None:
         _note_backup(request, attempt)
     effects.append(Deliver(request.spec.number, b"".join(data)))
