--- a/figstep/gateway/reducer.py
+++ b/figstep/gateway/reducer.py
@@ -78,7 +78,7 @@
         case PiecesArrived():
             return streams.deliver_pieces(state, event, now)
         case StreamOpened():
-            return streams.note_opened(state, event)
+            return streams.handle_stream_opened(state, event)
         case RequestArrived():
             return requests.admit_request(state, event, now)
         case StreamEnded():
@@ -250,7 +250,7 @@
         effects += _note_departure(state, name, now)
     effects += requests.expire_requests(state, now)
     effects += copies.migrate_streams(state, now)
-    effects += streams.watch_streams(state, now)
+    effects += streams.check_streams(state, now)
     effects += reports.ask_engines(state, now)
     effects += copies.drop_copies_for_memory(state, now)
     effects += copies.order_proactive_copies(state, now)
--- a/figstep/gateway/streams.py
+++ b/figstep/gateway/streams.py
@@ -16,36 +16,36 @@
 from figstep.gateway.routes import RouteKind
 from figstep.gateway.state import Attempt, Request, State
 
-STALL = Millis(400)
+STALL_TIMEOUT = Millis(400)
 """Silence after which a stream that is late in any case goes on from its copy
 although its engine has not been found dead. Engines of a full batch pause up to
 200 ms between events; a caller gives up after two seconds."""
 
-STALL_SHARE = 0.6
+STALL_PAUSE_FRACTION = 0.6
 """Part of a route's longest pause after which a stream goes on from its copy so
 that it stays in time: the rest is for going on."""
 
-STALL_PAUSES = 2.5
+STALL_SMOOTHED_PAUSES = 2.5
 """The same in usual pauses of the stream: a slow engine is no stalled one."""
 
-PAUSE_STEP = 0.2
+PAUSE_SMOOTHING = 0.2
 """Weight of the newest pause in a stream's usual one."""
 
-LATE_TICK = Millis(150)
+LATE_TICK_INTERVAL = Millis(150)
 """Time between two looks at the streams after which this entry itself stood
 still. What came meanwhile is read first: all its streams would else go on
 elsewhere at once, for events that wait in its sockets."""
 
-GROWTH_EVENTS = 8
+MEMORY_UPDATE_EVENTS = 8
 """Events after which a run's memory is counted anew; the others are told of it
 as of any change of loads, so that each event would cost a message."""
 
-OVERLAP = Millis(300)
+MAX_OVERLAP = Millis(300)
 """Longest that a run may be open at two engines while it changes over. Both
 generate meanwhile; after it the one that has not delivered is closed."""
 
 
-def note_opened(state: State, event: StreamOpened) -> list[Effect]:
+def handle_stream_opened(state: State, event: StreamOpened) -> list[Effect]:
     """Note that a target accepted a stream."""
     attempt = state.attempts.get(event.attempt)
     if attempt is not None:
@@ -80,22 +80,25 @@
     if request.stream_begun:
         pause = Millis(now - request.delivered_at)
         request.longest_pause = max(request.longest_pause, pause)
-        request.smoothed_pause += PAUSE_STEP * (pause - request.smoothed_pause)
+        request.smoothed_pause += PAUSE_SMOOTHING * (pause - request.smoothed_pause)
     else:
-        effects += _begin(state, request, attempt, now)
+        effects += _begin_stream(state, request, attempt, now)
     request.delivered = last
     request.delivered_at = now
     request.pieces += len(data)
     request.may_have_run = True
-    if request.pieces // GROWTH_EVENTS > (request.pieces - len(data)) // GROWTH_EVENTS:
+    if (
+        request.pieces // MEMORY_UPDATE_EVENTS
+        > (request.pieces - len(data)) // MEMORY_UPDATE_EVENTS
+    ):
         attempts.update_memory(state, request, attempt)
     if request.standby is None:
-        _note_backup(request, attempt)
+        _record_backup(request, attempt)
     effects.append(Deliver(request.spec.number, b"".join(data)))
     return effects
 
 
-def _begin(
+def _begin_stream(
     state: State, request: Request, attempt: Attempt, now: Millis
 ) -> list[Effect]:
     request.stream_begun = True
@@ -110,7 +113,7 @@
     ]
 
 
-def _note_backup(request: Request, attempt: Attempt) -> None:
+def _record_backup(request: Request, attempt: Attempt) -> None:
     holder = attempt.holder
     if attempt.backup_unusable:
         return
@@ -123,8 +126,8 @@
 def _promote_standby(
     state: State, request: Request, standby: Attempt, now: Millis
 ) -> list[Effect]:
-    before = request.current
-    effects = attempts.close_attempt(state, before, now)
+    previous = request.current
+    effects = attempts.close_attempt(state, previous, now)
     request.current = standby
     request.standby = None
     # Whatever was kept was of the run that has ended: left in place it would
@@ -140,7 +143,7 @@
             "stream goes on elsewhere",
             {
                 "request": request.spec.id,
-                "from": before.target.name if before else "",
+                "from": previous.target.name if previous else "",
                 "to": standby.target.name,
                 "after": request.delivered,
                 "pause_ms": pause,
@@ -175,7 +178,7 @@
     if attempt is request.standby:
         effects += _promote_standby(state, request, attempt, now)
     if not request.stream_begun:
-        effects += _begin(state, request, attempt, now)
+        effects += _begin_stream(state, request, attempt, now)
     if event.tail:
         effects.append(Deliver(request.spec.number, event.tail))
     attempts.end_attempt(state, attempt)
@@ -189,19 +192,19 @@
     ]
 
 
-def watch_streams(state: State, now: Millis) -> list[Effect]:
+def check_streams(state: State, now: Millis) -> list[Effect]:
     """Look after streams that stall or are in the middle of a change."""
     effects: list[Effect] = []
-    stood_still = now - state.streams_checked_at >= LATE_TICK
+    entry_stalled = now - state.streams_checked_at >= LATE_TICK_INTERVAL
     state.streams_checked_at = now
     for request in list(state.requests.values()):
         if request.route.kind is not RouteKind.STREAM:
             continue
         standby = request.standby
         if standby is not None:
-            effects += _watch_standby(state, request, standby, now)
+            effects += _check_standby(state, request, standby, now)
             continue
-        if not stood_still and _is_stalled(request, now):
+        if not entry_stalled and _is_stalled(request, now):
             copies.discard_unusable_copy(state, request)
             effects += copies.switch_to_copy(state, request, now)
     return effects
@@ -210,17 +213,19 @@
 def _is_stalled(request: Request, now: Millis) -> bool:
     if not request.stream_begun:
         return False
-    limit = float(STALL)
+    limit = float(STALL_TIMEOUT)
     if request.longest_pause <= request.route.longest_pause:
-        in_time = STALL_SHARE * request.route.longest_pause
-        limit = min(limit, max(in_time, STALL_PAUSES * request.smoothed_pause))
+        on_time_limit = STALL_PAUSE_FRACTION * request.route.longest_pause
+        limit = min(
+            limit, max(on_time_limit, STALL_SMOOTHED_PAUSES * request.smoothed_pause)
+        )
     return now - request.delivered_at >= limit
 
 
-def _watch_standby(
+def _check_standby(
     state: State, request: Request, standby: Attempt, now: Millis
 ) -> list[Effect]:
-    if now - standby.opened < OVERLAP or request.current is None:
+    if now - standby.opened < MAX_OVERLAP or request.current is None:
         return []
     if standby.answered or copies.is_too_late_to_copy(request.current.target, now):
         # It was accepted and will deliver, or there is no time for another copy:
--- a/tests/gateway/test_copies.py
+++ b/tests/gateway/test_copies.py
@@ -28,7 +28,7 @@
     TargetRegistered,
     Ticked,
 )
-from figstep.gateway.streams import OVERLAP
+from figstep.gateway.streams import MAX_OVERLAP
 from figstep.gateway.targets import Registration
 from tests.gateway.worlds import ENGINES, World, start_with_backup
 
@@ -304,7 +304,7 @@
         standby = world.find(OpenAttempt)
         target = world.state.targets.targets[opened.target]
         target.left_at = Millis(world.clock.now() - waited)
-        world.clock.advance(OVERLAP)
+        world.clock.advance(MAX_OVERLAP)
         world.handle(Ticked())
         closed = opened.attempt if kept else standby.attempt
         assert world.find(CloseAttempt).attempt == closed
--- a/tests/gateway/test_fleet_properties.py
+++ b/tests/gateway/test_fleet_properties.py
@@ -56,7 +56,7 @@
 )
 from figstep.gateway.prompts import Prompt
 from figstep.gateway.routes import Route, RouteKind
-from figstep.gateway.streams import OVERLAP
+from figstep.gateway.streams import MAX_OVERLAP
 from figstep.gateway.targets import Incarnation, Registration
 from tests.gateway.worlds import (
     BOOKINGS,
@@ -470,7 +470,7 @@
             for call in calls.values():
                 running = [run for run in call.runs if run.open]
                 for run in running[1:]:
-                    assert now - run.opened <= OVERLAP + STEP, "runs at two engines"
+                    assert now - run.opened <= MAX_OVERLAP + STEP, "runs at two engines"
 
     # What holds at any time
 
