--- a/figstep/gateway/copies.py
+++ b/figstep/gateway/copies.py
@@ -355,14 +355,14 @@
     if _has_backup(current):
         return False
     discard_unusable_copy(state, request)
-    if now - request.copied_at >= pool.copy_kept:
+    if now - request.copied_at >= pool.copy_retention:
         request.copy = None
     if request.copy is not None:
         if placement.was_refused_copy(
             request, request.copy.holder, now, proactive=True
         ):
             return False
-        return now - request.copied_at >= REFRESH_AGE_FRACTION * pool.copy_kept
+        return now - request.copied_at >= REFRESH_AGE_FRACTION * pool.copy_retention
     return count_remaining_tokens(state, request) >= MIN_REMAINING_TOKENS
 
 
--- a/figstep/gateway/reports.py
+++ b/figstep/gateway/reports.py
@@ -90,7 +90,7 @@
         # Questions of all entries to all engines would grow with the square of
         # the fleet, and there a few engines of dozens hold such copies.
         return False
-    return now - state.budget.started < pool.copy_kept + SETTLED_AFTER
+    return now - state.budget.started < pool.copy_retention + SETTLED_AFTER
 
 
 def take_report(state: State, event: EngineReported, now: Millis) -> list[Effect]:
--- a/figstep/gateway/routes.py
+++ b/figstep/gateway/routes.py
@@ -75,7 +75,7 @@
         backups: Whether it keeps running copies of other engines' runs.
         moves: Whether it copies a run to another engine on order.
         event_tokens: Tokens that one event of a stream holds.
-        copy_kept: How long a copy made on order is kept for certain.
+        copy_retention: How long a copy made on order is kept for certain.
     """
 
     slots: int
@@ -83,7 +83,7 @@
     backups: bool = False
     moves: bool = False
     event_tokens: int = 1
-    copy_kept: Millis = Millis(5_000)
+    copy_retention: Millis = Millis(5_000)
 
 
 @dataclass(frozen=True, slots=True)
@@ -112,14 +112,14 @@
     Attributes:
         header_bytes: Size of all headers.
         body_bytes: Size of a body.
-        header_time: How long its headers may take.
-        idle_time: How long its connection may stay without a request.
+        header_timeout: How long its headers may take.
+        idle_timeout: How long its connection may stay without a request.
     """
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
-    header_time: Millis = Millis(3_000)
-    idle_time: Millis = Millis(15_000)
+    header_timeout: Millis = Millis(3_000)
+    idle_timeout: Millis = Millis(15_000)
 
 
 @dataclass(frozen=True, slots=True)
