--- a/figstep/gateway/recovery.py
+++ b/figstep/gateway/recovery.py
@@ -46,7 +46,7 @@
         request.unreached += 1
     effects: list[Effect] = [
         Count("lost", (request.route.name, event.loss.value)),
-        _note_loss(request, attempt, event, now),
+        _describe_loss(request, attempt, event, now),
         *target_effects,
     ]
     if event.loss is Loss.UNREACHED and not was_unreached:
@@ -223,7 +223,7 @@
     return Millis(min(total // 2, 3 * request.route.objective))
 
 
-def _note_loss(
+def _describe_loss(
     request: Request, attempt: Attempt, event: AttemptLost, now: Millis
 ) -> Note:
     return Note(
