--- a/figstep/gateway/attempts.py
+++ b/figstep/gateway/attempts.py
@@ -132,8 +132,8 @@
     """Note that an attempt's first event came: its prompt has been read."""
     if not attempt.reading:
         return
-    took = now - attempt.opened
-    attempt.target.learn_reading(attempt.reading + attempt.reading_ahead, took)
+    elapsed = now - attempt.opened
+    attempt.target.learn_reading(attempt.reading + attempt.reading_ahead, elapsed)
     attempt.target.reading -= attempt.reading
     attempt.reading = 0
 
