--- a/tests/gateway/test_copies.py
+++ b/tests/gateway/test_copies.py
@@ -6,7 +6,7 @@
     BACKUP_ARRIVAL_DELAY,
     LAST_COPY_ORDER_DELAY,
     REFRESH_TIMEOUT,
-    STALE_AFTER,
+    STALE_COPY_AGE,
 )
 from figstep.gateway.effects import (
     BreakStream,
@@ -436,7 +436,7 @@
     world.handle(Ticked())
     order = world.find(CopyRun)
     world.handle(RunCopied(1, order.source, order.holder, "h-1"))
-    world.clock.advance(STALE_AFTER)
+    world.clock.advance(STALE_COPY_AGE)
     world.depart(order.source)
     return world, order
 
