--- a/figstep/gateway/attempts.py
+++ b/figstep/gateway/attempts.py
@@ -133,7 +133,7 @@
     if not attempt.reading:
         return
     elapsed = now - attempt.opened
-    attempt.target.learn_reading(attempt.reading + attempt.reading_ahead, elapsed)
+    attempt.target.update_read_rate(attempt.reading + attempt.reading_ahead, elapsed)
     attempt.target.reading -= attempt.reading
     attempt.reading = 0
 
--- a/figstep/gateway/copies.py
+++ b/figstep/gateway/copies.py
@@ -346,7 +346,7 @@
         return False
     if request.route.kind is not RouteKind.STREAM:
         return False
-    if not current.target.takes_work or limits.is_limited(current.target):
+    if not current.target.accepts_work or limits.is_limited(current.target):
         # One in need is spared the copies that its runs may never use.
         return False
     pool = placement.find_engine_pool(state, request.service)
@@ -370,7 +370,7 @@
     holder = attempt.holder
     if holder is None or attempt.backup_unusable:
         return False
-    return holder.takes_work
+    return holder.accepts_work
 
 
 def _order_proactive_copy(
--- a/figstep/gateway/crashes.py
+++ b/figstep/gateway/crashes.py
@@ -87,7 +87,7 @@
     return _suspect_lost(state, target, now)
 
 
-def note_departure(state: State, target: Target, now: Millis) -> list[Effect]:
+def record_departure(state: State, target: Target, now: Millis) -> list[Effect]:
     """Take in that a target's registration has gone.
 
     One that goes without a word may serve on for a while, so what is open there may
--- a/figstep/gateway/departures.py
+++ b/figstep/gateway/departures.py
@@ -21,9 +21,9 @@
     target = state.targets.find(incarnation.target)
     if target is None or target.info.incarnation != incarnation:
         return []
-    if target.said_leaving:
+    if target.announced_leaving:
         return []
-    target.said_leaving = True
+    target.announced_leaving = True
     effects = _note_leaving(state, target, "itself", now)
     return [Announce(), *effects] if effects else []
 
@@ -46,7 +46,7 @@
 ) -> list[Effect]:
     if target.standing is not Standing.READY:
         return []
-    state.targets.note_departure(target.name, now)
+    state.targets.record_departure(target.name, now)
     fields: dict[str, str | int | float | None] = {
         "target": target.name,
         "told_by": source,
--- a/figstep/gateway/eligibility.py
+++ b/figstep/gateway/eligibility.py
@@ -36,7 +36,7 @@
 
 def is_eligible(state: State, request: Request, target: Target) -> bool:
     """Tell whether anything of a request may be sent to a target now."""
-    return target.takes_work and _is_at_home(state, request, target)
+    return target.accepts_work and _is_at_home(state, request, target)
 
 
 def list_eligible(state: State, request: Request) -> list[Target]:
--- a/figstep/gateway/limits.py
+++ b/figstep/gateway/limits.py
@@ -35,12 +35,12 @@
     if target is None:
         return []
     limit = target.limit
-    if event.rate is None and (limit is None or event.asked < limit.said_at):
+    if event.rate is None and (limit is None or event.asked < limit.stated_at):
         # An answer that was under way as the target began to name a rate.
         return []
     if limit is None:
         limit = target.limit = RateLimit()
-    limit.heard_at = now
+    limit.received_at = now
     effects = _note_rate(state, target, event.rate, now, now, "itself")
     return [Announce(), *effects] if effects else []
 
@@ -54,12 +54,12 @@
         target = state.targets.find(report.incarnation.target)
         if target is None or target.info.incarnation != report.incarnation:
             continue
-        said_at = Millis(now - report.age)
+        stated_at = Millis(now - report.age)
         if target.limit is None:
             target.limit = RateLimit()
-        if said_at <= target.limit.said_at:
+        if stated_at <= target.limit.stated_at:
             continue
-        effects += _note_rate(state, target, report.rate, said_at, now, source)
+        effects += _note_rate(state, target, report.rate, stated_at, now, source)
         target.limit.turn = max(target.limit.turn, report.turn)
     return effects
 
@@ -68,7 +68,7 @@
     state: State,
     target: Target,
     rate: float | None,
-    said_at: Millis,
+    stated_at: Millis,
     now: Millis,
     source: str,
 ) -> list[Effect]:
@@ -77,8 +77,8 @@
         return []
     before = limit.rate
     if before is not None:
-        limit.turn += _count_turns(limit, said_at)
-    limit.said_at = said_at
+        limit.turn += _count_turns(limit, stated_at)
+    limit.stated_at = stated_at
     limit.rate = rate
     if rate == before:
         return []
@@ -134,7 +134,7 @@
     key = f"{target.name} {limit.turn + turns}"
     share = shares.share_requests(state, key, requests, now)
     if share == 0:
-        return Millis(max(limit.opens_at, limit.said_at + (turns + 1) * TURN))
+        return Millis(max(limit.opens_at, limit.stated_at + (turns + 1) * TURN))
     _forget_old(limit, window, now)
     if len(limit.sends) < share:
         return Millis(max(limit.opens_at, now))
@@ -151,7 +151,7 @@
 
 
 def _count_turns(limit: RateLimit, now: Millis) -> int:
-    return max(0, now - limit.said_at) // TURN
+    return max(0, now - limit.stated_at) // TURN
 
 
 def split_rate(rate: float) -> tuple[Millis, int]:
--- a/figstep/gateway/peers.py
+++ b/figstep/gateway/peers.py
@@ -67,7 +67,7 @@
         for name in event.unreached:
             target = state.targets.find(name)
             if target is not None:
-                target.note_told_unreached(event.node, now)
+                target.record_unreached_report(event.node, now)
         state.peers[event.node] = peer
         state.silent_peers.pop(event.node, None)
 
@@ -183,7 +183,7 @@
     """Return what this entry has open, by target."""
     loads = []
     for target in state.targets.targets.values():
-        if not (target.calls or target.memory or target.read_rate_own):
+        if not (target.calls or target.memory or target.own_read_rate):
             continue
         loads.append(
             PeerLoad(
@@ -191,7 +191,7 @@
                 target.calls,
                 target.memory,
                 target.reading,
-                target.read_rate_own,
+                target.own_read_rate,
                 target.incoming,
                 target.outgoing,
             )
--- a/figstep/gateway/placement.py
+++ b/figstep/gateway/placement.py
@@ -7,7 +7,7 @@
 from figstep.gateway import eligibility, limits, warmups
 from figstep.gateway.routes import EnginePool
 from figstep.gateway.state import Request, State
-from figstep.gateway.targets import USUAL_READ_RATE, Target
+from figstep.gateway.targets import TYPICAL_READ_RATE, Target
 
 MAX_MEMORY_FRACTION = 0.95
 """Part of an engine's memory that expected work may fill. Lengths are known at
@@ -139,7 +139,7 @@
         if fit.obstacle is not None:
             continue
         cost = fit.reading + FULL_MEMORY_COST_MS * fit.filled
-        cost += OUTPUT_TOKEN_COST_MS * output * USUAL_READ_RATE / target.read_rate
+        cost += OUTPUT_TOKEN_COST_MS * output * TYPICAL_READ_RATE / target.read_rate
         cost += FAILURE_COST_MS * max(0.0, target.failures - TOLERATED_FAILURE_FRACTION)
         if target.info.failure_domain != state.failure_domain:
             cost += LARGE_FLEET_REMOTE_COST_MS if state.is_large else REMOTE_COST_MS
@@ -178,7 +178,7 @@
     tokens = 0 if prompt is None else prompt.tokens
     need = estimate_memory(state, request)
     filled = (target.memory_load + need) / find_engine_memory(state, request.service)
-    reading = target.predict_reading(tokens, now)
+    reading = target.predict_read_time(tokens, now)
     latest = (
         request.first_arrived + READING_OBJECTIVE_FRACTION * request.route.objective
     )
@@ -205,7 +205,7 @@
         reason = "none" if fit.obstacle is None else fit.obstacle.value
         if target.name in request.tried_targets:
             reason = "tried"
-        elif target.avoid_until > now:
+        elif target.backoff_until > now:
             reason = "avoided"
         elif not warmups.may_send(state, target, now):
             reason = "cold"
@@ -264,7 +264,7 @@
             continue
         if was_refused_copy(request, target.name, now, proactive):
             continue
-        if target.avoid_until > now or not limits.may_send(state, target, now):
+        if target.backoff_until > now or not limits.may_send(state, target, now):
             continue
         cost = (target.memory_load + need) / memory
         if cost > max_fraction:
@@ -279,7 +279,7 @@
         if is_remote and not proactive:
             cost += LARGE_FLEET_REMOTE_COPY_COST if state.is_large else REMOTE_COPY_COST
         cost += waiting
-        cost += SLOW_HOLDER_COST * (USUAL_READ_RATE / target.read_rate - 1.0)
+        cost += SLOW_HOLDER_COST * (TYPICAL_READ_RATE / target.read_rate - 1.0)
         cost += 0.01 * state.rng.random()
         if best is None or cost < best_cost:
             best, best_cost = target, cost
@@ -355,8 +355,8 @@
             continue
         if limits.may_send(state, target, now):
             accepting.append(target)
-    trusted = [target for target in accepting if target.avoid_until <= now]
-    silent = state.targets.find_silent_domains(request.service, now)
+    trusted = [target for target in accepting if target.backoff_until <= now]
+    silent = state.targets.find_unreachable_domains(request.service, now)
     reachable = [t for t in trusted if t.info.failure_domain not in silent]
     # A failure domain that is being lost may take the next target as well.
     lost = request.lost_domains
--- a/figstep/gateway/recovery.py
+++ b/figstep/gateway/recovery.py
@@ -75,26 +75,26 @@
         case Loss.CUT:
             return []
         case Loss.FAILED:
-            target.note_failure()
+            target.record_failure()
             crashes.note_answer(state, target, attempt.opened)
         case Loss.MISDIRECTED:
             # Another target has its address: this one is gone for good.
             target_effects = crashes.note_end(state, target, now)
-            state.targets.note_departure(target.name, now)
+            state.targets.record_departure(target.name, now)
             return target_effects
         case Loss.UNREACHED:
             return _record_unreached(state, target, event.down, now)
         case _:
-            target.note_loss(now, True)
+            target.record_loss(now, True)
     return []
 
 
 def _record_unreached(
     state: State, target: Target, down: bool, now: Millis
 ) -> list[Effect]:
-    target.note_loss(now, False)
+    target.record_loss(now, False)
     # It may start again under its old registration, and be cold then.
-    warmups.assume_cold(state, target, target.avoid_until)
+    warmups.assume_cold(state, target, target.backoff_until)
     return crashes.note_end(state, target, now) if down else []
 
 
--- a/figstep/gateway/reducer.py
+++ b/figstep/gateway/reducer.py
@@ -173,7 +173,7 @@
     found: list[Effect] = []
     if before is None or is_new_incarnation(before.info, info):
         found = crashes.note_successor(state, info, now)
-    target = state.targets.note_registration(info, now)
+    target = state.targets.record_registration(info, now)
     target.evacuated = info.failure_domain in state.evacuations.domains
     if target is not before:
         peers.recount_loads(state)
@@ -199,14 +199,16 @@
         # next departure look like a lapse of all registrations, and prompts go
         # to an engine that leaves.
         return []
-    if target.seems_gone:
+    if target.appears_unreachable:
         return _note_departure(state, event.target, now)
     returning = state.store_unreachable or now < state.store_regained_at + LAPSE
     if returning and not sources.has_store_been_well(state):
-        state.targets.doubt(event.target, Millis(state.store_regained_at + LAPSE))
+        state.targets.defer_departure(
+            event.target, Millis(state.store_regained_at + LAPSE)
+        )
         return []
-    if state.targets.looks_lapsed(event.target, now):
-        state.targets.doubt(event.target, Millis(now + MASS_LAPSE))
+    if state.targets.is_mass_departure(event.target, now):
+        state.targets.defer_departure(event.target, Millis(now + MASS_LAPSE))
         return []
     return _note_departure(state, event.target, now)
 
@@ -215,8 +217,8 @@
     target = state.targets.find(name)
     if target is None:
         return []
-    found = crashes.note_departure(state, target, now)
-    state.targets.note_departure(name, now)
+    found = crashes.record_departure(state, target, now)
+    state.targets.record_departure(name, now)
     note = Note(
         "target departed",
         {"target": name, "service": target.info.service, "calls": target.calls},
@@ -246,7 +248,7 @@
 
 def _tick(state: State, now: Millis) -> list[Effect]:
     effects: list[Effect] = []
-    for name in state.targets.list_lapsed(now):
+    for name in state.targets.pop_due_departures(now):
         effects += _note_departure(state, name, now)
     effects += requests.expire_requests(state, now)
     effects += copies.migrate_streams(state, now)
@@ -259,7 +261,7 @@
     peers.forget_silent(state, now)
     sources.watch_store(state, now)
     effects += sources.catch_up(state, now)
-    state.targets.forget_departed(now, DEPARTED_KEPT)
+    state.targets.remove_departed(now, DEPARTED_KEPT)
     departures.forget_old(state, now)
     state.crashes.forget_old(now)
     state.refused.forget_old(now)
--- a/figstep/gateway/reports.py
+++ b/figstep/gateway/reports.py
@@ -32,9 +32,9 @@
     for target in state.targets.targets.values():
         if target.unclaimed and now - target.reported_at >= UNCLAIMED_FOR:
             target.unclaimed = 0
-        if not target.takes_work:
+        if not target.accepts_work:
             continue
-        if now - target.asked_at < ASK_PERIOD:
+        if now - target.queried_at < ASK_PERIOD:
             continue
         asked = state.store_unreachable and _asks_for(state, target, heard, now)
         if not asked and not _may_hold_unclaimed(state, target, now):
@@ -47,11 +47,11 @@
 def _note_question(target: Target, now: Millis) -> None:
     # An answer is as old as the time between two questions: it is compared with
     # what was counted at the one before, or now if that was long ago.
-    recent = now - target.asked_at < UNCLAIMED_FOR
+    recent = now - target.queried_at < UNCLAIMED_FOR
     claimed = target.claimed_memory
-    target.counted_memory = target.claimed_when_asked if recent else claimed
-    target.claimed_when_asked = claimed
-    target.asked_at = now
+    target.claimed_baseline = target.claimed_at_query if recent else claimed
+    target.claimed_at_query = claimed
+    target.queried_at = now
 
 
 def _asks_for(state: State, target: Target, heard: list[str], now: Millis) -> bool:
@@ -66,9 +66,9 @@
         return False
     if not state.is_large:
         return _runs_at(state, target)
-    if target.asked_for_at + ASK_PERIOD > now:
+    if target.querier_drawn_at + ASK_PERIOD > now:
         return False
-    target.asked_for_at = now
+    target.querier_drawn_at = now
     return min(heard, key=lambda name: shares.draw(name, target.name)) == state.node
 
 
@@ -98,7 +98,7 @@
     target = state.targets.find(event.target)
     if target is None:
         return []
-    crashes.note_answer(state, target, target.asked_at)
+    crashes.note_answer(state, target, target.queried_at)
     if event.memory is not None:
         _count_unclaimed(target, event.memory, now)
     if not event.leaving:
@@ -111,5 +111,5 @@
 
 
 def _count_unclaimed(target: Target, used: int, now: Millis) -> None:
-    target.unclaimed = max(0, used - target.counted_memory)
+    target.unclaimed = max(0, used - target.claimed_baseline)
     target.reported_at = now
--- a/figstep/gateway/requests.py
+++ b/figstep/gateway/requests.py
@@ -197,7 +197,7 @@
     if attempt is None:
         return []
     request = state.requests[attempt.request]
-    attempt.target.note_success(now)
+    attempt.target.record_success(now)
     crashes.note_answer(state, attempt.target, attempt.opened)
     attempts.end_attempt(state, attempt)
     return [
--- a/figstep/gateway/state.py
+++ b/figstep/gateway/state.py
@@ -300,9 +300,9 @@
         reports = []
         for target in self.targets.targets.values():
             limit = target.limit
-            if limit is None or now - limit.heard_at >= RATE_ANNOUNCE_DURATION:
+            if limit is None or now - limit.received_at >= RATE_ANNOUNCE_DURATION:
                 continue
-            age = Millis(now - limit.heard_at)
+            age = Millis(now - limit.received_at)
             incarnation = target.info.incarnation
             reports.append(RateReport(incarnation, limit.rate, age, limit.turn))
         return reports
--- a/figstep/gateway/streams.py
+++ b/figstep/gateway/streams.py
@@ -103,7 +103,7 @@
 ) -> list[Effect]:
     request.stream_begun = True
     request.time_to_first_event = Millis(now - request.arrived)
-    attempt.target.note_success(now)
+    attempt.target.record_success(now)
     crashes.note_answer(state, attempt.target, attempt.opened)
     number = request.spec.number
     return [
@@ -117,7 +117,7 @@
     holder = attempt.holder
     if attempt.backup_unusable:
         return
-    if holder is None or not holder.takes_work:
+    if holder is None or not holder.accepts_work:
         return
     if request.copy is None:
         request.copy = RunCopy(holder.name, holder.name, request.spec.id)
@@ -133,7 +133,7 @@
     # Whatever was kept was of the run that has ended: left in place it would
     # hide the backup of the one that goes on.
     request.copy = None
-    standby.target.note_success(now)
+    standby.target.record_success(now)
     crashes.note_answer(state, standby.target, standby.opened)
     pause = now - request.delivered_at
     effects += [
--- a/figstep/gateway/targets.py
+++ b/figstep/gateway/targets.py
@@ -50,30 +50,30 @@
         return Incarnation(self.target, self.born)
 
 
-FAILURE_STEP = 0.2
+FAILURE_SMOOTHING = 0.2
 """Weight of the newest attempt in a target's failed part: about ten attempts
 tell a target that fails two in five from one that fails now and then."""
 
-USUAL_READ_RATE = 7.0
+TYPICAL_READ_RATE = 7.0
 """Prompt tokens that an engine of the usual speed reads in a millisecond."""
 
-UNKNOWN_READ_RATE = 4.5
+DEFAULT_READ_RATE = 4.5
 """The same of an engine that nothing is known of: prompts sent to a slow one on
 the hope that it isn't are late."""
 
-FASTEST_READ_RATE = 14.0
+MAX_READ_RATE = 14.0
 """Engines read no faster; a cached prompt would else pass for a fast engine."""
 
-COLD_RATE = 0.5
+COLD_READ_RATE_FACTOR = 0.5
 """Part of its rate that an engine has while it says that it warms up."""
 
-READ_RATE_STEP = 0.3
+READ_RATE_SMOOTHING = 0.3
 """Weight of the newest reading: a handful tells a slow engine from a fast one."""
 
-MASS_WITHIN = Millis(1_000)
+MASS_DEPARTURE_WINDOW = Millis(1_000)
 """Departures within this time are taken together."""
 
-MASS_LEAST = 3
+MIN_MASS_DEPARTURES = 3
 """Departures at once, of more than half of a service's targets, that are taken
 for lapses. Reclaims and releases take one or two at a time."""
 
@@ -85,14 +85,14 @@
 """Most that a target is avoided before it is tried again."""
 
 
-SILENT_DOMAIN_LEAST = 2
+MIN_UNREACHABLE_TARGETS = 2
 """Unreached targets of a failure domain from which on its others are spared."""
 
-UNREACHED_FOR = Millis(1_000)
+UNREACHED_DURATION = Millis(1_000)
 """How long a target that could not be connected to counts as that: the next
 requests find out whether it is back."""
 
-UNREACHED_TOLD_BY = 2
+MIN_UNREACHED_REPORTS = 2
 """Other entries that have to tell so before their word is taken."""
 
 
@@ -112,8 +112,8 @@
         rate: Requests a second that it takes from all entries together; None if
             its last answer named none any more.
         opens_at: From when on it may be sent requests within the rate.
-        said_at: When an answer last told so, to any entry.
-        heard_at: When an answer to this entry last did.
+        stated_at: When an answer last told so, to any entry.
+        received_at: When an answer to this entry last did.
         turn: How often it was silent for so long that its rate passed to other
             entries.
         sends: When this entry sent it requests since, oldest first.
@@ -121,8 +121,8 @@
 
     rate: float | None = None
     opens_at: Millis = Millis(0)
-    said_at: Millis = Millis(-1_000_000)
-    heard_at: Millis = Millis(-1_000_000)
+    stated_at: Millis = Millis(-1_000_000)
+    received_at: Millis = Millis(-1_000_000)
     turn: int = 0
     sends: deque[Millis] = field(default_factory=deque)
 
@@ -145,30 +145,30 @@
         peer_reading: Prompt tokens of theirs that it has still to read.
         peer_incoming: Tokens of runs that are being copied to it on their order.
         peer_outgoing: Those that are being copied from it.
-        read_rate_own: Prompt tokens that it reads in a millisecond, smoothed, as
+        own_read_rate: Prompt tokens that it reads in a millisecond, smoothed, as
             seen by this entry; None before any was seen.
         peer_rate_sum: Sum of the same as seen by other entries.
         peer_rate_count: Entries and failure domains that have seen it.
         failures: Smoothed part of its attempts that failed, 0 to 1.
-        asked_at: When it was last asked for its state.
-        asked_for_at: When it was last drawn who asks it for a failure domain.
+        queried_at: When it was last asked for its state.
+        querier_drawn_at: When it was last drawn who asks it for a failure domain.
         reported_at: When it last told it.
-        claimed_when_asked: What was known to take its memory at the last question.
-        counted_memory: What its next answer is compared with.
+        claimed_at_query: What was known to take its memory at the last question.
+        claimed_baseline: What its next answer is compared with.
         unclaimed: Tokens of its memory that no known run or copy takes.
-        strikes: Losses in a row without an answer.
-        avoid_until: When it is tried again after losses.
+        consecutive_losses: Losses in a row without an answer.
+        backoff_until: When it is tried again after losses.
         warm_at: When it will have warmed up.
         cold_sends: When this entry last sent it requests while it was cold.
         evacuated: Whether its failure domain is to get no more work.
         unreached_at: When this entry last could not connect to it.
-        doubted_at: When it was last found, or told, to be unreachable.
+        presumed_down_at: When it was last found, or told, to be unreachable.
         answered_at: When it last answered.
-        told_unreached: When other entries last told that they could not connect
+        unreached_reports: When other entries last told that they could not connect
             to it, by entry.
         limit: Rate that it has named in its answers; None if it never did.
         paused_until: Until when it wants nothing from this entry.
-        said_leaving: Whether it has told this entry that it leaves.
+        announced_leaving: Whether it has told this entry that it leaves.
         lost: Digests of requests whose attempts there ended without an answer, and
             when; an answer to anything asked later ends that.
         ended_at: When its life was found to have ended, or None.
@@ -188,28 +188,28 @@
     peer_calls: int = 0
     peer_memory: int = 0
     peer_reading: int = 0
-    read_rate_own: float | None = None
+    own_read_rate: float | None = None
     peer_rate_sum: float = 0.0
     peer_rate_count: int = 0
     failures: float = 0.0
-    asked_at: Millis = Millis(-1_000_000)
-    asked_for_at: Millis = Millis(-1_000_000)
+    queried_at: Millis = Millis(-1_000_000)
+    querier_drawn_at: Millis = Millis(-1_000_000)
     reported_at: Millis = Millis(0)
-    claimed_when_asked: int = 0
-    counted_memory: int = 0
+    claimed_at_query: int = 0
+    claimed_baseline: int = 0
     unclaimed: int = 0
-    strikes: int = 0
-    avoid_until: Millis = Millis(0)
+    consecutive_losses: int = 0
+    backoff_until: Millis = Millis(0)
     warm_at: Millis = Millis(0)
     cold_sends: deque[Millis] = field(default_factory=deque)
     evacuated: bool = False
     unreached_at: Millis = Millis(-1_000_000)
-    doubted_at: Millis = Millis(-1_000_000)
+    presumed_down_at: Millis = Millis(-1_000_000)
     answered_at: Millis = Millis(-1_000_000)
-    told_unreached: dict[str, Millis] = field(default_factory=dict)
+    unreached_reports: dict[str, Millis] = field(default_factory=dict)
     limit: RateLimit | None = None
     paused_until: Millis = Millis(0)
-    said_leaving: bool = False
+    announced_leaving: bool = False
     lost: dict[str, Millis] = field(default_factory=dict)
     ended_at: Millis | None = None
     probed_at: Millis = Millis(-1_000_000)
@@ -220,12 +220,12 @@
         return self.info.target
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Whether new work may be sent to it."""
         return self.standing is Standing.READY and not self.evacuated
 
     @property
-    def seems_gone(self) -> bool:
+    def appears_unreachable(self) -> bool:
         """Whether this entry could not reach it when it last tried.
 
         Its registration has then not only lapsed with the store.
@@ -256,39 +256,39 @@
     def read_rate(self) -> float:
         """Prompt tokens that it reads in a millisecond, as all entries saw it."""
         total, count = self.peer_rate_sum, self.peer_rate_count
-        if self.read_rate_own is not None:
-            total += self.read_rate_own
+        if self.own_read_rate is not None:
+            total += self.own_read_rate
             count += 1
-        return total / count if count else UNKNOWN_READ_RATE
+        return total / count if count else DEFAULT_READ_RATE
 
-    def predict_reading(self, tokens: int, now: Millis) -> float:
+    def predict_read_time(self, tokens: int, now: Millis) -> float:
         """Return how long it takes until a prompt is read, in milliseconds."""
         rate = self.read_rate
         if now < self.warm_at:
-            rate *= COLD_RATE
+            rate *= COLD_READ_RATE_FACTOR
         return (self.reading_load + tokens) / rate
 
-    def learn_reading(self, tokens: int, took: int) -> None:
+    def update_read_rate(self, tokens: int, elapsed: int) -> None:
         """Learn from the time that a prompt and those ahead of it took."""
-        if took <= 0:
+        if elapsed <= 0:
             return
-        seen = min(FASTEST_READ_RATE, tokens / took)
-        known = seen if self.read_rate_own is None else self.read_rate_own
-        self.read_rate_own = known + READ_RATE_STEP * (seen - known)
+        observed = min(MAX_READ_RATE, tokens / elapsed)
+        known = observed if self.own_read_rate is None else self.own_read_rate
+        self.own_read_rate = known + READ_RATE_SMOOTHING * (observed - known)
 
-    def note_success(self, now: Millis) -> None:
+    def record_success(self, now: Millis) -> None:
         """Count an answer."""
         self.answered_at = now
-        self.failures *= 1.0 - FAILURE_STEP
-        self.strikes = 0
-        self.avoid_until = Millis(0)
+        self.failures *= 1.0 - FAILURE_SMOOTHING
+        self.consecutive_losses = 0
+        self.backoff_until = Millis(0)
 
-    def note_failure(self) -> None:
+    def record_failure(self) -> None:
         """Count a failure that the target itself answered."""
-        self.failures += FAILURE_STEP * (1.0 - self.failures)
-        self.strikes = 0
+        self.failures += FAILURE_SMOOTHING * (1.0 - self.failures)
+        self.consecutive_losses = 0
 
-    def note_loss(self, now: Millis, reached: bool) -> None:
+    def record_loss(self, now: Millis, reached: bool) -> None:
         """Count an attempt without an answer.
 
         Args:
@@ -296,35 +296,38 @@
             reached: Whether there was a connection; without one the target is
                 avoided from the first loss on.
         """
-        self.failures += FAILURE_STEP * (1.0 - self.failures)
-        self.strikes += 1 if reached else 2
+        self.failures += FAILURE_SMOOTHING * (1.0 - self.failures)
+        self.consecutive_losses += 1 if reached else 2
         if not reached:
             self.unreached_at = now
-            self.doubted_at = now
-        if self.strikes >= 2:
-            pause = FIRST_AVOIDANCE << min(self.strikes - 2, 8)
-            self.avoid_until = Millis(now + min(pause, LONGEST_AVOIDANCE))
+            self.presumed_down_at = now
+        if self.consecutive_losses >= 2:
+            pause = FIRST_AVOIDANCE << min(self.consecutive_losses - 2, 8)
+            self.backoff_until = Millis(now + min(pause, LONGEST_AVOIDANCE))
 
     def is_unreached(self, now: Millis) -> bool:
         """Tell whether this entry could not connect to it of late."""
-        if now - self.unreached_at >= UNREACHED_FOR:
+        if now - self.unreached_at >= UNREACHED_DURATION:
             return False
         return self.answered_at < self.unreached_at
 
-    def note_told_unreached(self, entry: str, now: Millis) -> None:
+    def record_unreached_report(self, entry: str, now: Millis) -> None:
         """Take in that another entry could not connect to it.
 
         One entry alone may be cut off itself, and one that answers this entry is
         not down.
         """
-        if now - self.answered_at < UNREACHED_FOR:
+        if now - self.answered_at < UNREACHED_DURATION:
             return
-        self.told_unreached[entry] = now
-        told = self.told_unreached.values()
-        if sum(1 for at in told if now - at < UNREACHED_FOR) >= UNREACHED_TOLD_BY:
+        self.unreached_reports[entry] = now
+        report_times = self.unreached_reports.values()
+        if (
+            sum(1 for at in report_times if now - at < UNREACHED_DURATION)
+            >= MIN_UNREACHED_REPORTS
+        ):
             # What was only told is not told on, or it would never end.
-            self.doubted_at = now
-            self.avoid_until = Millis(max(self.avoid_until, now + FIRST_AVOIDANCE))
+            self.presumed_down_at = now
+            self.backoff_until = Millis(max(self.backoff_until, now + FIRST_AVOIDANCE))
 
     @property
     def claimed_memory(self) -> int:
@@ -344,13 +347,13 @@
     Attributes:
         targets: The targets that may still be in use.
         departures: When targets of each service departed of late.
-        doubted: Targets whose registration lapsed while the store was away,
+        pending_departures: Targets whose registration lapsed while the store was away,
             and until when it may come back.
     """
 
     targets: dict[str, Target] = field(default_factory=dict)
     departures: dict[str, list[Millis]] = field(default_factory=dict)
-    doubted: dict[str, Millis] = field(default_factory=dict)
+    pending_departures: dict[str, Millis] = field(default_factory=dict)
 
     def find(self, name: str) -> Target | None:
         """Return a target, or None."""
@@ -360,7 +363,7 @@
         """Return the targets of a service that take new work."""
         found = []
         for target in self.targets.values():
-            if target.info.service == service and target.takes_work:
+            if target.info.service == service and target.accepts_work:
                 found.append(target)
         return found
 
@@ -373,7 +376,7 @@
                 return True
         return False
 
-    def find_silent_domains(self, service: str, now: Millis) -> set[str]:
+    def find_unreachable_domains(self, service: str, now: Millis) -> set[str]:
         """Return the failure domains of a service that look unreachable as a whole.
 
         Where all targets of one go down together, trying them one after another
@@ -383,13 +386,13 @@
         for target in self.targets.values():
             if target.info.service != service:
                 continue
-            if now - target.doubted_at < UNREACHED_FOR:
+            if now - target.presumed_down_at < UNREACHED_DURATION:
                 times = unreached.setdefault(target.info.failure_domain, [])
-                times.append(target.doubted_at)
+                times.append(target.presumed_down_at)
         return {
             domain
             for domain, times in unreached.items()
-            if len(times) >= SILENT_DOMAIN_LEAST
+            if len(times) >= MIN_UNREACHABLE_TARGETS
             and not self._has_answered(service, domain, min(times))
         }
 
@@ -401,13 +404,13 @@
                 return True
         return False
 
-    def note_registration(self, info: Registration, now: Millis) -> Target:
+    def record_registration(self, info: Registration, now: Millis) -> Target:
         """Take in what a target says of itself; returns the target.
 
         A target that starts again under its old id holds nothing of before, so
         everything known of the earlier incarnation is dropped with it.
         """
-        self.doubted.pop(info.target, None)
+        self.pending_departures.pop(info.target, None)
         target = self.targets.get(info.target)
         if target is None or is_new_incarnation(target.info, info):
             target = Target(info)
@@ -417,14 +420,14 @@
             # One that runs on may become cold again at any moment.
             target.warm_at = Millis(now + info.warmup)
         if info.draining:
-            self._leave(target, now)
+            self._mark_leaving(target, now)
         elif target.standing is Standing.LEAVING:
             # Its entry had lapsed, as it may while the store is away.
             target.standing = Standing.READY
             target.left_at = None
         return target
 
-    def looks_lapsed(self, name: str, now: Millis) -> bool:
+    def is_mass_departure(self, name: str, now: Millis) -> bool:
         """Tell whether a departure is one of too many at once to be believed.
 
         An outage that this entry did not notice lets all registrations lapse;
@@ -435,31 +438,33 @@
             return False
         service = target.info.service
         recent = self.departures.setdefault(service, [])
-        recent[:] = [at for at in recent if now - at < MASS_WITHIN]
+        recent[:] = [at for at in recent if now - at < MASS_DEPARTURE_WINDOW]
         recent.append(now)
         before = len(self.list_ready(service)) + len(recent) - 1
-        return len(recent) >= MASS_LEAST and len(recent) * 2 > before
+        return len(recent) >= MIN_MASS_DEPARTURES and len(recent) * 2 > before
 
-    def doubt(self, name: str, until: Millis) -> None:
+    def defer_departure(self, name: str, until: Millis) -> None:
         """Keep a target whose registration may only have lapsed."""
         if name in self.targets:
-            self.doubted.setdefault(name, until)
+            self.pending_departures.setdefault(name, until)
 
-    def list_lapsed(self, now: Millis) -> list[str]:
+    def pop_due_departures(self, now: Millis) -> list[str]:
         """Return and forget the doubted targets that did not come back."""
-        lapsed = [name for name, until in self.doubted.items() if until <= now]
+        lapsed = [
+            name for name, until in self.pending_departures.items() if until <= now
+        ]
         for name in lapsed:
-            del self.doubted[name]
+            del self.pending_departures[name]
         return lapsed
 
-    def note_departure(self, name: str, now: Millis) -> Target | None:
+    def record_departure(self, name: str, now: Millis) -> Target | None:
         """Take in that a registration has gone; returns the target if known."""
         target = self.targets.get(name)
         if target is not None:
-            self._leave(target, now)
+            self._mark_leaving(target, now)
         return target
 
-    def forget_departed(self, now: Millis, after: Millis) -> None:
+    def remove_departed(self, now: Millis, after: Millis) -> None:
         """Drop targets that left ``after`` milliseconds ago and serve nothing."""
         for name, target in list(self.targets.items()):
             if target.left_at is None or target.calls:
@@ -467,7 +472,7 @@
             if target.left_at + after <= now:
                 del self.targets[name]
 
-    def _leave(self, target: Target, now: Millis) -> None:
+    def _mark_leaving(self, target: Target, now: Millis) -> None:
         if target.standing is Standing.READY:
             target.standing = Standing.LEAVING
             target.left_at = now
--- a/figstep/platform/engines.py
+++ b/figstep/platform/engines.py
@@ -186,7 +186,7 @@
     ) -> None:
         """Hand on what an answer says of the target itself and isn't known yet."""
         words = answers.read_words(response)
-        if words.leaving and not target.said_leaving:
+        if words.leaving and not target.announced_leaving:
             self._dispatch(TargetLeaving(target.info.incarnation))
         ends_rate = words.ends_rate and limits.is_limited(target)
         if words.rate is not None or ends_rate:
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -162,6 +162,6 @@
     world.register("e-1")
     engine = world.state.targets.find("e-1")
     assert engine is not None
-    engine.read_rate_own = 1.0
+    engine.own_read_rate = 1.0
     world.arrive("/plan/a", Prompt("m", 3_000, 2_000, 300), patience=Millis(2_000))
     assert world.find_all(OpenAttempt) == []
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -211,7 +211,7 @@
     assert not world.find_all(CopyRun)
     found = world.state.targets.find(opened.target)
     assert found is not None
-    assert found.takes_work
+    assert found.accepts_work
 
 
 def test_an_engine_that_says_when_it_ends_is_left_at_once() -> None:
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -16,7 +16,7 @@
     TargetRegistered,
 )
 from figstep.gateway.prompts import Prompt
-from figstep.gateway.targets import UNKNOWN_READ_RATE, Registration
+from figstep.gateway.targets import DEFAULT_READ_RATE, Registration
 from figstep.net.links import FAR_SECONDS, FAR_WHOLE_SECONDS, HELLO_SECONDS
 from tests.gateway.worlds import ENGINES, World
 
@@ -47,7 +47,7 @@
     def read(self, now: Millis) -> Millis:
         """Take a prompt; returns when it has been read."""
         start = max(self.free_at, now)
-        self.free_at = Millis(start + round(TOKENS / UNKNOWN_READ_RATE))
+        self.free_at = Millis(start + round(TOKENS / DEFAULT_READ_RATE))
         return self.free_at
 
 
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -14,7 +14,7 @@
     TargetRegistered,
     Ticked,
 )
-from figstep.gateway.targets import UNREACHED_FOR, Registration
+from figstep.gateway.targets import UNREACHED_DURATION, Registration
 from figstep.net.hellos import Hello, decode_hello, encode_hello
 from tests.gateway.worlds import BOOKINGS, ENGINES, World, build_large_world
 
@@ -202,7 +202,7 @@
         hear_unreached(world, "entry-2", "e-1")
         world.clock.advance(100)
     assert world.open_plan().target == "e-1"
-    assert world.state.targets.targets["e-1"].avoid_until <= world.clock.now()
+    assert world.state.targets.targets["e-1"].backoff_until <= world.clock.now()
 
 
 def test_a_target_that_answers_this_entry_is_kept() -> None:
@@ -214,7 +214,7 @@
     hear_unreached(world, "entry-2", opened.target)
     hear_unreached(world, "entry-3", opened.target)
     target = world.state.targets.targets[opened.target]
-    assert target.avoid_until <= world.clock.now()
+    assert target.backoff_until <= world.clock.now()
 
 
 def test_what_can_not_be_reached_is_told_at_once_and_not_for_long() -> None:
@@ -230,7 +230,7 @@
     assert told.unreached == (lost.target,)
     data = encode_hello(Hello(told))
     assert decode_hello(data, "10.0.0.1:7000").content.unreached == told.unreached
-    later = Millis(now + UNREACHED_FOR)
+    later = Millis(now + UNREACHED_DURATION)
     assert peers.describe_own(world.state, later).unreached == ()
 
 
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -24,7 +24,7 @@
     for name in ("e-1", "e-2"):
         engine = world.state.targets.find(name)
         assert engine is not None
-        engine.read_rate_own = 7.0
+        engine.own_read_rate = 7.0
         engine.peer_memory = 12_000
     targets = Counter()
     for _ in range(6):
@@ -39,7 +39,7 @@
     slow, fast = (world.state.targets.find(name) for name in ("e-1", "e-2"))
     assert slow is not None
     assert fast is not None
-    slow.read_rate_own, fast.read_rate_own = 2.0, 7.0
+    slow.own_read_rate, fast.own_read_rate = 2.0, 7.0
     world.arrive_plan()
     assert world.find(OpenAttempt).target == "e-2"
 
@@ -89,7 +89,7 @@
     world.register("b-1", service=BOOKINGS)
     target = world.state.targets.find("b-1")
     assert target is not None
-    target.note_loss(world.clock.now(), reached=False)
+    target.record_loss(world.clock.now(), reached=False)
     world.arrive("/order/a")
     assert world.find(OpenAttempt).target == "b-1"
 
@@ -107,7 +107,7 @@
     far = Registration("far", ENGINES, "far:80", "muc-b", 64, born=1)
     world.handle(TargetRegistered(far))
     for name in ("near", "far"):
-        world.state.targets.targets[name].read_rate_own = 7.0
+        world.state.targets.targets[name].own_read_rate = 7.0
     world.handle(PeerHeard("entry-2", (PeerLoad("near", 1, 3_400, 3_000),)))
     world.arrive_plan()
     assert world.find(OpenAttempt).target == "near"
--- a/tests/gateway/test_recovery.py
+++ b/tests/gateway/test_recovery.py
@@ -14,7 +14,7 @@
 )
 from figstep.gateway.prompts import Prompt
 from figstep.gateway.recovery import MAX_SENDS
-from figstep.gateway.targets import UNREACHED_FOR, Incarnation, Registration
+from figstep.gateway.targets import UNREACHED_DURATION, Incarnation, Registration
 from tests.gateway.worlds import BOOKINGS, ENGINES, World, start_with_backup
 
 
@@ -225,7 +225,7 @@
     """Guards against a failure domain that is spared for good."""
     world = build_domains(("muc-a", 9), ("muc-b", 9))
     find_tries(world)
-    world.clock.advance(UNREACHED_FOR)
+    world.clock.advance(UNREACHED_DURATION)
     world.arrive_plan()
     assert world.find(OpenAttempt).target.startswith("e-muc-a")
 
@@ -235,7 +235,7 @@
     world = build_domains(("muc-a", 9), ("muc-b", 9))
     find_tries(world)
     alive = world.state.targets.targets["e-muc-a-8"]
-    alive.note_success(world.clock.now())
+    alive.record_success(world.clock.now())
     world.arrive_plan()
     assert world.find(OpenAttempt).target.startswith("e-muc-a")
 
--- a/tests/gateway/test_targets.py
+++ b/tests/gateway/test_targets.py
@@ -20,8 +20,8 @@
 
 def test_a_draining_target_gets_no_new_work() -> None:
     table = TargetTable()
-    table.note_registration(register(), NOW)
-    table.note_registration(register(draining=True), NOW)
+    table.record_registration(register(), NOW)
+    table.record_registration(register(draining=True), NOW)
     assert table.list_ready("engines") == []
 
 
@@ -32,62 +32,62 @@
     was open there is gone, so its counts must not burden the new one.
     """
     table = TargetTable()
-    first = table.note_registration(register(born=1), NOW)
+    first = table.record_registration(register(born=1), NOW)
     first.calls = 7
-    second = table.note_registration(register(born=2), NOW)
+    second = table.record_registration(register(born=2), NOW)
     assert second is not first
     assert second.calls == 0
 
 
 def test_a_lapsed_registration_that_comes_back_is_ready_again() -> None:
     table = TargetTable()
-    target = table.note_registration(register(), NOW)
-    table.note_departure("i-1", NOW)
+    target = table.record_registration(register(), NOW)
+    table.record_departure("i-1", NOW)
     assert target.standing is Standing.LEAVING
-    table.note_registration(register(), NOW)
+    table.record_registration(register(), NOW)
     assert target.standing is Standing.READY
 
 
 def test_a_doubted_target_is_gone_unless_it_comes_back() -> None:
     table = TargetTable()
     for name in ("i-1", "i-2"):
-        table.note_registration(register(name), NOW)
-        table.doubt(name, Millis(NOW + 2_000))
-    table.note_registration(register("i-1"), NOW)
-    assert table.list_lapsed(Millis(NOW + 1_999)) == []
-    assert table.list_lapsed(Millis(NOW + 2_000)) == ["i-2"]
+        table.record_registration(register(name), NOW)
+        table.defer_departure(name, Millis(NOW + 2_000))
+    table.record_registration(register("i-1"), NOW)
+    assert table.pop_due_departures(Millis(NOW + 1_999)) == []
+    assert table.pop_due_departures(Millis(NOW + 2_000)) == ["i-2"]
 
 
 def test_departed_targets_are_forgotten_once_nothing_is_open() -> None:
     table = TargetTable()
-    target = table.note_registration(register(), NOW)
+    target = table.record_registration(register(), NOW)
     target.calls = 1
-    table.note_departure("i-1", NOW)
-    table.forget_departed(Millis(NOW + 60_000), Millis(30_000))
+    table.record_departure("i-1", NOW)
+    table.remove_departed(Millis(NOW + 60_000), Millis(30_000))
     assert table.find("i-1") is target
     target.calls = 0
-    table.forget_departed(Millis(NOW + 60_000), Millis(30_000))
+    table.remove_departed(Millis(NOW + 60_000), Millis(30_000))
     assert table.find("i-1") is None
 
 
 def test_losses_in_a_row_make_a_target_avoided_for_longer_each_time() -> None:
     table = TargetTable()
-    target = table.note_registration(register(), NOW)
-    target.note_loss(NOW, reached=True)
-    assert target.avoid_until <= NOW
-    target.note_loss(NOW, reached=True)
-    first = target.avoid_until
-    target.note_loss(NOW, reached=True)
-    assert NOW < first < target.avoid_until
-    target.note_success(NOW)
-    assert target.avoid_until <= NOW
+    target = table.record_registration(register(), NOW)
+    target.record_loss(NOW, reached=True)
+    assert target.backoff_until <= NOW
+    target.record_loss(NOW, reached=True)
+    first = target.backoff_until
+    target.record_loss(NOW, reached=True)
+    assert NOW < first < target.backoff_until
+    target.record_success(NOW)
+    assert target.backoff_until <= NOW
 
 
 def test_reading_is_learned_from_prompts_that_were_read() -> None:
     table = TargetTable()
-    slow = table.note_registration(register("i-1"), NOW)
-    fast = table.note_registration(register("i-2"), NOW)
+    slow = table.record_registration(register("i-1"), NOW)
+    fast = table.record_registration(register("i-2"), NOW)
     for _ in range(5):
-        slow.learn_reading(3_000, 1_500)
-        fast.learn_reading(3_000, 300)
-    assert slow.predict_reading(3_000, NOW) > 2 * fast.predict_reading(3_000, NOW)
+        slow.update_read_rate(3_000, 1_500)
+        fast.update_read_rate(3_000, 300)
+    assert slow.predict_read_time(3_000, NOW) > 2 * fast.predict_read_time(3_000, NOW)
--- a/tests/gateway/test_warmups.py
+++ b/tests/gateway/test_warmups.py
@@ -172,7 +172,7 @@
     lost = world.find(OpenAttempt)
     world.handle(AttemptLost(lost.attempt, Loss.UNREACHED))
     target = world.state.targets.targets["b-1"]
-    world.clock.advance(target.avoid_until - world.clock.now())
+    world.clock.advance(target.backoff_until - world.clock.now())
     assert count_sends(world, 3) == 0
 
 
