--- a/figstep/gateway/copies.py
+++ b/figstep/gateway/copies.py
@@ -212,7 +212,7 @@
     if holder is not None and not limits.may_send(state, holder, now):
         return []
     if not peers.spend_repeat(state, request.service, now, urgent=True):
-        return peers.note_denied(state, request, now)
+        return peers.record_denied(state, request, now)
     return attempts.start_standby(state, request, copy, now)
 
 
--- a/figstep/gateway/peers.py
+++ b/figstep/gateway/peers.py
@@ -10,31 +10,31 @@
 from figstep.gateway.events import PeerHeard, PeerLoad, RateReport
 from figstep.gateway.state import DomainLoads, Peer, Request, State
 
-SILENT_AFTER = Millis(3_000)
+PEER_TIMEOUT = Millis(3_000)
 """Silence after which a peer's work no longer counts. Messages come at least
 once a second, and one in a hundred datagrams is lost."""
 
-MISSED_FOR = Millis(20_000)
+MISSING_PEER_DURATION = Millis(20_000)
 """How long a peer that fell silent may still be at work behind a cut, spending
 from the budget of the fleet; two windows of that budget."""
 
-FAR_KEPT = Millis(4_000)
+REMOTE_LOADS_TIMEOUT = Millis(4_000)
 """How long the sums of another failure domain count; they are told whole
 every two seconds, and some messages are lost."""
 
-MEMORY_TOLD = 1_000
+MEMORY_REPORT_STEP = 1_000
 """Tokens by which the runs at an engine grow before others are told of it."""
 
 
-def take_message(state: State, event: PeerHeard, now: Millis) -> list[Effect]:
+def handle_message(state: State, event: PeerHeard, now: Millis) -> list[Effect]:
     """Take in a peer's message; returns what is to be logged of it."""
-    _take_peer(state, event, now)
+    _record_peer(state, event, now)
     notes = crashes.take_suspicions(state, event.suspicions, event.node, now)
     crashes.take_clearances(state, event.clearances, now)
     return notes
 
 
-def _take_peer(state: State, event: PeerHeard, now: Millis) -> None:
+def _record_peer(state: State, event: PeerHeard, now: Millis) -> None:
     for refusal in event.refused:
         state.refused.record_announced(refusal, now)
     peer = Peer(
@@ -57,13 +57,13 @@
         return
     if event.far:
         state.remote_peers[event.node] = peer
-        _take_domain(state, event, now)
+        _apply_domain_loads(state, event, now)
     elif event.closing:
         known = state.peers.pop(event.node, None)
         _replace_loads(state, () if known is None else known.loads.values(), ())
         state.silent_peers.pop(event.node, None)
     else:
-        _take_loads(state, peer, event)
+        _apply_loads(state, peer, event)
         for name in event.unreached:
             target = state.targets.find(name)
             if target is not None:
@@ -72,7 +72,7 @@
         state.silent_peers.pop(event.node, None)
 
 
-def _take_loads(state: State, peer: Peer, event: PeerHeard) -> None:
+def _apply_loads(state: State, peer: Peer, event: PeerHeard) -> None:
     """Take in loads of an entry of this failure domain.
 
     Those that are not told whole differ from what was last told whole; a load that
@@ -80,17 +80,17 @@
     """
     known = state.peers.get(event.node)
     before = {} if known is None else known.loads
-    told = {load.target: load for load in event.loads}
+    reported = {load.target: load for load in event.loads}
     if not event.partial:
-        peer.loads = peer.full_loads = told
-        _replace_loads(state, before.values(), told.values())
+        peer.loads = peer.full_loads = reported
+        _replace_loads(state, before.values(), reported.values())
         return
-    renewed = frozenset(told)
+    renewed = frozenset(reported)
     if known is not None:
         peer.full_loads = known.full_loads
         renewed |= known.changed_targets
-    peer.changed_targets = frozenset(told)
-    peer.loads = {**peer.full_loads, **told}
+    peer.changed_targets = frozenset(reported)
+    peer.loads = {**peer.full_loads, **reported}
     _replace_loads(
         state,
         [before[target] for target in renewed if target in before],
@@ -98,7 +98,7 @@
     )
 
 
-def _take_domain(state: State, event: PeerHeard, now: Millis) -> None:
+def _apply_domain_loads(state: State, event: PeerHeard, now: Millis) -> None:
     domain = state.remote_loads.setdefault(event.failure_domain, DomainLoads(now))
     domain.last_received_at = now
     if not event.partial:
@@ -124,26 +124,26 @@
         _add_load(state, load, 1)
 
 
-def forget_silent(state: State, now: Millis) -> None:
+def expire_peers(state: State, now: Millis) -> None:
     """Drop peers that have not been heard for long."""
-    for name in _list_silent(state.peers, now):
+    for name in _list_expired(state.peers, now):
         _replace_loads(state, state.peers.pop(name).loads.values(), ())
         state.silent_peers[name] = now
-    for name in _list_silent(state.remote_peers, now):
+    for name in _list_expired(state.remote_peers, now):
         del state.remote_peers[name]
     for domain, far in list(state.remote_loads.items()):
-        if now - far.last_received_at >= FAR_KEPT:
+        if now - far.last_received_at >= REMOTE_LOADS_TIMEOUT:
             _replace_loads(state, state.remote_loads.pop(domain).loads.values(), ())
     for name, since in list(state.silent_peers.items()):
-        if now - since >= MISSED_FOR:
+        if now - since >= MISSING_PEER_DURATION:
             del state.silent_peers[name]
 
 
-def _list_silent(peers: dict[str, Peer], now: Millis) -> list[str]:
+def _list_expired(peers: dict[str, Peer], now: Millis) -> list[str]:
     return [
         name
         for name, peer in peers.items()
-        if now - peer.last_received_at >= SILENT_AFTER
+        if now - peer.last_received_at >= PEER_TIMEOUT
     ]
 
 
@@ -157,10 +157,10 @@
         target.peer_rate_count = 0
         target.peer_incoming = 0
         target.peer_outgoing = 0
-    told: list[Iterable[PeerLoad]] = []
-    told += [peer.loads.values() for peer in state.peers.values()]
-    told += [far.loads.values() for far in state.remote_loads.values()]
-    for loads in told:
+    reported: list[Iterable[PeerLoad]] = []
+    reported += [peer.loads.values() for peer in state.peers.values()]
+    reported += [far.loads.values() for far in state.remote_loads.values()]
+    for loads in reported:
         for load in loads:
             _add_load(state, load, 1)
 
@@ -220,7 +220,7 @@
     return True
 
 
-def note_denied(state: State, request: Request, now: Millis) -> list[Effect]:
+def record_denied(state: State, request: Request, now: Millis) -> list[Effect]:
     """Return the count of a denied repeat; the first of a request is logged."""
     counted: list[Effect] = [Count("repeats_denied", (request.route.name,))]
     if request.retry_denied:
@@ -268,20 +268,20 @@
 
 def describe_domain(state: State, now: Millis) -> PeerHeard:
     """Return what the entries of this failure domain have open, in sums."""
-    told = [*list_loads(state)]
+    reported = [*list_loads(state)]
     for peer in state.peers.values():
-        told += peer.loads.values()
-    return _describe_domain(state, _sum_loads(told), now)
+        reported += peer.loads.values()
+    return _describe_domain(state, _sum_loads(reported), now)
 
 
 def describe_domain_at(state: State, target: str, now: Millis) -> PeerHeard:
     """Return what the entries of this failure domain have open at one target."""
-    told = [load for load in list_loads(state) if load.target == target]
+    reported = [load for load in list_loads(state) if load.target == target]
     for peer in state.peers.values():
         load = peer.loads.get(target)
         if load is not None:
-            told.append(load)
-    message = _describe_domain(state, _sum_loads(told), now)
+            reported.append(load)
+    message = _describe_domain(state, _sum_loads(reported), now)
     return replace(message, partial=True)
 
 
@@ -308,8 +308,10 @@
     """Return the newest that targets have named to any entry of this domain."""
     newest = {report.incarnation: report for report in state.list_rates(now)}
     for peer in state.peers.values():
-        for told in peer.rates:
-            report = replace(told, age=Millis(told.age + now - peer.last_received_at))
+        for reported in peer.rates:
+            report = replace(
+                reported, age=Millis(reported.age + now - peer.last_received_at)
+            )
             known = newest.get(report.incarnation)
             if known is None or report.age < known.age:
                 newest[report.incarnation] = report
@@ -317,7 +319,7 @@
 
 
 def select_changed(
-    told: Mapping[str, PeerLoad], loads: Iterable[PeerLoad]
+    reported: Mapping[str, PeerLoad], loads: Iterable[PeerLoad]
 ) -> tuple[PeerLoad, ...]:
     """Return the loads that others have to hear of before they are told all again.
 
@@ -325,23 +327,23 @@
     came, were read or ended, and growth that adds up.
 
     Args:
-        told: What was told last, by target.
+        reported: What was told last, by target.
         loads: What is so now.
     """
     changed = []
-    left = dict(told)
+    remaining = dict(reported)
     for load in loads:
-        before = left.pop(load.target, None)
+        before = remaining.pop(load.target, None)
         if before is None or _differs(before, load):
             changed.append(load)
-    for name, before in left.items():
+    for name, before in remaining.items():
         if before.calls or before.memory:
             changed.append(PeerLoad(name, 0, 0))
     return tuple(changed)
 
 
 def _differs(one: PeerLoad, other: PeerLoad) -> bool:
-    if abs(one.memory - other.memory) >= MEMORY_TOLD:
+    if abs(one.memory - other.memory) >= MEMORY_REPORT_STEP:
         return True
     counted = (one.calls, one.reading, one.incoming, one.outgoing)
     return counted != (other.calls, other.reading, other.incoming, other.outgoing)
--- a/figstep/gateway/recovery.py
+++ b/figstep/gateway/recovery.py
@@ -146,7 +146,7 @@
         request.copy = None
         return []
     if not peers.spend_repeat(state, request.service, now, urgent=True):
-        return peers.note_denied(state, request, now)
+        return peers.record_denied(state, request, now)
     effects = attempts.start_standby(state, request, copy, now)
     request.current, request.standby = request.standby, None
     return effects
--- a/figstep/gateway/reducer.py
+++ b/figstep/gateway/reducer.py
@@ -127,7 +127,7 @@
             return []
         case PeerHeard():
             return [
-                *peers.take_message(state, event, now),
+                *peers.handle_message(state, event, now),
                 *evacuations.take_evacuations(
                     state, event.evacuations, event.node, now
                 ),
@@ -258,7 +258,7 @@
     effects += copies.order_proactive_copies(state, now)
     effects += recovery.abandon_silent_attempts(state, now)
     effects += requests.start_queued(state, now)
-    peers.forget_silent(state, now)
+    peers.expire_peers(state, now)
     sources.watch_store(state, now)
     effects += sources.catch_up(state, now)
     state.targets.remove_departed(now, DEPARTED_KEPT)
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -41,7 +41,7 @@
     world.register("e-1")
     world.handle(PeerHeard("entry-2", (PeerLoad("e-1", 2, 8_000),)))
     assert peers.sum_uses(world.state, "engines").complete
-    world.clock.advance(peers.SILENT_AFTER)
+    world.clock.advance(peers.PEER_TIMEOUT)
     world.handle(Ticked())
     engine = world.state.targets.find("e-1")
     assert engine is not None
@@ -76,7 +76,7 @@
     assert engine is not None
     assert engine.peer_memory == 16_000
     assert world.state.peers == {}
-    world.clock.advance(peers.FAR_KEPT)
+    world.clock.advance(peers.REMOTE_LOADS_TIMEOUT)
     world.handle(Ticked())
     assert engine.peer_memory == 0
 
@@ -162,7 +162,7 @@
 
 def test_growth_that_adds_up_is_told() -> None:
     told = {"e-1": PeerLoad("e-1", 2, 8_000)}
-    loads = (PeerLoad("e-1", 2, 8_000 + peers.MEMORY_TOLD),)
+    loads = (PeerLoad("e-1", 2, 8_000 + peers.MEMORY_REPORT_STEP),)
     assert peers.select_changed(told, loads) == loads
 
 
