--- a/figstep/gateway/crashes.py
+++ b/figstep/gateway/crashes.py
@@ -15,15 +15,15 @@
 from figstep.gateway.state import Attempt, Request, State
 from figstep.gateway.targets import Registration, Standing, Target
 
-LOST_KEPT = Millis(6_000)
+LOST_RETENTION = Millis(6_000)
 """How long a target may take to be found to have ended: its registration lapses
 after three heartbeats, and it is back after some seconds."""
 
-SOONEST_RETURN = Millis(1_000)
+MIN_RESTART_TIME = Millis(1_000)
 """A target that answers sooner than this after nobody listened at its address has
 not started again: it had turned connections away."""
 
-PROBE_PERIOD = Millis(200)
+PROBE_INTERVAL = Millis(200)
 """Time between two probes of a target."""
 
 SETTLING_RETURN = Millis(400)
@@ -32,11 +32,11 @@
 REFUSED_RETURN = Millis(60_000)
 """A request that crashes targets is refused for minutes."""
 
-_ENDS = frozenset({Loss.BROKEN, Loss.GARBLED})
+_CRASH_LOSSES = frozenset({Loss.BROKEN, Loss.GARBLED})
 """Losses that a target's end may cause, and that come as it ends."""
 
 
-def note_lost(
+def record_lost(
     state: State, request: Request, attempt: Attempt, now: Millis
 ) -> list[Effect]:
     """Take in that an attempt which may have run ended without an answer.
@@ -56,15 +56,15 @@
 
 def probe_target(target: Target, loss: Loss, now: Millis) -> list[Effect]:
     """Find out at once whether a target has ended that broke a connection."""
-    if loss not in _ENDS or not target.lost or target.ended_at is not None:
+    if loss not in _CRASH_LOSSES or not target.lost or target.ended_at is not None:
         return []
-    if now - target.probed_at < PROBE_PERIOD:
+    if now - target.probed_at < PROBE_INTERVAL:
         return []
     target.probed_at = now
     return [ProbeTarget(target.name)]
 
 
-def note_answer(state: State, target: Target, asked: Millis) -> None:
+def record_answer(state: State, target: Target, asked: Millis) -> None:
     """Take in that a target answered what it was asked at some time: it lived then."""
     if target.lost:
         for digest, lost_at in list(target.lost.items()):
@@ -74,16 +74,16 @@
     if ended_at is None or asked < ended_at:
         return
     target.ended_at = None
-    if asked - ended_at < SOONEST_RETURN:
-        state.crashes.forget_life(_name_life(target))
+    if asked - ended_at < MIN_RESTART_TIME:
+        state.crashes.forget_life(_format_incarnation(target))
 
 
-def note_end(state: State, target: Target, now: Millis) -> list[Effect]:
+def record_end(state: State, target: Target, now: Millis) -> list[Effect]:
     """Take in that a target's life has ended: what was lost there is suspected."""
     if target.standing is not Standing.READY or target.ended_at is not None:
         return []
     target.ended_at = now
-    state.crashes.note_crash(_name_life(target), now)
+    state.crashes.note_crash(_format_incarnation(target), now)
     return _suspect_lost(state, target, now)
 
 
@@ -98,7 +98,7 @@
     return _suspect_lost(state, target, now)
 
 
-def note_successor(state: State, info: Registration, now: Millis) -> list[Effect]:
+def record_successor(state: State, info: Registration, now: Millis) -> list[Effect]:
     """Take in that a target starts: another had its id or its address before."""
     effects: list[Effect] = []
     for target in state.targets.targets.values():
@@ -106,11 +106,11 @@
         if known.born >= info.born:
             continue
         if known.target == info.target or known.address == info.address:
-            effects += note_end(state, target, now)
+            effects += record_end(state, target, now)
     return effects
 
 
-def take_suspicions(
+def apply_suspicions(
     state: State, suspicions: Iterable[Suspicion], source: str, now: Millis
 ) -> list[Effect]:
     """Take in what another entry tells of crashes."""
@@ -119,11 +119,13 @@
         if _has_answered_since(state, suspicion, now):
             continue
         if state.crashes.note(suspicion, now):
-            effects.append(_note_suspicion(state, suspicion, source))
+            effects.append(_describe_suspicion(state, suspicion, source))
     return effects
 
 
-def take_clearances(state: State, clearances: Iterable[Clearance], now: Millis) -> None:
+def apply_clearances(
+    state: State, clearances: Iterable[Clearance], now: Millis
+) -> None:
     """Take in which suspected requests have run at other entries."""
     for clearance in clearances:
         state.crashes.clear(clearance.digest, Millis(now - clearance.age), now)
@@ -149,7 +151,9 @@
 
 def _suspect_lost(state: State, target: Target, now: Millis) -> list[Effect]:
     recent = [
-        digest for digest, lost_at in target.lost.items() if now - lost_at < LOST_KEPT
+        digest
+        for digest, lost_at in target.lost.items()
+        if now - lost_at < LOST_RETENTION
     ]
     target.lost.clear()
     return _suspect(state, target, recent, now, now)
@@ -160,9 +164,11 @@
 ) -> list[Effect]:
     effects: list[Effect] = []
     for digest in digests:
-        suspicion = Suspicion(digest, _name_life(target), Millis(now - ended_at))
+        suspicion = Suspicion(
+            digest, _format_incarnation(target), Millis(now - ended_at)
+        )
         if state.crashes.note(suspicion, now):
-            effects.append(_note_suspicion(state, suspicion, "itself"))
+            effects.append(_describe_suspicion(state, suspicion, "itself"))
     return [Announce(), *effects] if effects else []
 
 
@@ -171,19 +177,19 @@
 
     Later answers may be those of a target that has started again under its id.
     """
-    if suspicion.age >= SOONEST_RETURN:
+    if suspicion.age >= MIN_RESTART_TIME:
         return False
     target = state.targets.find(suspicion.life.rpartition("@")[0])
-    if target is None or _name_life(target) != suspicion.life:
+    if target is None or _format_incarnation(target) != suspicion.life:
         return False
     return target.answered_at > now - suspicion.age
 
 
-def _name_life(target: Target) -> str:
+def _format_incarnation(target: Target) -> str:
     return f"{target.name}@{target.info.born}"
 
 
-def _note_suspicion(state: State, suspicion: Suspicion, source: str) -> Note:
+def _describe_suspicion(state: State, suspicion: Suspicion, source: str) -> Note:
     return Note(
         "request suspected",
         {
--- a/figstep/gateway/peers.py
+++ b/figstep/gateway/peers.py
@@ -29,8 +29,8 @@
 def handle_message(state: State, event: PeerHeard, now: Millis) -> list[Effect]:
     """Take in a peer's message; returns what is to be logged of it."""
     _record_peer(state, event, now)
-    notes = crashes.take_suspicions(state, event.suspicions, event.node, now)
-    crashes.take_clearances(state, event.clearances, now)
+    notes = crashes.apply_suspicions(state, event.suspicions, event.node, now)
+    crashes.apply_clearances(state, event.clearances, now)
     return notes
 
 
--- a/figstep/gateway/recovery.py
+++ b/figstep/gateway/recovery.py
@@ -40,7 +40,7 @@
         request.lost_runs += 1
         if event.loss is not Loss.FAILED:
             request.lost_domains.add(attempt.target.info.failure_domain)
-        target_effects += crashes.note_lost(state, request, attempt, now)
+        target_effects += crashes.record_lost(state, request, attempt, now)
         target_effects += crashes.probe_target(attempt.target, event.loss, now)
     if event.loss is Loss.UNREACHED:
         request.unreached += 1
@@ -71,15 +71,15 @@
         limits.note_pause(target, event.retry_after, now)
     match event.loss:
         case Loss.REFUSED:
-            crashes.note_answer(state, target, attempt.opened)
+            crashes.record_answer(state, target, attempt.opened)
         case Loss.CUT:
             return []
         case Loss.FAILED:
             target.record_failure()
-            crashes.note_answer(state, target, attempt.opened)
+            crashes.record_answer(state, target, attempt.opened)
         case Loss.MISDIRECTED:
             # Another target has its address: this one is gone for good.
-            target_effects = crashes.note_end(state, target, now)
+            target_effects = crashes.record_end(state, target, now)
             state.targets.record_departure(target.name, now)
             return target_effects
         case Loss.UNREACHED:
@@ -95,7 +95,7 @@
     target.record_loss(now, False)
     # It may start again under its old registration, and be cold then.
     warmups.assume_cold(state, target, target.backoff_until)
-    return crashes.note_end(state, target, now) if down else []
+    return crashes.record_end(state, target, now) if down else []
 
 
 def handle_target_down(state: State, event: TargetDown, now: Millis) -> list[Effect]:
--- a/figstep/gateway/reducer.py
+++ b/figstep/gateway/reducer.py
@@ -172,7 +172,7 @@
         return []
     found: list[Effect] = []
     if before is None or is_new_incarnation(before.info, info):
-        found = crashes.note_successor(state, info, now)
+        found = crashes.record_successor(state, info, now)
     target = state.targets.record_registration(info, now)
     target.evacuated = info.failure_domain in state.evacuations.domains
     if target is not before:
--- a/figstep/gateway/reports.py
+++ b/figstep/gateway/reports.py
@@ -98,7 +98,7 @@
     target = state.targets.find(event.target)
     if target is None:
         return []
-    crashes.note_answer(state, target, target.queried_at)
+    crashes.record_answer(state, target, target.queried_at)
     if event.memory is not None:
         _count_unclaimed(target, event.memory, now)
     if not event.leaving:
--- a/figstep/gateway/requests.py
+++ b/figstep/gateway/requests.py
@@ -198,7 +198,7 @@
         return []
     request = state.requests[attempt.request]
     attempt.target.record_success(now)
-    crashes.note_answer(state, attempt.target, attempt.opened)
+    crashes.record_answer(state, attempt.target, attempt.opened)
     attempts.end_attempt(state, attempt)
     return [
         *crashes.clear_request(state, request, now),
--- a/figstep/gateway/streams.py
+++ b/figstep/gateway/streams.py
@@ -104,7 +104,7 @@
     request.stream_begun = True
     request.time_to_first_event = Millis(now - request.arrived)
     attempt.target.record_success(now)
-    crashes.note_answer(state, attempt.target, attempt.opened)
+    crashes.record_answer(state, attempt.target, attempt.opened)
     number = request.spec.number
     return [
         *crashes.clear_request(state, request, now),
@@ -134,7 +134,7 @@
     # hide the backup of the one that goes on.
     request.copy = None
     standby.target.record_success(now)
-    crashes.note_answer(state, standby.target, standby.opened)
+    crashes.record_answer(state, standby.target, standby.opened)
     pause = now - request.delivered_at
     effects += [
         Count("switched", (request.route.name,)),
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -9,10 +9,10 @@
 from figstep.core.crashes import Suspicion
 from figstep.gateway import peers
 from figstep.gateway.crashes import (
-    LOST_KEPT,
+    LOST_RETENTION,
+    MIN_RESTART_TIME,
     REFUSED_RETURN,
     SETTLING_RETURN,
-    SOONEST_RETURN,
 )
 from figstep.gateway.effects import Note, OpenAttempt, ProbeTarget, Refuse
 from figstep.gateway.events import (
@@ -492,7 +492,7 @@
     world.handle(AttemptLost(first.attempt, Loss.BROKEN))
     world.handle(TargetDown(Incarnation(first.target, 1)))
     assert world.state.crashes.is_suspected("good")
-    world.clock.advance(SOONEST_RETURN - 1)
+    world.clock.advance(MIN_RESTART_TIME - 1)
     for name in {"b-1", "b-2", "b-3"} - {first.target}:
         world.depart(name)
     answer_at(world, first.target)
@@ -506,7 +506,7 @@
     world.arrive("/lookup/a", digest="good")
     opened = world.find(OpenAttempt)
     world.handle(AttemptLost(opened.attempt, Loss.BROKEN))
-    world.clock.advance(LOST_KEPT)
+    world.clock.advance(LOST_RETENTION)
     world.handle(TargetDeparted(opened.target))
     assert not world.state.crashes.is_suspected("good")
 
