--- a/figstep/gateway/attempts.py
+++ b/figstep/gateway/attempts.py
@@ -222,8 +222,8 @@
         source=source,
     )
     state.attempts[number] = attempt
-    warmups.note_send(target, now)
-    limits.note_send(target, now)
+    warmups.record_send(target, now)
+    limits.record_send(target, now)
     target.calls += 1
     target.memory += memory
     target.reading += reading
--- a/figstep/gateway/limits.py
+++ b/figstep/gateway/limits.py
@@ -16,20 +16,20 @@
 from figstep.gateway.state import State
 from figstep.gateway.targets import RateLimit, Target
 
-WINDOW = Millis(4_100)
+RATE_SPLIT_WINDOW = Millis(4_100)
 """Time over which a rate is split into whole requests. What was sent four seconds
 apart may arrive a little closer."""
 
-LONGEST_WINDOW = Millis(10_000)
+MAX_RATE_SPLIT_WINDOW = Millis(10_000)
 """The same for the lowest rates, also for none at all: only an answer tells that a
 target takes more again."""
 
-TURN = Millis(10_000)
+TURN_DURATION = Millis(10_000)
 """Time without any answer of a target after which its rate passes to other entries:
 those that had it may have no callers, and nobody would learn that the need is over."""
 
 
-def take_rate(state: State, event: RateNamed, now: Millis) -> list[Effect]:
+def handle_rate(state: State, event: RateNamed, now: Millis) -> list[Effect]:
     """Take in the rate that a target's answer named, or that it named none."""
     target = state.targets.find(event.target)
     if target is None:
@@ -41,11 +41,11 @@
     if limit is None:
         limit = target.limit = RateLimit()
     limit.received_at = now
-    effects = _note_rate(state, target, event.rate, now, now, "itself")
+    effects = _record_rate(state, target, event.rate, now, now, "itself")
     return [Announce(), *effects] if effects else []
 
 
-def take_reports(
+def apply_rate_reports(
     state: State, reports: tuple[RateReport, ...], source: str, now: Millis
 ) -> list[Effect]:
     """Take in what targets have named to another entry."""
@@ -59,12 +59,12 @@
             target.limit = RateLimit()
         if stated_at <= target.limit.stated_at:
             continue
-        effects += _note_rate(state, target, report.rate, stated_at, now, source)
+        effects += _record_rate(state, target, report.rate, stated_at, now, source)
         target.limit.turn = max(target.limit.turn, report.turn)
     return effects
 
 
-def _note_rate(
+def _record_rate(
     state: State,
     target: Target,
     rate: float | None,
@@ -85,17 +85,17 @@
     if rate is not None and before is None:
         limit.sends.clear()
         limit.opens_at = now
-        if _estimate_flow(state, target, now) > rate:
+        if _estimate_request_rate(state, target, now) > rate:
             # What it got before it named the rate has used up the first window. At
             # its end the entries must not all begin at once, and go on so.
-            rest = WINDOW * (0.5 + state.rng.random())
-            limit.opens_at = Millis(round(now + rest))
+            delay = RATE_SPLIT_WINDOW * (0.5 + state.rng.random())
+            limit.opens_at = Millis(round(now + delay))
     message = "target takes any rate" if rate is None else "target names a rate"
     fields = {"target": target.name, "rate": rate, "before": before, "told_by": source}
     return [Note(message, fields)]
 
 
-def _estimate_flow(state: State, target: Target, now: Millis) -> float:
+def _estimate_request_rate(state: State, target: Target, now: Millis) -> float:
     """Return the requests a second that a target has got, if all got alike."""
     service = target.info.service
     fleet = peers.sum_uses(state, service)
@@ -104,7 +104,7 @@
     return requests / fleet.fleet_fraction / ready * 1_000 / state.budget.window
 
 
-def note_pause(target: Target, pause: Millis, now: Millis) -> None:
+def record_pause(target: Target, pause: Millis, now: Millis) -> None:
     """Take in that a target turned this entry away and wants a pause."""
     target.paused_until = Millis(max(target.paused_until, now + pause))
 
@@ -116,16 +116,16 @@
 
 def may_send(state: State, target: Target, now: Millis) -> bool:
     """Tell whether a target may be sent one more request now."""
-    return find_opening(state, target, now) <= now
+    return find_send_time(state, target, now) <= now
 
 
-def find_opening(state: State, target: Target, now: Millis) -> Millis:
+def find_send_time(state: State, target: Target, now: Millis) -> Millis:
     """Return when this entry may send a target a request at the earliest."""
-    opening = _find_rate_opening(state, target, now)
-    return Millis(max(opening, target.paused_until))
+    send_time = _find_rate_send_time(state, target, now)
+    return Millis(max(send_time, target.paused_until))
 
 
-def _find_rate_opening(state: State, target: Target, now: Millis) -> Millis:
+def _find_rate_send_time(state: State, target: Target, now: Millis) -> Millis:
     limit = target.limit
     if limit is None or limit.rate is None:
         return now
@@ -134,35 +134,37 @@
     key = f"{target.name} {limit.turn + turns}"
     share = shares.share_requests(state, key, requests, now)
     if share == 0:
-        return Millis(max(limit.opens_at, limit.stated_at + (turns + 1) * TURN))
-    _forget_old(limit, window, now)
+        return Millis(
+            max(limit.opens_at, limit.stated_at + (turns + 1) * TURN_DURATION)
+        )
+    _drop_old_sends(limit, window, now)
     if len(limit.sends) < share:
         return Millis(max(limit.opens_at, now))
     return Millis(max(limit.opens_at, limit.sends[-share] + window))
 
 
-def note_send(target: Target, now: Millis) -> None:
+def record_send(target: Target, now: Millis) -> None:
     """Count a request that is sent to a target."""
     limit = target.limit
     if limit is None or limit.rate is None:
         return
-    _forget_old(limit, LONGEST_WINDOW, now)
+    _drop_old_sends(limit, MAX_RATE_SPLIT_WINDOW, now)
     limit.sends.append(now)
 
 
 def _count_turns(limit: RateLimit, now: Millis) -> int:
-    return max(0, now - limit.stated_at) // TURN
+    return max(0, now - limit.stated_at) // TURN_DURATION
 
 
 def split_rate(rate: float) -> tuple[Millis, int]:
     """Return a time, and the whole requests that a rate allows within it."""
-    if rate * WINDOW >= 1_000:
-        return WINDOW, int(rate * WINDOW / 1_000)
-    if rate * LONGEST_WINDOW <= 1_000:
-        return LONGEST_WINDOW, 1
+    if rate * RATE_SPLIT_WINDOW >= 1_000:
+        return RATE_SPLIT_WINDOW, int(rate * RATE_SPLIT_WINDOW / 1_000)
+    if rate * MAX_RATE_SPLIT_WINDOW <= 1_000:
+        return MAX_RATE_SPLIT_WINDOW, 1
     return Millis(round(1_000 / rate)), 1
 
 
-def _forget_old(limit: RateLimit, window: Millis, now: Millis) -> None:
+def _drop_old_sends(limit: RateLimit, window: Millis, now: Millis) -> None:
     while limit.sends and now - limit.sends[0] >= window:
         limit.sends.popleft()
--- a/figstep/gateway/placement.py
+++ b/figstep/gateway/placement.py
@@ -341,7 +341,7 @@
     for target in eligibility.list_eligible(state, request):
         if target.name in request.tried_targets:
             continue
-        if limits.find_opening(state, target, now) <= until:
+        if limits.find_send_time(state, target, now) <= until:
             return True
     return False
 
--- a/figstep/gateway/recovery.py
+++ b/figstep/gateway/recovery.py
@@ -68,7 +68,7 @@
 ) -> list[Effect]:
     target = attempt.target
     if event.retry_after is not None:
-        limits.note_pause(target, event.retry_after, now)
+        limits.record_pause(target, event.retry_after, now)
     match event.loss:
         case Loss.REFUSED:
             crashes.record_answer(state, target, attempt.opened)
--- a/figstep/gateway/reducer.py
+++ b/figstep/gateway/reducer.py
@@ -100,7 +100,7 @@
         case TargetLeaving(incarnation=incarnation):
             return departures.take_word(state, incarnation, now)
         case RateNamed():
-            return limits.take_rate(state, event, now)
+            return limits.handle_rate(state, event, now)
         case ConfigurationRead():
             return _take_configuration(state, event)
         case TargetRegistered(info=info):
@@ -132,7 +132,7 @@
                     state, event.evacuations, event.node, now
                 ),
                 *departures.take_words(state, event.leaving, event.node, now),
-                *limits.take_reports(state, event.rates, event.node, now),
+                *limits.apply_rate_reports(state, event.rates, event.node, now),
             ]
         case EntriesCounted(entries=entries):
             state.entries = entries
--- a/figstep/gateway/warmups.py
+++ b/figstep/gateway/warmups.py
@@ -24,16 +24,16 @@
     rate = _find_rate(state, target)
     if rate <= 0:
         return True
-    _forget_old(target, now)
+    _drop_old_sends(target, now)
     share = shares.share_requests(state, target.name, rate, now)
     return len(target.cold_sends) < share
 
 
-def note_send(target: Target, now: Millis) -> None:
+def record_send(target: Target, now: Millis) -> None:
     """Count a request that is sent to a target."""
     if now >= target.warm_at:
         return
-    _forget_old(target, now)
+    _drop_old_sends(target, now)
     target.cold_sends.append(now)
 
 
@@ -55,6 +55,6 @@
     return state.table.services.get(target.info.service)
 
 
-def _forget_old(target: Target, now: Millis) -> None:
+def _drop_old_sends(target: Target, now: Millis) -> None:
     while target.cold_sends and now - target.cold_sends[0] >= RATE_WINDOW:
         target.cold_sends.popleft()
