--- a/figstep/gateway/reports.py
+++ b/figstep/gateway/reports.py
@@ -69,7 +69,9 @@
     if target.querier_drawn_at + ASK_PERIOD > now:
         return False
     target.querier_drawn_at = now
-    return min(heard, key=lambda name: shares.draw(name, target.name)) == state.node
+    return (
+        min(heard, key=lambda name: shares.hash_rank(name, target.name)) == state.node
+    )
 
 
 def _runs_at(state: State, target: Target) -> bool:
--- a/figstep/gateway/shares.py
+++ b/figstep/gateway/shares.py
@@ -32,12 +32,14 @@
     if not budget.first_start and now < budget.started + SETTLED_AFTER:
         return 0
     others = {*state.peers, *state.silent_peers}
-    sharing = 1 + len(others)
-    part = min(1.0, sharing / max(1, state.entries))
-    near = _share_domain(state, key, requests * part)
-    own = draw(state.node, key)
-    before = sum(1 for name in others if draw(name, key) < own)
-    return near // sharing + (1 if before < near % sharing else 0)
+    participants = 1 + len(others)
+    part = min(1.0, participants / max(1, state.entries))
+    domain_requests = _share_domain(state, key, requests * part)
+    own = hash_rank(state.node, key)
+    before = sum(1 for name in others if hash_rank(name, key) < own)
+    return domain_requests // participants + (
+        1 if before < domain_requests % participants else 0
+    )
 
 
 def _share_domain(state: State, key: str, part: float) -> int:
@@ -46,11 +48,11 @@
     In a large fleet the entries of other ones aren't heard. What the domains'
     equal parts leave over is rounded up in some of them, which all draw alike.
     """
-    own = draw(state.failure_domain, key)
-    before = sum(1 for name in state.remote_loads if draw(name, key) < own)
+    own = hash_rank(state.failure_domain, key)
+    before = sum(1 for name in state.remote_loads if hash_rank(name, key) < own)
     return int((before + 1) * part) - int(before * part)
 
 
-def draw(name: str, key: str) -> tuple[int, str]:
+def hash_rank(name: str, key: str) -> tuple[int, str]:
     """Return what orders names by chance, in the same way at all entries."""
     return zlib.crc32(f"{name} {key}".encode()), name
