--- a/figstep/gateway/reducer.py
+++ b/figstep/gateway/reducer.py
@@ -96,7 +96,7 @@
         case RunNotCopied():
             return copies.handle_copy_failed(state, event, now)
         case EngineReported():
-            return reports.take_report(state, event, now)
+            return reports.handle_report(state, event, now)
         case TargetLeaving(incarnation=incarnation):
             return departures.take_word(state, incarnation, now)
         case RateNamed():
@@ -253,7 +253,7 @@
     effects += requests.expire_requests(state, now)
     effects += copies.migrate_streams(state, now)
     effects += streams.check_streams(state, now)
-    effects += reports.ask_engines(state, now)
+    effects += reports.query_engines(state, now)
     effects += copies.drop_copies_for_memory(state, now)
     effects += copies.order_proactive_copies(state, now)
     effects += recovery.abandon_silent_attempts(state, now)
--- a/figstep/gateway/reports.py
+++ b/figstep/gateway/reports.py
@@ -7,19 +7,19 @@
 from figstep.gateway.state import State
 from figstep.gateway.targets import Target
 
-ASK_PERIOD = Millis(400)
+QUERY_INTERVAL = Millis(400)
 """How often an engine is asked: its state is half a second old, and it is gone
 1.5 s after its notice."""
 
-UNCLAIMED_FOR = Millis(1_200)
+UNCLAIMED_TIMEOUT = Millis(1_200)
 """How long an answer counts: three questions, of which two may stay unanswered."""
 
-SETTLED_AFTER = Millis(1_000)
+RESTART_QUERY_MARGIN = Millis(1_000)
 """How much longer than copies are kept a process asks after its start: one that
 was ordered just before the kill is kept from when it arrives."""
 
 
-def ask_engines(state: State, now: Millis) -> list[Effect]:
+def query_engines(state: State, now: Millis) -> list[Effect]:
     """Ask engines for their state where nobody else tells it.
 
     Without the store an engine's notice reaches nobody, and its streams are lost
@@ -28,33 +28,37 @@
     waited there for four seconds.
     """
     effects: list[Effect] = []
-    heard = [state.node, *sources.list_heard(state, now)]
+    live_entries = [state.node, *sources.list_heard(state, now)]
     for target in state.targets.targets.values():
-        if target.unclaimed and now - target.reported_at >= UNCLAIMED_FOR:
+        if target.unclaimed and now - target.reported_at >= UNCLAIMED_TIMEOUT:
             target.unclaimed = 0
         if not target.accepts_work:
             continue
-        if now - target.queried_at < ASK_PERIOD:
+        if now - target.queried_at < QUERY_INTERVAL:
             continue
-        asked = state.store_unreachable and _asks_for(state, target, heard, now)
-        if not asked and not _may_hold_unclaimed(state, target, now):
+        needed = state.store_unreachable and _is_querier(
+            state, target, live_entries, now
+        )
+        if not needed and not _may_hold_unclaimed(state, target, now):
             continue
-        _note_question(target, now)
+        _record_query(target, now)
         effects.append(ReadReport(target.name))
     return effects
 
 
-def _note_question(target: Target, now: Millis) -> None:
+def _record_query(target: Target, now: Millis) -> None:
     # An answer is as old as the time between two questions: it is compared with
     # what was counted at the one before, or now if that was long ago.
-    recent = now - target.queried_at < UNCLAIMED_FOR
+    recent = now - target.queried_at < UNCLAIMED_TIMEOUT
     claimed = target.claimed_memory
     target.claimed_baseline = target.claimed_at_query if recent else claimed
     target.claimed_at_query = claimed
     target.queried_at = now
 
 
-def _asks_for(state: State, target: Target, heard: list[str], now: Millis) -> bool:
+def _is_querier(
+    state: State, target: Target, live_entries: list[str], now: Millis
+) -> bool:
     """Tell whether this entry asks an engine whether it leaves.
 
     In a large fleet one entry asks for its whole failure domain: were each to
@@ -66,11 +70,12 @@
         return False
     if not state.is_large:
         return _runs_at(state, target)
-    if target.querier_drawn_at + ASK_PERIOD > now:
+    if target.querier_drawn_at + QUERY_INTERVAL > now:
         return False
     target.querier_drawn_at = now
     return (
-        min(heard, key=lambda name: shares.hash_rank(name, target.name)) == state.node
+        min(live_entries, key=lambda name: shares.hash_rank(name, target.name))
+        == state.node
     )
 
 
@@ -92,17 +97,17 @@
         # Questions of all entries to all engines would grow with the square of
         # the fleet, and there a few engines of dozens hold such copies.
         return False
-    return now - state.budget.started < pool.copy_retention + SETTLED_AFTER
+    return now - state.budget.started < pool.copy_retention + RESTART_QUERY_MARGIN
 
 
-def take_report(state: State, event: EngineReported, now: Millis) -> list[Effect]:
+def handle_report(state: State, event: EngineReported, now: Millis) -> list[Effect]:
     """Take in how full an engine is, and its own word that it leaves."""
     target = state.targets.find(event.target)
     if target is None:
         return []
     crashes.record_answer(state, target, target.queried_at)
     if event.memory is not None:
-        _count_unclaimed(target, event.memory, now)
+        _update_unclaimed(target, event.memory, now)
     if not event.leaving:
         return []
     if not event.ending and sources.is_unread(state, now):
@@ -112,6 +117,6 @@
     return departures.take_word(state, target.info.incarnation, now)
 
 
-def _count_unclaimed(target: Target, used: int, now: Millis) -> None:
+def _update_unclaimed(target: Target, used: int, now: Millis) -> None:
     target.unclaimed = max(0, used - target.claimed_baseline)
     target.reported_at = now
--- a/tests/gateway/test_reports.py
+++ b/tests/gateway/test_reports.py
@@ -3,7 +3,7 @@
 from figstep.core.clock import Millis
 from figstep.gateway.effects import OpenAttempt, ReadReport
 from figstep.gateway.events import EngineReported, EntriesCounted, StoreLost, Ticked
-from figstep.gateway.reports import ASK_PERIOD, SETTLED_AFTER
+from figstep.gateway.reports import QUERY_INTERVAL, RESTART_QUERY_MARGIN
 from tests.gateway.worlds import World, start_with_backup
 
 
@@ -57,7 +57,7 @@
 
 def ask(world: World) -> None:
     """Let the time between two questions pass, and the next one be asked."""
-    world.clock.advance(ASK_PERIOD)
+    world.clock.advance(QUERY_INTERVAL)
     world.handle(Ticked())
     assert world.find(ReadReport).target == "e-1"
 
@@ -104,7 +104,7 @@
     ask(world)
     world.handle(EngineReported("e-1", leaving=False, memory=8_000))
     assert world.state.targets.targets["e-1"].unclaimed == 8_000
-    world.clock.advance(Millis(5_000 + SETTLED_AFTER))
+    world.clock.advance(Millis(5_000 + RESTART_QUERY_MARGIN))
     world.handle(Ticked())
     assert world.find_all(ReadReport) == []
     assert world.state.targets.targets["e-1"].unclaimed == 0
@@ -121,6 +121,6 @@
 def test_a_system_that_starts_for_the_first_time_asks_nobody() -> None:
     world = World()
     world.register("e-1")
-    world.clock.advance(ASK_PERIOD)
+    world.clock.advance(QUERY_INTERVAL)
     world.handle(Ticked())
     assert world.find_all(ReadReport) == []
