--- a/figstep/gateway/peers.py
+++ b/figstep/gateway/peers.py
@@ -45,7 +45,7 @@
         position=event.position,
         store_well=event.store_well,
         answered=event.answered,
-        healthy_since=sources.find_well_since(state, event, now),
+        healthy_since=sources.find_healthy_since(state, event, now),
         far=event.far,
         reading=event.reading,
         leaving=event.leaving,
@@ -351,7 +351,7 @@
 
 def speaks_for_domain(state: State, now: Millis) -> bool:
     """Tell whether this entry tells other failure domains of its own."""
-    return not any(name < state.node for name in sources.list_heard(state, now))
+    return not any(name < state.node for name in sources.list_live_peers(state, now))
 
 
 def _sum_loads(loads: Iterable[PeerLoad]) -> tuple[PeerLoad, ...]:
--- a/figstep/gateway/reducer.py
+++ b/figstep/gateway/reducer.py
@@ -119,11 +119,11 @@
             return evacuations.take_evacuations(state, told, "store", now)
         case StoreLost():
             state.read_failed = True
-            sources.watch_store(state, now)
+            sources.update_store_state(state, now)
             return []
         case StoreRegained():
             state.read_failed = False
-            sources.watch_store(state, now)
+            sources.update_store_state(state, now)
             return []
         case PeerHeard():
             return [
@@ -202,7 +202,7 @@
     if target.appears_unreachable:
         return _note_departure(state, event.target, now)
     returning = state.store_unreachable or now < state.store_regained_at + LAPSE
-    if returning and not sources.has_store_been_well(state):
+    if returning and not sources.was_store_available(state):
         state.targets.defer_departure(
             event.target, Millis(state.store_regained_at + LAPSE)
         )
@@ -259,7 +259,7 @@
     effects += recovery.abandon_silent_attempts(state, now)
     effects += requests.start_queued(state, now)
     peers.expire_peers(state, now)
-    sources.watch_store(state, now)
+    sources.update_store_state(state, now)
     effects += sources.catch_up(state, now)
     state.targets.remove_departed(now, DEPARTED_KEPT)
     departures.forget_old(state, now)
--- a/figstep/gateway/reports.py
+++ b/figstep/gateway/reports.py
@@ -28,7 +28,7 @@
     waited there for four seconds.
     """
     effects: list[Effect] = []
-    live_entries = [state.node, *sources.list_heard(state, now)]
+    live_entries = [state.node, *sources.list_live_peers(state, now)]
     for target in state.targets.targets.values():
         if target.unclaimed and now - target.reported_at >= UNCLAIMED_TIMEOUT:
             target.unclaimed = 0
@@ -110,7 +110,7 @@
         _update_unclaimed(target, event.memory, now)
     if not event.leaving:
         return []
-    if not event.ending and sources.is_unread(state, now):
+    if not event.ending and sources.is_store_unread(state, now):
         # One that is drained serves on until the store has taken its word, and no
         # other can be known to take its place.
         return []
--- a/figstep/gateway/sources.py
+++ b/figstep/gateway/sources.py
@@ -7,36 +7,36 @@
 from figstep.gateway.events import PeerHeard
 from figstep.gateway.state import Peer, State
 
-LEAST_READERS = 3
+MIN_READERS = 3
 """Entries of a large fleet that read the store, in as many failure domains as
 there are: any two of them may die in the same moment."""
 
-MOST_UNWELL = 6
+MAX_UNHEALTHY_READERS = 6
 """Entries of the fleet that go without the store's answers before the others don't ask
 it. Where the store turns a third of the entries away, one of these gets through."""
 
-READER_SILENT = Millis(1_500)
+READER_TIMEOUT = Millis(1_500)
 """Silence after which another entry reads in a reader's place."""
 
-TOLD_AFTER = Millis(150)
+RELAY_DELAY = Millis(150)
 """How long an entry that doesn't read the store waits to be told a record."""
 
-CATCH_UP_AFTER = Millis(400)
+CATCH_UP_DELAY = Millis(400)
 """How long a peer may know newer records before they are asked of it. Entries
 that read the store themselves learn of a record within some milliseconds of
 each other; a store that turns this entry away may never tell it."""
 
-COPIES_AT_ONCE = 2
+MAX_CONCURRENT_FETCHES = 2
 """Entries that ask one peer for its records at the same time."""
 
 
-def list_heard(state: State, now: Millis) -> dict[str, Peer]:
+def list_live_peers(state: State, now: Millis) -> dict[str, Peer]:
     """Return the entries of this failure domain that were heard of late."""
-    heard = {}
+    live = {}
     for name, peer in state.peers.items():
-        if now - peer.last_received_at < READER_SILENT:
-            heard[name] = peer
-    return heard
+        if now - peer.last_received_at < READER_TIMEOUT:
+            live[name] = peer
+    return live
 
 
 def reads_store(state: State, now: Millis) -> bool:
@@ -48,18 +48,18 @@
     """
     if not state.is_large or state.read_failed:
         return True
-    well = unwell = 0
-    for name, peer in list_heard(state, now).items():
+    healthy = unhealthy = 0
+    for name, peer in list_live_peers(state, now).items():
         if name > state.node:
             continue
         if peer.store_well:
-            well += 1
+            healthy += 1
         else:
             # It reads too, or is about to. Were its word of that awaited, all would
             # begin to read in vain as the store is lost.
-            unwell += 1
-    most_unwell = _share_readers(state, MOST_UNWELL)
-    return well < _share_readers(state, LEAST_READERS) and unwell < most_unwell
+            unhealthy += 1
+    max_unhealthy = _share_readers(state, MAX_UNHEALTHY_READERS)
+    return healthy < _share_readers(state, MIN_READERS) and unhealthy < max_unhealthy
 
 
 def _share_readers(state: State, readers: int) -> int:
@@ -68,7 +68,7 @@
     return -(-readers // domains)
 
 
-def watch_store(state: State, now: Millis) -> None:
+def update_store_state(state: State, now: Millis) -> None:
     """Note whether records of the store reach this entry in any way.
 
     One that doesn't read them itself would else take registrations that lapsed
@@ -76,7 +76,7 @@
     """
     away = state.read_failed
     if state.is_large and (away or not reads_store(state, now)):
-        away = not _hears_reader(state, now)
+        away = not _has_live_reader(state, now)
     if away and not state.store_unreachable:
         state.store_lost_at = now
     if state.store_unreachable and not away:
@@ -84,23 +84,23 @@
     state.store_unreachable = away
 
 
-def _hears_reader(state: State, now: Millis) -> bool:
+def _has_live_reader(state: State, now: Millis) -> bool:
     # Readers that fail together must not take each other's word that records reach
     # them: only one that is answered itself has any.
     for peer in [*state.peers.values(), *state.remote_peers.values()]:
-        if now - peer.last_received_at >= READER_SILENT:
+        if now - peer.last_received_at >= READER_TIMEOUT:
             continue
         if peer.reading and peer.answered and peer.store_well:
             return True
     return False
 
 
-def is_unread(state: State, now: Millis) -> bool:
+def is_store_unread(state: State, now: Millis) -> bool:
     """Tell whether no entry that is heard is answered by the store."""
-    return state.store_unreachable and not _hears_reader(state, now)
+    return state.store_unreachable and not _has_live_reader(state, now)
 
 
-def find_well_since(state: State, event: PeerHeard, now: Millis) -> Millis | None:
+def find_healthy_since(state: State, event: PeerHeard, now: Millis) -> Millis | None:
     """Return since when the store has answered a peer that reads it, or None."""
     if not (event.reading and event.answered and event.store_well):
         return None
@@ -110,7 +110,7 @@
     return known.healthy_since
 
 
-def has_store_been_well(state: State) -> bool:
+def was_store_available(state: State) -> bool:
     """Tell whether a peer read the store all the while that this entry could not."""
     for peer in [*state.peers.values(), *state.remote_peers.values()]:
         if peer.healthy_since is not None and peer.healthy_since < state.store_lost_at:
@@ -128,12 +128,12 @@
     if state.behind_since is None:
         state.behind_since = now
     waited = Millis(now - state.behind_since)
-    patience = CATCH_UP_AFTER if reads_store(state, now) else TOLD_AFTER
-    if waited < patience or not _is_turn(state, ahead, waited):
+    delay = CATCH_UP_DELAY if reads_store(state, now) else RELAY_DELAY
+    if waited < delay or not _may_fetch(state, ahead, waited):
         return []
     state.behind_since = now
-    near = [peer for peer in ahead if not peer.far]
-    peer = state.rng.choice(near or ahead)
+    local = [peer for peer in ahead if not peer.far]
+    peer = state.rng.choice(local or ahead)
     note = Note(
         "records asked of a peer",
         {
@@ -158,7 +158,7 @@
     return -1 if state.table is None else state.table.version
 
 
-def _is_turn(state: State, ahead: list[Peer], waited: Millis) -> bool:
+def _may_fetch(state: State, ahead: list[Peer], waited: Millis) -> bool:
     """Tell whether this entry may ask now for records that only some peers have.
 
     Were a whole failure domain to ask the few that know them at once, all would
@@ -166,11 +166,11 @@
     """
     newest = max((peer.configuration, peer.position) for peer in ahead)
     behind = [name for name, peer in state.peers.items() if not _is_ahead(state, peer)]
-    own = _draw_turn(newest, state.node)
-    before = sum(1 for name in behind if _draw_turn(newest, name) < own)
-    doublings = waited // CATCH_UP_AFTER
-    return before < COPIES_AT_ONCE * len(ahead) << doublings
+    own = _draw_fetch_order(newest, state.node)
+    before = sum(1 for name in behind if _draw_fetch_order(newest, name) < own)
+    doublings = waited // CATCH_UP_DELAY
+    return before < MAX_CONCURRENT_FETCHES * len(ahead) << doublings
 
 
-def _draw_turn(newest: tuple[int, int], name: str) -> int:
+def _draw_fetch_order(newest: tuple[int, int], name: str) -> int:
     return zlib.crc32(f"{newest} {name}".encode())
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -148,7 +148,7 @@
 def test_one_entry_of_a_failure_domain_speaks_for_it() -> None:
     world = build_large_world()
     assert not peers.speaks_for_domain(world.state, world.clock.now())
-    world.clock.advance(sources.READER_SILENT)
+    world.clock.advance(sources.READER_TIMEOUT)
     assert peers.speaks_for_domain(world.state, world.clock.now())
 
 
--- a/tests/gateway/test_sources.py
+++ b/tests/gateway/test_sources.py
@@ -23,7 +23,7 @@
     world.handle(PeerHeard("entry-2", address="10.0.0.2:7200", configuration=2))
     world.handle(Ticked())
     assert world.find_all(FetchRecords) == []
-    world.clock.advance(sources.CATCH_UP_AFTER)
+    world.clock.advance(sources.CATCH_UP_DELAY)
     world.handle(Ticked())
     assert world.find(FetchRecords).address == "10.0.0.2:7200"
 
@@ -51,7 +51,7 @@
     world = build_large_world()
     world.state.node = "entry-0-03-next"
     assert not sources.reads_store(world.state, world.clock.now())
-    world.clock.advance(sources.READER_SILENT)
+    world.clock.advance(sources.READER_TIMEOUT)
     for number in range(4, 18):
         world.handle(PeerHeard(f"entry-0-{number:02}", failure_domain="muc-a"))
     assert sources.reads_store(world.state, world.clock.now())
@@ -82,10 +82,10 @@
 def test_few_entries_read_in_vain_while_the_store_is_away() -> None:
     """Guards against a fleet that asks a store that is down all at once."""
     world = build_large_world()
-    hear_readers(world, sources.MOST_UNWELL - 1, store_well=False)
+    hear_readers(world, sources.MAX_UNHEALTHY_READERS - 1, store_well=False)
     world.state.node = "entry-0-05-next"
     assert sources.reads_store(world.state, world.clock.now())
-    hear_readers(world, sources.MOST_UNWELL, store_well=False)
+    hear_readers(world, sources.MAX_UNHEALTHY_READERS, store_well=False)
     assert not sources.reads_store(world.state, world.clock.now())
 
 
@@ -199,7 +199,7 @@
     world.handle(PeerHeard("entry-0-09", failure_domain="muc-a"))
     world.clock.advance(1_000)
     world.handle(StoreLost())
-    assert not sources.has_store_been_well(world.state)
+    assert not sources.was_store_available(world.state)
 
 
 def test_one_entry_of_a_failure_domain_asks_an_engine_while_the_store_is_away() -> None:
@@ -262,7 +262,7 @@
         )
         world.handle(ahead)
         world.handle(Ticked())
-        world.clock.advance(sources.TOLD_AFTER)
+        world.clock.advance(sources.RELAY_DELAY)
         world.handle(Ticked())
         asked += len(world.find_all(FetchRecords))
     assert asked <= 4
