--- a/figstep/gateway/events.py
+++ b/figstep/gateway/events.py
@@ -363,7 +363,7 @@
         refused: Requests that it refused of late for want of room.
         partial: Whether the loads are only those that changed since it last told
             all.
-        store_well: Whether records of the store reach it, from whomever.
+        receives_records: Whether records of the store reach it, from whomever.
         answered: Whether the store answers it, as far as it reads the store.
         reading: Whether it reads the store's records as they come.
         leaving: Targets that said of late that they leave, or that others told
@@ -385,7 +385,7 @@
     failure_domain: str = ""
     entries: int = 1
     far: bool = False
-    store_well: bool = True
+    receives_records: bool = True
     answered: bool = True
     reading: bool = False
     leaving: tuple[Incarnation, ...] = ()
--- a/figstep/gateway/news.py
+++ b/figstep/gateway/news.py
@@ -77,7 +77,7 @@
         own.closing,
         own.configuration,
         own.position,
-        own.store_well,
+        own.receives_records,
         own.answered,
         own.reading,
         own.leaving,
--- a/figstep/gateway/sources.py
+++ b/figstep/gateway/sources.py
@@ -52,7 +52,7 @@
     for name, peer in list_live_peers(state, now).items():
         if name > state.node:
             continue
-        if peer.store_well:
+        if peer.receives_records:
             healthy += 1
         else:
             # It reads too, or is about to. Were its word of that awaited, all would
@@ -90,7 +90,7 @@
     for peer in [*state.peers.values(), *state.remote_peers.values()]:
         if now - peer.last_received_at >= READER_TIMEOUT:
             continue
-        if peer.reading and peer.answered and peer.store_well:
+        if peer.reading and peer.answered and peer.receives_records:
             return True
     return False
 
@@ -102,7 +102,7 @@
 
 def find_healthy_since(state: State, event: PeerHeard, now: Millis) -> Millis | None:
     """Return since when the store has answered a peer that reads it, or None."""
-    if not (event.reading and event.answered and event.store_well):
+    if not (event.reading and event.answered and event.receives_records):
         return None
     known = (state.remote_peers if event.far else state.peers).get(event.node)
     if known is None or known.healthy_since is None:
--- a/figstep/gateway/state.py
+++ b/figstep/gateway/state.py
@@ -174,7 +174,7 @@
         position: How far it has read the registrations; -1 for nothing.
         healthy_since: Since when it has said without a break that it reads the
             store and is answered; None if it last said otherwise.
-        store_well: Whether records of the store reach it, from whomever.
+        receives_records: Whether records of the store reach it, from whomever.
         answered: Whether the store answers it, as far as it reads the store.
         far: Whether it belongs to another failure domain.
         reading: Whether it reads the store's records as they come.
@@ -189,7 +189,7 @@
     address: str = ""
     configuration: int = -1
     position: int = -1
-    store_well: bool = True
+    receives_records: bool = True
     answered: bool = True
     healthy_since: Millis | None = None
     far: bool = False
--- a/figstep/net/hellos.py
+++ b/figstep/net/hellos.py
@@ -77,7 +77,7 @@
         failureDomain=own.failure_domain,
         entries=own.entries,
         far=own.far,
-        storeWell=own.store_well,
+        storeWell=own.receives_records,
         unanswered=not own.answered,
         asksDomain=hello.asks_domain,
         address=own.address,
@@ -173,7 +173,7 @@
             failure_domain=message.failureDomain,
             entries=message.entries,
             far=message.far,
-            store_well=message.storeWell,
+            receives_records=message.storeWell,
             answered=not message.unanswered,
             reading=message.reading,
             leaving=tuple(
--- a/tests/gateway/test_reducer.py
+++ b/tests/gateway/test_reducer.py
@@ -103,7 +103,7 @@
     world.handle(PeerHeard("entry-2"))
     world.clock.advance(500)
     world.handle(StoreLost())
-    world.handle(PeerHeard("entry-2", store_well=False))
+    world.handle(PeerHeard("entry-2", receives_records=False))
     world.clock.advance(2_000)
     world.handle(PeerHeard("entry-2"))
     world.handle(StoreRegained())
--- a/tests/gateway/test_sources.py
+++ b/tests/gateway/test_sources.py
@@ -66,26 +66,31 @@
 def test_an_entry_keeps_asking_while_the_readers_are_turned_away_too() -> None:
     world = build_large_world()
     world.handle(StoreLost())
-    hear_readers(world, 18, store_well=False)
+    hear_readers(world, 18, receives_records=False)
     assert sources.reads_store(world.state, world.clock.now())
 
 
-def hear_readers(world: World, count: int, store_well: bool) -> None:
+def hear_readers(world: World, count: int, receives_records: bool) -> None:
     """Let the first entries of the failure domain say that they read the store."""
     for number in range(count):
         name = f"entry-0-{number:02}"
         world.handle(
-            PeerHeard(name, failure_domain="muc-a", store_well=store_well, reading=True)
+            PeerHeard(
+                name,
+                failure_domain="muc-a",
+                receives_records=receives_records,
+                reading=True,
+            )
         )
 
 
 def test_few_entries_read_in_vain_while_the_store_is_away() -> None:
     """Guards against a fleet that asks a store that is down all at once."""
     world = build_large_world()
-    hear_readers(world, sources.MAX_UNHEALTHY_READERS - 1, store_well=False)
+    hear_readers(world, sources.MAX_UNHEALTHY_READERS - 1, receives_records=False)
     world.state.node = "entry-0-05-next"
     assert sources.reads_store(world.state, world.clock.now())
-    hear_readers(world, sources.MAX_UNHEALTHY_READERS, store_well=False)
+    hear_readers(world, sources.MAX_UNHEALTHY_READERS, receives_records=False)
     assert not sources.reads_store(world.state, world.clock.now())
 
 
@@ -94,10 +99,10 @@
     world = build_large_world()
     for domain in ("muc-b", "nue-a", "aug-a"):
         hear_domain(world, domain)
-    hear_readers(world, 1, store_well=False)
+    hear_readers(world, 1, receives_records=False)
     world.state.node = "entry-0-00-next"
     assert sources.reads_store(world.state, world.clock.now())
-    hear_readers(world, 2, store_well=False)
+    hear_readers(world, 2, receives_records=False)
     world.state.node = "entry-0-01-next"
     assert not sources.reads_store(world.state, world.clock.now())
 
@@ -107,8 +112,10 @@
     world = build_large_world()
     for domain in ("muc-b", "nue-a", "aug-a"):
         hear_domain(world, domain)
-    hear_readers(world, 1, store_well=False)
-    world.handle(PeerHeard("entry-0-01", failure_domain="muc-a", store_well=False))
+    hear_readers(world, 1, receives_records=False)
+    world.handle(
+        PeerHeard("entry-0-01", failure_domain="muc-a", receives_records=False)
+    )
     world.state.node = "entry-0-01-next"
     assert not sources.reads_store(world.state, world.clock.now())
 
@@ -134,10 +141,10 @@
 def test_an_entry_that_hears_of_no_reader_takes_the_store_for_away() -> None:
     """Guards against registrations that lapse in an outage taken for departures."""
     world = build_large_world()
-    hear_readers(world, 6, store_well=True)
+    hear_readers(world, 6, receives_records=True)
     world.handle(Ticked())
     assert not world.state.store_unreachable
-    hear_readers(world, 6, store_well=False)
+    hear_readers(world, 6, receives_records=False)
     world.handle(Ticked())
     assert world.state.store_unreachable
     hear_domain(world, "muc-b", reading=True)
@@ -195,7 +202,7 @@
 def test_an_entry_that_does_not_read_is_no_witness_of_the_store() -> None:
     """Guards against lapsed registrations taken for departures after an outage."""
     world = build_large_world()
-    hear_readers(world, 1, store_well=False)
+    hear_readers(world, 1, receives_records=False)
     world.handle(PeerHeard("entry-0-09", failure_domain="muc-a"))
     world.clock.advance(1_000)
     world.handle(StoreLost())
