--- a/figstep/gateway/news.py
+++ b/figstep/gateway/news.py
@@ -13,61 +13,68 @@
 from figstep.gateway.events import PeerHeard, PeerLoad
 from figstep.gateway.peers import select_changed
 
-WHOLE_PERIOD = Millis(2_000)
+FULL_REPORT_INTERVAL = Millis(2_000)
 """How often all loads are told: it bounds how long the growth of runs, and what a
 lost message told, stay unknown."""
 
 
 @dataclass(slots=True)
-class LoadNews:
+class LoadUpdates:
     """What was told last.
 
     Attributes:
-        whole_at: When all loads were told; None for never.
-        whole: Those loads, by target.
+        full_report_at: When all loads were told; None for never.
+        full_report: Those loads, by target.
         last: The loads as the others know them now.
-        rest: What else they were told.
+        urgent_fields: What else they were told.
     """
 
-    whole_at: Millis | None = None
-    whole: dict[str, PeerLoad] = field(default_factory=dict)
+    full_report_at: Millis | None = None
+    full_report: dict[str, PeerLoad] = field(default_factory=dict)
     last: dict[str, PeerLoad] = field(default_factory=dict)
-    rest: Hashable = None
+    urgent_fields: Hashable = None
 
-    def has_news(self, own: PeerHeard) -> bool:
+    def has_urgent_changes(self, own: PeerHeard) -> bool:
         """Tell whether the others have to hear of something before all is told."""
-        if self.rest != _read_rest(own):
+        if self.urgent_fields != _read_urgent_fields(own):
             return True
         return bool(select_changed(self.last, own.loads))
 
     def select(self, own: PeerHeard, now: Millis) -> PeerHeard:
         """Return the message that is sent now, and note it as told."""
-        self.rest = _read_rest(own)
-        if self.whole_at is None or now - self.whole_at >= WHOLE_PERIOD:
-            self.whole_at = now
-            self.whole = {load.target: load for load in own.loads}
-            self.last = self.whole
+        self.urgent_fields = _read_urgent_fields(own)
+        if (
+            self.full_report_at is None
+            or now - self.full_report_at >= FULL_REPORT_INTERVAL
+        ):
+            self.full_report_at = now
+            self.full_report = {load.target: load for load in own.loads}
+            self.last = self.full_report
             return own
-        changed = select_changed(self.whole, own.loads)
-        self.last = {**self.whole, **{load.target: load for load in changed}}
-        recent = tuple(told for told in own.suspicions if told.age < WHOLE_PERIOD)
+        changed = select_changed(self.full_report, own.loads)
+        self.last = {**self.full_report, **{load.target: load for load in changed}}
+        recent = tuple(
+            reported
+            for reported in own.suspicions
+            if reported.age < FULL_REPORT_INTERVAL
+        )
         return replace(own, loads=changed, suspicions=recent, partial=True)
 
 
-def forget_ages(own: PeerHeard) -> PeerHeard:
+def strip_ages(own: PeerHeard) -> PeerHeard:
     """Return a message without the ages of what it tells, which alone are no news."""
     if not (own.rates or own.suspicions or own.clearances):
         return own
     ageless = Millis(0)
     return replace(
         own,
-        rates=tuple(replace(told, age=ageless) for told in own.rates),
-        suspicions=tuple(replace(told, age=ageless) for told in own.suspicions),
-        clearances=tuple(replace(told, age=ageless) for told in own.clearances),
+        rates=tuple(replace(reported, age=ageless) for reported in own.rates),
+        suspicions=tuple(replace(reported, age=ageless) for reported in own.suspicions),
+        clearances=tuple(replace(reported, age=ageless) for reported in own.clearances),
     )
 
 
-def _read_rest(own: PeerHeard) -> Hashable:
+def _read_urgent_fields(own: PeerHeard) -> Hashable:
     """Return what can't wait of a message, apart from its loads.
 
     Requests that were sent raise the retry budget, so that hearing of them late is
@@ -82,8 +89,8 @@
         own.reading,
         own.leaving,
         own.evacuations,
-        tuple((told.digest, told.life) for told in own.suspicions),
-        tuple(told.digest for told in own.clearances),
+        tuple((reported.digest, reported.life) for reported in own.suspicions),
+        tuple(reported.digest for reported in own.clearances),
         own.unreached,
         tuple((use.service, use.repeats) for use in own.uses),
         tuple(refusal.digest for refusal in own.refused),
--- a/figstep/net/links.py
+++ b/figstep/net/links.py
@@ -13,7 +13,7 @@
 from figstep.core.clock import Millis
 from figstep.errors import PeerMessageError
 from figstep.gateway.events import PeerHeard, PeerLoad
-from figstep.gateway.news import LoadNews, forget_ages
+from figstep.gateway.news import LoadUpdates, strip_ages
 from figstep.gateway.peers import select_changed
 from figstep.gateway.state import FULL_MESH_MAX_ENTRIES
 from figstep.net.hellos import (
@@ -125,7 +125,7 @@
         self._sequence = 0
         self._neighbors = NeighborTable(self._own, failure_domain)
         self._told = _Told()
-        self._news = LoadNews()
+        self._news = LoadUpdates()
         self._told_far = -1e9
         self._spoke_at = -1e9
         self._told_bare: PeerHeard | None = None
@@ -180,9 +180,9 @@
         if now - self._told.at >= HELLO_SECONDS:
             return True
         if self.is_large:
-            return self._news.has_news(own)
+            return self._news.has_urgent_changes(own)
         told = self._told.content
-        return told is None or forget_ages(own) != forget_ages(told)
+        return told is None or strip_ages(own) != strip_ages(told)
 
     @Service.task
     async def _run_far(self) -> None:
@@ -237,7 +237,7 @@
         else:
             changed = select_changed(self._told_loads, domain.loads)
             domain = replace(domain, loads=changed, partial=True)
-            bare = forget_ages(replace(domain, loads=()))
+            bare = strip_ages(replace(domain, loads=()))
             is_known = not changed and bare == self._told_bare
             if is_known and now - self._spoke_at < HELLO_SECONDS:
                 return
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -28,7 +28,7 @@
     TargetRegistered,
     Ticked,
 )
-from figstep.gateway.news import LoadNews
+from figstep.gateway.news import LoadUpdates
 from figstep.gateway.prompts import Prompt
 from figstep.gateway.targets import Incarnation, Registration
 from tests.gateway.worlds import (
@@ -548,7 +548,7 @@
     replay = Replay(73)
     return_often(replay, 2)
     replay.wait(RETURN)
-    news = LoadNews()
+    news = LoadUpdates()
     now = replay.clock.now()
     own = peers.describe_own(replay.fleet[0].state, now)
     assert news.select(own, now).suspicions == own.suspicions != ()
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -17,7 +17,7 @@
     TargetRegistered,
     Ticked,
 )
-from figstep.gateway.news import LoadNews
+from figstep.gateway.news import LoadUpdates
 from figstep.gateway.targets import Registration
 from tests.gateway.worlds import (
     BOOKINGS,
@@ -311,13 +311,13 @@
     """Guards against a message each moment while any target names a rate."""
     world = build_world("b-1")
     name_rate(world, 1.5)
-    news = LoadNews()
+    news = LoadUpdates()
     first = peers.describe_own(world.state, world.clock.now())
     news.select(first, world.clock.now())
     world.clock.advance(200)
     second = peers.describe_own(world.state, world.clock.now())
     assert first != second
-    assert not news.has_news(second)
+    assert not news.has_urgent_changes(second)
 
 
 def test_a_named_rate_is_logged_once_for_each_change() -> None:
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -9,7 +9,7 @@
 from figstep.core.crashes import Clearance, Suspicion
 from figstep.gateway.budgets import UseReport
 from figstep.gateway.events import PeerHeard, PeerLoad
-from figstep.gateway.news import WHOLE_PERIOD, LoadNews
+from figstep.gateway.news import FULL_REPORT_INTERVAL, LoadUpdates
 from figstep.gateway.places import Evacuations
 from figstep.gateway.refusals import Refusal
 from figstep.net.hellos import Hello, encode_hello
@@ -37,7 +37,7 @@
 def test_loads_told_by_their_differences_are_those_told_whole(seed: int) -> None:
     """Guards against loads that drift apart as only what changed is told."""
     rng = random.Random(seed)
-    news = LoadNews()
+    news = LoadUpdates()
     world = World()
     world.register(*TARGETS)
     calls = dict.fromkeys(TARGETS, 0)
@@ -54,7 +54,7 @@
 def test_a_lost_message_is_made_good_by_the_next_one(seed: int) -> None:
     """Guards against prompts that stay unknown since one datagram was lost."""
     rng = random.Random(seed)
-    news = LoadNews()
+    news = LoadUpdates()
     world = World()
     world.register(*TARGETS)
     calls = dict.fromkeys(TARGETS, 0)
@@ -70,7 +70,7 @@
 
 def test_a_peer_that_falls_silent_leaves_no_load_behind() -> None:
     """Guards against engines that look busy with calls of an entry that is gone."""
-    news = LoadNews()
+    news = LoadUpdates()
     world = World()
     world.register("e-0", "e-1")
     world.handle(news.select(build_message({"e-0": 2}), Millis(0)))
@@ -82,7 +82,7 @@
 
 def test_what_changed_is_told_in_a_small_message() -> None:
     """Guards against messages that grow with all targets of the fleet."""
-    news = LoadNews()
+    news = LoadUpdates()
     calls = dict.fromkeys(TARGETS, 2)
     whole = news.select(build_message(calls), Millis(0))
     calls["e-7"] = 3
@@ -93,16 +93,16 @@
 
 def test_all_is_told_now_and_then() -> None:
     """Guards against growth of runs that nobody is ever told of."""
-    news = LoadNews()
+    news = LoadUpdates()
     calls = dict.fromkeys(TARGETS, 2)
     news.select(build_message(calls), Millis(0))
-    assert news.select(build_message(calls), Millis(WHOLE_PERIOD - 1)).partial
-    assert not news.select(build_message(calls), WHOLE_PERIOD).partial
+    assert news.select(build_message(calls), Millis(FULL_REPORT_INTERVAL - 1)).partial
+    assert not news.select(build_message(calls), FULL_REPORT_INTERVAL).partial
 
 
 def test_nothing_new_is_not_told() -> None:
     """Guards against entries that speak though nothing changed."""
-    news = LoadNews()
+    news = LoadUpdates()
     own = replace(
         build_message({"e-0": 1}),
         uses=(UseReport("bookings", 10, 1),),
@@ -114,7 +114,7 @@
         uses=(UseReport("bookings", 25, 1),),
         refused=(Refusal("digest", Millis(90)),),
     )
-    assert not news.has_news(later)
+    assert not news.has_urgent_changes(later)
 
 
 @pytest.mark.parametrize(
@@ -132,7 +132,7 @@
 )
 def test_what_others_decide_on_is_told_at_once(change: dict[str, object]) -> None:
     """Guards against news that wait for the next whole message."""
-    news = LoadNews()
+    news = LoadUpdates()
     own = replace(build_message({"e-0": 1}), uses=(UseReport("bookings", 10, 1),))
     news.select(own, Millis(0))
-    assert news.has_news(replace(own, **change))  # type: ignore[arg-type]
+    assert news.has_urgent_changes(replace(own, **change))  # type: ignore[arg-type]
