--- a/figstep/gateway/eligibility.py
+++ b/figstep/gateway/eligibility.py
@@ -5,7 +5,9 @@
 from figstep.gateway.targets import Target
 
 
-def find_homes(route: Route, customer: Customer | None) -> frozenset[str] | None:
+def find_allowed_regions(
+    route: Route, customer: Customer | None
+) -> frozenset[str] | None:
     """Return the regions that a request is bound to; None for any.
 
     Where both its route and its customer are bound to regions, both hold.
@@ -17,7 +19,7 @@
     return route.allowed_regions & customer.allowed_regions
 
 
-def renew_homes(table: RoutingTable, request: Request) -> None:
+def update_allowed_regions(table: RoutingTable, request: Request) -> None:
     """Bind a request that waits or runs to the regions of a newer configuration.
 
     One whose route or key was dropped meanwhile keeps what it was bound to.
@@ -31,12 +33,12 @@
         customer = table.customers.get(spec.key or "")
         if customer is None:
             return
-    request.allowed_regions = find_homes(route, customer)
+    request.allowed_regions = find_allowed_regions(route, customer)
 
 
 def is_eligible(state: State, request: Request, target: Target) -> bool:
     """Tell whether anything of a request may be sent to a target now."""
-    return target.accepts_work and _is_at_home(state, request, target)
+    return target.accepts_work and _is_in_allowed_region(state, request, target)
 
 
 def list_eligible(state: State, request: Request) -> list[Target]:
@@ -44,10 +46,10 @@
     ready = state.targets.list_ready(request.service)
     if request.allowed_regions is None:
         return ready
-    return [target for target in ready if _is_at_home(state, request, target)]
+    return [target for target in ready if _is_in_allowed_region(state, request, target)]
 
 
-def explain_none(state: State, request: Request) -> str:
+def explain_no_target(state: State, request: Request) -> str:
     """Return the reason of a refusal where no target is eligible."""
     if list_eligible(state, request):
         return "no_room"
@@ -58,7 +60,7 @@
     return "no_room"
 
 
-def _is_at_home(state: State, request: Request, target: Target) -> bool:
+def _is_in_allowed_region(state: State, request: Request, target: Target) -> bool:
     if request.allowed_regions is None:
         return True
     # A failure domain of unknown region is nobody's home.
--- a/figstep/gateway/reducer.py
+++ b/figstep/gateway/reducer.py
@@ -158,7 +158,7 @@
         return []
     state.table = table
     for request in state.requests.values():
-        eligibility.renew_homes(table, request)
+        eligibility.update_allowed_regions(table, request)
     routes = sum(len(found) for found in table.routes.values())
     return [
         Note("configuration in force", {"version": table.version, "routes": routes})
--- a/figstep/gateway/requests.py
+++ b/figstep/gateway/requests.py
@@ -106,7 +106,7 @@
         _find_first_arrival(state, spec.digest, now),
         Millis(now + time_limit),
         delivered=spec.after or 0,
-        allowed_regions=eligibility.find_homes(route, customer),
+        allowed_regions=eligibility.find_allowed_regions(route, customer),
     )
 
 
@@ -130,7 +130,7 @@
         admission.record_start(state, request, now)
         return attempts.start_attempt(state, request, target, now)
     if not placement.has_untried_target(state, request):
-        reason = eligibility.explain_none(state, request)
+        reason = eligibility.explain_no_target(state, request)
         return refuse_request(state, request, reason, now)
     if not admission.can_wait(state, request, now):
         return refuse_request(state, request, "no_room_in_time", now)
@@ -173,7 +173,7 @@
         effects += attempts.start_attempt(state, request, target, now)
     for request in waiting:
         if request.queued and not eligibility.list_eligible(state, request):
-            reason = eligibility.explain_none(state, request)
+            reason = eligibility.explain_no_target(state, request)
             if reason != "no_room":
                 effects += refuse_request(state, request, reason, now)
                 continue
