--- a/figstep/gateway/departures.py
+++ b/figstep/gateway/departures.py
@@ -15,7 +15,7 @@
 from figstep.gateway.targets import Incarnation, Registration, Standing, Target
 
 
-def take_word(state: State, incarnation: Incarnation, now: Millis) -> list[Effect]:
+def handle_leaving(state: State, incarnation: Incarnation, now: Millis) -> list[Effect]:
     """Take in that a target has told this entry that it leaves."""
     state.departures[incarnation] = Departure(now, own=True)
     target = state.targets.find(incarnation.target)
@@ -24,11 +24,11 @@
     if target.announced_leaving:
         return []
     target.announced_leaving = True
-    effects = _note_leaving(state, target, "itself", now)
+    effects = _apply_leaving(state, target, "itself", now)
     return [Announce(), *effects] if effects else []
 
 
-def take_words(
+def apply_leaving_reports(
     state: State, leaving: Iterable[Incarnation], source: str, now: Millis
 ) -> list[Effect]:
     """Take in which targets have told another entry that they leave."""
@@ -37,11 +37,11 @@
         state.departures.setdefault(incarnation, Departure(now, own=False))
         target = state.targets.find(incarnation.target)
         if target is not None and target.info.incarnation == incarnation:
-            effects += _note_leaving(state, target, source, now)
+            effects += _apply_leaving(state, target, source, now)
     return effects
 
 
-def _note_leaving(
+def _apply_leaving(
     state: State, target: Target, source: str, now: Millis
 ) -> list[Effect]:
     if target.standing is not Standing.READY:
@@ -55,7 +55,7 @@
     return [note, *copies.migrate_streams(state, now)]
 
 
-def has_left(state: State, info: Registration) -> bool:
+def has_announced_leaving(state: State, info: Registration) -> bool:
     """Tell whether a registration is of a target that has said that it leaves."""
     return info.incarnation in state.departures
 
--- a/figstep/gateway/reducer.py
+++ b/figstep/gateway/reducer.py
@@ -98,7 +98,7 @@
         case EngineReported():
             return reports.handle_report(state, event, now)
         case TargetLeaving(incarnation=incarnation):
-            return departures.take_word(state, incarnation, now)
+            return departures.handle_leaving(state, incarnation, now)
         case RateNamed():
             return limits.handle_rate(state, event, now)
         case ConfigurationRead():
@@ -131,7 +131,9 @@
                 *evacuations.take_evacuations(
                     state, event.evacuations, event.node, now
                 ),
-                *departures.take_words(state, event.leaving, event.node, now),
+                *departures.apply_leaving_reports(
+                    state, event.leaving, event.node, now
+                ),
                 *limits.apply_rate_reports(state, event.rates, event.node, now),
             ]
         case EntriesCounted(entries=entries):
@@ -168,7 +170,7 @@
 def _note_registration(state: State, info: Registration, now: Millis) -> list[Effect]:
     before = state.targets.find(info.target)
     standing = None if before is None else before.standing
-    if departures.has_left(state, info):
+    if departures.has_announced_leaving(state, info):
         return []
     found: list[Effect] = []
     if before is None or is_new_incarnation(before.info, info):
--- a/figstep/gateway/reports.py
+++ b/figstep/gateway/reports.py
@@ -114,7 +114,7 @@
         # One that is drained serves on until the store has taken its word, and no
         # other can be known to take its place.
         return []
-    return departures.take_word(state, target.info.incarnation, now)
+    return departures.handle_leaving(state, target.info.incarnation, now)
 
 
 def _update_unclaimed(target: Target, used: int, now: Millis) -> None:
