--- a/figstep/gateway/reducer.py
+++ b/figstep/gateway/reducer.py
@@ -115,8 +115,8 @@
         case PositionRead(position=position):
             state.position = max(state.position, position)
             return []
-        case EvacuationsRead(evacuations=told):
-            return evacuations.take_evacuations(state, told, "store", now)
+        case EvacuationsRead(evacuations=received):
+            return evacuations.apply_evacuations(state, received, "store", now)
         case StoreLost():
             state.read_failed = True
             sources.update_store_state(state, now)
@@ -128,7 +128,7 @@
         case PeerHeard():
             return [
                 *peers.handle_message(state, event, now),
-                *evacuations.take_evacuations(
+                *evacuations.apply_evacuations(
                     state, event.evacuations, event.node, now
                 ),
                 *departures.apply_leaving_reports(
