--- a/figstep/gateway/reducer.py
+++ b/figstep/gateway/reducer.py
@@ -48,16 +48,16 @@
 from figstep.gateway.state import State
 from figstep.gateway.targets import Registration, Standing, is_new_incarnation
 
-DEPARTED_KEPT = Millis(30_000)
+DEPARTED_RETENTION = Millis(30_000)
 """How long a departed target is remembered: a lapsed registration comes back
 within seconds, and a log line may still name it."""
 
-LAPSE = Millis(2_300)
+LAPSE_GRACE = Millis(2_300)
 """How long a registration that is missing after the store was away is not
 taken for gone: live targets are back within two seconds of its return, and
 dropping them would leave callers without any target meanwhile."""
 
-MASS_LAPSE = Millis(1_700)
+MASS_LAPSE_GRACE = Millis(1_700)
 """The same where most targets depart at once without an outage that was noticed.
 Should they be gone all the same, work must stop going there two seconds after
 the store took note, less what the record needed to get here."""
@@ -102,16 +102,16 @@
         case RateNamed():
             return limits.handle_rate(state, event, now)
         case ConfigurationRead():
-            return _take_configuration(state, event)
+            return _apply_configuration(state, event)
         case TargetRegistered(info=info):
             return [
-                *_note_registration(state, info, now),
+                *_apply_registration(state, info, now),
                 *copies.migrate_streams(state, now),
             ]
         case TargetDeparted():
-            return _take_departure(state, event, now)
+            return _handle_departure(state, event, now)
         case TargetsListed():
-            return _take_list(state, event, now)
+            return _apply_target_list(state, event, now)
         case PositionRead(position=position):
             state.position = max(state.position, position)
             return []
@@ -152,7 +152,7 @@
             return []
 
 
-def _take_configuration(state: State, event: ConfigurationRead) -> list[Effect]:
+def _apply_configuration(state: State, event: ConfigurationRead) -> list[Effect]:
     table = event.table
     if state.table is not None and table.version <= state.table.version:
         # A read may bring what a peer had brought before; going back would let
@@ -161,20 +161,20 @@
     state.table = table
     for request in state.requests.values():
         eligibility.update_allowed_regions(table, request)
-    routes = sum(len(found) for found in table.routes.values())
+    routes = sum(len(crash_effects) for crash_effects in table.routes.values())
     return [
         Note("configuration in force", {"version": table.version, "routes": routes})
     ]
 
 
-def _note_registration(state: State, info: Registration, now: Millis) -> list[Effect]:
+def _apply_registration(state: State, info: Registration, now: Millis) -> list[Effect]:
     before = state.targets.find(info.target)
     standing = None if before is None else before.standing
     if departures.has_announced_leaving(state, info):
         return []
-    found: list[Effect] = []
+    crash_effects: list[Effect] = []
     if before is None or is_new_incarnation(before.info, info):
-        found = crashes.record_successor(state, info, now)
+        crash_effects = crashes.record_successor(state, info, now)
     target = state.targets.record_registration(info, now)
     target.evacuated = info.failure_domain in state.evacuations.domains
     if target is not before:
@@ -191,10 +191,10 @@
             "standing": target.standing.value,
         },
     )
-    return [note, *found]
+    return [note, *crash_effects]
 
 
-def _take_departure(state: State, event: TargetDeparted, now: Millis) -> list[Effect]:
+def _handle_departure(state: State, event: TargetDeparted, now: Millis) -> list[Effect]:
     target = state.targets.find(event.target)
     if target is None or target.standing is not Standing.READY:
         # Each list of a peer's lacks it anew; counted again, it would make the
@@ -202,33 +202,33 @@
         # to an engine that leaves.
         return []
     if target.appears_unreachable:
-        return _note_departure(state, event.target, now)
-    returning = state.store_unreachable or now < state.store_regained_at + LAPSE
+        return _apply_departure(state, event.target, now)
+    returning = state.store_unreachable or now < state.store_regained_at + LAPSE_GRACE
     if returning and not sources.was_store_available(state):
         state.targets.defer_departure(
-            event.target, Millis(state.store_regained_at + LAPSE)
+            event.target, Millis(state.store_regained_at + LAPSE_GRACE)
         )
         return []
     if state.targets.is_mass_departure(event.target, now):
-        state.targets.defer_departure(event.target, Millis(now + MASS_LAPSE))
+        state.targets.defer_departure(event.target, Millis(now + MASS_LAPSE_GRACE))
         return []
-    return _note_departure(state, event.target, now)
+    return _apply_departure(state, event.target, now)
 
 
-def _note_departure(state: State, name: str, now: Millis) -> list[Effect]:
+def _apply_departure(state: State, name: str, now: Millis) -> list[Effect]:
     target = state.targets.find(name)
     if target is None:
         return []
-    found = crashes.record_departure(state, target, now)
+    crash_effects = crashes.record_departure(state, target, now)
     state.targets.record_departure(name, now)
     note = Note(
         "target departed",
         {"target": name, "service": target.info.service, "calls": target.calls},
     )
-    return [note, *found, *copies.migrate_streams(state, now)]
+    return [note, *crash_effects, *copies.migrate_streams(state, now)]
 
 
-def _take_list(state: State, event: TargetsListed, now: Millis) -> list[Effect]:
+def _apply_target_list(state: State, event: TargetsListed, now: Millis) -> list[Effect]:
     if state.position >= 0 and event.position < state.position:
         # A peer's copy that the store has overtaken meanwhile.
         return []
@@ -241,17 +241,17 @@
         )
     ]
     for info in event.registrations:
-        effects += _note_registration(state, info, now)
+        effects += _apply_registration(state, info, now)
     for name in list(state.targets.targets):
         if name not in listed:
-            effects += _take_departure(state, TargetDeparted(name), now)
+            effects += _handle_departure(state, TargetDeparted(name), now)
     return effects + copies.migrate_streams(state, now)
 
 
 def _tick(state: State, now: Millis) -> list[Effect]:
     effects: list[Effect] = []
     for name in state.targets.pop_due_departures(now):
-        effects += _note_departure(state, name, now)
+        effects += _apply_departure(state, name, now)
     effects += requests.expire_requests(state, now)
     effects += copies.migrate_streams(state, now)
     effects += streams.check_streams(state, now)
@@ -263,7 +263,7 @@
     peers.expire_peers(state, now)
     sources.update_store_state(state, now)
     effects += sources.catch_up(state, now)
-    state.targets.remove_departed(now, DEPARTED_KEPT)
+    state.targets.remove_departed(now, DEPARTED_RETENTION)
     departures.forget_old(state, now)
     state.crashes.forget_old(now)
     state.refused.forget_old(now)
--- a/tests/gateway/test_reducer.py
+++ b/tests/gateway/test_reducer.py
@@ -11,7 +11,7 @@
     TargetsListed,
     Ticked,
 )
-from figstep.gateway.reducer import LAPSE, MASS_LAPSE
+from figstep.gateway.reducer import LAPSE_GRACE, MASS_LAPSE_GRACE
 from figstep.gateway.targets import Registration
 from tests.gateway.worlds import ENGINES, World, build_table
 
@@ -64,7 +64,7 @@
     assert ready(world) == ["e-1", "e-2"]
     info = Registration("e-1", ENGINES, "e-1:80", "muc-a", 64, born=1)
     world.handle(TargetRegistered(info))
-    world.clock.advance(LAPSE)
+    world.clock.advance(LAPSE_GRACE)
     world.handle(Ticked())
     assert ready(world) == ["e-1"]
 
@@ -74,7 +74,7 @@
     world.register("e-1")
     world.handle(StoreLost())
     world.handle(StoreRegained())
-    world.clock.advance(Millis(LAPSE + 1))
+    world.clock.advance(Millis(LAPSE_GRACE + 1))
     world.depart("e-1")
     assert ready(world) == []
 
@@ -123,7 +123,7 @@
     for name in names:
         world.depart(name)
     assert len(ready(world)) >= 3
-    world.clock.advance(MASS_LAPSE)
+    world.clock.advance(MASS_LAPSE_GRACE)
     world.handle(Ticked())
     assert ready(world) == []
 
