--- a/figstep/gateway/events.py
+++ b/figstep/gateway/events.py
@@ -24,7 +24,7 @@
         host: Host that it names.
         path: Path, without its query.
         key: Key of its customer, or None.
-        patience: How long the caller waits, or None if it didn't say.
+        max_wait: How long the caller waits, or None if it didn't say.
         prompt: What its generation needs; None for other calls.
         after: Id of the last event that a returning caller saw, or None.
         digest: Hash of path, body and caller; the same when it is sent again.
@@ -37,7 +37,7 @@
     host: str
     path: str
     key: str | None = None
-    patience: Millis | None = None
+    max_wait: Millis | None = None
     prompt: Prompt | None = None
     after: int | None = None
     digest: str = ""
--- a/figstep/gateway/requests.py
+++ b/figstep/gateway/requests.py
@@ -91,8 +91,8 @@
 ) -> Request:
     spec = event.request
     time_limit = route.timeout
-    if spec.patience is not None:
-        time_limit = Millis(min(time_limit, spec.patience))
+    if spec.max_wait is not None:
+        time_limit = Millis(min(time_limit, spec.max_wait))
     priority = route.priority
     if customer is not None and customer.priority is not None:
         priority = customer.priority
--- a/figstep/platform/callers.py
+++ b/figstep/platform/callers.py
@@ -322,7 +322,7 @@
         host=headers.get("Host", ""),
         path=request.raw_path.partition("?")[0],
         key=key,
-        patience=_read_millis(headers.get(names.DEADLINE)),
+        max_wait=_read_millis(headers.get(names.DEADLINE)),
         prompt=read_prompt(headers),
         after=_read_number(headers.get(names.LAST_EVENT)),
         digest=digest.hexdigest()[:24],
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -134,7 +134,7 @@
     engine = world.state.targets.find("e-1")
     assert engine is not None
     engine.peer_calls, engine.peer_memory = 8, 34_000
-    world.arrive("/plan/a", Prompt("m", 3_000, 2_000, 300), patience=Millis(2_000))
+    world.arrive("/plan/a", Prompt("m", 3_000, 2_000, 300), max_wait=Millis(2_000))
     assert world.find_all(Refuse) == []
     world.clock.advance(round(2_000 * admission.WAIT_DEADLINE_FRACTION))
     world.handle(Ticked())
@@ -163,5 +163,5 @@
     engine = world.state.targets.find("e-1")
     assert engine is not None
     engine.own_read_rate = 1.0
-    world.arrive("/plan/a", Prompt("m", 3_000, 2_000, 300), patience=Millis(2_000))
+    world.arrive("/plan/a", Prompt("m", 3_000, 2_000, 300), max_wait=Millis(2_000))
     assert world.find_all(OpenAttempt) == []
--- a/tests/gateway/test_requests.py
+++ b/tests/gateway/test_requests.py
@@ -74,9 +74,9 @@
 def test_the_shorter_of_patience_and_route_bounds_a_request() -> None:
     world = World()
     world.register("b-1", service=BOOKINGS)
-    world.arrive("/order/a", patience=Millis(300))
+    world.arrive("/order/a", max_wait=Millis(300))
     assert world.find(OpenAttempt).deadline == world.clock.now() + 300
-    world.arrive("/order/a", patience=Millis(60_000))
+    world.arrive("/order/a", max_wait=Millis(60_000))
     assert world.find(OpenAttempt).deadline == world.clock.now() + 800
 
 
