--- a/figstep/gateway/targets.py
+++ b/figstep/gateway/targets.py
@@ -77,11 +77,11 @@
 """Departures at once, of more than half of a service's targets, that are taken
 for lapses. Reclaims and releases take one or two at a time."""
 
-FIRST_AVOIDANCE = Millis(500)
+INITIAL_TARGET_BACKOFF = Millis(500)
 """How long a target is avoided after two losses in a row; doubled with each
 more, as a target that is down needs seconds and one that hiccups does not."""
 
-LONGEST_AVOIDANCE = Millis(4_000)
+MAX_TARGET_BACKOFF = Millis(4_000)
 """Most that a target is avoided before it is tried again."""
 
 
@@ -302,8 +302,8 @@
             self.unreached_at = now
             self.presumed_down_at = now
         if self.consecutive_losses >= 2:
-            pause = FIRST_AVOIDANCE << min(self.consecutive_losses - 2, 8)
-            self.backoff_until = Millis(now + min(pause, LONGEST_AVOIDANCE))
+            pause = INITIAL_TARGET_BACKOFF << min(self.consecutive_losses - 2, 8)
+            self.backoff_until = Millis(now + min(pause, MAX_TARGET_BACKOFF))
 
     def is_unreached(self, now: Millis) -> bool:
         """Tell whether this entry could not connect to it of late."""
@@ -327,7 +327,9 @@
         ):
             # What was only told is not told on, or it would never end.
             self.presumed_down_at = now
-            self.backoff_until = Millis(max(self.backoff_until, now + FIRST_AVOIDANCE))
+            self.backoff_until = Millis(
+                max(self.backoff_until, now + INITIAL_TARGET_BACKOFF)
+            )
 
     @property
     def claimed_memory(self) -> int:
