--- a/figstep/gateway/crashes.py
+++ b/figstep/gateway/crashes.py
@@ -26,10 +26,10 @@
 PROBE_INTERVAL = Millis(200)
 """Time between two probes of a target."""
 
-SETTLING_RETURN = Millis(400)
+SETTLING_RETRY_AFTER = Millis(400)
 """Pause of a request that is refused while others may still tell who else was there."""
 
-REFUSED_RETURN = Millis(60_000)
+REFUSED_RETRY_AFTER = Millis(60_000)
 """A request that crashes targets is refused for minutes."""
 
 _CRASH_LOSSES = frozenset({Loss.BROKEN, Loss.GARBLED})
@@ -145,8 +145,8 @@
 def choose_return(state: State, digest: str, now: Millis) -> Millis:
     """Return when a request that was refused for its crashes may come again."""
     if state.crashes.is_settled(digest, now):
-        return REFUSED_RETURN
-    return SETTLING_RETURN
+        return REFUSED_RETRY_AFTER
+    return SETTLING_RETRY_AFTER
 
 
 def _suspect_lost(state: State, target: Target, now: Millis) -> list[Effect]:
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -11,8 +11,8 @@
 from figstep.gateway.crashes import (
     LOST_RETENTION,
     MIN_RESTART_TIME,
-    REFUSED_RETURN,
-    SETTLING_RETURN,
+    REFUSED_RETRY_AFTER,
+    SETTLING_RETRY_AFTER,
 )
 from figstep.gateway.effects import Note, OpenAttempt, ProbeTarget, Refuse
 from figstep.gateway.events import (
@@ -440,10 +440,10 @@
     tell_all(replay.fleet)
     world = replay.fleet[1]
     replay.send(world)
-    assert world.find(Refuse).problem.retry_after == SETTLING_RETURN
+    assert world.find(Refuse).problem.retry_after == SETTLING_RETRY_AFTER
     replay.wait(RETURN)
     replay.send(world)
-    assert world.find(Refuse).problem.retry_after == REFUSED_RETURN
+    assert world.find(Refuse).problem.retry_after == REFUSED_RETRY_AFTER
 
 
 def test_an_answer_clears_a_read_everywhere() -> None:
