--- a/figstep/gateway/shares.py
+++ b/figstep/gateway/shares.py
@@ -10,7 +10,7 @@
 from figstep.core.clock import Millis
 from figstep.gateway.state import State
 
-SETTLED_AFTER = Millis(1_500)
+RESTART_SHARE_DELAY = Millis(1_500)
 """How long a process that starts again has no share: it has to hear the others
 first, and what its earlier process sent still counts."""
 
@@ -29,7 +29,7 @@
         now: Monotonic time.
     """
     budget = state.budget
-    if not budget.first_start and now < budget.started + SETTLED_AFTER:
+    if not budget.first_start and now < budget.started + RESTART_SHARE_DELAY:
         return 0
     others = {*state.peers, *state.silent_peers}
     participants = 1 + len(others)
