--- a/figstep/gateway/admission.py
+++ b/figstep/gateway/admission.py
@@ -87,7 +87,7 @@
     return sum(1 for at in state.start_times.get(service, ()) if now - at < within)
 
 
-def choose_return(state: State, request: Request, now: Millis) -> Millis:
+def choose_retry_after(state: State, request: Request, now: Millis) -> Millis:
     """Return when a refused caller should come back.
 
     Returns are told one after another, behind what waits already and no more of
--- a/figstep/gateway/crashes.py
+++ b/figstep/gateway/crashes.py
@@ -142,7 +142,7 @@
     return [Announce(), Note("request cleared", fields)]
 
 
-def choose_return(state: State, digest: str, now: Millis) -> Millis:
+def choose_retry_after(state: State, digest: str, now: Millis) -> Millis:
     """Return when a request that was refused for its crashes may come again."""
     if state.crashes.is_settled(digest, now):
         return REFUSED_RETRY_AFTER
--- a/figstep/gateway/requests.py
+++ b/figstep/gateway/requests.py
@@ -69,7 +69,7 @@
             spec.id,
             503,
             "crashes_targets",
-            crashes.choose_return(state, spec.digest, now),
+            crashes.choose_retry_after(state, spec.digest, now),
             digest=spec.digest,
         )
     if state.closes_at is not None and _must_finish_here(route):
@@ -258,8 +258,8 @@
 
 def _choose_return(state: State, request: Request, reason: str, now: Millis) -> Millis:
     if reason == "crashes_targets":
-        return crashes.choose_return(state, request.spec.digest, now)
-    return admission.choose_return(state, request, now)
+        return crashes.choose_retry_after(state, request.spec.digest, now)
+    return admission.choose_retry_after(state, request, now)
 
 
 def _describe_refusal(state: State, request: Request, reason: str, now: Millis) -> Note:
