--- a/figstep/core/crashes.py
+++ b/figstep/core/crashes.py
@@ -230,7 +230,7 @@
             Clearance(digest, Millis(now - at)) for _, digest, at in recent[:MOST_TOLD]
         )
 
-    def forget_old(self, now: Millis) -> None:
+    def remove_expired(self, now: Millis) -> None:
         """Drop what no longer counts."""
         for life, crash in list(self._crashes.items()):
             if now - crash.at >= REMEMBERED_FOR:
--- a/figstep/core/suspects.py
+++ b/figstep/core/suspects.py
@@ -123,7 +123,7 @@
 ) -> list[Effect]:
     """Count a target's death for the requests that were there, and judge them."""
     crashes = state.quarantine.crashes
-    crashes.forget_old(now)
+    crashes.remove_expired(now)
     if not target.dead:
         target.dead = True
         target.died_at = now
--- a/figstep/gateway/departures.py
+++ b/figstep/gateway/departures.py
@@ -60,7 +60,7 @@
     return info.incarnation in state.departures
 
 
-def forget_old(state: State, now: Millis) -> None:
+def remove_expired(state: State, now: Millis) -> None:
     """Drop words of which no record can be read any more."""
     for incarnation, departure in list(state.departures.items()):
         if now - departure.at >= LEAVING_RETENTION:
--- a/figstep/gateway/reducer.py
+++ b/figstep/gateway/reducer.py
@@ -264,7 +264,7 @@
     sources.update_store_state(state, now)
     effects += sources.catch_up(state, now)
     state.targets.remove_departed(now, DEPARTED_RETENTION)
-    departures.forget_old(state, now)
-    state.crashes.forget_old(now)
-    state.refused.forget_old(now)
+    departures.remove_expired(state, now)
+    state.crashes.remove_expired(now)
+    state.refused.remove_expired(now)
     return effects
--- a/figstep/gateway/refusals.py
+++ b/figstep/gateway/refusals.py
@@ -65,7 +65,7 @@
                 announced.append(Refusal(digest, Millis(now - known.first_arrived)))
         return tuple(announced[-MAX_ANNOUNCED_REFUSALS:])
 
-    def forget_old(self, now: Millis) -> None:
+    def remove_expired(self, now: Millis) -> None:
         """Drop refusals whose callers won't come any more."""
         for digest, known in list(self._known.items()):
             if now - known.refused_at >= REFUSAL_RETENTION:
--- a/figstep/net/links.py
+++ b/figstep/net/links.py
@@ -169,7 +169,7 @@
             now = loop_time()
             for seed in self._seeds:
                 self._neighbors.add(seed, now)
-            self._neighbors.forget_old(now)
+            self._neighbors.remove_expired(now)
             self._entry.count_entries(1 + len(self._neighbors))
             own = self._entry.describe_own()
             if self._is_due(own, now):
--- a/figstep/net/neighbors.py
+++ b/figstep/net/neighbors.py
@@ -80,7 +80,7 @@
             if not known.failure_domain:
                 known.failure_domain = member.failure_domain
 
-    def forget_old(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Drop addresses that have been silent for long."""
         for address, neighbor in list(self._known.items()):
             newest = max(neighbor.heard, neighbor.known_since)
--- a/tests/core/test_crashes.py
+++ b/tests/core/test_crashes.py
@@ -128,7 +128,7 @@
     note(table, "b-2@1", "killer")
     later = Millis(NOW + REMEMBERED_FOR)
     assert not table.is_refused("killer", later)
-    table.forget_old(later)
+    table.remove_expired(later)
     assert not table.is_suspected("killer")
     assert table.list_suspicions(later) == ()
 
--- a/tests/gateway/test_refusals.py
+++ b/tests/gateway/test_refusals.py
@@ -41,5 +41,5 @@
     table = RefusalTable()
     table.record_own("digest", NOW, NOW)
     assert table.list_announced(Millis(NOW + REFUSAL_ANNOUNCE_DURATION)) == ()
-    table.forget_old(Millis(NOW + REFUSAL_RETENTION))
+    table.remove_expired(Millis(NOW + REFUSAL_RETENTION))
     assert table.pop_first_arrival("digest") is None
--- a/tests/net/test_neighbors.py
+++ b/tests/net/test_neighbors.py
@@ -56,7 +56,7 @@
 
 def test_an_address_that_stays_silent_is_forgotten() -> None:
     table = build_table()
-    table.forget_old(FORGET_SECONDS)
+    table.remove_expired(FORGET_SECONDS)
     assert len(table) == 0
 
 
