--- a/figstep/gateway/peers.py
+++ b/figstep/gateway/peers.py
@@ -242,7 +242,7 @@
     return [*counted, note]
 
 
-def describe_own(state: State, now: Millis) -> PeerHeard:
+def describe_entry(state: State, now: Millis) -> PeerHeard:
     """Return what this entry tells the others."""
     return PeerHeard(
         state.node,
@@ -288,7 +288,7 @@
 def _describe_domain(
     state: State, loads: tuple[PeerLoad, ...], now: Millis
 ) -> PeerHeard:
-    own = describe_own(state, now)
+    own = describe_entry(state, now)
     leaving = {*own.leaving}
     for peer in state.peers.values():
         leaving.update(peer.leaving)
@@ -349,7 +349,7 @@
     return counted != (other.calls, other.reading, other.incoming, other.outgoing)
 
 
-def speaks_for_domain(state: State, now: Millis) -> bool:
+def is_domain_representative(state: State, now: Millis) -> bool:
     """Tell whether this entry tells other failure domains of its own."""
     return not any(name < state.node for name in sources.list_live_peers(state, now))
 
--- a/figstep/net/links.py
+++ b/figstep/net/links.py
@@ -69,7 +69,7 @@
     """What a link asks of the entry that it belongs to."""
 
     @abstractmethod
-    def describe_own(self) -> PeerHeard:
+    def describe_entry(self) -> PeerHeard:
         """Return what the entries that hear all of each other are told."""
 
     @abstractmethod
@@ -81,7 +81,7 @@
         """Return what other failure domains are told of one target."""
 
     @abstractmethod
-    def speaks_for_domain(self) -> bool:
+    def is_domain_representative(self) -> bool:
         """Tell whether this entry tells other failure domains of its own."""
 
     @abstractmethod
@@ -171,7 +171,7 @@
                 self._neighbors.add(seed, now)
             self._neighbors.remove_expired(now)
             self._entry.count_entries(1 + len(self._neighbors))
-            own = self._entry.describe_own()
+            own = self._entry.describe_entry()
             if self._is_due(own, now):
                 self._tell_near(now)
             await self.sleep(LARGE_POLL_SECONDS if self.is_large else POLL_SECONDS)
@@ -188,7 +188,7 @@
     async def _run_far(self) -> None:
         while not self.should_stop:
             await self.sleep(FAR_SECONDS)
-            if self.is_large and self._entry.speaks_for_domain():
+            if self.is_large and self._entry.is_domain_representative():
                 self._tell_far(loop_time())
 
     def announce(self) -> None:
@@ -214,7 +214,7 @@
         self._send(hello, self._neighbors.pick_far(loop_time()))
 
     def _tell_near(self, now: float) -> None:
-        own = self._entry.describe_own()
+        own = self._entry.describe_entry()
         strangers = now - self._told.at >= HELLO_SECONDS
         self._told = _Told(now, own)
         near = self._neighbors.list_all()
@@ -307,7 +307,7 @@
 
     def _greet(self, address: str, failure_domain: str, now: float) -> None:
         """Answer an entry that has just started: it knows nobody's loads yet."""
-        content = self._entry.describe_own()
+        content = self._entry.describe_entry()
         if self.is_large and failure_domain != self._failure_domain:
             content = self._entry.describe_domain()
         members = self._neighbors.pick_members(now)
--- a/figstep/platform/entry.py
+++ b/figstep/platform/entry.py
@@ -36,8 +36,8 @@
 from figstep.gateway.peers import (
     describe_domain,
     describe_domain_at,
-    describe_own,
-    speaks_for_domain,
+    describe_entry,
+    is_domain_representative,
 )
 from figstep.gateway.places import Evacuations
 from figstep.gateway.sources import reads_store
@@ -298,9 +298,9 @@
         """Tell whether this entry reads the store's records as they come."""
         return reads_store(self.gateway.known, self._clock.now())
 
-    def describe_own(self) -> PeerHeard:
+    def describe_entry(self) -> PeerHeard:
         """Return what the entries that hear all of each other are told."""
-        return describe_own(self.gateway.known, self._clock.now())
+        return describe_entry(self.gateway.known, self._clock.now())
 
     def describe_domain(self) -> PeerHeard:
         """Return what other failure domains are told."""
@@ -310,9 +310,9 @@
         """Return what other failure domains are told of one target."""
         return describe_domain_at(self.gateway.known, target, self._clock.now())
 
-    def speaks_for_domain(self) -> bool:
+    def is_domain_representative(self) -> bool:
         """Tell whether this entry tells other failure domains of its own."""
-        return speaks_for_domain(self.gateway.known, self._clock.now())
+        return is_domain_representative(self.gateway.known, self._clock.now())
 
     def count_entries(self, entries: int) -> None:
         """Take in how many entries are known."""
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -406,7 +406,7 @@
     fresh.handle(EntriesCounted(74))
     for info in replay.lives.values():
         fresh.handle(TargetRegistered(info))
-    fresh.handle(peers.describe_own(replay.fleet[0].state, replay.clock.now()))
+    fresh.handle(peers.describe_entry(replay.fleet[0].state, replay.clock.now()))
     assert refuses(fresh)
 
 
@@ -550,6 +550,6 @@
     replay.wait(RETURN)
     news = LoadUpdates()
     now = replay.clock.now()
-    own = peers.describe_own(replay.fleet[0].state, now)
+    own = peers.describe_entry(replay.fleet[0].state, now)
     assert news.select(own, now).suspicions == own.suspicions != ()
     assert news.select(own, Millis(now + 1)).suspicions == ()
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -104,7 +104,7 @@
     """Guards against a new process that is shunned for the word of the one before."""
     world = build_world("b-1", "b-2")
     world.handle(say("b-1"))
-    told = peers.describe_own(world.state, world.clock.now())
+    told = peers.describe_entry(world.state, world.clock.now())
     info = Registration("b-1", BOOKINGS, "b-1:80", "muc-a", 6, born=2)
     other = build_world("b-2")
     for one in (world, other):
@@ -135,7 +135,7 @@
     fleet[0].handle(say("b-1"))
     assert fleet[0].find_all(Announce)
     now = fleet[0].clock.now()
-    near = peers.describe_own(fleet[0].state, now)
+    near = peers.describe_entry(fleet[0].state, now)
     far = peers.describe_domain(fleet[0].state, now)
     for world in fleet[1:]:
         same = world.state.failure_domain == fleet[0].state.failure_domain
@@ -148,7 +148,7 @@
     teller = build_world("b-1")
     teller.handle(say("b-1"))
     world = build_world("b-2")
-    world.handle(peers.describe_own(teller.state, teller.clock.now()))
+    world.handle(peers.describe_entry(teller.state, teller.clock.now()))
     world.register("b-1", service=BOOKINGS, slots=6)
     assert list_called(world) == {"b-2"}
 
@@ -157,9 +157,9 @@
     """Guards against messages and a state that grow with every departure."""
     world = build_world("b-1", "b-2")
     world.handle(say("b-1"))
-    assert peers.describe_own(world.state, world.clock.now()).leaving
+    assert peers.describe_entry(world.state, world.clock.now()).leaving
     world.clock.advance(LEAVING_ANNOUNCE_DURATION)
-    assert not peers.describe_own(world.state, world.clock.now()).leaving
+    assert not peers.describe_entry(world.state, world.clock.now()).leaving
     assert world.state.departures
     world.clock.advance(LEAVING_RETENTION)
     world.handle(Ticked())
--- a/tests/gateway/test_evacuations.py
+++ b/tests/gateway/test_evacuations.py
@@ -268,9 +268,9 @@
             self._tell(world, now)
 
     def _tell(self, world: World, now: Millis) -> None:
-        own = peers.describe_own(world.state, now)
+        own = peers.describe_entry(world.state, now)
         domain = peers.describe_domain(world.state, now)
-        speaks = peers.speaks_for_domain(world.state, now)
+        speaks = peers.is_domain_representative(world.state, now)
         for other in self.entries:
             if other is world or self.rng.random() < 0.1:
                 continue
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -127,11 +127,11 @@
                 self._tell_near(world)
         if at % round(FAR_SECONDS * 1_000) == 0:
             for world in self.worlds:
-                if peers.speaks_for_domain(world.state, self.clock.now()):
+                if peers.is_domain_representative(world.state, self.clock.now()):
                     self._tell_far(world, at % round(FAR_WHOLE_SECONDS * 1_000) == 0)
 
     def _tell_near(self, world: World) -> None:
-        message = peers.describe_own(world.state, self.clock.now())
+        message = peers.describe_entry(world.state, self.clock.now())
         for other in self.worlds:
             near = other.state.failure_domain == world.state.failure_domain
             if near and other is not world:
--- a/tests/gateway/test_fleet_properties.py
+++ b/tests/gateway/test_fleet_properties.py
@@ -435,7 +435,7 @@
         """Let each entry send the others what it knows."""
         now = self.clock.now()
         for sender, world in enumerate(self.fleet):
-            message = peers.describe_own(world.state, now)
+            message = peers.describe_entry(world.state, now)
             for receiver in range(ENTRIES):
                 if receiver != sender:
                     self.network.append((receiver, message))
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -237,7 +237,7 @@
     for _ in range(60):
         world.arrive("/order/a")
     name_rate(world, 0.5)
-    told = peers.describe_own(world.state, world.clock.now())
+    told = peers.describe_entry(world.state, world.clock.now())
     info = Registration("b-1", BOOKINGS, "b-1:80", "muc-a", 6, born=2)
     world.handle(TargetRegistered(info))
     other = build_world("b-1")
@@ -312,10 +312,10 @@
     world = build_world("b-1")
     name_rate(world, 1.5)
     news = LoadUpdates()
-    first = peers.describe_own(world.state, world.clock.now())
+    first = peers.describe_entry(world.state, world.clock.now())
     news.select(first, world.clock.now())
     world.clock.advance(200)
-    second = peers.describe_own(world.state, world.clock.now())
+    second = peers.describe_entry(world.state, world.clock.now())
     assert first != second
     assert not news.has_urgent_changes(second)
 
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -147,9 +147,9 @@
 
 def test_one_entry_of_a_failure_domain_speaks_for_it() -> None:
     world = build_large_world()
-    assert not peers.speaks_for_domain(world.state, world.clock.now())
+    assert not peers.is_domain_representative(world.state, world.clock.now())
     world.clock.advance(sources.READER_TIMEOUT)
-    assert peers.speaks_for_domain(world.state, world.clock.now())
+    assert peers.is_domain_representative(world.state, world.clock.now())
 
 
 def test_only_loads_that_changed_are_told_between_whole_messages() -> None:
@@ -226,12 +226,12 @@
     world.handle(AttemptLost(lost.attempt, Loss.UNREACHED))
     assert world.find_all(Announce)
     now = world.clock.now()
-    told = peers.describe_own(world.state, now)
+    told = peers.describe_entry(world.state, now)
     assert told.unreached == (lost.target,)
     data = encode_hello(Hello(told))
     assert decode_hello(data, "10.0.0.1:7000").content.unreached == told.unreached
     later = Millis(now + UNREACHED_DURATION)
-    assert peers.describe_own(world.state, later).unreached == ()
+    assert peers.describe_entry(world.state, later).unreached == ()
 
 
 def test_what_was_only_told_is_not_told_on() -> None:
@@ -240,4 +240,4 @@
     world.register("e-1", "e-2")
     hear_unreached(world, "entry-2", "e-1")
     hear_unreached(world, "entry-3", "e-1")
-    assert peers.describe_own(world.state, world.clock.now()).unreached == ()
+    assert peers.describe_entry(world.state, world.clock.now()).unreached == ()
--- a/tests/gateway/test_sources.py
+++ b/tests/gateway/test_sources.py
@@ -157,9 +157,9 @@
     fleet[0].clock.advance(millis)
     now = fleet[0].clock.now()
     for world in fleet:
-        own = peers.describe_own(world.state, now)
+        own = peers.describe_entry(world.state, now)
         domain = peers.describe_domain(world.state, now)
-        speaks = peers.speaks_for_domain(world.state, now)
+        speaks = peers.is_domain_representative(world.state, now)
         for other in fleet:
             if other is world:
                 continue
@@ -230,7 +230,7 @@
     asker.register("e-1", "e-2")
     asker.handle(EngineReported("e-1", leaving=True))
     assert asker.find_all(Announce)
-    told = peers.describe_own(asker.state, asker.clock.now())
+    told = peers.describe_entry(asker.state, asker.clock.now())
     other = build_large_world()
     other.register("e-1", "e-2")
     opened = other.open_plan()
--- a/tests/gateway/test_warmups.py
+++ b/tests/gateway/test_warmups.py
@@ -71,7 +71,7 @@
     if not hears:
         return fleet
     for world in fleet:
-        message = peers.describe_own(world.state, clock.now())
+        message = peers.describe_entry(world.state, clock.now())
         for other in fleet:
             domain = other.state.failure_domain
             if other is not world and domain == world.state.failure_domain:
--- a/tests/gateway/worlds.py
+++ b/tests/gateway/worlds.py
@@ -231,7 +231,7 @@
     speakers: dict[str, World] = {}
     for world in fleet:
         speakers.setdefault(world.state.failure_domain, world)
-        message = peers.describe_own(world.state, now)
+        message = peers.describe_entry(world.state, now)
         for other in fleet:
             near = other.state.failure_domain == world.state.failure_domain
             if other is not world and (near or not world.state.is_large):
--- a/tests/net/test_links.py
+++ b/tests/net/test_links.py
@@ -22,7 +22,7 @@
         self.heard: list[PeerHeard] = []
         self.entries = 0
 
-    def describe_own(self) -> PeerHeard:
+    def describe_entry(self) -> PeerHeard:
         return self.own
 
     def describe_domain(self) -> PeerHeard:
@@ -31,7 +31,7 @@
     def describe_domain_at(self, target: str) -> PeerHeard:
         return replace(self.own, far=True, partial=True)
 
-    def speaks_for_domain(self) -> bool:
+    def is_domain_representative(self) -> bool:
         return self.speaks
 
     def read_copy(self) -> RecordCopy:
