--- a/figstep/gateway/peers.py
+++ b/figstep/gateway/peers.py
@@ -251,7 +251,7 @@
         suspicions=state.crashes.list_suspicions(now),
         clearances=state.crashes.list_clearances(now),
         closing=state.closes_at is not None,
-        configuration=sources.read_version(state),
+        configuration=sources.get_configuration_version(state),
         position=state.position,
         failure_domain=state.failure_domain,
         entries=state.entries,
--- a/figstep/gateway/sources.py
+++ b/figstep/gateway/sources.py
@@ -138,7 +138,7 @@
         "records asked of a peer",
         {
             "peer": peer.address,
-            "configuration": read_version(state),
+            "configuration": get_configuration_version(state),
             "peer_configuration": peer.configuration,
             "position": state.position,
             "peer_position": peer.position,
@@ -148,12 +148,12 @@
 
 
 def _is_ahead(state: State, peer: Peer) -> bool:
-    if peer.configuration > read_version(state):
+    if peer.configuration > get_configuration_version(state):
         return True
     return peer.position > state.position
 
 
-def read_version(state: State) -> int:
+def get_configuration_version(state: State) -> int:
     """Return the version of the configuration in force; -1 for none."""
     return -1 if state.table is None else state.table.version
 
