--- a/figstep/gateway/peers.py
+++ b/figstep/gateway/peers.py
@@ -208,8 +208,8 @@
                 requests += use.requests
                 repeats += use.repeats
     sharing = 1 + len(state.peers) + len(state.silent_peers)
-    part = min(1.0, sharing / max(1, state.entries))
-    return FleetUse(requests, repeats, sharing, not state.silent_peers, part)
+    known_fraction = min(1.0, sharing / max(1, state.entries))
+    return FleetUse(requests, repeats, sharing, not state.silent_peers, known_fraction)
 
 
 def spend_repeat(state: State, service: str, now: Millis, urgent: bool = False) -> bool:
