--- a/figstep/core/requests.py
+++ b/figstep/core/requests.py
@@ -33,7 +33,7 @@
 from figstep.core.specs import GenerationWork
 from figstep.core.state import Phase, RequestState, State, TargetState
 
-QUEUE_PAUSE = Millis(100)
+QUEUE_RETRY_INTERVAL = Millis(100)
 
 
 def admit_request(state: State, event: RequestArrived, now: Millis) -> list[Effect]:
@@ -60,7 +60,7 @@
 
 def start_request(state: State, request: RequestState, now: Millis) -> list[Effect]:
     """Open an attempt on the best target, or queue the request."""
-    _forgive_targets(request, now)
+    _expire_failed_targets(request, now)
     quarantined = quarantine.judge_digest(state.quarantine, request.spec, now)
     if quarantined is not None:
         return end_request(state, request, quarantined)
@@ -82,7 +82,7 @@
     return attempts.open_attempt(state, request, target, now)
 
 
-def _forgive_targets(request: RequestState, now: Millis) -> None:
+def _expire_failed_targets(request: RequestState, now: Millis) -> None:
     for name, until in list(request.failed_targets.items()):
         if until <= now:
             del request.failed_targets[name]
@@ -95,7 +95,7 @@
         # The timer runs already; setting it again with each arrival would put
         # it off for as long as requests come faster than the pause.
         return []
-    return [WakeAt(QueueTimer(), Millis(now + QUEUE_PAUSE))]
+    return [WakeAt(QueueTimer(), Millis(now + QUEUE_RETRY_INTERVAL))]
 
 
 def start_queued(state: State, now: Millis) -> list[Effect]:
@@ -104,7 +104,7 @@
     for pool in state.queue.list_pools():
         effects += _start_pool(state, pool, now)
     if len(state.queue):
-        effects.append(WakeAt(QueueTimer(), Millis(now + QUEUE_PAUSE)))
+        effects.append(WakeAt(QueueTimer(), Millis(now + QUEUE_RETRY_INTERVAL)))
     return effects
 
 
@@ -116,7 +116,7 @@
         if request is None or request.phase is not Phase.QUEUED:
             state.queue.remove(spec.request)
             continue
-        _forgive_targets(request, now)
+        _expire_failed_targets(request, now)
         quarantined = quarantine.judge_digest(state.quarantine, spec, now)
         if quarantined is not None:
             effects += end_request(state, request, quarantined)
@@ -141,7 +141,7 @@
     return suspect or bool(request.failed_targets)
 
 
-def tell_ran(state: State, request: RequestState) -> Ran:
+def determine_ran(state: State, request: RequestState) -> Ran:
     """Return what may be said of whether the request ran.
 
     While an attempt is open its bytes may be on their way, so "no" would be a
@@ -164,7 +164,7 @@
         cancel: Whether its generation is cancelled at the target.
     """
     name = request.spec.request
-    ran = retries.combine_ran(problem.ran, tell_ran(state, request))
+    ran = retries.combine_ran(problem.ran, determine_ran(state, request))
     problem = replace(problem, ran=ran)
     effects: list[Effect] = [Refuse(name, problem)]
     effects += attempts.abandon_attempt(state, request, cancel)
@@ -270,7 +270,7 @@
     if ownership.outlives_caller(state, request):
         request.caller_gone = True
         return [Count("callers.gone")]
-    ran = tell_ran(state, request)
+    ran = determine_ran(state, request)
     del state.requests[event.request]
     state.queue.remove(event.request)
     effects: list[Effect] = [Count("callers.gone")]
@@ -286,7 +286,7 @@
         return []
     if now < request.deadline:
         return [WakeAt(timer, request.deadline)]
-    ran = tell_ran(state, request)
+    ran = determine_ran(state, request)
     problem = Problem(
         503 if ran is Ran.NO else 504,
         "no_target_in_time" if ran is Ran.NO else "no_answer_in_time",
@@ -312,7 +312,7 @@
             "this entry was ended before the answer was whole; a stream goes on"
             " from its last event through another entry, else send the request"
             " again",
-            ran=tell_ran(state, request),
+            ran=determine_ran(state, request),
             retry_after=Millis(1_000),
         )
         cancel = not request.spec.stream
