--- a/figstep/core/quarantine.py
+++ b/figstep/core/quarantine.py
@@ -24,7 +24,7 @@
     crashes: CrashTable = field(default_factory=CrashTable)
 
 
-def judge_digest(
+def check_digest(
     quarantine: Quarantine, spec: RequestSpec, now: Millis
 ) -> Problem | None:
     """Return the refusal of a quarantined request, or None."""
--- a/figstep/core/requests.py
+++ b/figstep/core/requests.py
@@ -43,7 +43,7 @@
         return [Refuse(spec.request, _leaving_problem())]
     if state.inventory is None:
         return [Refuse(spec.request, _unconfigured_problem())]
-    quarantined = quarantine.judge_digest(state.quarantine, spec, now)
+    quarantined = quarantine.check_digest(state.quarantine, spec, now)
     if quarantined is not None:
         return [Refuse(spec.request, quarantined), Count("requests.quarantined")]
     deadline = spec.deadline or Millis(now + state.inventory.rules.deadline)
@@ -61,7 +61,7 @@
 def start_request(state: State, request: RequestState, now: Millis) -> list[Effect]:
     """Open an attempt on the best target, or queue the request."""
     _expire_failed_targets(request, now)
-    quarantined = quarantine.judge_digest(state.quarantine, request.spec, now)
+    quarantined = quarantine.check_digest(state.quarantine, request.spec, now)
     if quarantined is not None:
         return end_request(state, request, quarantined)
     match admission.decide_admission(state, request, now):
@@ -117,7 +117,7 @@
             state.queue.remove(spec.request)
             continue
         _expire_failed_targets(request, now)
-        quarantined = quarantine.judge_digest(state.quarantine, spec, now)
+        quarantined = quarantine.check_digest(state.quarantine, spec, now)
         if quarantined is not None:
             effects += end_request(state, request, quarantined)
             continue
