--- a/figstep/core/reducer.py
+++ b/figstep/core/reducer.py
@@ -88,7 +88,7 @@
         case CallerGone():
             return requests.drop_caller(state, event, now)
         case CallerReturned():
-            return requests.return_caller(state, event, now)
+            return requests.reattach_caller(state, event, now)
         case TimerFired(timer=timer):
             return _fire_timer(state, timer, now)
         case LoadReported():
--- a/figstep/core/requests.py
+++ b/figstep/core/requests.py
@@ -226,7 +226,7 @@
     return [*effects, Count("requests.rejected")]
 
 
-def return_caller(state: State, event: CallerReturned, now: Millis) -> list[Effect]:
+def reattach_caller(state: State, event: CallerReturned, now: Millis) -> list[Effect]:
     """Reattach a caller to its generation, whichever entry started it."""
     spec = event.spec
     if state.shutting_down:
