--- a/figstep/core/admission.py
+++ b/figstep/core/admission.py
@@ -11,9 +11,9 @@
 from figstep.core.specs import GenerationWork, RequestSpec
 from figstep.core.state import RequestState, State, TargetState
 
-SHORTEST_RETURN = Millis(1_000)
-LONGEST_RETURN = Millis(120_000)
-RETURN_SPREAD = 0.5
+MIN_RETRY_AFTER = Millis(1_000)
+MAX_RETRY_AFTER = Millis(120_000)
+RETRY_AFTER_JITTER = 0.5
 PRIORITY_STEP = 2 * BINS
 
 
@@ -30,26 +30,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnAway:
+class Reject:
     """Waiting would not help: answer at once."""
 
     problem: Problem
 
 
-Verdict = Start | Wait | TurnAway
+AdmissionDecision = Start | Wait | Reject
 
 
-def decide_admission(state: State, request: RequestState, now: Millis) -> Verdict:
+def decide_admission(
+    state: State, request: RequestState, now: Millis
+) -> AdmissionDecision:
     """Decide what happens to a request that has just come in or come back."""
     if state.queue.waits(request.spec):
-        return decide_wait(state, request, now)
+        return queue_or_reject(state, request, now)
     target = routing.choose_target(state, request, now)
     if target is None:
-        return decide_wait(state, request, now)
+        return queue_or_reject(state, request, now)
     return Start(target)
 
 
-def decide_wait(state: State, request: RequestState, now: Millis) -> Verdict:
+def queue_or_reject(
+    state: State, request: RequestState, now: Millis
+) -> AdmissionDecision:
     """Queue a request, or turn it away if it could not start in time."""
     match state.policy:
         case Figstep(refuse_early=True):
@@ -62,7 +66,7 @@
     left = request.deadline - now
     if wait <= left:
         return Wait()
-    return TurnAway(_full_problem(state, request, Millis(wait - left)))
+    return Reject(_build_overload_problem(state, request, Millis(wait - left)))
 
 
 def choose_for_queued(
@@ -113,17 +117,19 @@
     return state.shares.get(spec.customer, 1.0)
 
 
-def spread_return(state: State, wait: Millis) -> Millis:
+def jitter_retry_after(state: State, wait: Millis) -> Millis:
     """Return when to come back, spread so that callers don't come all at once."""
-    base = min(LONGEST_RETURN, max(wait, SHORTEST_RETURN))
-    return Millis(round(base * (1.0 + RETURN_SPREAD * state.rng.random())))
+    base = min(MAX_RETRY_AFTER, max(wait, MIN_RETRY_AFTER))
+    return Millis(round(base * (1.0 + RETRY_AFTER_JITTER * state.rng.random())))
 
 
-def _full_problem(state: State, request: RequestState, wait: Millis) -> Problem:
+def _build_overload_problem(
+    state: State, request: RequestState, wait: Millis
+) -> Problem:
     return Problem(
         503,
         "no_target_in_time",
         "no target can start this before its deadline; come back after Retry-After",
         ran=request.ran,
-        retry_after=spread_return(state, wait),
+        retry_after=jitter_retry_after(state, wait),
     )
--- a/figstep/core/requests.py
+++ b/figstep/core/requests.py
@@ -67,7 +67,7 @@
     match admission.decide_admission(state, request, now):
         case admission.Start(target=target):
             return _dispatch_request(state, request, target, now)
-        case admission.TurnAway(problem=problem):
+        case admission.Reject(problem=problem):
             return end_request(state, request, problem)
         case admission.Wait():
             return _queue_request(state, request, now)
