--- a/figstep/core/attempts.py
+++ b/figstep/core/attempts.py
@@ -41,8 +41,8 @@
             once=request.non_idempotent,
         )
     ]
-    effects.append(_note_attempt("attempt opened", request, attempt))
-    return effects + _watch(request, target, attempt, now)
+    effects.append(_log_attempt("attempt opened", request, attempt))
+    return effects + _start_silence_timer(request, target, attempt, now)
 
 
 def resume_attempt(
@@ -59,12 +59,12 @@
             request.generation,
             request.delivered,
         ),
-        _note_attempt("attempt resumed", request, attempt),
+        _log_attempt("attempt resumed", request, attempt),
     ]
-    return effects + _watch(request, target, attempt, now)
+    return effects + _start_silence_timer(request, target, attempt, now)
 
 
-def _note_attempt(message: str, request: RequestState, attempt: AttemptState) -> Note:
+def _log_attempt(message: str, request: RequestState, attempt: AttemptState) -> Note:
     return Note(
         message,
         {
@@ -98,7 +98,7 @@
     return attempt
 
 
-def _watch(
+def _start_silence_timer(
     request: RequestState, target: TargetState, attempt: AttemptState, now: Millis
 ) -> list[Effect]:
     if isinstance(request.spec.work, ServiceWork):
@@ -107,7 +107,7 @@
     return [WakeAt(AttemptTimer(attempt.attempt), Millis(now + limit))]
 
 
-def forget_attempt(state: State, number: int | None) -> AttemptState | None:
+def remove_attempt(state: State, number: int | None) -> AttemptState | None:
     """Take an attempt out of the state; None if it is already gone."""
     if number is None:
         return None
@@ -132,7 +132,7 @@
     generating, so the cancel is sent wherever a generation was ever named.
     """
     effects: list[Effect] = []
-    attempt = forget_attempt(state, request.attempt)
+    attempt = remove_attempt(state, request.attempt)
     if attempt is not None:
         effects.append(CloseAttempt(attempt.attempt))
     if cancel and request.generation and not isinstance(request.spec.work, ServiceWork):
--- a/figstep/core/recovery.py
+++ b/figstep/core/recovery.py
@@ -184,7 +184,7 @@
 
 def recover_attempt(state: State, event: AttemptLost, now: Millis) -> list[Effect]:
     """Resume, restart or give up after a lost attempt."""
-    attempt = attempts.forget_attempt(state, event.attempt)
+    attempt = attempts.remove_attempt(state, event.attempt)
     if attempt is None:
         return [Count("attempts.late")]
     request = state.requests[attempt.request]
--- a/figstep/core/requests.py
+++ b/figstep/core/requests.py
@@ -205,7 +205,7 @@
 
 def _complete_request(state: State, number: int, now: Millis) -> RequestState | None:
     """Forget an attempt that ended whole, and its request; returns the request."""
-    attempt = attempts.forget_attempt(state, number)
+    attempt = attempts.remove_attempt(state, number)
     if attempt is None:
         return None
     request = state.requests.pop(attempt.request)
@@ -218,7 +218,7 @@
 
 def reject_attempt(state: State, event: AttemptRejected, now: Millis) -> list[Effect]:
     """The target found the request itself wrong: the caller must mend it."""
-    attempt = attempts.forget_attempt(state, event.attempt)
+    attempt = attempts.remove_attempt(state, event.attempt)
     if attempt is None:
         return [Count("attempts.late")]
     request = state.requests[attempt.request]
