--- a/figstep/core/recovery.py
+++ b/figstep/core/recovery.py
@@ -59,14 +59,16 @@
             Count("tokens.crossed", len(event.frames)),
             *recover_attempt(state, lost, now),
         ]
-    seen = request.delivered + 1 - event.first
-    if seen < 0:
+    already_delivered = request.delivered + 1 - event.first
+    if already_delivered < 0:
         lost = AttemptLost(event.attempt, Loss.BROKEN, detail="gap in the stream")
         return [Count("tokens.gap"), *recover_attempt(state, lost, now)]
     effects = _record_progress(state, attempt, now)
-    frames = event.frames[seen:] if seen else event.frames
-    if seen:
-        effects.append(Count("tokens.repeated", min(seen, len(event.frames))))
+    frames = event.frames[already_delivered:] if already_delivered else event.frames
+    if already_delivered:
+        effects.append(
+            Count("tokens.repeated", min(already_delivered, len(event.frames)))
+        )
     if not frames:
         return effects
     request.ran = Ran.YES
@@ -125,7 +127,9 @@
     return effects
 
 
-def note_answered(state: State, event: AttemptAnswered, now: Millis) -> list[Effect]:
+def handle_attempt_answered(
+    state: State, event: AttemptAnswered, now: Millis
+) -> list[Effect]:
     """The target accepted the attempt: it lives, though it may be slow."""
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
@@ -194,7 +198,7 @@
     effects: list[Effect] = [
         Count("attempts.lost"),
         CloseAttempt(event.attempt),
-        _note_loss(attempt, event, recovery),
+        _log_loss(attempt, event, recovery),
     ]
     if target is not None:
         targets.note_loss(target, now)
@@ -235,7 +239,7 @@
     )
 
 
-def _note_loss(
+def _log_loss(
     attempt: AttemptState, event: AttemptLost, recovery: retries.Recovery
 ) -> Note:
     return Note(
--- a/figstep/core/reducer.py
+++ b/figstep/core/reducer.py
@@ -72,7 +72,7 @@
         case TokensArrived():
             return recovery.forward_tokens(state, event, now)
         case AttemptAnswered():
-            return recovery.note_answered(state, event, now)
+            return recovery.handle_attempt_answered(state, event, now)
         case RequestArrived():
             return requests.admit_request(state, event, now)
         case AttemptEnded():
