--- a/figstep/core/ownership.py
+++ b/figstep/core/ownership.py
@@ -290,7 +290,7 @@
         "claims_unavailable",
         "the log cannot be read, so this request cannot be shown to be the only"
         " one; it was not run, send it again after Retry-After",
-        retry_after=retries.spread_pause(2_000, state.rng),
+        retry_after=retries.jitter_pause(2_000, state.rng),
     )
 
 
--- a/figstep/core/recovery.py
+++ b/figstep/core/recovery.py
@@ -193,7 +193,7 @@
         return [Count("attempts.late")]
     request = state.requests[attempt.request]
     target = state.targets.get(attempt.target)
-    request.ran = retries.combine_ran(request.ran, retries.judge_ran(event.loss))
+    request.ran = retries.combine_ran(request.ran, retries.classify_ran(event.loss))
     recovery = retries.decide_recovery(_describe_loss(request, attempt, target, event))
     effects: list[Effect] = [
         Count("attempts.lost"),
@@ -279,7 +279,7 @@
     now: Millis,
 ) -> list[Effect]:
     target = state.targets[attempt.target]
-    pause = retries.compute_pause(request.resumes, state.rng)
+    pause = retries.compute_backoff(request.resumes, state.rng)
     if event.loss is Loss.REFUSED and event.retry_after is not None:
         pause = max(pause, event.retry_after)
     request.resumes += 1
@@ -313,7 +313,7 @@
     avoidance = retries.compute_avoidance(event.loss, event.retry_after)
     request.failed_targets[attempt.target] = Millis(now + avoidance)
     effects: list[Effect] = []
-    if retries.judge_ran(event.loss) is not Ran.NO:
+    if retries.classify_ran(event.loss) is not Ran.NO:
         effects += _cancel_generation(request, attempt)
     effects.append(DiscardDelivered(attempt.request))
     if request.delivered:
@@ -327,7 +327,10 @@
     if request.caller_gone or suspects.exhausted(state, request):
         return effects + _give_up(state, request, now)
     # What did not run cost the target nothing and is free to try elsewhere.
-    if retries.judge_ran(event.loss) is not Ran.NO and not state.retry_budget.spend():
+    if (
+        retries.classify_ran(event.loss) is not Ran.NO
+        and not state.retry_budget.spend()
+    ):
         return [*effects, Count("retries.denied"), *_give_up(state, request, now)]
     return effects + requests.start_request(state, request, now)
 
@@ -354,7 +357,7 @@
             "no_target",
             "every target that was tried refused or could not be reached;"
             " come back after Retry-After",
-            retry_after=retries.spread_pause(2_000, state.rng),
+            retry_after=retries.jitter_pause(2_000, state.rng),
         )
     if not request.reached:
         return Problem(
@@ -362,7 +365,7 @@
             "generation_lost",
             "the targets that ran it were lost; send the request again",
             ran=request.ran,
-            retry_after=retries.spread_pause(1_000, state.rng),
+            retry_after=retries.jitter_pause(1_000, state.rng),
         )
     return Problem(
         502,
--- a/figstep/core/requests.py
+++ b/figstep/core/requests.py
@@ -292,7 +292,7 @@
         "no_target_in_time" if ran is Ran.NO else "no_answer_in_time",
         "no answer began before the deadline; come back after Retry-After",
         ran=ran,
-        retry_after=retries.spread_pause(2_000, state.rng),
+        retry_after=retries.jitter_pause(2_000, state.rng),
     )
     return [*end_request(state, request, problem), Count("requests.expired")]
 
--- a/figstep/core/retries.py
+++ b/figstep/core/retries.py
@@ -10,8 +10,8 @@
 
 MAX_ATTEMPTS = 8
 MAX_RESUMES = 4
-FIRST_PAUSE = Millis(50)
-LONGEST_PAUSE = Millis(2_000)
+INITIAL_BACKOFF = Millis(50)
+MAX_BACKOFF = Millis(2_000)
 
 
 class Recovery(Enum):
@@ -22,7 +22,7 @@
     GIVE_UP = "give_up"
 
 
-_RAN = {
+_RAN_BY_LOSS = {
     Loss.CONNECT_FAILED: Ran.NO,
     Loss.REFUSED: Ran.NO,
     Loss.NOT_FOUND: Ran.UNKNOWN,
@@ -35,29 +35,33 @@
     Loss.SHUTDOWN: Ran.UNKNOWN,
 }
 
-_ORDER = [Ran.NO, Ran.UNKNOWN, Ran.YES]
+_RAN_ORDER = [Ran.NO, Ran.UNKNOWN, Ran.YES]
 
-_BREAKS = frozenset({Loss.BROKEN, Loss.TRUNCATED, Loss.CROSSED, Loss.SILENT})
-_RESUME_BREAKS = _BREAKS | {Loss.CONNECT_FAILED, Loss.REFUSED, Loss.FAILED}
+_RESUMABLE_LOSSES = frozenset({Loss.BROKEN, Loss.TRUNCATED, Loss.CROSSED, Loss.SILENT})
+_RESUMABLE_AFTER_RESUME = _RESUMABLE_LOSSES | {
+    Loss.CONNECT_FAILED,
+    Loss.REFUSED,
+    Loss.FAILED,
+}
 
 # How long a request keeps away from a target that lost it. A refusal passes
 # with the queue there; a dead target takes longer to come back.
-_AVOID = {Loss.REFUSED: Millis(500), Loss.CONNECT_FAILED: Millis(2_000)}
-_AVOID_OTHERWISE = Millis(5_000)
+_AVOIDANCE_BY_LOSS = {Loss.REFUSED: Millis(500), Loss.CONNECT_FAILED: Millis(2_000)}
+_DEFAULT_AVOIDANCE = Millis(5_000)
 
 
-def judge_ran(loss: Loss) -> Ran:
+def classify_ran(loss: Loss) -> Ran:
     """Tell from one loss whether the request ran.
 
     "no" is said only where no byte was handed to a connection or the target
     itself refused before running; all else would be a guess.
     """
-    return _RAN[loss]
+    return _RAN_BY_LOSS[loss]
 
 
 def combine_ran(before: Ran, after: Ran) -> Ran:
     """Join what two attempts tell; once it may have run, it stays so."""
-    return max(before, after, key=_ORDER.index)
+    return max(before, after, key=_RAN_ORDER.index)
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,10 +105,12 @@
 def _can_resume(lost: LostAttempt) -> bool:
     if not lost.resumable or lost.resumes >= MAX_RESUMES:
         return False
-    return lost.loss in (_RESUME_BREAKS if lost.resuming else _BREAKS)
+    return lost.loss in (
+        _RESUMABLE_AFTER_RESUME if lost.resuming else _RESUMABLE_LOSSES
+    )
 
 
-def compute_pause(resumes: int, rng: random.Random) -> Millis:
+def compute_backoff(resumes: int, rng: random.Random) -> Millis:
     """Return the pause before the next resume, in milliseconds.
 
     The first goes at once; later ones double, with half of each at random so
@@ -112,16 +118,16 @@
     """
     if resumes == 0:
         return Millis(0)
-    pause = min(FIRST_PAUSE << (resumes - 1), LONGEST_PAUSE)
+    pause = min(INITIAL_BACKOFF << (resumes - 1), MAX_BACKOFF)
     return Millis(pause // 2 + rng.randrange(pause // 2 + 1))
 
 
 def compute_avoidance(loss: Loss, retry_after: Millis | None) -> Millis:
     """Return how long to keep a request away from a target, in milliseconds."""
-    return retry_after or _AVOID.get(loss, _AVOID_OTHERWISE)
+    return retry_after or _AVOIDANCE_BY_LOSS.get(loss, _DEFAULT_AVOIDANCE)
 
 
-def spread_pause(base: int, rng: random.Random) -> Millis:
+def jitter_pause(base: int, rng: random.Random) -> Millis:
     """Return ``base`` to twice ``base`` milliseconds, at random.
 
     Callers refused in one moment would otherwise come back in one moment.
--- a/tests/core/test_retries.py
+++ b/tests/core/test_retries.py
@@ -11,10 +11,10 @@
     MAX_RESUMES,
     LostAttempt,
     Recovery,
+    classify_ran,
     combine_ran,
-    compute_pause,
+    compute_backoff,
     decide_recovery,
-    judge_ran,
 )
 
 RESUME, RESTART, GIVE_UP = Recovery.RESUME, Recovery.RESTART, Recovery.GIVE_UP
@@ -23,12 +23,12 @@
 @pytest.mark.parametrize("loss", list(Loss))
 def test_not_run_is_said_of_two_losses_only(loss: Loss) -> None:
     proved = loss in (Loss.CONNECT_FAILED, Loss.REFUSED)
-    assert (judge_ran(loss) is Ran.NO) is proved
+    assert (classify_ran(loss) is Ran.NO) is proved
 
 
 def test_what_may_have_run_never_becomes_not_run() -> None:
-    assert combine_ran(Ran.UNKNOWN, judge_ran(Loss.CONNECT_FAILED)) is Ran.UNKNOWN
-    assert combine_ran(Ran.YES, judge_ran(Loss.BROKEN)) is Ran.YES
+    assert combine_ran(Ran.UNKNOWN, classify_ran(Loss.CONNECT_FAILED)) is Ran.UNKNOWN
+    assert combine_ran(Ran.YES, classify_ran(Loss.BROKEN)) is Ran.YES
 
 
 @pytest.mark.parametrize(
@@ -71,7 +71,7 @@
 
 def test_pauses_double_up_to_a_bound() -> None:
     rng = random.Random(1)
-    assert compute_pause(0, rng) == 0
-    pauses = [compute_pause(resumes, rng) for resumes in range(1, 20)]
+    assert compute_backoff(0, rng) == 0
+    pauses = [compute_backoff(resumes, rng) for resumes in range(1, 20)]
     assert all(25 <= pause <= 2_000 for pause in pauses)
     assert pauses[-1] >= 1_000
