--- a/figstep/core/recovery.py
+++ b/figstep/core/recovery.py
@@ -234,7 +234,7 @@
         resumes=request.resumes,
         resuming=attempt.resuming,
         resumable=resumable,
-        reached=request.reached,
+        reached_caller=request.reached_caller,
         non_idempotent=request.non_idempotent,
     )
 
@@ -347,7 +347,7 @@
 
 
 def _build_lost_problem(state: State, request: RequestState) -> Problem:
-    if request.returned == request.delivered:
+    if request.returned_index == request.delivered:
         return requests.build_gone_problem()
     if request.non_idempotent and request.ran is not Ran.NO:
         return ownership.build_unknown_problem(request.ran)
@@ -359,7 +359,7 @@
             " come back after Retry-After",
             retry_after=retries.jitter_pause(2_000, state.rng),
         )
-    if not request.reached:
+    if not request.reached_caller:
         return Problem(
             502,
             "generation_lost",
--- a/figstep/core/requests.py
+++ b/figstep/core/requests.py
@@ -247,7 +247,7 @@
         ran=Ran.YES,
         generation=event.generation,
         delivered=event.index,
-        returned=event.index,
+        returned_index=event.index,
     )
     state.requests[spec.request] = request
     return [
@@ -282,7 +282,7 @@
 def expire_request(state: State, timer: RequestTimer, now: Millis) -> list[Effect]:
     """Refuse at once what brought no first byte before its deadline."""
     request = state.requests.get(timer.request)
-    if request is None or request.delivered > (request.returned or 0):
+    if request is None or request.delivered > (request.returned_index or 0):
         return []
     if now < request.deadline:
         return [WakeAt(timer, request.deadline)]
--- a/figstep/core/retries.py
+++ b/figstep/core/retries.py
@@ -75,7 +75,7 @@
         resumes: Resumes in a row that brought nothing.
         resuming: Whether the lost attempt was itself a resume.
         resumable: Whether the target can resume the generation.
-        reached: Whether any of the answer reached the caller.
+        reached_caller: Whether any of the answer reached the caller.
         non_idempotent: Whether the request may run only once.
     """
 
@@ -85,7 +85,7 @@
     resumes: int = 0
     resuming: bool = False
     resumable: bool = False
-    reached: bool = False
+    reached_caller: bool = False
     non_idempotent: bool = False
 
 
@@ -97,7 +97,7 @@
         return Recovery.GIVE_UP
     if lost.attempts >= MAX_ATTEMPTS:
         return Recovery.GIVE_UP
-    if lost.reached:
+    if lost.reached_caller:
         return Recovery.GIVE_UP
     return Recovery.RESTART
 
--- a/figstep/core/state.py
+++ b/figstep/core/state.py
@@ -48,7 +48,7 @@
         last_frame: That event.
         attempts: Starts so far, without resumes.
         resumes: Resumes in a row that brought nothing.
-        returned: Index after which the caller came back, or None.
+        returned_index: Index after which the caller came back, or None.
         accepted: Whether a target took its current generation.
         non_idempotent: Whether it may run only once.
         claim: Record id of its own claim, or None.
@@ -69,7 +69,7 @@
     last_frame: bytes = b""
     attempts: int = 0
     resumes: int = 0
-    returned: int | None = None
+    returned_index: int | None = None
     accepted: bool = False
     non_idempotent: bool = False
     claim: str | None = None
@@ -78,9 +78,9 @@
     died_with: str = ""
 
     @property
-    def reached(self) -> bool:
+    def reached_caller(self) -> bool:
         """Whether any of the answer has reached the caller."""
-        if self.returned is not None:
+        if self.returned_index is not None:
             return True
         return self.spec.stream and self.delivered > 0
 
--- a/tests/core/test_retries.py
+++ b/tests/core/test_retries.py
@@ -35,11 +35,18 @@
     ("lost", "expected"),
     [
         (LostAttempt(Loss.BROKEN, Ran.UNKNOWN, resumable=True), RESUME),
-        (LostAttempt(Loss.SILENT, Ran.YES, resumable=True, reached=True), RESUME),
+        (
+            LostAttempt(Loss.SILENT, Ran.YES, resumable=True, reached_caller=True),
+            RESUME,
+        ),
         (LostAttempt(Loss.NOT_FOUND, Ran.YES, resuming=True, resumable=True), RESTART),
         (
             LostAttempt(
-                Loss.NOT_FOUND, Ran.YES, resuming=True, resumable=True, reached=True
+                Loss.NOT_FOUND,
+                Ran.YES,
+                resuming=True,
+                resumable=True,
+                reached_caller=True,
             ),
             GIVE_UP,
         ),
@@ -62,7 +69,7 @@
         (LostAttempt(Loss.REFUSED, Ran.NO, non_idempotent=True), RESTART),
         (LostAttempt(Loss.BROKEN, Ran.UNKNOWN, non_idempotent=True), GIVE_UP),
         (LostAttempt(Loss.REFUSED, Ran.UNKNOWN, non_idempotent=True), GIVE_UP),
-        (LostAttempt(Loss.BROKEN, Ran.YES, reached=True), GIVE_UP),
+        (LostAttempt(Loss.BROKEN, Ran.YES, reached_caller=True), GIVE_UP),
     ],
 )
 def test_recovery_table(lost: LostAttempt, expected: Recovery) -> None:
