--- a/figstep/core/admission.py
+++ b/figstep/core/admission.py
@@ -43,7 +43,7 @@
     state: State, request: RequestState, now: Millis
 ) -> AdmissionDecision:
     """Decide what happens to a request that has just come in or come back."""
-    if state.queue.waits(request.spec):
+    if state.queue.has_waiting(request.spec):
         return queue_or_reject(state, request, now)
     target = routing.choose_target(state, request, now)
     if target is None:
--- a/figstep/core/queues.py
+++ b/figstep/core/queues.py
@@ -12,13 +12,13 @@
 from figstep.core.clock import Millis
 from figstep.core.specs import GenerationWork, RequestSpec
 
-AGING = 20.0
+AGING_MS_PER_TOKEN = 20.0
 """Milliseconds of waiting that make up for one more expected token."""
 
-RATE_MEMORY = 20_000.0
+RATE_AVERAGING_TIME = 20_000.0
 """Time over which the rate of starts is averaged, in milliseconds."""
 
-LONGEST_WAIT = 3_600_000.0
+MAX_PREDICTED_WAIT = 3_600_000.0
 
 SERVICE_COST = 1.0
 
@@ -53,22 +53,22 @@
 class CustomerQueue:
     """What one customer waits for at one priority of a pool."""
 
-    served: float = 0.0
+    finish_tag: float = 0.0
     share: float = 1.0
     cost: float = 0.0
     count: int = 0
-    has_turn: bool = False
+    in_heap: bool = False
     heap: list[tuple[float, int, str]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Level:
+class PriorityLevel:
     """One priority of a pool: customers by the work they had for their share."""
 
     clock: float = 0.0
     shares: float = 0.0
     customers: dict[str, CustomerQueue] = field(default_factory=dict)
-    turns: list[tuple[float, str]] = field(default_factory=list)
+    customer_heap: list[tuple[float, str]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
@@ -87,14 +87,14 @@
     def read(self, now: Millis) -> float | None:
         """Return the rate; None before there is anything to tell."""
         self._decay(now)
-        if self.weight < RATE_MEMORY / 8 or self.work <= 0:
+        if self.weight < RATE_AVERAGING_TIME / 8 or self.work <= 0:
             return None
         return self.work / self.weight
 
     def _decay(self, now: Millis) -> None:
         passed = max(0, now - self.at) if self.at else 0
         self.at = now
-        keep = 1.0 - min(1.0, passed / RATE_MEMORY)
+        keep = 1.0 - min(1.0, passed / RATE_AVERAGING_TIME)
         self.work *= keep
         self.weight = self.weight * keep + passed
 
@@ -103,7 +103,7 @@
 class Pool:
     """Requests that wait for the same targets."""
 
-    levels: dict[int, Level] = field(default_factory=dict)
+    levels: dict[int, PriorityLevel] = field(default_factory=dict)
     count: int = 0
     cost: float = 0.0
     rate: Rate = field(default_factory=Rate)
@@ -137,7 +137,7 @@
         """Return the pools in which something waits."""
         return [name for name, pool in self._pools.items() if pool.count]
 
-    def waits(self, spec: RequestSpec) -> bool:
+    def has_waiting(self, spec: RequestSpec) -> bool:
         """Tell whether anything waits for the targets of ``spec``."""
         pool = self._pools.get(name_pool(spec))
         return pool is not None and pool.count > 0
@@ -155,10 +155,14 @@
         pool = self._find_pool(spec)
         pool.count += 1
         pool.cost += cost
-        level = pool.levels.setdefault(spec.priority, Level())
+        level = pool.levels.setdefault(spec.priority, PriorityLevel())
         customer = self._find_customer(level, queued)
         self._number += 1
-        key = since + AGING * cost if self.shortest_first else float(self._number)
+        key = (
+            since + AGING_MS_PER_TOKEN * cost
+            if self.shortest_first
+            else float(self._number)
+        )
         heapq.heappush(customer.heap, (key, self._number, spec.request))
         customer.count += 1
         customer.cost += cost
@@ -166,12 +170,14 @@
             return
         # A customer that was idle comes back at the present, or it could take
         # the whole pool for as long as it was away.
-        customer.served = max(customer.served, level.clock)
+        customer.finish_tag = max(customer.finish_tag, level.clock)
         level.shares += share
-        if customer.has_turn:
+        if customer.in_heap:
             return
-        customer.has_turn = True
-        heapq.heappush(level.turns, (customer.served, self._turn_of(spec)))
+        customer.in_heap = True
+        heapq.heappush(
+            level.customer_heap, (customer.finish_tag, self._get_customer_key(spec))
+        )
 
     def remove(self, request: str) -> None:
         """Forget a request, queued or not."""
@@ -182,7 +188,7 @@
         pool.count -= 1
         pool.cost -= queued.cost
         level = pool.levels[queued.spec.priority]
-        customer = level.customers[self._turn_of(queued.spec)]
+        customer = level.customers[self._get_customer_key(queued.spec)]
         customer.count -= 1
         customer.cost -= queued.cost
         if customer.count == 0:
@@ -205,10 +211,10 @@
         """Count work that starts, against its customer's share."""
         pool = self._find_pool(spec)
         pool.rate.add(cost, now)
-        level = pool.levels.setdefault(spec.priority, Level())
+        level = pool.levels.setdefault(spec.priority, PriorityLevel())
         customer = self._find_customer(level, QueuedRequest(spec, cost, share, now))
-        level.clock = max(level.clock, customer.served)
-        customer.served = level.clock + cost / share
+        level.clock = max(level.clock, customer.finish_tag)
+        customer.finish_tag = level.clock + cost / share
 
     def predict_wait(
         self, spec: RequestSpec, cost: float, share: float, now: Millis
@@ -238,18 +244,18 @@
         if self.shortest_first and level is not None:
             wait = max(wait, self._predict_turn(level, spec, cost, now))
         # Where nothing has started for long the rate fades to nothing.
-        return Millis(round(min(wait, LONGEST_WAIT)))
+        return Millis(round(min(wait, MAX_PREDICTED_WAIT)))
 
     def _predict_turn(
-        self, level: Level, spec: RequestSpec, cost: float, now: Millis
+        self, level: PriorityLevel, spec: RequestSpec, cost: float, now: Millis
     ) -> float:
         # Shorter ones that are yet to come go ahead of a long one. In a steady
         # queue the key at its head moves on with the clock, so the distance
         # to the head is the wait.
-        customer = level.customers.get(self._turn_of(spec))
+        customer = level.customers.get(self._get_customer_key(spec))
         if customer is None or self._peek_customer(customer) is None:
             return 0.0
-        return now + AGING * cost - customer.heap[0][0]
+        return now + AGING_MS_PER_TOKEN * cost - customer.heap[0][0]
 
     def _find_pool(self, spec: RequestSpec) -> Pool:
         name = name_pool(spec)
@@ -258,11 +264,13 @@
             pool = self._pools[name] = Pool()
         return pool
 
-    def _turn_of(self, spec: RequestSpec) -> str:
+    def _get_customer_key(self, spec: RequestSpec) -> str:
         return spec.customer if self.fair else ""
 
-    def _find_customer(self, level: Level, queued: QueuedRequest) -> CustomerQueue:
-        name = self._turn_of(queued.spec)
+    def _find_customer(
+        self, level: PriorityLevel, queued: QueuedRequest
+    ) -> CustomerQueue:
+        name = self._get_customer_key(queued.spec)
         customer = level.customers.get(name)
         if customer is None:
             customer = level.customers[name] = CustomerQueue(share=queued.share)
@@ -270,16 +278,16 @@
             customer.share = queued.share
         return customer
 
-    def _peek_level(self, level: Level) -> RequestSpec | None:
-        while level.turns:
-            served, name = level.turns[0]
+    def _peek_level(self, level: PriorityLevel) -> RequestSpec | None:
+        while level.customer_heap:
+            finish_tag, name = level.customer_heap[0]
             customer = level.customers[name]
             if customer.count == 0:
-                customer.has_turn = False
-                heapq.heappop(level.turns)
+                customer.in_heap = False
+                heapq.heappop(level.customer_heap)
                 continue
-            if served < customer.served:
-                heapq.heapreplace(level.turns, (customer.served, name))
+            if finish_tag < customer.finish_tag:
+                heapq.heapreplace(level.customer_heap, (customer.finish_tag, name))
                 continue
             return self._peek_customer(customer)
         return None
--- a/tests/core/test_queues.py
+++ b/tests/core/test_queues.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from figstep.core.clock import Millis
-from figstep.core.queues import AGING, RequestQueue
+from figstep.core.queues import AGING_MS_PER_TOKEN, RequestQueue
 from figstep.core.specs import GenerationWork, RequestSpec, ServiceWork
 
 
@@ -37,7 +37,7 @@
     queue = RequestQueue()
     queue.add(make_spec("long"), 1_000, 1, Millis(0))
     queue.add(make_spec("soon"), 10, 1, Millis(10_000))
-    queue.add(make_spec("late"), 10, 1, Millis(round(AGING * 1_000)))
+    queue.add(make_spec("late"), 10, 1, Millis(round(AGING_MS_PER_TOKEN * 1_000)))
     assert [take(queue), take(queue), take(queue)] == ["soon", "long", "late"]
 
 
