--- a/figstep/core/routing.py
+++ b/figstep/core/routing.py
@@ -17,13 +17,13 @@
     start_pace,
 )
 
-PREFILL_PER_GAP = 1 / 250
+PREFILL_GAP_FRACTION = 1 / 250
 """Time to prefill a token, as a share of the gap of an idle target."""
 
-SHARED_PREFIX = 0.5
+SHARED_PREFIX_FRACTION = 0.5
 """Share of a prompt that a cached prefix is taken to cover."""
 
-PREFIX_FRESH = Millis(60_000)
+PREFIX_LIFETIME = Millis(60_000)
 
 
 def serves(target: TargetState, spec: RequestSpec) -> bool:
@@ -139,17 +139,17 @@
             state.pools.turn += 1
             return candidates[state.pools.turn % len(candidates)]
         case LeastInFlight():
-            return _choose_least(state, candidates)
+            return _choose_least_in_flight(state, candidates)
         case TwoChoices():
             pair = state.rng.sample(candidates, min(2, len(candidates)))
             return min(pair, key=lambda t: t.running + t.waiting)
         case Figstep() as policy:
             if not isinstance(request.spec.work, GenerationWork):
-                return _choose_least(state, candidates)
+                return _choose_least_in_flight(state, candidates)
             return _choose_by_pace(state, policy, candidates, request, now)
 
 
-def _choose_least(state: State, candidates: list[TargetState]) -> TargetState:
+def _choose_least_in_flight(state: State, candidates: list[TargetState]) -> TargetState:
     return min(candidates, key=lambda t: (t.in_flight, state.rng.random()))
 
 
@@ -167,7 +167,7 @@
         if now < target.pace.avoid_until:
             continue
         others = count_others(target, now) if policy.others else 0.0
-        if not has_room(policy, target, footprint, others):
+        if not has_capacity(policy, target, footprint, others):
             continue
         score = _score_target(policy, target, request.spec, footprint, others, now)
         score *= 1.0 + 0.01 * state.rng.random()
@@ -176,7 +176,7 @@
     return best
 
 
-def has_room(
+def has_capacity(
     policy: Figstep,
     target: TargetState,
     footprint: Footprint,
@@ -222,9 +222,9 @@
     if pace.gaps.weight == 0.0:
         start_pace(target)
     gap = pace.gaps.predict(running + 1)
-    prefill = footprint.held * pace.gaps.predict(1.0) * PREFILL_PER_GAP
+    prefill = footprint.held * pace.gaps.predict(1.0) * PREFILL_GAP_FRACTION
     if policy.affinity and _has_prefix(target, spec, now):
-        prefill *= 1.0 - SHARED_PREFIX
+        prefill *= 1.0 - SHARED_PREFIX_FRACTION
     return footprint.mean * gap + prefill
 
 
@@ -232,4 +232,4 @@
     if not isinstance(spec.work, GenerationWork):
         return False
     sent = target.pace.prefixes.get(spec.work.prefix)
-    return sent is not None and now - sent < PREFIX_FRESH
+    return sent is not None and now - sent < PREFIX_LIFETIME
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -19,7 +19,7 @@
 from figstep.core.pacing import Footprint, GapLine, Pace
 from figstep.core.policies import POLICIES, Figstep
 from figstep.core.reducer import reduce
-from figstep.core.routing import choose_subset, has_loaded, has_room
+from figstep.core.routing import choose_subset, has_capacity, has_loaded
 from figstep.core.specs import GenerationWork, RequestSpec
 from figstep.core.state import State, TargetState
 from figstep.core.targets import count_others, note_loss
@@ -66,7 +66,7 @@
 ) -> None:
     target = TargetState(INFO, pace=Pace(running=running, held=held))
     footprint = make_footprint(added)
-    assert has_room(Figstep(), target, footprint, others) is room
+    assert has_capacity(Figstep(), target, footprint, others) is room
 
 
 def test_faster_target_is_filled_until_its_gap_is_no_better() -> None:
