--- a/figstep/core/admission.py
+++ b/figstep/core/admission.py
@@ -4,7 +4,7 @@
 
 from figstep.core import routing
 from figstep.core.clock import Millis
-from figstep.core.lengths import BINS, find_bin
+from figstep.core.lengths import BIN_COUNT, find_bin
 from figstep.core.policies import Figstep
 from figstep.core.problems import Problem
 from figstep.core.queues import SERVICE_COST
@@ -14,7 +14,7 @@
 MIN_RETRY_AFTER = Millis(1_000)
 MAX_RETRY_AFTER = Millis(120_000)
 RETRY_AFTER_JITTER = 0.5
-PRIORITY_STEP = 2 * BINS
+PRIORITY_STEP = 2 * BIN_COUNT
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,7 +100,7 @@
     match state.policy:
         case Figstep(engine_priority=True) if isinstance(spec.work, GenerationWork):
             doublings = find_bin(round(estimate_cost(state, spec)))
-            return spec.priority * PRIORITY_STEP + BINS - doublings
+            return spec.priority * PRIORITY_STEP + BIN_COUNT - doublings
         case _:
             return spec.priority
 
--- a/figstep/core/lengths.py
+++ b/figstep/core/lengths.py
@@ -6,10 +6,10 @@
 from figstep.core.specs import GenerationWork
 
 BINS_PER_DOUBLING = 2
-BINS = 40
+BIN_COUNT = 40
 DECAY = 0.995
-ENOUGH = 8.0
-PROMPT_STEP = 2
+MIN_ANSWERS = 8.0
+BINS_PER_PROMPT_CLASS = 2
 DEFAULT_MEAN = 256.0
 DEFAULT_DEVIATION = 512.0
 
@@ -22,22 +22,22 @@
     variance: float
 
 
-UNKNOWN = Remaining(DEFAULT_MEAN, DEFAULT_DEVIATION**2)
+UNKNOWN_REMAINING = Remaining(DEFAULT_MEAN, DEFAULT_DEVIATION**2)
 
 
 def find_bin(tokens: int) -> int:
     """Return the logarithmic bin of a length."""
     if tokens <= 1:
         return 0
-    return min(BINS - 1, int(BINS_PER_DOUBLING * math.log2(tokens)))
+    return min(BIN_COUNT - 1, int(BINS_PER_DOUBLING * math.log2(tokens)))
 
 
-def middle_of(number: int) -> float:
+def compute_bin_midpoint(number: int) -> float:
     """Return the length in the middle of a bin, in tokens."""
     return float(2 ** ((number + 0.5) / BINS_PER_DOUBLING))
 
 
-_MIDDLES = [middle_of(number) for number in range(BINS)]
+_BIN_MIDPOINTS = [compute_bin_midpoint(number) for number in range(BIN_COUNT)]
 
 
 @dataclass(slots=True)
@@ -48,11 +48,11 @@
     the same however many bins there are.
     """
 
-    weights: list[float] = field(default_factory=lambda: [0.0] * BINS)
+    weights: list[float] = field(default_factory=lambda: [0.0] * BIN_COUNT)
     total: float = 0.0
     next_weight: float = 1.0
 
-    def learn(self, tokens: int) -> None:
+    def record_length(self, tokens: int) -> None:
         """Take in one length."""
         self.weights[find_bin(tokens)] += self.next_weight
         self.total += self.next_weight
@@ -65,7 +65,7 @@
         self.next_weight = 1.0
 
     @property
-    def seen(self) -> float:
+    def decayed_count(self) -> float:
         """Decayed number of answers."""
         return self.total / self.next_weight
 
@@ -76,11 +76,11 @@
         """
         first = find_bin(produced) if produced else 0
         weight = mass = square = 0.0
-        for number in range(first, BINS):
+        for number in range(first, BIN_COUNT):
             count = self.weights[number]
             if count == 0.0:
                 continue
-            rest = max(1.0, _MIDDLES[number] - produced)
+            rest = max(1.0, _BIN_MIDPOINTS[number] - produced)
             weight += count
             mass += count * rest
             square += count * rest * rest
@@ -99,13 +99,13 @@
     def __init__(self) -> None:
         self._histograms: dict[Key, Histogram] = {}
 
-    def learn(self, customer: str, work: GenerationWork, tokens: int) -> None:
+    def record_length(self, customer: str, work: GenerationWork, tokens: int) -> None:
         """Take in the length of a whole answer, in tokens."""
         for key in list_keys(customer, work):
             histogram = self._histograms.get(key)
             if histogram is None:
                 histogram = self._histograms[key] = Histogram()
-            histogram.learn(tokens)
+            histogram.record_length(tokens)
 
     def estimate(
         self, customer: str, work: GenerationWork, produced: int = 0
@@ -117,7 +117,7 @@
         """
         for key in list_keys(customer, work):
             histogram = self._histograms.get(key)
-            if histogram is None or histogram.seen < ENOUGH:
+            if histogram is None or histogram.decayed_count < MIN_ANSWERS:
                 continue
             remaining = histogram.estimate(produced)
             if remaining is not None:
@@ -135,7 +135,7 @@
 
 def list_keys(customer: str, work: GenerationWork) -> list[Key]:
     """Return the keys that a length counts for, the narrowest first."""
-    size = find_bin(work.prompt_tokens) // PROMPT_STEP
+    size = find_bin(work.prompt_tokens) // BINS_PER_PROMPT_CLASS
     return [
         (customer, work.model, work.kind, size),
         (customer, work.model, work.kind, -1),
--- a/figstep/core/requests.py
+++ b/figstep/core/requests.py
@@ -181,7 +181,7 @@
         return [Count("attempts.late")]
     work = request.spec.work
     if isinstance(work, GenerationWork):
-        state.lengths.learn(request.spec.customer, work, request.delivered)
+        state.lengths.record_length(request.spec.customer, work, request.delivered)
     return [
         Complete(request.spec.request, event.attempt),
         Count("requests.completed"),
--- a/tests/core/test_lengths.py
+++ b/tests/core/test_lengths.py
@@ -17,8 +17,8 @@
     table = LengthTable()
     assert table.estimate_remaining("a", CHAT, 0) == DEFAULT_MEAN
     for _ in range(20):
-        table.learn("a", CHAT, 30)
-        table.learn("b", PLAN, 2_000)
+        table.record_length("a", CHAT, 30)
+        table.record_length("b", PLAN, 2_000)
     cases = [
         ("a", CHAT, 30),
         ("new", CHAT, 30),
@@ -40,9 +40,9 @@
     """
     table = LengthTable()
     for _ in range(90):
-        table.learn("a", CHAT, 20)
+        table.record_length("a", CHAT, 20)
     for _ in range(10):
-        table.learn("a", CHAT, 4_000)
+        table.record_length("a", CHAT, 4_000)
     fresh = table.estimate("a", CHAT, 0).mean
     outlived = table.estimate("a", CHAT, 100).mean
     assert fresh < 600
@@ -53,16 +53,16 @@
 def test_old_answers_fade() -> None:
     table = LengthTable()
     for _ in range(500):
-        table.learn("a", CHAT, 2_000)
+        table.record_length("a", CHAT, 2_000)
     for _ in range(1_500):
-        table.learn("a", CHAT, 10)
+        table.record_length("a", CHAT, 10)
     assert table.estimate_remaining("a", CHAT, 0) < 20
 
 
 def test_max_tokens_bounds_the_estimate() -> None:
     table = LengthTable()
     for _ in range(20):
-        table.learn("a", CHAT, 4_000)
+        table.record_length("a", CHAT, 4_000)
     work = GenerationWork("m", 50, max_tokens=100)
     assert table.estimate("a", work, 40).mean == 60
 
@@ -73,7 +73,7 @@
     rng = random.Random(seed)
     histogram = Histogram()
     for _ in range(rng.randint(1, 6_000)):
-        histogram.learn(rng.randint(1, 30_000))
+        histogram.record_length(rng.randint(1, 30_000))
     remaining = histogram.estimate(produced)
     if remaining is None:
         return
