--- a/figstep/core/pacing.py
+++ b/figstep/core/pacing.py
@@ -6,16 +6,16 @@
 
 from figstep.core.clock import Millis
 
-GAP_MEMORY = 0.98
-LIMIT_FLOOR = 2.0
-LIMIT_CEILING = 512.0
-DECREASE = 0.85
-DECREASE_PAUSE = Millis(1_000)
-PRIOR_STEP = 25.0
-PRIOR_PER_RUNNING = 1.0
+GAP_DECAY = 0.98
+MIN_LIMIT = 2.0
+MAX_LIMIT = 512.0
+DECREASE_FACTOR = 0.85
+DECREASE_INTERVAL = Millis(1_000)
+PRIOR_BASE_GAP = 25.0
+PRIOR_GAP_PER_RUNNING = 1.0
 PRIOR_WEIGHT = 4.0
-PAST_STEP = Millis(100)
-PAST_KEPT = 64
+HISTORY_INTERVAL = Millis(100)
+MAX_HISTORY = 64
 
 
 @dataclass(slots=True)
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class GapLine:
+class GapRegression:
     """Gap between tokens as a line over the number running, decayed.
 
     Least squares over a few sums; starts from the speed in the inventory.
@@ -57,11 +57,11 @@
     def start(self, speed: float) -> None:
         """Begin with what the inventory's speed lets expect."""
         for running in (1.0, 32.0):
-            gap = (PRIOR_STEP + PRIOR_PER_RUNNING * running) / speed
-            self.learn(running, gap, PRIOR_WEIGHT, 1.0)
+            gap = (PRIOR_BASE_GAP + PRIOR_GAP_PER_RUNNING * running) / speed
+            self.add_sample(running, gap, PRIOR_WEIGHT, 1.0)
 
-    def learn(
-        self, running: float, gap: float, weight: float = 1.0, keep: float = GAP_MEMORY
+    def add_sample(
+        self, running: float, gap: float, weight: float = 1.0, keep: float = GAP_DECAY
     ) -> None:
         """Take in one observed gap, in milliseconds, at ``running``."""
         self.weight = self.weight * keep + weight
@@ -76,10 +76,10 @@
         mean_y = self.y / self.weight
         spread = self.xx / self.weight - mean_x * mean_x
         if spread < 1.0:
-            slope = mean_y / (mean_x + PRIOR_STEP)
+            slope = mean_y / (mean_x + PRIOR_BASE_GAP)
         else:
             slope = (self.xy / self.weight - mean_x * mean_y) / spread
-        slope = max(slope, mean_y / (4.0 * (mean_x + PRIOR_STEP)))
+        slope = max(slope, mean_y / (4.0 * (mean_x + PRIOR_BASE_GAP)))
         return max(0.1 * mean_y, mean_y + slope * (running - mean_x))
 
 
@@ -93,43 +93,46 @@
         mean: Tokens that they are expected to add.
         variance: Variance of those.
         limit: Most generations that it is given.
-        lowered: When the limit was last lowered.
+        limit_lowered_at: When the limit was last lowered.
         gaps: Observed gaps.
         gap: Recent gap, in milliseconds.
         avoid_until: No new work before this; set by lost attempts.
         losses: Lost attempts in a row.
         prefixes: Prefixes that were sent there, and when.
-        past: How many ran at some times of the last seconds.
-        own_then: How many ran at the time that the last report shows.
+        running_history: How many ran at some times of the last seconds.
+        own_at_report: How many ran at the time that the last report shows.
     """
 
     running: int = 0
     held: int = 0
     mean: float = 0.0
     variance: float = 0.0
-    limit: float = LIMIT_CEILING
-    lowered: Millis = Millis(0)
-    gaps: GapLine = field(default_factory=GapLine)
+    limit: float = MAX_LIMIT
+    limit_lowered_at: Millis = Millis(0)
+    gaps: GapRegression = field(default_factory=GapRegression)
     gap: float = 0.0
     avoid_until: Millis = Millis(0)
     losses: int = 0
     prefixes: dict[str, Millis] = field(default_factory=dict)
-    past: deque[tuple[Millis, int]] = field(default_factory=deque)
-    own_then: int = 0
+    running_history: deque[tuple[Millis, int]] = field(default_factory=deque)
+    own_at_report: int = 0
 
-    def note_running(self, now: Millis) -> None:
+    def record_running(self, now: Millis) -> None:
         """Remember how many ran, to compare with reports, which come late."""
-        if self.past and now < self.past[-1][0] + PAST_STEP:
-            self.past[-1] = (self.past[-1][0], self.running)
+        if (
+            self.running_history
+            and now < self.running_history[-1][0] + HISTORY_INTERVAL
+        ):
+            self.running_history[-1] = (self.running_history[-1][0], self.running)
             return
-        self.past.append((now, self.running))
-        if len(self.past) > PAST_KEPT:
-            self.past.popleft()
+        self.running_history.append((now, self.running))
+        if len(self.running_history) > MAX_HISTORY:
+            self.running_history.popleft()
 
-    def count_then(self, then: Millis) -> int:
+    def count_running_at(self, then: Millis) -> int:
         """Return how many ran at an earlier time."""
         running = self.running
-        for at, count in reversed(self.past):
+        for at, count in reversed(self.running_history):
             if at <= then:
                 return count
             running = count
@@ -172,10 +175,10 @@
         """
         if gap <= goal:
             if running >= self.limit - 1:
-                self.limit = min(LIMIT_CEILING, self.limit + 1.0 / max(1.0, self.limit))
+                self.limit = min(MAX_LIMIT, self.limit + 1.0 / max(1.0, self.limit))
             return
-        if now < self.lowered + DECREASE_PAUSE:
+        if now < self.limit_lowered_at + DECREASE_INTERVAL:
             return
-        self.lowered = now
+        self.limit_lowered_at = now
         bound = min(self.limit, max(1.0, running))
-        self.limit = max(LIMIT_FLOOR, bound * DECREASE)
+        self.limit = max(MIN_LIMIT, bound * DECREASE_FACTOR)
--- a/figstep/core/targets.py
+++ b/figstep/core/targets.py
@@ -46,8 +46,8 @@
     target.memory_total = event.memory_total
     target.models = event.models
     target.reported = Millis(now - event.age)
-    target.pace.note_running(now)
-    target.pace.own_then = target.pace.count_then(target.reported)
+    target.pace.record_running(now)
+    target.pace.own_at_report = target.pace.count_running_at(target.reported)
     return []
 
 
@@ -64,11 +64,11 @@
         return 0.0
     pace = target.pace
     total = target.running + target.waiting
-    if pace.own_then >= MOSTLY_OWN * total:
+    if pace.own_at_report >= MOSTLY_OWN * total:
         return 0.0
-    others = total - pace.own_then
-    added = max(0, pace.running - pace.own_then)
-    entries = min(MOST_ENTRIES, others / max(1, pace.own_then))
+    others = total - pace.own_at_report
+    added = max(0, pace.running - pace.own_at_report)
+    entries = min(MOST_ENTRIES, others / max(1, pace.own_at_report))
     return others + entries * added
 
 
@@ -115,7 +115,7 @@
     attempt.footprint = footprint
     attempt.review_at = footprint.review_at
     target.pace.add(footprint)
-    target.pace.note_running(now)
+    target.pace.record_running(now)
     if isinstance(spec.work, GenerationWork) and spec.work.prefix:
         prefixes = target.pace.prefixes
         prefixes.pop(spec.work.prefix, None)
@@ -178,7 +178,7 @@
     if pace.gaps.weight == 0.0:
         start_pace(target)
     running = pace.running + count_others(target, now)
-    pace.gaps.learn(running, gap)
+    pace.gaps.add_sample(running, gap)
     match state.policy:
         case Figstep(limit=True, gap_goal=goal):
             pace.adapt_limit(pace.gap, goal, running, now)
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -16,7 +16,7 @@
     TokensArrived,
 )
 from figstep.core.inventory import EngineInfo, Inventory, Rules
-from figstep.core.pacing import Footprint, GapLine, Pace
+from figstep.core.pacing import Footprint, GapRegression, Pace
 from figstep.core.policies import POLICIES, Figstep
 from figstep.core.reducer import reduce
 from figstep.core.routing import choose_subset, has_capacity, has_loaded
@@ -159,14 +159,14 @@
 
 
 def test_gap_line_learns_slope_and_change_of_speed() -> None:
-    line = GapLine()
+    line = GapRegression()
     line.start(1.0)
     for _ in range(50):
         for running in (2.0, 10.0, 20.0):
-            line.learn(running, 10.0 + 2.0 * running)
+            line.add_sample(running, 10.0 + 2.0 * running)
     assert line.predict(15.0) == pytest.approx(40.0, rel=0.1)
     for _ in range(200):
-        line.learn(10.0, 300.0)
+        line.add_sample(10.0, 300.0)
     assert line.predict(10.0) > 250.0
 
 
