--- a/figstep/core/recovery.py
+++ b/figstep/core/recovery.py
@@ -88,7 +88,7 @@
     if target is not None:
         target.dead = False
         if attempt.tokens:
-            silence.learn_gap(target, now - attempt.last_progress)
+            silence.update_read_gap(target, now - attempt.last_progress)
         if attempt.probing:
             effects = _replace_pool(state, attempt, target, now)
     attempt.tokens += 1
--- a/figstep/core/silence.py
+++ b/figstep/core/silence.py
@@ -10,7 +10,7 @@
 GAIN = 1 / 32
 
 
-def learn_gap(target: TargetState, gap: int) -> None:
+def update_read_gap(target: TargetState, gap: int) -> None:
     """Take in the time between two reads of one stream, in milliseconds.
 
     Smoothed like a round-trip time: the limit follows the mean and the mean
