--- a/figstep/core/targets.py
+++ b/figstep/core/targets.py
@@ -146,7 +146,7 @@
     produced = request.delivered
     grown = produced - footprint.produced
     if footprint.review_at > footprint.produced + 1 and grown > 0:
-        _learn_gap(state, target, (now - footprint.reviewed) / grown, now)
+        _record_gap(state, target, (now - footprint.reviewed) / grown, now)
     target.pace.losses = 0
     pace = target.pace
     pace.held -= footprint.held
@@ -169,7 +169,7 @@
     pace.variance += footprint.variance
 
 
-def _learn_gap(state: State, target: TargetState, gap: float, now: Millis) -> None:
+def _record_gap(state: State, target: TargetState, gap: float, now: Millis) -> None:
     pace = target.pace
     # A stream that was pushed off shows one huge gap, which tells nothing of
     # the pace of the others.
