--- a/figstep/core/attempts.py
+++ b/figstep/core/attempts.py
@@ -103,7 +103,7 @@
 ) -> list[Effect]:
     if isinstance(request.spec.work, ServiceWork):
         return []
-    limit = silence.compute_limit(target, attempt)
+    limit = silence.compute_silence_limit(target, attempt)
     return [WakeAt(AttemptTimer(attempt.attempt), Millis(now + limit))]
 
 
--- a/figstep/core/recovery.py
+++ b/figstep/core/recovery.py
@@ -96,7 +96,7 @@
     if attempt.tokens == 1:
         # The timer was set with the patience for a first token; left so, a
         # stream that went silent early would be found only seconds later.
-        limit = silence.compute_limit(target, attempt)
+        limit = silence.compute_silence_limit(target, attempt)
         effects.append(WakeAt(AttemptTimer(attempt.attempt), Millis(now + limit)))
     return effects
 
@@ -154,7 +154,7 @@
     if attempt is None:
         return []
     target = state.targets.get(attempt.target)
-    limit = silence.compute_limit(target, attempt)
+    limit = silence.compute_silence_limit(target, attempt)
     due = Millis(attempt.last_progress + limit)
     if now < due:
         return [WakeAt(timer, due)]
--- a/figstep/core/silence.py
+++ b/figstep/core/silence.py
@@ -3,11 +3,11 @@
 from figstep.core.clock import Millis
 from figstep.core.state import AttemptState, TargetState
 
-SHORTEST_LIMIT = Millis(1_000)
-LONGEST_LIMIT = Millis(10_000)
-FIRST_LIMIT = Millis(5_000)
+MIN_SILENCE_LIMIT = Millis(1_000)
+MAX_SILENCE_LIMIT = Millis(10_000)
+FIRST_EVENT_LIMIT = Millis(5_000)
 DEVIATIONS = 8
-GAIN = 1 / 32
+READ_GAP_SMOOTHING = 1 / 32
 
 
 def update_read_gap(target: TargetState, gap: int) -> None:
@@ -18,13 +18,13 @@
     stalls now and then earns patience.
     """
     error = gap - target.gap
-    target.gap += GAIN * error
-    target.gap_deviation += GAIN * (abs(error) - target.gap_deviation)
+    target.gap += READ_GAP_SMOOTHING * error
+    target.gap_deviation += READ_GAP_SMOOTHING * (abs(error) - target.gap_deviation)
 
 
-def compute_limit(target: TargetState | None, attempt: AttemptState) -> Millis:
+def compute_silence_limit(target: TargetState | None, attempt: AttemptState) -> Millis:
     """Return how long the attempt may bring nothing, in milliseconds."""
     if target is None or attempt.tokens == 0:
-        return FIRST_LIMIT
+        return FIRST_EVENT_LIMIT
     limit = int(target.gap + DEVIATIONS * target.gap_deviation)
-    return Millis(min(max(limit, SHORTEST_LIMIT), LONGEST_LIMIT))
+    return Millis(min(max(limit, MIN_SILENCE_LIMIT), MAX_SILENCE_LIMIT))
--- a/tests/core/test_recovery.py
+++ b/tests/core/test_recovery.py
@@ -27,7 +27,7 @@
 )
 from figstep.core.problems import Ran
 from figstep.core.retries import MAX_RESUMES
-from figstep.core.silence import FIRST_LIMIT
+from figstep.core.silence import FIRST_EVENT_LIMIT
 from figstep.core.specs import GenerationWork, RequestSpec
 from tests.core.entries import Entry
 
@@ -166,7 +166,7 @@
     other = entry.start("r2")
     while entry.state.attempts[other].target != target:
         other = entry.start(f"r{other + 10}")
-    entry.feed(TimerFired(AttemptTimer(first)), after=FIRST_LIMIT)
+    entry.feed(TimerFired(AttemptTimer(first)), after=FIRST_EVENT_LIMIT)
     probe = entry.take(ResumeAttempt).attempt
     entry.feed(AttemptAnswered(probe))
     assert entry.list_kind(ReplacePool) == []
@@ -210,11 +210,11 @@
     """
     entry = Entry()
     attempt = entry.start()
-    entry.feed(TimerFired(AttemptTimer(attempt)), after=FIRST_LIMIT)
+    entry.feed(TimerFired(AttemptTimer(attempt)), after=FIRST_EVENT_LIMIT)
     probe = entry.take(ResumeAttempt).attempt
     entry.feed(AttemptAnswered(probe))
     for _ in range(5):
-        entry.feed(TimerFired(AttemptTimer(probe)), after=FIRST_LIMIT)
+        entry.feed(TimerFired(AttemptTimer(probe)), after=FIRST_EVENT_LIMIT)
         assert entry.list_kind(ResumeAttempt) == []
     entry.deliver(probe, 1)
     assert entry.list_kind(ReplacePool) == []
