--- a/figstep/core/crashes.py
+++ b/figstep/core/crashes.py
@@ -8,33 +8,33 @@
 
 from figstep.core.clock import MINUTE, Millis
 
-MOST_CRASHES = 2
+CRASHES_BEFORE_REFUSAL = 2
 """Crashes after which a request is refused. One may be chance; after two the same
 request was there both times."""
 
-MOST_UNRELATED = 2
+MAX_UNRELATED_CRASHES = 2
 """Where targets crash without a request as well, it is refused after one more crash
 for each of theirs, up to this."""
 
-NEAR = Millis(1_000)
+COMMON_CAUSE_WINDOW = Millis(1_000)
 """Crashes within this time may have one cause, such as a lost failure domain."""
 
-SETTLED_AFTER = Millis(1_000)
+SUSPICION_DELAY = Millis(1_000)
 """How long after a crash other entries may still tell who else was there."""
 
-REMEMBERED_FOR = Millis(15 * MINUTE)
+CRASH_RETENTION = Millis(15 * MINUTE)
 """Long enough for a caller that sends the same request again and again, and
 short enough that a target mended meanwhile is tried again."""
 
-TOLD_FOR = Millis(5_000)
+SUSPICION_ANNOUNCE_DURATION = Millis(5_000)
 """How long others are told of a request's only crash: several times, as a message
 may be lost. Those of a request that was at more of them are told all the while, for
 entries that start again."""
 
-MOST_TOLD = 32
+MAX_ANNOUNCED_SUSPICIONS = 32
 """Suspicions in a message."""
 
-MOST_TOLD_OF_ONE = MOST_CRASHES + MOST_UNRELATED
+MAX_ANNOUNCED_PER_REQUEST = CRASHES_BEFORE_REFUSAL + MAX_UNRELATED_CRASHES
 """Suspicions of one request in a message; no more are needed to refuse it."""
 
 
@@ -100,7 +100,7 @@
     _lives: dict[str, set[str]] = field(default_factory=dict)
     _cleared: dict[str, _Cleared] = field(default_factory=dict)
 
-    def note(self, suspicion: Suspicion, now: Millis) -> bool:
+    def record_suspicion(self, suspicion: Suspicion, now: Millis) -> bool:
         """Take in a suspicion; returns whether it is new."""
         digest, life = suspicion.digest, suspicion.life
         at = Millis(now - suspicion.age)
@@ -109,12 +109,12 @@
         cleared = self._cleared.get(digest)
         if cleared is not None and at <= cleared.at:
             return False
-        self.note_crash(life, at)
+        self.record_crash(life, at)
         self._crashes[life].suspects[digest] = now
         self._lives.setdefault(digest, set()).add(life)
         return True
 
-    def note_crash(self, life: str, at: Millis) -> None:
+    def record_crash(self, life: str, at: Millis) -> None:
         """Take in that a target's life ended, whatever was there."""
         self._crashes.setdefault(life, _Crash(at))
 
@@ -144,7 +144,11 @@
         cleared = self._cleared.get(digest)
         if cleared is not None:
             cleared.at = max(at, cleared.at)
-        found = [life for life in self._lives.get(digest, ()) if self._at(life) <= at]
+        found = [
+            life
+            for life in self._lives.get(digest, ())
+            if self._get_crash_time(life) <= at
+        ]
         if not found:
             return False
         self._cleared[digest] = _Cleared(at, now)
@@ -152,7 +156,7 @@
             self._drop(digest, life)
         return True
 
-    def forget_life(self, life: str) -> None:
+    def discard_crash(self, life: str) -> None:
         """Drop a crash that was none, or is long past."""
         crash = self._crashes.get(life)
         if crash is None:
@@ -164,20 +168,24 @@
     def is_refused(self, digest: str, now: Millis) -> bool:
         """Tell whether a request is kept away from targets."""
         lives = self._lives.get(digest, ())
-        if len(lives) < MOST_CRASHES:
+        if len(lives) < CRASHES_BEFORE_REFUSAL:
             return False
         crashes = [self._crashes[life] for life in lives]
-        crashes = [crash for crash in crashes if now - crash.at < REMEMBERED_FOR]
+        crashes = [crash for crash in crashes if now - crash.at < CRASH_RETENTION]
         own = [crash for crash in crashes if not self._is_explained(digest, crash)]
-        if len(own) < MOST_CRASHES:
+        if len(own) < CRASHES_BEFORE_REFUSAL:
             return False
         unrelated = self._count_unrelated(digest, own)
-        return len(own) >= MOST_CRASHES + min(MOST_UNRELATED, unrelated)
+        return len(own) >= CRASHES_BEFORE_REFUSAL + min(
+            MAX_UNRELATED_CRASHES, unrelated
+        )
 
     def is_settled(self, digest: str, now: Millis) -> bool:
         """Tell whether all entries have told of a request's crashes by now."""
         lives = self._lives.get(digest, ())
-        return all(now - self._at(life) >= SETTLED_AFTER for life in lives)
+        return all(
+            now - self._get_crash_time(life) >= SUSPICION_DELAY for life in lives
+        )
 
     def _is_explained(self, digest: str, crash: _Crash) -> bool:
         """Tell whether another request is as likely to have caused a crash."""
@@ -192,8 +200,8 @@
 
         Those that another request causes are no sign that targets crash by themselves.
         """
-        first = min(crash.at for crash in own) - NEAR
-        last = max(crash.at for crash in own) + NEAR
+        first = min(crash.at for crash in own) - COMMON_CAUSE_WINDOW
+        last = max(crash.at for crash in own) + COMMON_CAUSE_WINDOW
         count = 0
         for crash in self._crashes.values():
             if not first <= crash.at <= last or digest in crash.suspects:
@@ -206,40 +214,41 @@
         """Return what others are told: first of those at several crashes, then new."""
         found = []
         for digest, lives in self._lives.items():
-            newest = sorted(lives, key=self._at, reverse=True)
-            for life in newest[:MOST_TOLD_OF_ONE]:
+            newest = sorted(lives, key=self._get_crash_time, reverse=True)
+            for life in newest[:MAX_ANNOUNCED_PER_REQUEST]:
                 crash = self._crashes[life]
                 known_at = crash.suspects[digest]
                 repeated = len(lives) > 1
-                if repeated or now - known_at < TOLD_FOR:
+                if repeated or now - known_at < SUSPICION_ANNOUNCE_DURATION:
                     found.append((repeated, known_at, digest, life))
         found.sort(reverse=True)
         return tuple(
-            Suspicion(digest, life, Millis(now - self._at(life)))
-            for _, _, digest, life in found[:MOST_TOLD]
+            Suspicion(digest, life, Millis(now - self._get_crash_time(life)))
+            for _, _, digest, life in found[:MAX_ANNOUNCED_SUSPICIONS]
         )
 
     def list_clearances(self, now: Millis) -> tuple[Clearance, ...]:
         """Return the suspected requests that have run of late."""
         recent = []
         for digest, cleared in self._cleared.items():
-            if now - cleared.dropped_at < TOLD_FOR:
+            if now - cleared.dropped_at < SUSPICION_ANNOUNCE_DURATION:
                 recent.append((cleared.dropped_at, digest, cleared.at))
         recent.sort(reverse=True)
         return tuple(
-            Clearance(digest, Millis(now - at)) for _, digest, at in recent[:MOST_TOLD]
+            Clearance(digest, Millis(now - at))
+            for _, digest, at in recent[:MAX_ANNOUNCED_SUSPICIONS]
         )
 
     def remove_expired(self, now: Millis) -> None:
         """Drop what no longer counts."""
         for life, crash in list(self._crashes.items()):
-            if now - crash.at >= REMEMBERED_FOR:
-                self.forget_life(life)
+            if now - crash.at >= CRASH_RETENTION:
+                self.discard_crash(life)
         for digest, cleared in list(self._cleared.items()):
-            if now - cleared.at >= REMEMBERED_FOR:
+            if now - cleared.at >= CRASH_RETENTION:
                 del self._cleared[digest]
 
-    def _at(self, life: str) -> Millis:
+    def _get_crash_time(self, life: str) -> Millis:
         return self._crashes[life].at
 
     def _drop(self, digest: str, life: str) -> None:
--- a/figstep/core/quarantine.py
+++ b/figstep/core/quarantine.py
@@ -3,11 +3,11 @@
 from dataclasses import dataclass, field
 
 from figstep.core.clock import Millis
-from figstep.core.crashes import REMEMBERED_FOR, CrashTable
+from figstep.core.crashes import CRASH_RETENTION, CrashTable
 from figstep.core.problems import Problem
 from figstep.core.specs import RequestSpec
 
-QUARANTINE_FOR = REMEMBERED_FOR
+QUARANTINE_FOR = CRASH_RETENTION
 ECHO = Millis(10_000)
 
 
--- a/figstep/core/suspects.py
+++ b/figstep/core/suspects.py
@@ -131,7 +131,7 @@
         target.death_incarnation = target.incarnation
     life = f"{target.info.name}#{target.deaths}"
     for digest in digests:
-        crashes.note(Suspicion(digest, life), now)
+        crashes.record_suspicion(Suspicion(digest, life), now)
     effects: list[Effect] = [Count("targets.deaths")]
     for digest in digests:
         effects += _judge_digest(state, digest, now)
--- a/figstep/gateway/crashes.py
+++ b/figstep/gateway/crashes.py
@@ -75,7 +75,7 @@
         return
     target.ended_at = None
     if asked - ended_at < MIN_RESTART_TIME:
-        state.crashes.forget_life(_format_incarnation(target))
+        state.crashes.discard_crash(_format_incarnation(target))
 
 
 def record_end(state: State, target: Target, now: Millis) -> list[Effect]:
@@ -83,7 +83,7 @@
     if target.standing is not Standing.READY or target.ended_at is not None:
         return []
     target.ended_at = now
-    state.crashes.note_crash(_format_incarnation(target), now)
+    state.crashes.record_crash(_format_incarnation(target), now)
     return _suspect_lost(state, target, now)
 
 
@@ -118,7 +118,7 @@
     for suspicion in suspicions:
         if _has_answered_since(state, suspicion, now):
             continue
-        if state.crashes.note(suspicion, now):
+        if state.crashes.record_suspicion(suspicion, now):
             effects.append(_describe_suspicion(state, suspicion, source))
     return effects
 
@@ -167,7 +167,7 @@
         suspicion = Suspicion(
             digest, _format_incarnation(target), Millis(now - ended_at)
         )
-        if state.crashes.note(suspicion, now):
+        if state.crashes.record_suspicion(suspicion, now):
             effects.append(_describe_suspicion(state, suspicion, "itself"))
     return [Announce(), *effects] if effects else []
 
--- a/tests/core/test_crashes.py
+++ b/tests/core/test_crashes.py
@@ -2,10 +2,10 @@
 
 from figstep.core.clock import Millis
 from figstep.core.crashes import (
-    MOST_TOLD,
-    REMEMBERED_FOR,
-    SETTLED_AFTER,
-    TOLD_FOR,
+    CRASH_RETENTION,
+    MAX_ANNOUNCED_SUSPICIONS,
+    SUSPICION_ANNOUNCE_DURATION,
+    SUSPICION_DELAY,
     CrashTable,
     Suspicion,
 )
@@ -16,7 +16,7 @@
 def note(table: CrashTable, life: str, *digests: str, at: int = NOW) -> None:
     """Let requests be at a target that crashes."""
     for digest in digests:
-        table.note(Suspicion(digest, life), Millis(at))
+        table.record_suspicion(Suspicion(digest, life), Millis(at))
 
 
 def list_refused(table: CrashTable, *digests: str, at: int = NOW) -> list[str]:
@@ -25,8 +25,8 @@
 
 def test_refused_after_two_crashes_told_by_whomever() -> None:
     table = CrashTable()
-    assert table.note(Suspicion("killer", "b-1@1"), NOW)
-    assert not table.note(Suspicion("killer", "b-1@1", Millis(5)), NOW)
+    assert table.record_suspicion(Suspicion("killer", "b-1@1"), NOW)
+    assert not table.record_suspicion(Suspicion("killer", "b-1@1", Millis(5)), NOW)
     assert not table.is_refused("killer", NOW)
     note(table, "b-2@1", "killer")
     assert list_refused(table, "killer", "other") == ["killer"]
@@ -108,7 +108,7 @@
     assert not table.clear("good", Millis(NOW + 20), Millis(NOW + 20))
     # Told late by an entry that had not heard of the answer.
     late = Suspicion("good", "b-2@1", Millis(30))
-    assert not table.note(late, Millis(NOW + 40))
+    assert not table.record_suspicion(late, Millis(NOW + 40))
     note(table, "b-3@1", "good", at=NOW + 50)
     assert list_refused(table, "good", at=NOW + 50) == []
 
@@ -117,7 +117,7 @@
     table = CrashTable()
     note(table, "b-1@1", "good")
     note(table, "b-2@1", "good")
-    table.forget_life("b-2@1")
+    table.discard_crash("b-2@1")
     assert list_refused(table, "good") == []
     assert table.count("good") == 1
 
@@ -126,7 +126,7 @@
     table = CrashTable()
     note(table, "b-1@1", "killer")
     note(table, "b-2@1", "killer")
-    later = Millis(NOW + REMEMBERED_FOR)
+    later = Millis(NOW + CRASH_RETENTION)
     assert not table.is_refused("killer", later)
     table.remove_expired(later)
     assert not table.is_suspected("killer")
@@ -138,10 +138,10 @@
     table = CrashTable()
     note(table, "b-1@1", "killer")
     note(table, "b-2@1", "killer")
-    for number in range(2 * MOST_TOLD):
+    for number in range(2 * MAX_ANNOUNCED_SUSPICIONS):
         note(table, f"e-{number % 9}@1", f"good {number}", at=NOW + 100)
     told = table.list_suspicions(Millis(NOW + 200))
-    assert len(told) == MOST_TOLD
+    assert len(told) == MAX_ANNOUNCED_SUSPICIONS
     lives = {suspicion.life for suspicion in told if suspicion.digest == "killer"}
     assert lives == {"b-1@1", "b-2@1"}
 
@@ -150,9 +150,9 @@
     table = CrashTable()
     note(table, "b-1@1", "killer", "good")
     note(table, "b-2@1", "killer")
-    told = table.list_suspicions(Millis(NOW + TOLD_FOR))
+    told = table.list_suspicions(Millis(NOW + SUSPICION_ANNOUNCE_DURATION))
     assert {suspicion.digest for suspicion in told} == {"killer"}
-    assert told[0].age == TOLD_FOR
+    assert told[0].age == SUSPICION_ANNOUNCE_DURATION
 
 
 def test_it_is_told_for_a_while_that_a_request_has_run() -> None:
@@ -162,12 +162,12 @@
     table.clear("good", NOW, NOW)
     [told] = table.list_clearances(Millis(NOW + 30))
     assert (told.digest, told.age) == ("good", 30)
-    assert table.list_clearances(Millis(NOW + TOLD_FOR)) == ()
+    assert table.list_clearances(Millis(NOW + SUSPICION_ANNOUNCE_DURATION)) == ()
 
 
 def test_suspicions_settle() -> None:
     table = CrashTable()
     note(table, "b-1@1", "killer")
     note(table, "b-2@1", "killer", at=NOW + 100)
-    assert not table.is_settled("killer", Millis(NOW + SETTLED_AFTER))
-    assert table.is_settled("killer", Millis(NOW + 100 + SETTLED_AFTER))
+    assert not table.is_settled("killer", Millis(NOW + SUSPICION_DELAY))
+    assert table.is_settled("killer", Millis(NOW + 100 + SUSPICION_DELAY))
--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -30,7 +30,7 @@
 
 def note_death(entry: Entry, digest: str, death: str) -> None:
     """Let a request be in flight at a target that died elsewhere."""
-    entry.state.quarantine.crashes.note(Suspicion(digest, death), entry.now)
+    entry.state.quarantine.crashes.record_suspicion(Suspicion(digest, death), entry.now)
 
 
 def accept(entry: Entry, request: str) -> None:
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -352,7 +352,7 @@
     assert world.find_all(OpenAttempt) == []
     for number in range(2):
         suspicion = Suspicion(KILLER, f"e-{number + 7}@1")
-        world.state.crashes.note(suspicion, world.clock.now())
+        world.state.crashes.record_suspicion(suspicion, world.clock.now())
     world.handle(AnswerArrived(running.attempt, 200))
     world.handle(Ticked())
     assert world.find_all(OpenAttempt) == []
