--- a/figstep/core/recovery.py
+++ b/figstep/core/recovery.py
@@ -205,7 +205,7 @@
     if _proves_death(request, attempt, event, recovery):
         effects += suspects.record_death(state, attempt, now)
     if event.loss is Loss.BROKEN and isinstance(request.spec.work, ServiceWork):
-        effects += suspects.note_broken_call(state, request, attempt, now)
+        effects += suspects.record_broken_call(state, request, attempt, now)
     match recovery:
         case retries.Recovery.RESUME if target is not None:
             effects += _schedule_resume(state, request, attempt, event, now)
@@ -324,7 +324,7 @@
     request.delivered = 0
     request.resumes = 0
     request.accepted = False
-    if request.caller_gone or suspects.exhausted(state, request):
+    if request.caller_gone or suspects.reached_death_limit(state, request):
         return effects + _give_up(state, request, now)
     # What did not run cost the target nothing and is free to try elsewhere.
     if (
--- a/figstep/core/reducer.py
+++ b/figstep/core/reducer.py
@@ -82,7 +82,7 @@
         case AttemptLost():
             return recovery.recover_attempt(state, event, now)
         case TargetDown(target=target):
-            return suspects.note_down(state, target, now)
+            return suspects.handle_target_down(state, target, now)
         case AttemptRejected():
             return requests.reject_attempt(state, event, now)
         case CallerGone():
@@ -92,7 +92,7 @@
         case TimerFired(timer=timer):
             return _fire_timer(state, timer, now)
         case LoadReported():
-            effects = suspects.note_report(state, event, now)
+            effects = suspects.detect_restart(state, event, now)
             effects += targets.record_load(state, event, now)
             return effects + membership.spread_leaving(state, event.target, now)
         case ConfigurationRead() | SnapshotRead() | CheckpointOffered():
--- a/figstep/core/requests.py
+++ b/figstep/core/requests.py
@@ -211,7 +211,7 @@
     request = state.requests.pop(attempt.request)
     request.ran = Ran.YES
     state.retry_budget.earn()
-    suspects.note_answer(state, attempt)
+    suspects.clear_lost_calls(state, attempt)
     suspects.clear_suspect(state, request.spec.digest, now)
     return request
 
--- a/figstep/core/suspects.py
+++ b/figstep/core/suspects.py
@@ -10,10 +10,10 @@
 MAX_DEATHS = 3
 """Deaths after which a request is given up on, though another may have caused them."""
 
-LOST_KEPT = Millis(6_000)
+LOST_CALL_RETENTION = Millis(6_000)
 """How long a call whose connection broke may have been the end of its target."""
 
-PROBE_PERIOD = Millis(200)
+PROBE_INTERVAL = Millis(200)
 """Time between two probes of a target."""
 
 
@@ -26,11 +26,11 @@
     target = state.targets.get(attempt.target)
     if target is None:
         return []
-    victims = _list_victims(state, attempt)
-    return _count_victims(state, target, victims, now)
+    affected = _list_affected(state, attempt)
+    return _count_affected(state, target, affected, now)
 
 
-def note_report(state: State, event: LoadReported, now: Millis) -> list[Effect]:
+def detect_restart(state: State, event: LoadReported, now: Millis) -> list[Effect]:
     """Take a newer incarnation as the death of the one before."""
     target = state.targets.get(event.target)
     if target is None or target.incarnation == 0:
@@ -41,14 +41,14 @@
         # Its streams have told of this death already; what runs there now was
         # started on the new incarnation and is innocent.
         return []
-    victims = []
+    affected = []
     for request in state.requests.values():
         if request.target == event.target and request.accepted:
-            victims.append(request)
-    return _count_victims(state, target, victims, now) if victims else []
+            affected.append(request)
+    return _count_affected(state, target, affected, now) if affected else []
 
 
-def note_broken_call(
+def record_broken_call(
     state: State, request: RequestState, attempt: AttemptState, now: Millis
 ) -> list[Effect]:
     """Keep a call whose connection broke, until its target answers or has ended.
@@ -65,26 +65,26 @@
     # It took a connection since it was last found dead: another life has begun.
     target.dead = False
     target.lost[digest] = now
-    if now - target.probed_at < PROBE_PERIOD:
+    if now - target.probed_at < PROBE_INTERVAL:
         return []
     target.probed_at = now
     return [ProbeTarget(attempt.target)]
 
 
-def note_down(state: State, name: str, now: Millis) -> list[Effect]:
+def handle_target_down(state: State, name: str, now: Millis) -> list[Effect]:
     """Take in that nobody listens at a target: calls that broke there are suspects."""
     target = state.targets.get(name)
     if target is None:
         return []
     recent = []
     for digest, lost_at in target.lost.items():
-        if now - lost_at < LOST_KEPT:
+        if now - lost_at < LOST_CALL_RETENTION:
             recent.append(digest)
     target.lost.clear()
     return _count_death(state, target, recent, now) if recent else []
 
 
-def note_answer(state: State, attempt: AttemptState) -> None:
+def clear_lost_calls(state: State, attempt: AttemptState) -> None:
     """Take in that a target answered: it lived when it was asked."""
     target = state.targets.get(attempt.target)
     if target is None:
@@ -95,26 +95,26 @@
             del target.lost[digest]
 
 
-def _list_victims(state: State, attempt: AttemptState) -> list[RequestState]:
-    victims = [state.requests[attempt.request]]
+def _list_affected(state: State, attempt: AttemptState) -> list[RequestState]:
+    affected = [state.requests[attempt.request]]
     for request in state.requests.values():
         if request.target != attempt.target or not request.accepted:
             continue
         if request.spec.request != attempt.request:
-            victims.append(request)
-    return victims
+            affected.append(request)
+    return affected
 
 
-def _count_victims(
-    state: State, target: TargetState, victims: list[RequestState], now: Millis
+def _count_affected(
+    state: State, target: TargetState, affected: list[RequestState], now: Millis
 ) -> list[Effect]:
     digests = []
-    for victim in victims:
-        if victim.died_with == victim.generation:
+    for affected_request in affected:
+        if affected_request.died_with == affected_request.generation:
             # A late loss of a death that was counted, at a target that lives again.
             continue
-        victim.died_with = victim.generation
-        digests.append(victim.spec.digest)
+        affected_request.died_with = affected_request.generation
+        digests.append(affected_request.spec.digest)
     return _count_death(state, target, digests, now)
 
 
@@ -134,18 +134,18 @@
         crashes.record_suspicion(Suspicion(digest, life), now)
     effects: list[Effect] = [Count("targets.deaths")]
     for digest in digests:
-        effects += _judge_digest(state, digest, now)
+        effects += _quarantine_if_refused(state, digest, now)
     return effects
 
 
-def _judge_digest(state: State, digest: str, now: Millis) -> list[Effect]:
-    held = state.quarantine
-    if digest in held.until or not held.crashes.is_refused(digest, now):
+def _quarantine_if_refused(state: State, digest: str, now: Millis) -> list[Effect]:
+    table = state.quarantine
+    if digest in table.until or not table.crashes.is_refused(digest, now):
         return []
-    quarantine.hold_digest(held, digest, quarantine.QUARANTINE_FOR, now)
+    quarantine.hold_digest(table, digest, quarantine.QUARANTINE_FOR, now)
     fields: dict[str, str | int] = {
         "digest": digest,
-        "deaths": held.crashes.count(digest),
+        "deaths": table.crashes.count(digest),
     }
     return [Count("quarantine.added"), Note("request quarantined", fields)]
 
@@ -177,6 +177,6 @@
     state.quarantine.crashes.clear(digest, now, now)
 
 
-def exhausted(state: State, request: RequestState) -> bool:
+def reached_death_limit(state: State, request: RequestState) -> bool:
     """Tell whether a suspect was in so many deaths that it is not retried."""
     return state.quarantine.crashes.count(request.spec.digest) >= MAX_DEATHS
--- a/tests/core/test_suspects.py
+++ b/tests/core/test_suspects.py
@@ -14,7 +14,7 @@
 )
 from figstep.core.inventory import Inventory, ServiceInfo
 from figstep.core.specs import RequestSpec, ServiceWork
-from figstep.core.suspects import LOST_KEPT
+from figstep.core.suspects import LOST_CALL_RETENTION
 from figstep.core.targets import AVOID_LONGEST
 from tests.core.entries import Entry
 
@@ -130,7 +130,7 @@
     call(entry, "r1", "good")
     target = find_target(entry, "r1")
     entry.feed(AttemptLost(entry.find_attempt("r1"), Loss.BROKEN))
-    entry.feed(TargetDown(target), after=Millis(LOST_KEPT + 1))
+    entry.feed(TargetDown(target), after=Millis(LOST_CALL_RETENTION + 1))
     assert not entry.state.quarantine.crashes.is_suspected("good")
 
 
