--- a/figstep/core/membership.py
+++ b/figstep/core/membership.py
@@ -181,7 +181,7 @@
     member.counts = _merge_counts(member, gossip)
     member.counted = now
     for quarantined in gossip.quarantined:
-        quarantine.hold_digest(
+        quarantine.quarantine_digest(
             state.quarantine, quarantined.digest, quarantined.remaining, now
         )
     effects += _plan_fetch(state, now)
--- a/figstep/core/quarantine.py
+++ b/figstep/core/quarantine.py
@@ -7,8 +7,8 @@
 from figstep.core.problems import Problem
 from figstep.core.specs import RequestSpec
 
-QUARANTINE_FOR = CRASH_RETENTION
-ECHO = Millis(10_000)
+QUARANTINE_DURATION = CRASH_RETENTION
+ECHO_TOLERANCE = Millis(10_000)
 
 
 @dataclass(slots=True)
@@ -43,7 +43,7 @@
     )
 
 
-def hold_digest(
+def quarantine_digest(
     quarantine: Quarantine, digest: str, remaining: Millis, now: Millis
 ) -> None:
     """Refuse a digest for ``remaining`` more milliseconds, or for longer if it is.
@@ -53,8 +53,8 @@
     would prolong it with every message; a little more than what is known is
     therefore taken for such an echo.
     """
-    until = Millis(now + min(remaining, QUARANTINE_FOR))
+    until = Millis(now + min(remaining, QUARANTINE_DURATION))
     known = quarantine.until.get(digest)
-    if known is not None and until <= known + ECHO:
+    if known is not None and until <= known + ECHO_TOLERANCE:
         return
     quarantine.until[digest] = until
--- a/figstep/core/suspects.py
+++ b/figstep/core/suspects.py
@@ -142,7 +142,7 @@
     table = state.quarantine
     if digest in table.until or not table.crashes.is_refused(digest, now):
         return []
-    quarantine.hold_digest(table, digest, quarantine.QUARANTINE_FOR, now)
+    quarantine.quarantine_digest(table, digest, quarantine.QUARANTINE_DURATION, now)
     fields: dict[str, str | int] = {
         "digest": digest,
         "deaths": table.crashes.count(digest),
--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -149,10 +149,10 @@
 
 def test_a_digest_that_a_peer_tells_is_refused_for_a_bounded_time() -> None:
     held = Quarantine({"d": Millis(900)})
-    quarantine.hold_digest(held, "d", Millis(100), Millis(400))
+    quarantine.quarantine_digest(held, "d", Millis(100), Millis(400))
     assert held.until == {"d": Millis(900)}
-    quarantine.hold_digest(held, "e", Millis(10**9), Millis(400))
-    assert held.until["e"] == 400 + quarantine.QUARANTINE_FOR
+    quarantine.quarantine_digest(held, "e", Millis(10**9), Millis(400))
+    assert held.until["e"] == 400 + quarantine.QUARANTINE_DURATION
 
 
 def test_shared_digests_end_everywhere() -> None:
@@ -162,11 +162,11 @@
     digest would be refused for half as long again.
     """
     first, second = Quarantine(), Quarantine()
-    quarantine.hold_digest(first, "d", Millis(60_000), Millis(0))
+    quarantine.quarantine_digest(first, "d", Millis(60_000), Millis(0))
     for now in range(0, 60_000, 1_000):
         for giver, taker in ((first, second), (second, first)):
             remaining = Millis(giver.until["d"] - now if "d" in giver.until else 0)
             if remaining > 0:
-                quarantine.hold_digest(taker, "d", remaining, Millis(now + 500))
+                quarantine.quarantine_digest(taker, "d", remaining, Millis(now + 500))
     assert first.until["d"] == 60_000
     assert second.until["d"] == 60_500
