--- a/figstep/core/attempts.py
+++ b/figstep/core/attempts.py
@@ -90,7 +90,7 @@
         number, request.spec.request, target.info.name, generation, now, now
     )
     state.attempts[number] = attempt
-    targets.enter_target(state, target, attempt, request, now)
+    targets.reserve_target(state, target, attempt, request, now)
     request.phase = Phase.RUNNING
     request.attempt = number
     request.generation = generation
@@ -116,7 +116,7 @@
         return None
     target = state.targets.get(attempt.target)
     if target is not None:
-        targets.leave_target(state, target, attempt)
+        targets.release_target(state, target, attempt)
     request = state.requests.get(attempt.request)
     if request is not None and request.attempt == number:
         request.attempt = None
--- a/figstep/core/recovery.py
+++ b/figstep/core/recovery.py
@@ -201,7 +201,7 @@
         _log_loss(attempt, event, recovery),
     ]
     if target is not None:
-        targets.note_loss(target, now)
+        targets.record_loss(target, now)
     if _proves_death(request, attempt, event, recovery):
         effects += suspects.record_death(state, attempt, now)
     if event.loss is Loss.BROKEN and isinstance(request.spec.work, ServiceWork):
--- a/figstep/core/routing.py
+++ b/figstep/core/routing.py
@@ -11,10 +11,10 @@
 from figstep.core.specs import GenerationWork, RequestSpec, ServiceWork
 from figstep.core.state import RequestState, State, TargetState
 from figstep.core.targets import (
-    count_others,
     estimate_footprint,
-    size_others,
-    start_pace,
+    estimate_others_memory,
+    estimate_others_running,
+    initialize_gaps,
 )
 
 PREFILL_GAP_FRACTION = 1 / 250
@@ -166,7 +166,7 @@
     for target in candidates:
         if now < target.pace.avoid_until:
             continue
-        others = count_others(target, now) if policy.others else 0.0
+        others = estimate_others_running(target, now) if policy.others else 0.0
         if not has_capacity(policy, target, footprint, others):
             continue
         score = _score_target(policy, target, request.spec, footprint, others, now)
@@ -203,7 +203,7 @@
         return True
     predicted = pace.predict_memory(footprint, policy.growth, policy.deviations)
     if others:
-        predicted += others * size_others(target)
+        predicted += others * estimate_others_memory(target)
     return predicted <= (target.memory_total or info.memory_tokens)
 
 
@@ -220,7 +220,7 @@
     if not policy.pace:
         return running + 1.0
     if pace.gaps.weight == 0.0:
-        start_pace(target)
+        initialize_gaps(target)
     gap = pace.gaps.predict(running + 1)
     prefill = footprint.held * pace.gaps.predict(1.0) * PREFILL_GAP_FRACTION
     if policy.affinity and _has_prefix(target, spec, now):
--- a/figstep/core/targets.py
+++ b/figstep/core/targets.py
@@ -10,21 +10,21 @@
 from figstep.core.specs import GenerationWork, RequestSpec
 from figstep.core.state import AttemptState, RequestState, State, TargetState
 
-REVIEW_EVERY = 8
-ESTIMATE_STEP = 0.25
-AVOID_FIRST = Millis(500)
-AVOID_LONGEST = Millis(8_000)
-GAP_GAIN = 0.1
-OUTLIER = 4.0
-REPORT_FRESH = Millis(10_000)
-MOSTLY_OWN = 0.8
+REVIEW_INTERVAL = 8
+ESTIMATE_GROWTH = 0.25
+INITIAL_AVOIDANCE = Millis(500)
+MAX_AVOIDANCE = Millis(8_000)
+GAP_SMOOTHING = 0.1
+OUTLIER_FACTOR = 4.0
+REPORT_LIFETIME = Millis(10_000)
+OWN_SHARE_THRESHOLD = 0.8
 """Above this share of a report the rest is taken for an error of timing."""
 
-MOST_ENTRIES = 8.0
-OTHERS_GROWTH = 1.25
-DEFAULT_HELD = 700.0
-PREFIXES_KEPT = 64
-NEVER = 1 << 62
+MAX_ENTRIES = 8.0
+OTHERS_MEMORY_FACTOR = 1.25
+DEFAULT_OTHERS_MEMORY = 700.0
+MAX_PREFIXES = 64
+NO_REVIEW = 1 << 62
 
 
 def record_load(state: State, event: LoadReported, now: Millis) -> list[Effect]:
@@ -51,7 +51,7 @@
     return []
 
 
-def count_others(target: TargetState, now: Millis) -> float:
+def estimate_others_running(target: TargetState, now: Millis) -> float:
     """Return how many generations other entries run on a target.
 
     Peers tell it; where they don't, the last report less what this entry ran
@@ -60,25 +60,25 @@
     """
     if target.peers_in_flight:
         return float(target.peers_in_flight)
-    if target.reported is None or now - target.reported > REPORT_FRESH:
+    if target.reported is None or now - target.reported > REPORT_LIFETIME:
         return 0.0
     pace = target.pace
     total = target.running + target.waiting
-    if pace.own_at_report >= MOSTLY_OWN * total:
+    if pace.own_at_report >= OWN_SHARE_THRESHOLD * total:
         return 0.0
     others = total - pace.own_at_report
     added = max(0, pace.running - pace.own_at_report)
-    entries = min(MOST_ENTRIES, others / max(1, pace.own_at_report))
+    entries = min(MAX_ENTRIES, others / max(1, pace.own_at_report))
     return others + entries * added
 
 
-def size_others(target: TargetState) -> float:
+def estimate_others_memory(target: TargetState) -> float:
     """Return the tokens that another entry's generation is taken to hold."""
     if target.running:
-        return OTHERS_GROWTH * target.memory_used / target.running
+        return OTHERS_MEMORY_FACTOR * target.memory_used / target.running
     if target.pace.running:
-        return OTHERS_GROWTH * target.pace.held / target.pace.running
-    return DEFAULT_HELD
+        return OTHERS_MEMORY_FACTOR * target.pace.held / target.pace.running
+    return DEFAULT_OTHERS_MEMORY
 
 
 def estimate_footprint(
@@ -95,11 +95,11 @@
         review_at=produced + 1,
         reviewed=now,
         produced=produced,
-        next_estimate=produced + REVIEW_EVERY,
+        next_estimate=produced + REVIEW_INTERVAL,
     )
 
 
-def enter_target(
+def reserve_target(
     state: State,
     target: TargetState,
     attempt: AttemptState,
@@ -120,11 +120,11 @@
         prefixes = target.pace.prefixes
         prefixes.pop(spec.work.prefix, None)
         prefixes[spec.work.prefix] = now
-        if len(prefixes) > PREFIXES_KEPT:
+        if len(prefixes) > MAX_PREFIXES:
             del prefixes[next(iter(prefixes))]
 
 
-def leave_target(state: State, target: TargetState, attempt: AttemptState) -> None:
+def release_target(state: State, target: TargetState, attempt: AttemptState) -> None:
     """Forget an attempt that ended."""
     target.in_flight -= 1
     if attempt.footprint is not None:
@@ -141,7 +141,7 @@
     footprint, target = attempt.footprint, state.targets.get(attempt.target)
     work = request.spec.work
     if footprint is None or target is None or not isinstance(work, GenerationWork):
-        attempt.review_at = NEVER
+        attempt.review_at = NO_REVIEW
         return
     produced = request.delivered
     grown = produced - footprint.produced
@@ -159,11 +159,11 @@
             request.spec.customer, work, produced
         )
         footprint.mean, footprint.variance = remaining.mean, remaining.variance
-        footprint.next_estimate = produced + REVIEW_EVERY
-        footprint.next_estimate += int(produced * ESTIMATE_STEP)
+        footprint.next_estimate = produced + REVIEW_INTERVAL
+        footprint.next_estimate += int(produced * ESTIMATE_GROWTH)
     footprint.produced = produced
     footprint.reviewed = now
-    footprint.review_at = attempt.review_at = produced + REVIEW_EVERY
+    footprint.review_at = attempt.review_at = produced + REVIEW_INTERVAL
     pace.held += footprint.held
     pace.mean += footprint.mean
     pace.variance += footprint.variance
@@ -173,11 +173,11 @@
     pace = target.pace
     # A stream that was pushed off shows one huge gap, which tells nothing of
     # the pace of the others.
-    bounded = min(gap, OUTLIER * pace.gap) if pace.gap else gap
-    pace.gap += GAP_GAIN * (bounded - pace.gap) if pace.gap else bounded
+    bounded = min(gap, OUTLIER_FACTOR * pace.gap) if pace.gap else gap
+    pace.gap += GAP_SMOOTHING * (bounded - pace.gap) if pace.gap else bounded
     if pace.gaps.weight == 0.0:
-        start_pace(target)
-    running = pace.running + count_others(target, now)
+        initialize_gaps(target)
+    running = pace.running + estimate_others_running(target, now)
     pace.gaps.add_sample(running, gap)
     match state.policy:
         case Figstep(limit=True, gap_goal=goal):
@@ -186,15 +186,15 @@
             pass
 
 
-def start_pace(target: TargetState) -> None:
+def initialize_gaps(target: TargetState) -> None:
     """Begin a target's expected gap from its inventory entry."""
     if isinstance(target.info, EngineInfo):
         target.pace.gaps.start(target.info.speed)
 
 
-def note_loss(target: TargetState, now: Millis) -> None:
+def record_loss(target: TargetState, now: Millis) -> None:
     """Give a target that lost an attempt a growing pause."""
     pace = target.pace
-    pause = min(AVOID_LONGEST, AVOID_FIRST << min(10, pace.losses))
+    pause = min(MAX_AVOIDANCE, INITIAL_AVOIDANCE << min(10, pace.losses))
     pace.losses += 1
     pace.avoid_until = Millis(now + pause)
--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -18,7 +18,7 @@
 from figstep.core.quarantine import Quarantine
 from figstep.core.specs import GenerationWork, RequestSpec
 from figstep.core.suspects import blocks_target
-from figstep.core.targets import AVOID_LONGEST
+from figstep.core.targets import MAX_AVOIDANCE
 from tests.core.entries import Entry, make_inventory
 from tests.core.test_recovery import lose_for_good
 
@@ -123,7 +123,7 @@
     entry.start("r1", digest="a")
     accept(entry, "r1")
     lose_for_good(entry, "r1")
-    entry.feed(CallerGone("r1"), after=AVOID_LONGEST)
+    entry.feed(CallerGone("r1"), after=MAX_AVOIDANCE)
     entry.start("r2", digest="b")
     accept(entry, "r2")
     entry.feed(LoadReported("e1", incarnation=2))
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -22,7 +22,7 @@
 from figstep.core.routing import choose_subset, has_capacity, has_loaded
 from figstep.core.specs import GenerationWork, RequestSpec
 from figstep.core.state import State, TargetState
-from figstep.core.targets import count_others, note_loss
+from figstep.core.targets import estimate_others_running, record_loss
 from tests.core.entries import Entry, make_inventory
 
 INFO = EngineInfo("e1", "", "muc-a", ("m",), memory_tokens=1_000, max_running=8)
@@ -119,7 +119,7 @@
     target = TargetState(INFO)
     pauses = []
     for _ in range(8):
-        note_loss(target, Millis(0))
+        record_loss(target, Millis(0))
         pauses.append(target.pace.avoid_until)
     assert pauses == sorted(pauses)
     assert pauses[0] == 500
@@ -138,12 +138,14 @@
     start(state, "r1", now=1_000)
     report = LoadReported("e1", running=4, memory_total=1_000, age=Millis(900))
     reduce(state, report, Millis(3_000))
-    assert count_others(target, Millis(3_000)) == 3
+    assert estimate_others_running(target, Millis(3_000)) == 3
     start(state, "r2", now=3_100)
-    assert count_others(target, Millis(3_100)) == 6
-    assert count_others(target, Millis(60_000)) == 0  # too old to tell anything
+    assert estimate_others_running(target, Millis(3_100)) == 6
+    assert (
+        estimate_others_running(target, Millis(60_000)) == 0
+    )  # too old to tell anything
     target.peers_in_flight = 5
-    assert count_others(target, Millis(3_100)) == 5
+    assert estimate_others_running(target, Millis(3_100)) == 5
 
 
 def test_ledger_follows_tokens_and_empties_with_the_last_attempt() -> None:
@@ -228,7 +230,7 @@
     """
     entry = Entry(inventory=make_inventory(engines=1))
     entry.feed(LoadReported("e1", incarnation=1))
-    note_loss(entry.state.targets["e1"], entry.now)
+    record_loss(entry.state.targets["e1"], entry.now)
     spec = RequestSpec("r1", "demo", GenerationWork("m"))
     entry.feed(RequestArrived(spec))
     assert entry.list_kind(OpenAttempt) == []
--- a/tests/core/test_suspects.py
+++ b/tests/core/test_suspects.py
@@ -15,7 +15,7 @@
 from figstep.core.inventory import Inventory, ServiceInfo
 from figstep.core.specs import RequestSpec, ServiceWork
 from figstep.core.suspects import LOST_CALL_RETENTION
-from figstep.core.targets import AVOID_LONGEST
+from figstep.core.targets import MAX_AVOIDANCE
 from tests.core.entries import Entry
 
 SERVICES = 6
@@ -152,7 +152,7 @@
     for number in range(2):
         call(entry, f"r{number}", "killer")
         crash(entry, f"r{number}")
-        entry.feed(CallerGone(f"r{number}"), after=AVOID_LONGEST)
+        entry.feed(CallerGone(f"r{number}"), after=MAX_AVOIDANCE)
     call(entry, "r3", "killer")
     assert entry.take(Refuse).problem.code == "request_quarantined"
 
