--- a/figstep/core/budgets.py
+++ b/figstep/core/budgets.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass
 
-SHARE = 0.25
-RESERVE = 20.0
-MOST = 100.0
+RETRY_SHARE = 0.25
+INITIAL_RETRIES = 20.0
+MAX_RETRIES = 100.0
 
 
 @dataclass(slots=True)
@@ -21,11 +21,11 @@
         left: Retries left.
     """
 
-    left: float = RESERVE
+    left: float = INITIAL_RETRIES
 
     def earn(self) -> None:
         """Count a success."""
-        self.left = min(MOST, self.left + SHARE)
+        self.left = min(MAX_RETRIES, self.left + RETRY_SHARE)
 
     def spend(self) -> bool:
         """Take one retry; False if there is none left."""
--- a/tests/core/test_budgets.py
+++ b/tests/core/test_budgets.py
@@ -1,6 +1,6 @@
 """Retry budget: a share of successes."""
 
-from figstep.core.budgets import MOST, RESERVE, SHARE, RetryBudget
+from figstep.core.budgets import INITIAL_RETRIES, MAX_RETRIES, RETRY_SHARE, RetryBudget
 from figstep.core.effects import OpenAttempt, Refuse
 from figstep.core.events import AttemptLost, Loss, RequestArrived
 from figstep.core.specs import GenerationWork, RequestSpec
@@ -9,13 +9,13 @@
 
 def test_retries_stay_a_share_of_successes() -> None:
     budget = RetryBudget()
-    assert sum(budget.spend() for _ in range(1_000)) == RESERVE
+    assert sum(budget.spend() for _ in range(1_000)) == INITIAL_RETRIES
     for _ in range(100):
         budget.earn()
-    assert sum(budget.spend() for _ in range(1_000)) == int(100 * SHARE)
+    assert sum(budget.spend() for _ in range(1_000)) == int(100 * RETRY_SHARE)
     for _ in range(10_000):
         budget.earn()
-    assert budget.left == MOST
+    assert budget.left == MAX_RETRIES
 
 
 def test_sick_pool_is_not_sent_a_multiple_of_its_load() -> None:
@@ -38,5 +38,5 @@
                 continue
             opened += 1
             pending += entry.feed(AttemptLost(effect.attempt, Loss.FAILED))
-    assert opened <= asked + RESERVE
+    assert opened <= asked + INITIAL_RETRIES
     assert refused + len(entry.state.queue) == asked
