--- a/figstep/application.py
+++ b/figstep/application.py
@@ -245,7 +245,7 @@
             queued=len(self.entry_state.queue),
             streams=len(self.callers.streams),
             targets=len(targets),
-            leaving=sum(not target.takes_work for target in targets),
+            leaving=sum(not target.accepts_work for target in targets),
             configuration_offset=self.entry_state.configuration_offset,
         )
 
--- a/figstep/core/placement.py
+++ b/figstep/core/placement.py
@@ -207,7 +207,7 @@
     """Return placement's view of a target; None if it is not an engine."""
     if not isinstance(target.info, EngineInfo):
         return None
-    usable = target.takes_work and target.reported is not None
+    usable = target.accepts_work and target.reported is not None
     return EngineView(target.info, frozenset(target.models), usable)
 
 
--- a/figstep/core/routing.py
+++ b/figstep/core/routing.py
@@ -107,7 +107,7 @@
     """Return the targets that may take the request now."""
     candidates = []
     for target in _sample(state, list_pool(state, request.spec)):
-        if not target.takes_work:
+        if not target.accepts_work:
             continue
         if not has_loaded(target, request.spec):
             continue
--- a/figstep/core/state.py
+++ b/figstep/core/state.py
@@ -172,7 +172,7 @@
     probed_at: Millis = Millis(-1_000_000)
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Whether nobody says that it should get no new work."""
         return not (self.leaving or self.listed_leaving or self.draining)
 
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -207,6 +207,6 @@
     feed(state, LoadReported("engine-0", incarnation=3))
     line = InstanceInfo("engine-0", "target", "", "muc-a", leaving=True)
     feed(state, InstancesListed((line,)))
-    assert not target.takes_work
+    assert not target.accepts_work
     feed(state, InstancesListed((replace(line, leaving=False),)))
-    assert target.takes_work
+    assert target.accepts_work
