--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -27,7 +27,12 @@
 
 from figstep.core.clock import Millis
 from figstep.core.effects import SendGossip
-from figstep.core.events import GossipReceived, GossipTimer, PeersOpened, TimerFired
+from figstep.core.events import (
+    GossipReceived,
+    GossipTimer,
+    PeerListenerOpened,
+    TimerFired,
+)
 from figstep.core.gossip import (
     Gossip,
     LeavingMark,
@@ -357,7 +362,7 @@
     for number in range(targets):
         info = ServiceInfo(f"serving-{number}", "serving", "http://h", "muc-a")
         state.targets[info.name] = TargetState(info, in_flight=number % 3)
-    reduce(state, PeersOpened("10.0.0.1:7946", 1_700_000_000_000), Millis(0))
+    reduce(state, PeerListenerOpened("10.0.0.1:7946", 1_700_000_000_000), Millis(0))
     for number in range(1, members):
         reduce(state, GossipReceived(_build_message(number, 1, targets)), Millis(0))
     return state
--- a/figstep/core/events.py
+++ b/figstep/core/events.py
@@ -21,7 +21,7 @@
     NOT_FOUND = "not_found"  # a resume named a generation the target lacks
     BROKEN = "broken"  # the connection broke after bytes went out
     TRUNCATED = "truncated"  # closed cleanly without the end marker
-    CROSSED = "crossed"  # the answer belongs to another generation
+    WRONG_GENERATION = "crossed"  # the answer belongs to another generation
     FAILED = "failed"  # the target answered with a server error
     SILENT = "silent"  # nothing came for longer than the idle limit
     EMPTY = "empty"  # an end marker without any answer before it
@@ -287,7 +287,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeersOpened:
+class PeerListenerOpened:
     """This entry listens for peers.
 
     Attributes:
@@ -476,7 +476,7 @@
     | SnapshotRead
     | CheckpointOffered
     | InstancesListed
-    | PeersOpened
+    | PeerListenerOpened
     | GossipReceived
     | RecordsRead
     | AppendConfirmed
--- a/figstep/core/membership.py
+++ b/figstep/core/membership.py
@@ -20,7 +20,7 @@
     GossipReceived,
     GossipTimer,
     InstancesListed,
-    PeersOpened,
+    PeerListenerOpened,
 )
 from figstep.core.gossip import (
     Gossip,
@@ -46,7 +46,7 @@
 FETCH_PAUSE = Millis(400)
 
 
-def open_peers(state: State, event: PeersOpened, now: Millis) -> list[Effect]:
+def open_peers(state: State, event: PeerListenerOpened, now: Millis) -> list[Effect]:
     """Start to gossip."""
     membership = state.membership
     membership.address = event.address
--- a/figstep/core/recovery.py
+++ b/figstep/core/recovery.py
@@ -54,7 +54,9 @@
         # Two answers crossed on their way: another caller's text would be
         # shown here. Dropping the connection and reattaching by generation
         # brings the right events.
-        lost = AttemptLost(event.attempt, Loss.CROSSED, detail=event.generation)
+        lost = AttemptLost(
+            event.attempt, Loss.WRONG_GENERATION, detail=event.generation
+        )
         return [
             Count("tokens.crossed", len(event.frames)),
             *recover_attempt(state, lost, now),
--- a/figstep/core/reducer.py
+++ b/figstep/core/reducer.py
@@ -34,7 +34,7 @@
     LoadReported,
     OrderAnswered,
     OutcomeTimer,
-    PeersOpened,
+    PeerListenerOpened,
     PlacementTimer,
     QueueTimer,
     RecordsRead,
@@ -101,7 +101,7 @@
             return membership.record_instances(state, event, now)
         case GossipReceived():
             return membership.take_gossip(state, event, now)
-        case PeersOpened():
+        case PeerListenerOpened():
             return membership.open_peers(state, event, now)
         case RecordsRead(stream=records.LEASES):
             return placement.take_lease_records(state, event, now)
--- a/figstep/net/peers.py
+++ b/figstep/net/peers.py
@@ -13,7 +13,7 @@
     CheckpointOffered,
     Event,
     GossipReceived,
-    PeersOpened,
+    PeerListenerOpened,
 )
 from figstep.core.gossip import Gossip
 from figstep.errors import PeerMessageError, SettingsError
@@ -79,7 +79,7 @@
         port = await self._bind(host, self._settings.listen.port)
         self.address = f"{host}:{port}"
         self._dispatch(
-            PeersOpened(self.address, self._incarnation, self._settings.start)
+            PeerListenerOpened(self.address, self._incarnation, self._settings.start)
         )
 
     async def _bind(self, host: str, port: int) -> int:
--- a/tests/contracts/test_peers.py
+++ b/tests/contracts/test_peers.py
@@ -15,7 +15,7 @@
     CheckpointOffered,
     Event,
     GossipReceived,
-    PeersOpened,
+    PeerListenerOpened,
 )
 from figstep.core.gossip import Gossip
 from figstep.demo import build_document
@@ -50,7 +50,9 @@
 
     def list_news(self) -> list[Event]:
         """Return its events but the one that tells of its own address."""
-        return [event for event in self.events if not isinstance(event, PeersOpened)]
+        return [
+            event for event in self.events if not isinstance(event, PeerListenerOpened)
+        ]
 
 
 @asynccontextmanager
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -15,7 +15,7 @@
     InstanceInfo,
     InstancesListed,
     LoadReported,
-    PeersOpened,
+    PeerListenerOpened,
     ShutdownRequested,
     TimerFired,
 )
@@ -48,7 +48,7 @@
     for number in range(targets):
         name = f"engine-{number}"
         state.targets[name] = TargetState(EngineInfo(name, "http://h", "d", ("m",)))
-    feed(state, PeersOpened("127.0.0.1:1", 10))
+    feed(state, PeerListenerOpened("127.0.0.1:1", 10))
     for number in range(members):
         feed(state, hear(f"n{number}", f"127.0.0.1:{number + 100}"))
     return state
--- a/tests/core/test_region_split.py
+++ b/tests/core/test_region_split.py
@@ -5,7 +5,12 @@
 
 from figstep.core.clock import Millis
 from figstep.core.effects import Effect, SendGossip
-from figstep.core.events import GossipReceived, GossipTimer, PeersOpened, TimerFired
+from figstep.core.events import (
+    GossipReceived,
+    GossipTimer,
+    PeerListenerOpened,
+    TimerFired,
+)
 from figstep.core.gossip import MemberStatus
 from figstep.core.reducer import reduce
 from figstep.core.state import State
@@ -27,7 +32,7 @@
             state = State(f"n{number}", rng=random.Random(number))
             self.states[address] = state
         for address, state in self.states.items():
-            opened = PeersOpened(address, 1, tuple(REGIONS))
+            opened = PeerListenerOpened(address, 1, tuple(REGIONS))
             self._send(address, reduce(state, opened, self.now))
 
     def _send(self, address: str, effects: list[Effect]) -> None:
