--- a/figstep/core/reducer.py
+++ b/figstep/core/reducer.py
@@ -90,13 +90,13 @@
         case CallerReturned():
             return requests.reattach_caller(state, event, now)
         case TimerFired(timer=timer):
-            return _fire_timer(state, timer, now)
+            return _handle_timer(state, timer, now)
         case LoadReported():
             effects = suspects.detect_restart(state, event, now)
             effects += targets.record_load(state, event, now)
             return effects + membership.spread_leaving(state, event.target, now)
         case ConfigurationRead() | SnapshotRead() | CheckpointOffered():
-            return _read_configuration(state, event, now)
+            return _apply_configuration(state, event, now)
         case InstancesListed():
             return membership.record_instances(state, event, now)
         case GossipReceived():
@@ -126,7 +126,7 @@
             return requests.abort_requests(state)
 
 
-def _read_configuration(
+def _apply_configuration(
     state: State,
     event: ConfigurationRead | SnapshotRead | CheckpointOffered,
     now: Millis,
@@ -144,7 +144,7 @@
     return effects
 
 
-def _fire_timer(state: State, timer: Timer, now: Millis) -> list[Effect]:
+def _handle_timer(state: State, timer: Timer, now: Millis) -> list[Effect]:
     match timer:
         case QueueTimer():
             return requests.start_queued(state, now)
