--- a/figstep/core/admission.py
+++ b/figstep/core/admission.py
@@ -99,8 +99,8 @@
     spec = request.spec
     match state.policy:
         case Figstep(engine_priority=True) if isinstance(spec.work, GenerationWork):
-            doublings = find_bin(round(estimate_cost(state, spec)))
-            return spec.priority * PRIORITY_STEP + BIN_COUNT - doublings
+            length_bin = find_bin(round(estimate_cost(state, spec)))
+            return spec.priority * PRIORITY_STEP + BIN_COUNT - length_bin
         case _:
             return spec.priority
 
