--- a/figstep/core/crashes.py
+++ b/figstep/core/crashes.py
@@ -153,7 +153,7 @@
             return False
         self._cleared[digest] = _Cleared(at, now)
         for life in found:
-            self._drop(digest, life)
+            self._drop_suspicion(digest, life)
         return True
 
     def discard_crash(self, life: str) -> None:
@@ -162,7 +162,7 @@
         if crash is None:
             return
         for digest in list(crash.suspects):
-            self._drop(digest, life)
+            self._drop_suspicion(digest, life)
         del self._crashes[life]
 
     def is_refused(self, digest: str, now: Millis) -> bool:
@@ -251,7 +251,7 @@
     def _get_crash_time(self, life: str) -> Millis:
         return self._crashes[life].at
 
-    def _drop(self, digest: str, life: str) -> None:
+    def _drop_suspicion(self, digest: str, life: str) -> None:
         del self._crashes[life].suspects[digest]
         lives = self._lives[digest]
         lives.discard(life)
