--- a/figstep/core/lengths.py
+++ b/figstep/core/lengths.py
@@ -121,10 +121,10 @@
                 continue
             remaining = histogram.estimate(produced)
             if remaining is not None:
-                return _bound(remaining, work, produced)
+                return _apply_max_tokens(remaining, work, produced)
         doubled = max(DEFAULT_MEAN, float(produced))
         unknown = Remaining(doubled, max(DEFAULT_DEVIATION, doubled) ** 2)
-        return _bound(unknown, work, produced)
+        return _apply_max_tokens(unknown, work, produced)
 
     def estimate_remaining(
         self, customer: str, work: GenerationWork, produced: int
@@ -146,12 +146,15 @@
     ]
 
 
-def _bound(remaining: Remaining, work: GenerationWork, produced: int) -> Remaining:
+def _apply_max_tokens(
+    remaining: Remaining, work: GenerationWork, produced: int
+) -> Remaining:
     if work.max_tokens is None:
         return remaining
-    most = max(1.0, float(work.max_tokens - produced))
-    if remaining.mean <= most / 2:
+    max_remaining = max(1.0, float(work.max_tokens - produced))
+    if remaining.mean <= max_remaining / 2:
         return remaining
     return Remaining(
-        min(remaining.mean, most), min(remaining.variance, most * most / 4)
+        min(remaining.mean, max_remaining),
+        min(remaining.variance, max_remaining * max_remaining / 4),
     )
