--- a/figstep/core/routing.py
+++ b/figstep/core/routing.py
@@ -106,7 +106,7 @@
 ) -> list[TargetState]:
     """Return the targets that may take the request now."""
     candidates = []
-    for target in _sample(state, list_pool(state, request.spec)):
+    for target in _sample_pool(state, list_pool(state, request.spec)):
         if not target.accepts_work:
             continue
         if not has_loaded(target, request.spec):
@@ -119,7 +119,7 @@
     return candidates
 
 
-def _sample(state: State, pool: list[TargetState]) -> list[TargetState]:
+def _sample_pool(state: State, pool: list[TargetState]) -> list[TargetState]:
     match state.policy:
         case Figstep(choices=choices) if len(pool) > choices:
             return state.rng.sample(pool, choices)
