--- a/figstep/core/recovery.py
+++ b/figstep/core/recovery.py
@@ -185,7 +185,7 @@
     if finishes.is_unfinished(request.last_frame):
         lost = AttemptLost(event.attempt, Loss.TRUNCATED, detail="no finish reason")
         return recover_attempt(state, lost, now)
-    return requests.end_attempt(state, event, now)
+    return requests.complete_attempt(state, event, now)
 
 
 def recover_attempt(state: State, event: AttemptLost, now: Millis) -> list[Effect]:
--- a/figstep/core/reducer.py
+++ b/figstep/core/reducer.py
@@ -78,7 +78,7 @@
         case AttemptEnded():
             return recovery.finish_attempt(state, event, now)
         case ServiceAnswered():
-            return requests.answer_service(state, event, now)
+            return requests.complete_service_call(state, event, now)
         case AttemptLost():
             return recovery.recover_attempt(state, event, now)
         case TargetDown(target=target):
--- a/figstep/core/requests.py
+++ b/figstep/core/requests.py
@@ -110,7 +110,7 @@
 
 def _start_pool(state: State, pool: str, now: Millis) -> list[Effect]:
     effects: list[Effect] = []
-    passed_over: list[RequestState] = []
+    skipped: list[RequestState] = []
     while (spec := state.queue.peek(pool)) is not None:
         request = state.requests.get(spec.request)
         if request is None or request.phase is not Phase.QUEUED:
@@ -122,21 +122,21 @@
             effects += end_request(state, request, quarantined)
             continue
         target = admission.choose_for_queued(state, request, now)
-        if target is None and not _is_restricted(state, request):
+        if target is None and not _avoids_targets(state, request):
             break
         state.queue.remove(spec.request)
         if target is None:
             # It has targets of its own to avoid; were it to stay at the head,
             # all behind it would wait for those as well.
-            passed_over.append(request)
+            skipped.append(request)
             continue
         effects += _dispatch_request(state, request, target, now)
-    for request in passed_over:
+    for request in skipped:
         admission.queue_request(state, request)
     return effects
 
 
-def _is_restricted(state: State, request: RequestState) -> bool:
+def _avoids_targets(state: State, request: RequestState) -> bool:
     suspect = suspects.is_suspect(state, request.spec.digest)
     return suspect or bool(request.failed_targets)
 
@@ -174,7 +174,7 @@
     return effects
 
 
-def end_attempt(state: State, event: AttemptEnded, now: Millis) -> list[Effect]:
+def complete_attempt(state: State, event: AttemptEnded, now: Millis) -> list[Effect]:
     """The end marker came: the caller has its whole answer."""
     request = _complete_request(state, event.attempt, now)
     if request is None:
@@ -190,7 +190,9 @@
     ]
 
 
-def answer_service(state: State, event: ServiceAnswered, now: Millis) -> list[Effect]:
+def complete_service_call(
+    state: State, event: ServiceAnswered, now: Millis
+) -> list[Effect]:
     """A plain service answered: hand the answer over and record it."""
     request = _complete_request(state, event.attempt, now)
     if request is None:
