--- a/figstep/core/admission.py
+++ b/figstep/core/admission.py
@@ -63,10 +63,10 @@
     spec = request.spec
     cost, share = estimate_cost(state, spec), find_share(state, spec)
     wait = state.queue.predict_wait(spec, cost, share, now)
-    left = request.deadline - now
-    if wait <= left:
+    time_left = request.deadline - now
+    if wait <= time_left:
         return Wait()
-    return Reject(_build_overload_problem(state, request, Millis(wait - left)))
+    return Reject(_build_overload_problem(state, request, Millis(wait - time_left)))
 
 
 def choose_for_queued(
