--- a/figstep/core/membership.py
+++ b/figstep/core/membership.py
@@ -33,17 +33,17 @@
 )
 from figstep.core.state import State
 
-PERIOD = Millis(1_000)
+GOSSIP_INTERVAL = Millis(1_000)
 FANOUT = 2
 URGENT_FANOUT = 3
 URGENT_RATE = 1.0
 """Messages a second that may go out besides the periodic ones, on average."""
 URGENT_BURST = 12.0
 ACK_TIMEOUT = Millis(2_000)
-SUSPECT_PERIOD = Millis(5_000)
-FORGET_AFTER = Millis(60_000)
-COUNTS_KEPT = Millis(6_000)
-FETCH_PAUSE = Millis(400)
+SUSPECT_TIMEOUT = Millis(5_000)
+REMOVAL_DELAY = Millis(60_000)
+COUNTS_TTL = Millis(6_000)
+FETCH_DELAY = Millis(400)
 
 
 def open_peers(state: State, event: PeerListenerOpened, now: Millis) -> list[Effect]:
@@ -63,15 +63,15 @@
     effects: list[Effect] = []
     _refill_allowance(state, now)
     for member in list(state.membership.members.values()):
-        effects += _judge_silence(state, member, now)
+        effects += _check_silence(state, member, now)
     estimate_peer_counts(state, now)
     for member in _choose_partners(state, FANOUT):
         if member.probed is None:
             member.probed = now
         effects.append(_send(state, member.address, member, now))
     effects += _send_to_seed(state, now)
-    jitter = state.rng.randrange(PERIOD // 5) - PERIOD // 10
-    effects.append(WakeAt(GossipTimer(), Millis(now + PERIOD + jitter)))
+    jitter = state.rng.randrange(GOSSIP_INTERVAL // 5) - GOSSIP_INTERVAL // 10
+    effects.append(WakeAt(GossipTimer(), Millis(now + GOSSIP_INTERVAL + jitter)))
     return effects
 
 
@@ -127,17 +127,17 @@
     return SendGossip(address, build_gossip(state, receiver, now, wants_answer))
 
 
-def _judge_silence(state: State, member: Member, now: Millis) -> list[Effect]:
+def _check_silence(state: State, member: Member, now: Millis) -> list[Effect]:
     match member.status:
         case MemberStatus.ALIVE if _is_silent(member, now):
             _set_status(state, member, MemberStatus.SUSPECT, now)
             return [Count("membership.suspected")]
-        case MemberStatus.SUSPECT if now >= member.changed + SUSPECT_PERIOD:
+        case MemberStatus.SUSPECT if now >= member.changed + SUSPECT_TIMEOUT:
             _set_status(state, member, MemberStatus.GONE, now)
             return [Count("membership.gone"), Note("entry gone", {"node": member.name})]
         case MemberStatus.LEAVING if _is_silent(member, now):
             _set_status(state, member, MemberStatus.GONE, now)
-        case MemberStatus.GONE if now >= member.changed + FORGET_AFTER:
+        case MemberStatus.GONE if now >= member.changed + REMOVAL_DELAY:
             del state.membership.members[member.name]
     return []
 
@@ -164,18 +164,18 @@
     return 3 * (len(state.membership.members) + 2).bit_length()
 
 
-def take_gossip(state: State, event: GossipReceived, now: Millis) -> list[Effect]:
+def handle_gossip(state: State, event: GossipReceived, now: Millis) -> list[Effect]:
     """Take a peer's message and acknowledge it."""
     gossip = event.gossip
     if gossip.sender == state.node:
         return []
-    member = _meet_sender(state, gossip, now)
+    member = _update_sender(state, gossip, now)
     if member is None:
         return [Count("membership.stale")]
     effects: list[Effect] = []
     news = False
     for item in gossip.members:
-        news |= _take_news(state, item, now)
+        news |= _apply_news(state, item, now)
     for mark in gossip.marks:
         news |= mark_leaving(state, mark)
     member.counts = _merge_counts(member, gossip)
@@ -184,15 +184,15 @@
         quarantine.quarantine_digest(
             state.quarantine, quarantined.digest, quarantined.remaining, now
         )
-    effects += _plan_fetch(state, now)
+    effects += _schedule_fetch(state, now)
     if gossip.wants_answer:
         effects.append(_send(state, member.address, member, now, False))
     if news:
-        effects += spread_urgently(state, now)
+        effects += broadcast_urgently(state, now)
     return effects
 
 
-def _meet_sender(state: State, gossip: Gossip, now: Millis) -> Member | None:
+def _update_sender(state: State, gossip: Gossip, now: Millis) -> Member | None:
     """Return the sender, or None if the message is old or repeated."""
     members = state.membership.members
     status = MemberStatus.LEAVING if gossip.leaving else MemberStatus.ALIVE
@@ -214,7 +214,7 @@
     return member
 
 
-def _take_news(state: State, news: MemberNews, now: Millis) -> bool:
+def _apply_news(state: State, news: MemberNews, now: Millis) -> bool:
     """Take what a peer says of a third entry; return whether it is urgent."""
     if news.name == state.node:
         return _refute(state, news)
@@ -277,17 +277,17 @@
     return True
 
 
-def spread_leaving(state: State, target: str, now: Millis) -> list[Effect]:
+def broadcast_leaving(state: State, target: str, now: Millis) -> list[Effect]:
     """Tell peers at once if ``target`` has just been found leaving."""
     found = state.targets.get(target)
     if found is None or not found.leaving:
         return []
     if not mark_leaving(state, LeavingMark(target, found.incarnation)):
         return []
-    return spread_urgently(state, now)
+    return broadcast_urgently(state, now)
 
 
-def spread_urgently(state: State, now: Millis) -> list[Effect]:
+def broadcast_urgently(state: State, now: Millis) -> list[Effect]:
     """Send to a few random peers now, as far as the allowance goes.
 
     Every receiver to whom it is news does the same, so it crosses the fleet in
@@ -319,42 +319,42 @@
     that one of them uses would look full. The load policy then goes by the
     targets' own reports.
     """
-    alive, heard = 0, 0
+    alive, reporters = 0, 0
     sums: dict[int, int] = {}
     for member in state.membership.members.values():
         if not member.reachable:
             continue
         alive += 1
-        if member.counted is None or now >= member.counted + COUNTS_KEPT:
+        if member.counted is None or now >= member.counted + COUNTS_TTL:
             continue
-        heard += 1
+        reporters += 1
         for target, count in member.counts.items():
             sums[target] = sums.get(target, 0) + count
-    scale = alive / heard if 2 * heard >= alive > 0 else 0.0
+    scale = alive / reporters if 2 * reporters >= alive > 0 else 0.0
     for name, target_state in state.targets.items():
         total = sums.get(hash_target(name), 0)
         target_state.peers_in_flight = round(total * scale)
 
 
-def _plan_fetch(state: State, now: Millis) -> list[Effect]:
+def _schedule_fetch(state: State, now: Millis) -> list[Effect]:
     """Plan to take a newer document from a peer.
 
     The log usually brings it first; the pause spares the fetch. An entry
     without a document does not wait.
     """
     membership = state.membership
-    if membership.fetch_at is not None and now < membership.fetch_at + FETCH_PAUSE:
+    if membership.fetch_at is not None and now < membership.fetch_at + FETCH_DELAY:
         return []
-    if _find_ahead(state) is None:
+    if _choose_fetch_source(state) is None:
         return []
     pause = 0
     if state.configuration.current is not None:
-        pause = FETCH_PAUSE // 2 + state.rng.randrange(FETCH_PAUSE // 2)
+        pause = FETCH_DELAY // 2 + state.rng.randrange(FETCH_DELAY // 2)
     membership.fetch_at = Millis(now + pause)
     return [WakeAt(FetchTimer(), membership.fetch_at)]
 
 
-def _find_ahead(state: State) -> Member | None:
+def _choose_fetch_source(state: State) -> Member | None:
     """Return a random one of the peers that hold the newest document."""
     best: list[Member] = []
     stalled = bool(state.configuration.stalled)
@@ -376,7 +376,7 @@
 def fetch_document(state: State, now: Millis) -> list[Effect]:
     """Fetch from a peer unless the log was quicker."""
     state.membership.fetch_at = None
-    member = _find_ahead(state)
+    member = _choose_fetch_source(state)
     if member is None:
         return []
     return [Count("configuration.fetches"), FetchCheckpoint(member.address)]
@@ -404,7 +404,7 @@
             target.leaving = False
         if instance.leaving and instance.incarnation >= target.incarnation:
             target.leaving = True
-            effects += spread_leaving(state, instance.name, now)
+            effects += broadcast_leaving(state, instance.name, now)
     listed = {i.peers for i in event.instances if i.kind == "entry" and i.peers}
     if listed:
         state.membership.seeds &= listed | state.membership.start
--- a/figstep/core/reducer.py
+++ b/figstep/core/reducer.py
@@ -94,13 +94,13 @@
         case LoadReported():
             effects = suspects.detect_restart(state, event, now)
             effects += targets.record_load(state, event, now)
-            return effects + membership.spread_leaving(state, event.target, now)
+            return effects + membership.broadcast_leaving(state, event.target, now)
         case ConfigurationRead() | SnapshotRead() | CheckpointOffered():
             return _apply_configuration(state, event, now)
         case InstancesListed():
             return membership.record_instances(state, event, now)
         case GossipReceived():
-            return membership.take_gossip(state, event, now)
+            return membership.handle_gossip(state, event, now)
         case PeerListenerOpened():
             return membership.open_peers(state, event, now)
         case RecordsRead(stream=records.LEASES):
@@ -121,7 +121,7 @@
             return [WakeAt(PlacementTimer(), now)]
         case ShutdownRequested():
             state.shutting_down = True
-            return membership.spread_urgently(state, now)
+            return membership.broadcast_urgently(state, now)
         case ShutdownForced():
             return requests.abort_requests(state)
 
@@ -140,7 +140,7 @@
         case CheckpointOffered():
             effects = configuration.take_checkpoint(state, event.checkpoint, now)
     if state.configuration_offset > offset:
-        effects += membership.spread_urgently(state, now)
+        effects += membership.broadcast_urgently(state, now)
     return effects
 
 
