--- a/figstep/core/datagrams.py
+++ b/figstep/core/datagrams.py
@@ -20,18 +20,18 @@
 MARK_BYTES = 24
 COUNT_BYTES = 9
 DIGEST_BYTES = 20
-MOST_COUNTS = 16
-MOST_FRESH_MARKS = 8
-MOST_DIGESTS = 2
+MAX_COUNTS = 16
+MAX_FRESH_MARKS = 8
+MAX_DIGESTS = 2
 
 
-class _Room:
+class _FreeSpace:
     """Bytes that are left in a datagram."""
 
     def __init__(self, left: int) -> None:
         self._left = left
 
-    def take(self, size: int) -> bool:
+    def consume(self, size: int) -> bool:
         """Take ``size`` bytes; return whether they were there."""
         if size > self._left:
             return False
@@ -45,13 +45,15 @@
     """Return the next message for a peer, the most urgent news first."""
     membership = state.membership
     membership.sequence += 1
-    room = _Room(MAX_BYTES - HEADER_BYTES - len(state.node) - len(membership.address))
-    marks = _pick_fresh_marks(state, room)
-    members = _pick_fresh_members(state, receiver, room)
-    quarantined = _pick_quarantined(state, room, now)
-    counts, whole = _pick_counts(state, room)
-    members += _pick_any_members(state, room, {news.name for news in members})
-    marks += _pick_old_marks(state, room, {mark.target for mark in marks})
+    free_space = _FreeSpace(
+        MAX_BYTES - HEADER_BYTES - len(state.node) - len(membership.address)
+    )
+    marks = _pick_fresh_marks(state, free_space)
+    members = _pick_fresh_members(state, receiver, free_space)
+    quarantined = _pick_quarantined(state, free_space, now)
+    counts, whole = _pick_counts(state, free_space)
+    members += _pick_random_member(state, free_space, {news.name for news in members})
+    marks += _pick_old_marks(state, free_space, {mark.target for mark in marks})
     return Gossip(
         sender=state.node,
         address=membership.address,
@@ -69,7 +71,7 @@
     )
 
 
-def _pick_fresh_marks(state: State, room: _Room) -> list[LeavingMark]:
+def _pick_fresh_marks(state: State, free_space: _FreeSpace) -> list[LeavingMark]:
     picked: list[LeavingMark] = []
     for name, mark in list(state.membership.marks.items()):
         if not _is_current(state, name, mark.incarnation):
@@ -77,7 +79,9 @@
             continue
         if mark.sends_left <= 0:
             continue
-        if len(picked) == MOST_FRESH_MARKS or not room.take(MARK_BYTES + len(name)):
+        if len(picked) == MAX_FRESH_MARKS or not free_space.consume(
+            MARK_BYTES + len(name)
+        ):
             break
         mark.sends_left -= 1
         picked.append(LeavingMark(name, mark.incarnation))
@@ -89,23 +93,25 @@
     return target is not None and target.leaving and target.incarnation == incarnation
 
 
-def _pick_old_marks(state: State, room: _Room, taken: set[str]) -> list[LeavingMark]:
+def _pick_old_marks(
+    state: State, free_space: _FreeSpace, already_picked: set[str]
+) -> list[LeavingMark]:
     """Fill with a window of marks that are no news, for who missed them."""
     membership = state.membership
     names = list(membership.marks)
     picked: list[LeavingMark] = []
     for step in range(len(names)):
         name = names[(membership.marks_cursor + step) % len(names)]
-        if name in taken:
+        if name in already_picked:
             continue
-        if not room.take(MARK_BYTES + len(name)):
+        if not free_space.consume(MARK_BYTES + len(name)):
             membership.marks_cursor += step
             break
         picked.append(LeavingMark(name, membership.marks[name].incarnation))
     return picked
 
 
-def _tell(member: Member) -> MemberNews:
+def _describe_member(member: Member) -> MemberNews:
     return MemberNews(member.name, member.address, member.incarnation, member.status)
 
 
@@ -114,44 +120,48 @@
 
 
 def _pick_fresh_members(
-    state: State, receiver: Member | None, room: _Room
+    state: State, receiver: Member | None, free_space: _FreeSpace
 ) -> list[MemberNews]:
     picked: list[MemberNews] = []
     if receiver is not None and receiver.status is not MemberStatus.ALIVE:
         # The receiver learns that it is thought dead, and refutes it.
-        room.take(_size_member(receiver))
-        picked.append(_tell(receiver))
+        free_space.consume(_size_member(receiver))
+        picked.append(_describe_member(receiver))
     for member in state.membership.members.values():
         if member.sends_left <= 0 or member is receiver:
             continue
-        if not room.take(_size_member(member)):
+        if not free_space.consume(_size_member(member)):
             break
         member.sends_left -= 1
-        picked.append(_tell(member))
+        picked.append(_describe_member(member))
     return picked
 
 
-def _pick_any_members(state: State, room: _Room, taken: set[str]) -> list[MemberNews]:
+def _pick_random_member(
+    state: State, free_space: _FreeSpace, already_picked: set[str]
+) -> list[MemberNews]:
     """Add one random entry, so that every table becomes whole in time."""
     members = state.membership.members
     if not members:
         return []
     member = members[state.rng.choice(list(members))]
-    if member.name in taken or not member.reachable:
+    if member.name in already_picked or not member.reachable:
         return []
-    if not room.take(_size_member(member)):
+    if not free_space.consume(_size_member(member)):
         return []
-    return [_tell(member)]
+    return [_describe_member(member)]
 
 
-def _pick_counts(state: State, room: _Room) -> tuple[list[TargetCount], bool]:
+def _pick_counts(
+    state: State, free_space: _FreeSpace
+) -> tuple[list[TargetCount], bool]:
     used = [(n, t.in_flight) for n, t in state.targets.items() if t.in_flight > 0]
-    whole = len(used) <= MOST_COUNTS
+    whole = len(used) <= MAX_COUNTS
     picked: list[TargetCount] = []
     cursor = 0 if whole else state.membership.counts_cursor
-    for step in range(min(len(used), MOST_COUNTS)):
+    for step in range(min(len(used), MAX_COUNTS)):
         name, count = used[(cursor + step) % len(used)]
-        if not room.take(COUNT_BYTES):
+        if not free_space.consume(COUNT_BYTES):
             whole = False
             break
         picked.append(TargetCount(hash_target(name), min(count, 65_535)))
@@ -159,13 +169,15 @@
     return picked, whole
 
 
-def _pick_quarantined(state: State, room: _Room, now: Millis) -> list[QuarantineMark]:
+def _pick_quarantined(
+    state: State, free_space: _FreeSpace, now: Millis
+) -> list[QuarantineMark]:
     current = [(d, u) for d, u in state.quarantine.until.items() if u > now]
     picked: list[QuarantineMark] = []
     cursor = state.membership.quarantine_cursor
-    for step in range(min(MOST_DIGESTS, len(current))):
+    for step in range(min(MAX_DIGESTS, len(current))):
         digest, until = current[(cursor + step) % len(current)]
-        if not room.take(DIGEST_BYTES + len(digest)):
+        if not free_space.consume(DIGEST_BYTES + len(digest)):
             break
         picked.append(QuarantineMark(digest, Millis(until - now)))
     state.membership.quarantine_cursor = cursor + len(picked)
