--- a/figstep/core/claims.py
+++ b/figstep/core/claims.py
@@ -16,7 +16,7 @@
 
 CLAIM_WINDOW = Millis(15 * MINUTE)
 MAX_OUTCOME_BODY = 1_024
-SWEEP_EVERY = 1_000
+SWEEP_INTERVAL = 1_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +77,7 @@
     outcome: Outcome | None = None
 
 
-class OwnState(Enum):
+class OwnClaimState(Enum):
     """Where a claim of this process is."""
 
     PENDING = "pending"  # not read back yet
@@ -104,12 +104,12 @@
     request: str
     key: int
     appended: Millis
-    state: OwnState = OwnState.PENDING
+    state: OwnClaimState = OwnClaimState.PENDING
     joined: list[str] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Unconfirmed:
+class UnconfirmedRecord:
     """An outcome or release that the log has not confirmed.
 
     Attributes:
@@ -143,7 +143,7 @@
     released: dict[str, int] = field(default_factory=dict)
     own: dict[str, OwnClaim] = field(default_factory=dict)
     waiters: dict[str, list[str]] = field(default_factory=dict)
-    unconfirmed: dict[int, Unconfirmed] = field(default_factory=dict)
+    unconfirmed: dict[int, UnconfirmedRecord] = field(default_factory=dict)
     caught_up: bool = False
     next_key: int = 1
     folded: int = 0
@@ -153,7 +153,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Won:
+class ClaimWon:
     """The record is the first claim for its identity."""
 
     record: str
@@ -161,7 +161,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class ClaimLost:
     """Another claim owns the identity."""
 
     record: str
@@ -169,14 +169,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Freed:
+class IdentityReleased:
     """The owner gave the identity back without dispatching."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
-class Finished:
+class OutcomeRecorded:
     """The owner recorded its outcome."""
 
     name: str
@@ -188,7 +188,7 @@
     """A repeated, late or malformed record."""
 
 
-Change = Won | Lost | Freed | Finished | Unchanged
+Change = ClaimWon | ClaimLost | IdentityReleased | OutcomeRecorded | Unchanged
 
 
 def find_rule(
@@ -288,7 +288,7 @@
         now: Monotonic time of the reading, for this entry's own use only.
     """
     table.folded += 1
-    if table.folded % SWEEP_EVERY == 0:
+    if table.folded % SWEEP_INTERVAL == 0:
         _sweep(table, record.time)
     data = record.data
     kind, name, identifier = data.get("kind"), data.get("name"), data.get("id")
@@ -318,10 +318,10 @@
     if owner is not None and owner.record == identifier:
         return Unchanged()
     if owner is not None and record.time < owner.expires:
-        return Lost(identifier, name)
+        return ClaimLost(identifier, name)
     table.owners.pop(name, None)
     table.owners[name] = Claim(identifier, digest, record.time + window, now, window)
-    return Won(identifier, record.time)
+    return ClaimWon(identifier, record.time)
 
 
 def _fold_release(
@@ -332,7 +332,7 @@
     if owner is None or owner.record != identifier or owner.outcome is not None:
         return Unchanged()
     del table.owners[name]
-    return Freed(name)
+    return IdentityReleased(name)
 
 
 def _fold_outcome(
@@ -345,7 +345,7 @@
     if outcome is None:
         return Unchanged()
     owner.outcome = outcome
-    return Finished(name, outcome)
+    return OutcomeRecorded(name, outcome)
 
 
 def _parse_outcome(data: dict[str, Any]) -> Outcome | None:
@@ -389,7 +389,7 @@
 def find_own(table: ClaimTable, name: str, now: Millis) -> OwnClaim | None:
     """Return this process's live claim on an identity."""
     for own in table.own.values():
-        if own.identity.name != name or own.state is OwnState.ABANDONED:
+        if own.identity.name != name or own.state is OwnClaimState.ABANDONED:
             continue
         if now - own.appended <= own.identity.window:
             return own
--- a/figstep/core/ownership.py
+++ b/figstep/core/ownership.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from figstep.core import claims, retries
-from figstep.core.claims import Claim, Outcome, OwnClaim, OwnState
+from figstep.core.claims import Claim, Outcome, OwnClaim, OwnClaimState
 from figstep.core.clock import SECOND, Millis
 from figstep.core.effects import (
     AppendRecords,
@@ -113,7 +113,7 @@
     if not request.non_idempotent:
         return True
     own = state.claims.own.get(request.claim or "")
-    if own is None or own.state is not OwnState.OWNED:
+    if own is None or own.state is not OwnClaimState.OWNED:
         return False
     fresh = min(own.identity.window // 2, LONGEST_FRESH)
     return now - own.appended <= fresh
@@ -160,8 +160,8 @@
     One that is not read back yet is only marked: its append may still take
     effect, late, and its read-back then releases it.
     """
-    pending = own.state is not OwnState.OWNED
-    own.state = OwnState.ABANDONED
+    pending = own.state is not OwnClaimState.OWNED
+    own.state = OwnClaimState.ABANDONED
     if pending:
         state.claims.own[own.record] = own
         return [Count("claims.abandoned")]
@@ -221,10 +221,10 @@
 
 
 def _append(state: State, data: dict[str, Any]) -> Effect:
-    return append_again(state, claims.Unconfirmed(data))
+    return append_again(state, claims.UnconfirmedRecord(data))
 
 
-def append_again(state: State, held: claims.Unconfirmed) -> Effect:
+def append_again(state: State, held: claims.UnconfirmedRecord) -> Effect:
     """Append an outcome or release, to be kept until the log confirms it."""
     key = state.claims.next_key
     state.claims.next_key += 1
--- a/figstep/core/settlement.py
+++ b/figstep/core/settlement.py
@@ -1,7 +1,14 @@
 """What the claims stream and its follower mean for waiting requests."""
 
 from figstep.core import claims, ownership, requests
-from figstep.core.claims import Finished, Freed, Lost, OwnClaim, OwnState, Won
+from figstep.core.claims import (
+    ClaimLost,
+    ClaimWon,
+    IdentityReleased,
+    OutcomeRecorded,
+    OwnClaim,
+    OwnClaimState,
+)
 from figstep.core.clock import SECOND, Millis
 from figstep.core.effects import Count, Effect, Refuse, WakeAt
 from figstep.core.events import (
@@ -29,13 +36,13 @@
         return effects
     for record in event.records:
         match claims.fold_record(state.claims, record, now):
-            case Won(record=identifier, time=time):
+            case ClaimWon(record=identifier, time=time):
                 effects += _settle_won(state, identifier, time, now)
-            case Lost(record=identifier, name=name):
+            case ClaimLost(record=identifier, name=name):
                 effects += _settle_lost(state, identifier, name, now)
-            case Freed(name=name):
+            case IdentityReleased(name=name):
                 effects += _settle_freed(state, name)
-            case Finished(name=name, outcome=outcome):
+            case OutcomeRecorded(name=name, outcome=outcome):
                 effects += _settle_finished(state, name, outcome)
             case claims.Unchanged():
                 continue
@@ -44,12 +51,12 @@
 
 def _settle_won(state: State, record: str, time: int, now: Millis) -> list[Effect]:
     own = state.claims.own.get(record)
-    if own is None or own.state is OwnState.OWNED:
+    if own is None or own.state is OwnClaimState.OWNED:
         # A record that the log holds twice wins again once its window has
         # passed; what it stands for was started by the first.
         return []
-    abandoned = own.state is OwnState.ABANDONED
-    own.state = OwnState.OWNED
+    abandoned = own.state is OwnClaimState.ABANDONED
+    own.state = OwnClaimState.OWNED
     request = state.requests.get(own.request)
     if abandoned or request is None:
         # The append took effect after its caller had been told "not run".
@@ -72,7 +79,7 @@
 
 def _settle_lost(state: State, record: str, name: str, now: Millis) -> list[Effect]:
     own = state.claims.own.get(record)
-    if own is None or own.state is OwnState.OWNED:
+    if own is None or own.state is OwnClaimState.OWNED:
         return []
     del state.claims.own[record]
     owner = state.claims.owners[name]
@@ -120,7 +127,7 @@
     state.claims.caught_up = False
     effects: list[Effect] = []
     for own in list(state.claims.own.values()):
-        if own.state is OwnState.PENDING:
+        if own.state is OwnClaimState.PENDING:
             effects += _refuse_unsettled(state, own)
     return effects
 
@@ -137,7 +144,7 @@
         held.since = now if held.since is None else held.since
         return [WakeAt(OutcomeTimer(), Millis(now + OUTCOME_PAUSE))]
     for own in list(state.claims.own.values()):
-        if own.key != event.key or own.state is not OwnState.PENDING:
+        if own.key != event.key or own.state is not OwnClaimState.PENDING:
             continue
         if not state.claims.caught_up:
             return _refuse_unsettled(state, own)
