--- a/figstep/core/ownership.py
+++ b/figstep/core/ownership.py
@@ -19,9 +19,9 @@
 from figstep.core.specs import RequestSpec, ServiceWork
 from figstep.core.state import Phase, RequestState, State
 
-SETTLE_LIMIT = Millis(10 * SECOND)
-OUTCOME_WAIT = Millis(10 * SECOND)
-LONGEST_FRESH = Millis(60 * SECOND)
+SETTLE_TIMEOUT = Millis(10 * SECOND)
+OUTCOME_WAIT_TIMEOUT = Millis(10 * SECOND)
+MAX_DISPATCH_AGE = Millis(60 * SECOND)
 
 
 def needs_claim(state: State, spec: RequestSpec) -> bool:
@@ -54,7 +54,7 @@
     data = claims.build_claim(record, identity, request.spec.digest)
     return [
         Count("claims.appended"),
-        WakeAt(ClaimTimer(name), Millis(now + SETTLE_LIMIT)),
+        WakeAt(ClaimTimer(name), Millis(now + SETTLE_TIMEOUT)),
         AppendRecords(CLAIMS, key, [data]),
     ]
 
@@ -86,7 +86,7 @@
     request.ran = Ran.UNKNOWN
     request.phase = Phase.CLAIMING
     state.claims.waiters.setdefault(identity, []).append(name)
-    return [WakeAt(ClaimTimer(name), Millis(now + OUTCOME_WAIT))]
+    return [WakeAt(ClaimTimer(name), Millis(now + OUTCOME_WAIT_TIMEOUT))]
 
 
 def answer_duplicate(request: str, outcome: Outcome) -> Effect:
@@ -115,8 +115,8 @@
     own = state.claims.own.get(request.claim or "")
     if own is None or own.state is not OwnClaimState.OWNED:
         return False
-    fresh = min(own.identity.window // 2, LONGEST_FRESH)
-    return now - own.appended <= fresh
+    max_age = min(own.identity.window // 2, MAX_DISPATCH_AGE)
+    return now - own.appended <= max_age
 
 
 def outlives_caller(state: State, request: RequestState) -> bool:
@@ -126,7 +126,7 @@
     return isinstance(request.spec.work, ServiceWork)
 
 
-def drop_claim(state: State, request: RequestState, ran: Ran) -> list[Effect]:
+def abandon_claim(state: State, request: RequestState, ran: Ran) -> list[Effect]:
     """Give up a claim whose caller has left; ``ran`` is what may be said."""
     problem = Problem(
         409,
@@ -139,7 +139,7 @@
 
 def close_claim(state: State, request: RequestState, problem: Problem) -> list[Effect]:
     """Settle the claim of a request that gets ``problem`` for an answer."""
-    own = _take_own(state, request)
+    own = _pop_own(state, request)
     if own is None:
         return []
     effects: list[Effect] = []
@@ -188,7 +188,7 @@
 def _finish_claim(
     state: State, request: RequestState, outcome: Outcome
 ) -> list[Effect]:
-    own = _take_own(state, request)
+    own = _pop_own(state, request)
     if own is None:
         return []
     effects = _append_outcome(state, own, outcome)
@@ -205,35 +205,35 @@
     if owner is not None and owner.record == own.record:
         owner.outcome = outcome
     effects: list[Effect] = [Count("claims.finished")]
-    for name in take_waiters(state, own.identity.name):
+    for name in pop_waiters(state, own.identity.name):
         effects.append(answer_duplicate(name, outcome))
     data = claims.build_outcome(own.record, own.identity.name, outcome)
     return [*effects, _append(state, data)]
 
 
-def take_waiters(state: State, identity: str) -> list[str]:
+def pop_waiters(state: State, identity: str) -> list[str]:
     """Take out and return the requests here that wait for an outcome."""
-    taken = []
+    removed = []
     for name in state.claims.waiters.pop(identity, []):
         if state.requests.pop(name, None) is not None:
-            taken.append(name)
-    return taken
+            removed.append(name)
+    return removed
 
 
 def _append(state: State, data: dict[str, Any]) -> Effect:
-    return append_again(state, claims.UnconfirmedRecord(data))
+    return append_unconfirmed(state, claims.UnconfirmedRecord(data))
 
 
-def append_again(state: State, held: claims.UnconfirmedRecord) -> Effect:
+def append_unconfirmed(state: State, unconfirmed: claims.UnconfirmedRecord) -> Effect:
     """Append an outcome or release, to be kept until the log confirms it."""
     key = state.claims.next_key
     state.claims.next_key += 1
-    held.uncertain = False
-    state.claims.unconfirmed[key] = held
-    return AppendRecords(CLAIMS, key, [held.data])
+    unconfirmed.uncertain = False
+    state.claims.unconfirmed[key] = unconfirmed
+    return AppendRecords(CLAIMS, key, [unconfirmed.data])
 
 
-def _take_own(state: State, request: RequestState) -> OwnClaim | None:
+def _pop_own(state: State, request: RequestState) -> OwnClaim | None:
     if request.claim is None:
         return None
     own = state.claims.own.pop(request.claim, None)
--- a/figstep/core/requests.py
+++ b/figstep/core/requests.py
@@ -277,7 +277,7 @@
     state.queue.remove(event.request)
     effects: list[Effect] = [Count("callers.gone")]
     effects += attempts.abandon_attempt(state, request, event.cancel)
-    effects += ownership.drop_claim(state, request, ran)
+    effects += ownership.abandon_claim(state, request, ran)
     return effects
 
 
--- a/figstep/core/settlement.py
+++ b/figstep/core/settlement.py
@@ -100,14 +100,14 @@
         retry_after=Millis(1_000),
     )
     effects: list[Effect] = []
-    for request_id in ownership.take_waiters(state, name):
+    for request_id in ownership.pop_waiters(state, name):
         effects.append(Refuse(request_id, problem))
     return effects
 
 
 def _settle_finished(state: State, name: str, outcome: claims.Outcome) -> list[Effect]:
     effects: list[Effect] = []
-    for request_id in ownership.take_waiters(state, name):
+    for request_id in ownership.pop_waiters(state, name):
         effects.append(ownership.answer_duplicate(request_id, outcome))
         effects.append(Count("claims.replayed"))
     return effects
@@ -138,10 +138,10 @@
     Appending again under a new id could leave two claims, the first of which
     comes to light after the caller was refused.
     """
-    held = state.claims.unconfirmed.get(event.key)
-    if held is not None:
-        held.uncertain = True
-        held.since = now if held.since is None else held.since
+    unconfirmed = state.claims.unconfirmed.get(event.key)
+    if unconfirmed is not None:
+        unconfirmed.uncertain = True
+        unconfirmed.since = now if unconfirmed.since is None else unconfirmed.since
         return [WakeAt(OutcomeTimer(), Millis(now + OUTCOME_PAUSE))]
     for own in list(state.claims.own.values()):
         if own.key != event.key or own.state is not OwnClaimState.PENDING:
@@ -166,14 +166,14 @@
     takes the first record of an id, so a second one does no harm.
     """
     effects: list[Effect] = []
-    for key, held in list(state.claims.unconfirmed.items()):
-        if not held.uncertain or held.since is None:
+    for key, unconfirmed in list(state.claims.unconfirmed.items()):
+        if not unconfirmed.uncertain or unconfirmed.since is None:
             continue
         del state.claims.unconfirmed[key]
-        if now - held.since >= OUTCOME_LIMIT:
+        if now - unconfirmed.since >= OUTCOME_LIMIT:
             effects.append(Count("claims.outcome_dropped"))
             continue
-        effects.append(ownership.append_again(state, held))
+        effects.append(ownership.append_unconfirmed(state, unconfirmed))
     return effects
 
 
--- a/tests/core/test_settlement.py
+++ b/tests/core/test_settlement.py
@@ -27,7 +27,7 @@
     StreamUnavailable,
     TimerFired,
 )
-from figstep.core.ownership import LONGEST_FRESH
+from figstep.core.ownership import MAX_DISPATCH_AGE
 from figstep.core.problems import Ran
 from figstep.core.records import CLAIMS, LogRecord
 from figstep.core.specs import GenerationWork, RequestSpec, ServiceWork
@@ -213,7 +213,7 @@
     entry, log = make_ready(), Log()
     entry.order("r1")
     log.take(entry)
-    entry.now = Millis(entry.now + LONGEST_FRESH + 1)
+    entry.now = Millis(entry.now + MAX_DISPATCH_AGE + 1)
     log.show(entry)
     assert entry.list_kind(OpenAttempt) == []
     assert entry.take(Refuse).problem.ran is Ran.NO
