--- a/figstep/core/reducer.py
+++ b/figstep/core/reducer.py
@@ -108,15 +108,15 @@
         case OrderAnswered():
             return placement.take_answer(state, event, now)
         case RecordsRead():
-            return settlement.take_records(state, event, now)
+            return settlement.apply_records(state, event, now)
         case AppendConfirmed():
-            return settlement.note_confirmed(state, event)
+            return settlement.handle_confirmed(state, event)
         case AppendUncertain():
-            return settlement.note_uncertain(state, event, now)
+            return settlement.handle_uncertain(state, event, now)
         case StreamCaughtUp():
-            return settlement.note_caught_up(state, event)
+            return settlement.handle_caught_up(state, event)
         case StreamUnavailable():
-            return settlement.note_unavailable(state, event)
+            return settlement.handle_unavailable(state, event)
         case Started():
             return [WakeAt(PlacementTimer(), now)]
         case ShutdownRequested():
--- a/figstep/core/settlement.py
+++ b/figstep/core/settlement.py
@@ -24,12 +24,12 @@
 from figstep.core.records import CLAIMS
 from figstep.core.state import Phase, RequestState, State
 
-READ_BACK_LIMIT = Millis(2 * SECOND)
-OUTCOME_PAUSE = Millis(1 * SECOND)
-OUTCOME_LIMIT = Millis(60 * SECOND)
+READ_BACK_TIMEOUT = Millis(2 * SECOND)
+OUTCOME_RETRY_DELAY = Millis(1 * SECOND)
+OUTCOME_RETRY_TIMEOUT = Millis(60 * SECOND)
 
 
-def take_records(state: State, event: RecordsRead, now: Millis) -> list[Effect]:
+def apply_records(state: State, event: RecordsRead, now: Millis) -> list[Effect]:
     """Fold records and let the requests that they settle go on."""
     effects: list[Effect] = []
     if event.stream != CLAIMS:
@@ -113,14 +113,14 @@
     return effects
 
 
-def note_caught_up(state: State, event: StreamCaughtUp) -> list[Effect]:
+def handle_caught_up(state: State, event: StreamCaughtUp) -> list[Effect]:
     """The claims stream is read to its end: claims can be settled."""
     if event.stream == CLAIMS:
         state.claims.caught_up = True
     return []
 
 
-def note_unavailable(state: State, event: StreamUnavailable) -> list[Effect]:
+def handle_unavailable(state: State, event: StreamUnavailable) -> list[Effect]:
     """Refuse at once what waits for a read-back that cannot come."""
     if event.stream != CLAIMS:
         return []
@@ -132,7 +132,7 @@
     return effects
 
 
-def note_uncertain(state: State, event: AppendUncertain, now: Millis) -> list[Effect]:
+def handle_uncertain(state: State, event: AppendUncertain, now: Millis) -> list[Effect]:
     """Settle an append without an answer by reading, for a short while.
 
     Appending again under a new id could leave two claims, the first of which
@@ -142,18 +142,18 @@
     if unconfirmed is not None:
         unconfirmed.uncertain = True
         unconfirmed.since = now if unconfirmed.since is None else unconfirmed.since
-        return [WakeAt(OutcomeTimer(), Millis(now + OUTCOME_PAUSE))]
+        return [WakeAt(OutcomeTimer(), Millis(now + OUTCOME_RETRY_DELAY))]
     for own in list(state.claims.own.values()):
         if own.key != event.key or own.state is not OwnClaimState.PENDING:
             continue
         if not state.claims.caught_up:
             return _refuse_unsettled(state, own)
-        due = Millis(now + READ_BACK_LIMIT)
+        due = Millis(now + READ_BACK_TIMEOUT)
         return [Count("claims.uncertain"), WakeAt(ClaimTimer(own.request), due)]
     return []
 
 
-def note_confirmed(state: State, event: AppendConfirmed) -> list[Effect]:
+def handle_confirmed(state: State, event: AppendConfirmed) -> list[Effect]:
     """Forget an outcome or release that the log has."""
     state.claims.unconfirmed.pop(event.key, None)
     return []
@@ -170,7 +170,7 @@
         if not unconfirmed.uncertain or unconfirmed.since is None:
             continue
         del state.claims.unconfirmed[key]
-        if now - unconfirmed.since >= OUTCOME_LIMIT:
+        if now - unconfirmed.since >= OUTCOME_RETRY_TIMEOUT:
             effects.append(Count("claims.outcome_dropped"))
             continue
         effects.append(ownership.append_unconfirmed(state, unconfirmed))
