--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from figstep.core.clock import Millis
-from figstep.core.leases import LeaseTable, take_record
+from figstep.core.leases import LeaseTable, apply_record
 from figstep.core.records import LEASES
 from figstep.demo import MODEL, build_document
 from figstep.operations import publish_document
@@ -36,7 +36,7 @@
     """Return the entry that holds the lease of the only failure domain."""
     table = LeaseTable()
     for record in await fleet.log_client.read(LEASES, 0):
-        take_record(table, "", record, Millis(0))
+        apply_record(table, "", record, Millis(0))
     return table.leases["orders.muc-a"].holder
 
 
--- a/figstep/core/leases.py
+++ b/figstep/core/leases.py
@@ -73,7 +73,7 @@
         time: Log time of the last renewal, in milliseconds since the epoch.
         term: How long it lasts from there, in milliseconds.
         released: Whether the holder gave it up.
-        seen: When this node read the last renewal (monotonic).
+        last_read: When this node read the last renewal (monotonic).
     """
 
     holder: str
@@ -82,7 +82,7 @@
     time: int
     term: Millis
     released: bool
-    seen: Millis
+    last_read: Millis
 
 
 @dataclass(slots=True)
@@ -91,17 +91,17 @@
 
     Attributes:
         fencing: Number for its orders.
-        taken: When the record that took it was appended (monotonic).
+        acquired: When the record that took it was appended (monotonic).
         until: When this node stops acting on it (monotonic).
     """
 
     fencing: int
-    taken: Millis
+    acquired: Millis
     until: Millis
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class PendingAppend:
     """A record of this node's that was not read back yet.
 
     Attributes:
@@ -121,14 +121,14 @@
         session: This run of this node.
         leases: Leases by name, as folded.
         holdings: This node's holds, by lease.
-        asked: This node's open records that take or renew a lease, by id.
+        pending: This node's open records that take or renew a lease, by id.
         next_record: Number of this node's next record.
     """
 
     session: str = ""
     leases: dict[str, Lease] = field(default_factory=dict)
     holdings: dict[str, Holding] = field(default_factory=dict)
-    asked: dict[str, Asked] = field(default_factory=dict)
+    pending: dict[str, PendingAppend] = field(default_factory=dict)
     next_record: int = 1
 
 
@@ -138,14 +138,14 @@
     """Apply a record to the leases; tell whether it took effect."""
     current = leases.get(record.lease)
     if current is not None and _is_held(current, position.time):
-        mine = (current.holder, current.session) == (record.holder, record.session)
-        if not mine:
+        is_own = (current.holder, current.session) == (record.holder, record.session)
+        if not is_own:
             return False
         # The log's clock may step back; a lease then lasts longer, never less.
         current.time = max(current.time, position.time)
         current.term = record.term
         current.released = record.release
-        current.seen = now
+        current.last_read = now
         return True
     if record.release:
         return False
@@ -156,7 +156,7 @@
         time=position.time,
         term=record.term,
         released=False,
-        seen=now,
+        last_read=now,
     )
     return True
 
@@ -165,7 +165,7 @@
     return not lease.released and time < lease.time + lease.term
 
 
-def ask_lease(
+def request_lease(
     table: LeaseTable, lease: str, node: str, now: Millis, release: bool = False
 ) -> LeaseRecord:
     """Return the record that takes, renews or releases a lease for ``node``.
@@ -177,41 +177,43 @@
     table.next_record += 1
     if release:
         table.holdings.pop(lease, None)
-        _forget_asked(table, lease)
+        _discard_pending(table, lease)
     else:
-        table.asked[name] = Asked(lease, now)
+        table.pending[name] = PendingAppend(lease, now)
     return LeaseRecord(lease, node, table.session, name, release=release)
 
 
-def _forget_asked(table: LeaseTable, lease: str) -> None:
+def _discard_pending(table: LeaseTable, lease: str) -> None:
     # A renewal that went out before the release and is read back after it would
     # make this node hold the lease anew, while the log has let another take it.
-    for name, asked in list(table.asked.items()):
-        if asked.lease == lease:
-            del table.asked[name]
+    for name, pending in list(table.pending.items()):
+        if pending.lease == lease:
+            del table.pending[name]
 
 
-def take_record(table: LeaseTable, node: str, position: LogRecord, now: Millis) -> None:
+def apply_record(
+    table: LeaseTable, node: str, position: LogRecord, now: Millis
+) -> None:
     """Fold a record that was read, and update this node's own hold."""
     record = parse_lease_record(position.data)
     if record is None:
         return
     effective = fold_lease(table.leases, record, position, now)
-    mine = (record.holder, record.session) == (node, table.session)
-    if not mine:
+    is_own = (record.holder, record.session) == (node, table.session)
+    if not is_own:
         if effective:
             table.holdings.pop(record.lease, None)
         return
-    asked = table.asked.pop(record.record, None)
-    if not effective or asked is None or record.release:
+    pending = table.pending.pop(record.record, None)
+    if not effective or pending is None or record.release:
         return
     fencing = table.leases[record.lease].fencing
-    held = table.holdings.get(record.lease)
-    fresh = held is None or held.fencing != fencing
+    previous = table.holdings.get(record.lease)
+    is_new = previous is None or previous.fencing != fencing
     table.holdings[record.lease] = Holding(
         fencing=fencing,
-        taken=asked.at if fresh or held is None else held.taken,
-        until=Millis(asked.at + record.term - MARGIN),
+        acquired=pending.at if is_new or previous is None else previous.acquired,
+        until=Millis(pending.at + record.term - MARGIN),
     )
 
 
@@ -232,4 +234,4 @@
     current = table.leases.get(lease)
     if current is None or current.released:
         return True
-    return now >= current.seen + current.term
+    return now >= current.last_read + current.term
--- a/figstep/core/placement.py
+++ b/figstep/core/placement.py
@@ -174,7 +174,9 @@
     if holding is not None:
         if now < holding.until - leases.TERM // 2:
             return []
-        return [_append(state, leases.ask_lease(state.leases, lease, state.node, now))]
+        return [
+            _append(state, leases.request_lease(state.leases, lease, state.node, now))
+        ]
     if not leases.is_free(state.leases, lease, now):
         state.placement.try_at.pop(lease, None)
         return []
@@ -187,7 +189,7 @@
     if now < try_at:
         return []
     state.placement.try_at[lease] = Millis(now + leases.TERM)
-    return [_append(state, leases.ask_lease(state.leases, lease, state.node, now))]
+    return [_append(state, leases.request_lease(state.leases, lease, state.node, now))]
 
 
 def _append(state: State, record: leases.LeaseRecord) -> Effect:
@@ -198,7 +200,9 @@
     """Give up every lease that this node holds."""
     effects: list[Effect] = []
     for lease in list(state.leases.holdings):
-        record = leases.ask_lease(state.leases, lease, state.node, now, release=True)
+        record = leases.request_lease(
+            state.leases, lease, state.node, now, release=True
+        )
         effects.append(_append(state, record))
     return effects
 
@@ -245,7 +249,7 @@
     # An engine that ignores fencing numbers would still obey the last holder,
     # paused in the middle of an order. After a whole term and the longest
     # order, that holder has stopped itself and its last order has ended.
-    quiet = holding.taken + leases.TERM + ORDER_TIMEOUT
+    quiet = holding.acquired + leases.TERM + ORDER_TIMEOUT
     if not target.info.checks_fencing and now < quiet:
         return False
     return not isinstance(placed.order, LoadModel) or _may_load(state, now)
@@ -293,5 +297,5 @@
 def take_lease_records(state: State, event: RecordsRead, now: Millis) -> list[Effect]:
     """Fold records of the lease stream."""
     for record in event.records:
-        leases.take_record(state.leases, state.node, record, now)
+        leases.apply_record(state.leases, state.node, record, now)
     return []
--- a/tests/core/test_leases.py
+++ b/tests/core/test_leases.py
@@ -42,7 +42,7 @@
 
 def test_a_record_that_is_no_lease_changes_nothing() -> None:
     table = LeaseTable(session="s")
-    leases.take_record(table, "a", LogRecord(0, 0, {"lease": LEASE}), Millis(0))
+    leases.apply_record(table, "a", LogRecord(0, 0, {"lease": LEASE}), Millis(0))
     assert table.leases == {}
 
 
@@ -99,7 +99,7 @@
         table = self.tables[node]
         if release and LEASE not in table.holdings:
             return
-        record = leases.ask_lease(table, LEASE, node, Millis(self.now), release)
+        record = leases.request_lease(table, LEASE, node, Millis(self.now), release)
         if not lost:
             position = LogRecord(len(self.log), self.now, record.to_json())
             self.log.append(position)
@@ -107,7 +107,7 @@
     @rule(node=st.sampled_from(NODES), count=st.integers(1, 5))
     def read_records(self, node: str, count: int) -> None:
         for record in self.log[self.read[node] :][:count]:
-            leases.take_record(self.tables[node], node, record, Millis(self.now))
+            leases.apply_record(self.tables[node], node, record, Millis(self.now))
             self.read[node] += 1
 
     @rule(node=st.sampled_from(NODES))
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -127,9 +127,11 @@
     now = take_lease(state, 0)
     assert list_orders(state, now) == []
     quiet = now + leases.TERM + ORDER_TIMEOUT
-    renewal = leases.ask_lease(state.leases, "orders.muc-a", "n1", Millis(quiet - 1))
+    renewal = leases.request_lease(
+        state.leases, "orders.muc-a", "n1", Millis(quiet - 1)
+    )
     record = LogRecord(1, now + 1, renewal.to_json())
-    leases.take_record(state.leases, "n1", record, Millis(quiet))
+    leases.apply_record(state.leases, "n1", record, Millis(quiet))
     assert len(list_orders(state, quiet)) == 1
 
 
--- a/tests/integration/test_leases.py
+++ b/tests/integration/test_leases.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from figstep.core.clock import Millis
-from figstep.core.leases import LeaseTable, take_record
+from figstep.core.leases import LeaseTable, apply_record
 from figstep.core.records import LEASES
 from figstep.demo import MODEL, build_document
 from figstep.operations import publish_document
@@ -24,7 +24,7 @@
 async def find_holder(fleet: Fleet) -> str:
     table = LeaseTable()
     for record in await fleet.log_client.read(LEASES, 0):
-        take_record(table, "", record, Millis(0))
+        apply_record(table, "", record, Millis(0))
     return table.leases["orders.muc-a"].holder
 
 
