--- a/figstep/core/placement.py
+++ b/figstep/core/placement.py
@@ -25,10 +25,10 @@
 from figstep.core.records import LEASES
 from figstep.core.state import State, TargetState
 
-PERIOD = Millis(2_000)
-SENT_KEPT = Millis(600_000)
+ROUND_INTERVAL = Millis(2_000)
+SENT_RETENTION = Millis(600_000)
 LEASE_PREFIX = "orders."
-NO_REPLY = 0
+LEASE_APPEND_KEY = 0
 """Key of appends whose answer nobody waits for; reading back settles them."""
 
 
@@ -148,7 +148,7 @@
 
 def run_round(state: State, now: Millis) -> list[Effect]:
     """Keep or try for the leases, then state what is still missing."""
-    effects: list[Effect] = [WakeAt(PlacementTimer(), Millis(now + PERIOD))]
+    effects: list[Effect] = [WakeAt(PlacementTimer(), Millis(now + ROUND_INTERVAL))]
     _forget_old(state.placement, now)
     if state.inventory is None or state.shutting_down:
         return effects + release_leases(state, now)
@@ -165,7 +165,7 @@
 
 def _forget_old(placement: PlacementState, now: Millis) -> None:
     for placed, sent in list(placement.sent.items()):
-        if now >= sent + SENT_KEPT:
+        if now >= sent + SENT_RETENTION:
             del placement.sent[placed]
 
 
@@ -193,7 +193,7 @@
 
 
 def _append(state: State, record: leases.LeaseRecord) -> Effect:
-    return AppendRecords(LEASES, NO_REPLY, [record.to_json()])
+    return AppendRecords(LEASES, LEASE_APPEND_KEY, [record.to_json()])
 
 
 def release_leases(state: State, now: Millis) -> list[Effect]:
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -93,7 +93,7 @@
                 event = RecordsRead(LEASES, (record,))
                 placement.take_lease_records(state, event, Millis(now))
                 return now
-        now += placement.PERIOD
+        now += placement.ROUND_INTERVAL
     raise AssertionError("no lease was asked for")
 
 
