--- a/figstep/core/orders.py
+++ b/figstep/core/orders.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
+class PlacedOrder:
     """An order and the engine that it is for."""
 
     target: str
@@ -63,7 +63,7 @@
         try_at: When to try for each lease that looks free (monotonic).
     """
 
-    sent: dict[Placed, Millis] = field(default_factory=dict)
+    sent: dict[PlacedOrder, Millis] = field(default_factory=dict)
     last_load: Millis | None = None
     open_orders: dict[int, str] = field(default_factory=dict)
     next_order: int = 1
--- a/figstep/core/placement.py
+++ b/figstep/core/placement.py
@@ -18,7 +18,7 @@
     LoadAdapter,
     LoadModel,
     OrderOutcome,
-    Placed,
+    PlacedOrder,
     PlacementState,
     UnloadModel,
 )
@@ -59,7 +59,7 @@
 
 def plan_orders(
     inventory: Inventory, domain: str, engines: list[EngineView]
-) -> list[Placed]:
+) -> list[PlacedOrder]:
     """Return the orders that bring one failure domain to what is wanted.
 
     Args:
@@ -71,7 +71,7 @@
         Loads first; an engine goes on with an old version until the wanted one
         serves at full strength.
     """
-    orders: list[Placed] = []
+    orders: list[PlacedOrder] = []
     for model in inventory.models:
         wanted = count_wanted(inventory, model.name, domain)
         if wanted is not None:
@@ -93,18 +93,18 @@
 
 def _plan_model(
     model: ModelInfo, engines: list[EngineView], wanted: int
-) -> list[Placed]:
+) -> list[PlacedOrder]:
     able = [engine for engine in engines if model.name in engine.info.models]
     chosen = sorted(able, key=lambda engine: _rank_engine(model, engine))[:wanted]
     current = name_version(model.name, model.version)
-    orders: list[Placed] = []
+    orders: list[PlacedOrder] = []
     for engine in chosen:
         if current in engine.loaded:
             orders += _plan_adapters(model, engine)
             continue
         if engine.usable:
             order = LoadModel(model.name, model.version)
-            orders.append(Placed(engine.info.name, order))
+            orders.append(PlacedOrder(engine.info.name, order))
     serving = sum(1 for e in able if e.usable and current in e.loaded)
     if serving < min(wanted, sum(1 for e in chosen if e.usable)):
         return orders
@@ -120,16 +120,18 @@
     return (not engine.usable, current not in engine.loaded, digest)
 
 
-def _plan_adapters(model: ModelInfo, engine: EngineView) -> list[Placed]:
+def _plan_adapters(model: ModelInfo, engine: EngineView) -> list[PlacedOrder]:
     orders = []
     for adapter in model.adapters:
         if name_adapter(model.name, adapter) in engine.loaded:
             continue
-        orders.append(Placed(engine.info.name, LoadAdapter(model.name, adapter)))
+        orders.append(PlacedOrder(engine.info.name, LoadAdapter(model.name, adapter)))
     return orders
 
 
-def _plan_unloads(model: ModelInfo, engine: EngineView, chosen: bool) -> list[Placed]:
+def _plan_unloads(
+    model: ModelInfo, engine: EngineView, chosen: bool
+) -> list[PlacedOrder]:
     """Unload other versions, and every version where the model is not wanted.
 
     Called only once the wanted version serves at full strength: an unload that
@@ -142,7 +144,7 @@
             continue
         if chosen and version == model.version:
             continue
-        orders.append(Placed(engine.info.name, UnloadModel(name, version)))
+        orders.append(PlacedOrder(engine.info.name, UnloadModel(name, version)))
     return orders
 
 
@@ -239,7 +241,7 @@
 
 
 def _may_send(
-    state: State, placed: Placed, holding: leases.Holding, now: Millis
+    state: State, placed: PlacedOrder, holding: leases.Holding, now: Millis
 ) -> bool:
     target = state.targets[placed.target]
     assert isinstance(target.info, EngineInfo)
@@ -266,7 +268,7 @@
 
 
 def _send_order(
-    state: State, lease: str, placed: Placed, holding: leases.Holding, now: Millis
+    state: State, lease: str, placed: PlacedOrder, holding: leases.Holding, now: Millis
 ) -> Effect:
     placement = state.placement
     number = placement.next_order
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -21,7 +21,7 @@
     OrderOutcome,
     UnloadModel,
 )
-from figstep.core.placement import EngineView, Placed, plan_orders
+from figstep.core.placement import EngineView, PlacedOrder, plan_orders
 from figstep.core.records import LEASES, LogRecord
 from figstep.core.state import State, TargetState
 
@@ -42,7 +42,7 @@
     return Inventory(domains, engines=engines, models=(model,), rules=rules)
 
 
-def plan(model: ModelInfo, replicas: int, *loaded: set[str]) -> list[Placed]:
+def plan(model: ModelInfo, replicas: int, *loaded: set[str]) -> list[PlacedOrder]:
     views = []
     for name, held in zip(NAMES, loaded, strict=False):
         views.append(EngineView(make_engine(name), frozenset(held), True))
@@ -65,13 +65,13 @@
     partly = plan(model, 3, {"m@1", "m@2"}, {"m@1", "m@2"}, {"m@1"})
     assert [placed.order for placed in partly] == [LoadModel("m", "2")]
     fully = plan(model, 3, {"m@1", "m@2"}, {"m@2"}, {"m@2"})
-    assert fully == [Placed("e1", UnloadModel("m", "1"))]
+    assert fully == [PlacedOrder("e1", UnloadModel("m", "1"))]
 
 
 def test_adapters_are_loaded_where_the_version_serves() -> None:
     model = ModelInfo("m", "1", adapters=("menus",))
     assert plan(model, 1, {"m@1"}, set(), set()) == [
-        Placed("e1", LoadAdapter("m", "menus"))
+        PlacedOrder("e1", LoadAdapter("m", "menus"))
     ]
 
 
