--- a/figstep/core/placement.py
+++ b/figstep/core/placement.py
@@ -94,8 +94,8 @@
 def _plan_model(
     model: ModelInfo, engines: list[EngineView], wanted: int
 ) -> list[PlacedOrder]:
-    able = [engine for engine in engines if model.name in engine.info.models]
-    chosen = sorted(able, key=lambda engine: _rank_engine(model, engine))[:wanted]
+    capable = [engine for engine in engines if model.name in engine.info.models]
+    chosen = sorted(capable, key=lambda engine: _rank_engine(model, engine))[:wanted]
     current = name_version(model.name, model.version)
     orders: list[PlacedOrder] = []
     for engine in chosen:
@@ -105,10 +105,10 @@
         if engine.usable:
             order = LoadModel(model.name, model.version)
             orders.append(PlacedOrder(engine.info.name, order))
-    serving = sum(1 for e in able if e.usable and current in e.loaded)
+    serving = sum(1 for e in capable if e.usable and current in e.loaded)
     if serving < min(wanted, sum(1 for e in chosen if e.usable)):
         return orders
-    for engine in able:
+    for engine in capable:
         orders += _plan_unloads(model, engine, engine in chosen)
     return orders
 
@@ -151,27 +151,27 @@
 def run_round(state: State, now: Millis) -> list[Effect]:
     """Keep or try for the leases, then state what is still missing."""
     effects: list[Effect] = [WakeAt(PlacementTimer(), Millis(now + ROUND_INTERVAL))]
-    _forget_old(state.placement, now)
+    _discard_old(state.placement, now)
     if state.inventory is None or state.shutting_down:
         return effects + release_leases(state, now)
     domains = sorted({engine.failure_domain for engine in state.inventory.engines})
     for domain in domains:
         lease = LEASE_PREFIX + domain
-        effects += _keep_lease(state, lease, domain, now)
+        effects += _maintain_lease(state, lease, domain, now)
         holding = leases.find_holding(state.leases, lease, now)
         if holding is None:
             continue
-        effects += _give_orders(state, lease, domain, holding, now)
+        effects += _send_orders(state, lease, domain, holding, now)
     return effects
 
 
-def _forget_old(placement: PlacementState, now: Millis) -> None:
+def _discard_old(placement: PlacementState, now: Millis) -> None:
     for placed, sent in list(placement.sent.items()):
         if now >= sent + SENT_RETENTION:
             del placement.sent[placed]
 
 
-def _keep_lease(state: State, lease: str, domain: str, now: Millis) -> list[Effect]:
+def _maintain_lease(state: State, lease: str, domain: str, now: Millis) -> list[Effect]:
     holding = leases.find_holding(state.leases, lease, now)
     if holding is not None:
         if now < holding.until - leases.TERM // 2:
@@ -217,7 +217,7 @@
     return EngineView(target.info, frozenset(target.models), usable)
 
 
-def _give_orders(
+def _send_orders(
     state: State, lease: str, domain: str, holding: leases.Holding, now: Millis
 ) -> list[Effect]:
     assert state.inventory is not None
@@ -251,8 +251,8 @@
     # An engine that ignores fencing numbers would still obey the last holder,
     # paused in the middle of an order. After a whole term and the longest
     # order, that holder has stopped itself and its last order has ended.
-    quiet = holding.acquired + leases.TERM + ORDER_TIMEOUT
-    if not target.info.checks_fencing and now < quiet:
+    takeover_safe_at = holding.acquired + leases.TERM + ORDER_TIMEOUT
+    if not target.info.checks_fencing and now < takeover_safe_at:
         return False
     return not isinstance(placed.order, LoadModel) or _may_load(state, now)
 
@@ -282,7 +282,7 @@
     )
 
 
-def take_answer(state: State, event: OrderAnswered, now: Millis) -> list[Effect]:
+def handle_answer(state: State, event: OrderAnswered, now: Millis) -> list[Effect]:
     """Note what came of an order; a stale number ends this node's hold."""
     lease = state.placement.open_orders.pop(event.order, None)
     if lease is None or event.outcome is not OrderOutcome.STALE:
@@ -296,7 +296,7 @@
     ]
 
 
-def take_lease_records(state: State, event: RecordsRead, now: Millis) -> list[Effect]:
+def apply_lease_records(state: State, event: RecordsRead, now: Millis) -> list[Effect]:
     """Fold records of the lease stream."""
     for record in event.records:
         leases.apply_record(state.leases, state.node, record, now)
--- a/figstep/core/reducer.py
+++ b/figstep/core/reducer.py
@@ -104,9 +104,9 @@
         case PeerListenerOpened():
             return membership.open_peers(state, event, now)
         case RecordsRead(stream=records.LEASES):
-            return placement.take_lease_records(state, event, now)
+            return placement.apply_lease_records(state, event, now)
         case OrderAnswered():
-            return placement.take_answer(state, event, now)
+            return placement.handle_answer(state, event, now)
         case RecordsRead():
             return settlement.apply_records(state, event, now)
         case AppendConfirmed():
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -91,7 +91,7 @@
             if isinstance(effect, AppendRecords):
                 record = LogRecord(0, now, effect.records[0])
                 event = RecordsRead(LEASES, (record,))
-                placement.take_lease_records(state, event, Millis(now))
+                placement.apply_lease_records(state, event, Millis(now))
                 return now
         now += placement.ROUND_INTERVAL
     raise AssertionError("no lease was asked for")
@@ -144,7 +144,7 @@
     state = make_state()
     now = take_lease(state, 0)
     order = list_orders(state, now)[0]
-    placement.take_answer(
+    placement.handle_answer(
         state, OrderAnswered(order.number, OrderOutcome.STALE), Millis(now)
     )
     assert list_orders(state, now + 1_000) == []
