--- a/figstep/audit.py
+++ b/figstep/audit.py
@@ -4,7 +4,7 @@
 
 from figstep.core.changes import FieldChange, diff_documents
 from figstep.core.clock import Millis
-from figstep.core.configuration import Accepted, Refused, Unknown, judge_edit
+from figstep.core.configuration import Accepted, Refused, Unknown, check_edit
 from figstep.core.effects import ReadConfigurationFrom
 from figstep.core.events import Checkpoint, ConfigurationRead
 from figstep.core.records import LogRecord
@@ -111,7 +111,7 @@
         return
     verdict, rule, why = "unknown", "", "older than the first snapshot that is kept"
     if event.offset == fold.position + 1:
-        match judge_edit(fold.current, event):
+        match check_edit(fold.current, event):
             case Accepted():
                 verdict, why = "accepted", ""
             case Refused(rule=rule, why=why):
--- a/figstep/core/configuration.py
+++ b/figstep/core/configuration.py
@@ -37,8 +37,8 @@
 # outage of a third of the retention still leave one in the log.
 RENEWALS_PER_RETENTION = 3
 SNAPSHOT_RECORDS = 200
-SPREAD_DIVISOR = 12
-UNASKED_APPEND = -1
+JITTER_DIVISOR = 12
+SNAPSHOT_APPEND_KEY = -1
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,10 +66,10 @@
     why: str
 
 
-Verdict = Accepted | Refused | Unknown
+EditVerdict = Accepted | Refused | Unknown
 
 
-def judge_edit(current: Checkpoint | None, event: ConfigurationRead) -> Verdict:
+def check_edit(current: Checkpoint | None, event: ConfigurationRead) -> EditVerdict:
     """Judge an edit against the document in force before it.
 
     Args:
@@ -101,12 +101,12 @@
         return []
     if event.offset != fold.position + 1:
         return _stall(fold, f"records {fold.position + 1} to {event.offset - 1} lack")
-    match judge_edit(fold.current, event):
+    match check_edit(fold.current, event):
         case Unknown(why=why):
             return _stall(fold, why)
         case Refused(rule=rule, why=why):
             fold.position = event.offset
-            return [Count("configuration.refused"), _note_refusal(event, rule, why)]
+            return [Count("configuration.refused"), _describe_refusal(event, rule, why)]
         case Accepted():
             fold.position = event.offset
             return _put_in_force(state, build_checkpoint(event), now)
@@ -126,7 +126,7 @@
     )
 
 
-def _note_refusal(event: ConfigurationRead, rule: str, why: str) -> Note:
+def _describe_refusal(event: ConfigurationRead, rule: str, why: str) -> Note:
     return Note(
         "configuration refused",
         {"offset": event.offset, "author": event.author, "rule": rule, "why": why},
@@ -154,7 +154,7 @@
     if checkpoint.position >= event.offset:
         effects.append(Count("configuration.snapshot_invalid"))
     else:
-        effects += take_checkpoint(state, checkpoint, now)
+        effects += apply_checkpoint(state, checkpoint, now)
     if event.offset == fold.position + 1:
         fold.position = event.offset
     if checkpoint.position >= fold.snapshot_position:
@@ -164,7 +164,7 @@
     return effects
 
 
-def take_checkpoint(state: State, offer: Checkpoint, now: Millis) -> list[Effect]:
+def apply_checkpoint(state: State, offer: Checkpoint, now: Millis) -> list[Effect]:
     """Jump to a checkpoint that stands for more records than were folded.
 
     The higher position wins, whether it came from the log or from a peer. The
@@ -223,17 +223,17 @@
     draining = {mark.target for mark in inventory.draining}
     evacuated = {mark.failure_domain for mark in inventory.evacuated}
     apply_policy(state, inventory)
-    known = state.targets
+    previous = state.targets
     state.targets = {}
     for info in inventory.list_targets():
-        target = known.pop(info.name, None)
+        target = previous.pop(info.name, None)
         if target is None:
             target = TargetState(info)
         target.info = info
         is_evacuated = info.failure_domain in evacuated
         target.draining = is_evacuated or info.name in draining
         state.targets[info.name] = target
-    for name, target in known.items():
+    for name, target in previous.items():
         if target.in_flight == 0:
             continue
         target.draining = True
@@ -252,8 +252,8 @@
     """
     made = state.configuration.snapshot_made
     due = now if made is None else made + _renewal_period(state)
-    spread = state.retention // SPREAD_DIVISOR
-    at = max(now, due) + state.rng.randrange(max(1, spread))
+    jitter = state.retention // JITTER_DIVISOR
+    at = max(now, due) + state.rng.randrange(max(1, jitter))
     return WakeAt(SnapshotTimer(), Millis(at))
 
 
@@ -275,7 +275,7 @@
         return [wake]
     record = encode_snapshot(fold.current, fold.position)
     return [
-        AppendRecords(CONFIGURATION, UNASKED_APPEND, [record]),
+        AppendRecords(CONFIGURATION, SNAPSHOT_APPEND_KEY, [record]),
         Count("configuration.snapshots"),
         wake,
     ]
--- a/figstep/core/reducer.py
+++ b/figstep/core/reducer.py
@@ -138,7 +138,7 @@
         case SnapshotRead():
             effects = configuration.fold_snapshot(state, event, now)
         case CheckpointOffered():
-            effects = configuration.take_checkpoint(state, event.checkpoint, now)
+            effects = configuration.apply_checkpoint(state, event.checkpoint, now)
     if state.configuration_offset > offset:
         effects += membership.broadcast_urgently(state, now)
     return effects
