--- a/figstep/core/watch.py
+++ b/figstep/core/watch.py
@@ -19,8 +19,8 @@
         return []
     watched: dict[str, EngineInfo] = {}
     for model in state.inventory.models:
-        probe = RequestSpec("", "", GenerationWork(model.name))
-        for target in list_pool(state, probe):
+        sample_spec = RequestSpec("", "", GenerationWork(model.name))
+        for target in list_pool(state, sample_spec):
             if isinstance(target.info, EngineInfo):
                 watched[target.info.name] = target.info
     held = _list_held_domains(state, now)
