--- a/figstep/core/gossip.py
+++ b/figstep/core/gossip.py
@@ -94,13 +94,13 @@
         address: Where it listens for peers.
         incarnation: Highest incarnation seen.
         status: What is known of it.
-        changed: When ``status`` last changed.
+        status_changed_at: When ``status`` last changed.
         sequence: Highest sequence seen of this incarnation.
-        probed: When the oldest unacknowledged message went out, or None.
+        unacknowledged_since: When the oldest unacknowledged message went out, or None.
         accepted: Offset of its document in force.
         position: Last offset that it folded.
         counts: Its attempts by hash of the target.
-        counted: When ``counts`` was last heard, or None.
+        counts_received_at: When ``counts`` was last heard, or None.
         sends_left: How often news of it is still spread.
     """
 
@@ -108,13 +108,13 @@
     address: str
     incarnation: int
     status: MemberStatus
-    changed: Millis
+    status_changed_at: Millis
     sequence: int = -1
-    probed: Millis | None = None
+    unacknowledged_since: Millis | None = None
     accepted: int = -1
     position: int = -1
     counts: dict[int, int] = field(default_factory=dict)
-    counted: Millis | None = None
+    counts_received_at: Millis | None = None
     sends_left: int = 0
 
     @property
@@ -147,7 +147,7 @@
         seeds: Addresses from the settings and the instance list, to join by.
         members: Other entries by name.
         marks: Leaving targets by name.
-        round: Names still to be sent to in this round, shuffled.
+        unvisited: Names still to be sent to in this round, shuffled.
         sequence: Of the last message sent.
         allowance: Messages that may go out at once, besides the periodic ones.
         refilled: When ``allowance`` was last refilled.
@@ -163,7 +163,7 @@
     seeds: set[str] = field(default_factory=set)
     members: dict[str, Member] = field(default_factory=dict)
     marks: dict[str, MarkState] = field(default_factory=dict)
-    round: list[str] = field(default_factory=list)
+    unvisited: list[str] = field(default_factory=list)
     sequence: int = 0
     allowance: float = 0.0
     refilled: Millis = Millis(0)
--- a/figstep/core/membership.py
+++ b/figstep/core/membership.py
@@ -66,8 +66,8 @@
         effects += _check_silence(state, member, now)
     estimate_peer_counts(state, now)
     for member in _choose_partners(state, FANOUT):
-        if member.probed is None:
-            member.probed = now
+        if member.unacknowledged_since is None:
+            member.unacknowledged_since = now
         effects.append(_send(state, member.address, member, now))
     effects += _send_to_seed(state, now)
     jitter = state.rng.randrange(GOSSIP_INTERVAL // 5) - GOSSIP_INTERVAL // 10
@@ -90,13 +90,13 @@
     """
     membership = state.membership
     chosen: list[Member] = []
-    for _ in range(len(membership.members) + len(membership.round)):
+    for _ in range(len(membership.members) + len(membership.unvisited)):
         if len(chosen) == count:
             break
-        if not membership.round:
-            membership.round = list(membership.members)
-            state.rng.shuffle(membership.round)
-        member = membership.members.get(membership.round.pop())
+        if not membership.unvisited:
+            membership.unvisited = list(membership.members)
+            state.rng.shuffle(membership.unvisited)
+        member = membership.members.get(membership.unvisited.pop())
         if member is None or not member.reachable or member in chosen:
             continue
         chosen.append(member)
@@ -132,26 +132,29 @@
         case MemberStatus.ALIVE if _is_silent(member, now):
             _set_status(state, member, MemberStatus.SUSPECT, now)
             return [Count("membership.suspected")]
-        case MemberStatus.SUSPECT if now >= member.changed + SUSPECT_TIMEOUT:
+        case MemberStatus.SUSPECT if now >= member.status_changed_at + SUSPECT_TIMEOUT:
             _set_status(state, member, MemberStatus.GONE, now)
             return [Count("membership.gone"), Note("entry gone", {"node": member.name})]
         case MemberStatus.LEAVING if _is_silent(member, now):
             _set_status(state, member, MemberStatus.GONE, now)
-        case MemberStatus.GONE if now >= member.changed + REMOVAL_DELAY:
+        case MemberStatus.GONE if now >= member.status_changed_at + REMOVAL_DELAY:
             del state.membership.members[member.name]
     return []
 
 
 def _is_silent(member: Member, now: Millis) -> bool:
-    return member.probed is not None and now >= member.probed + ACK_TIMEOUT
+    return (
+        member.unacknowledged_since is not None
+        and now >= member.unacknowledged_since + ACK_TIMEOUT
+    )
 
 
 def _set_status(
     state: State, member: Member, status: MemberStatus, now: Millis
 ) -> None:
     member.status = status
-    member.changed = now
-    member.probed = None
+    member.status_changed_at = now
+    member.unacknowledged_since = None
     member.sends_left = count_sends(state)
 
 
@@ -179,7 +182,7 @@
     for mark in gossip.marks:
         news |= mark_leaving(state, mark)
     member.counts = _merge_counts(member, gossip)
-    member.counted = now
+    member.counts_received_at = now
     for quarantined in gossip.quarantined:
         quarantine.quarantine_digest(
             state.quarantine, quarantined.digest, quarantined.remaining, now
@@ -208,7 +211,7 @@
     elif status.value > member.status.value:
         _set_status(state, member, status, now)
     member.sequence = gossip.sequence
-    member.probed = None
+    member.unacknowledged_since = None
     member.accepted = gossip.accepted
     member.position = gossip.position
     return member
@@ -325,7 +328,10 @@
         if not member.reachable:
             continue
         alive += 1
-        if member.counted is None or now >= member.counted + COUNTS_TTL:
+        if (
+            member.counts_received_at is None
+            or now >= member.counts_received_at + COUNTS_TTL
+        ):
             continue
         reporters += 1
         for target, count in member.counts.items():
