--- a/figstep/core/membership.py
+++ b/figstep/core/membership.py
@@ -271,8 +271,8 @@
     known = target.leaving and mark.incarnation == target.incarnation
     target.incarnation = mark.incarnation
     target.leaving = True
-    kept = state.membership.marks.get(mark.target)
-    if known and kept is not None and kept.incarnation == mark.incarnation:
+    existing = state.membership.marks.get(mark.target)
+    if known and existing is not None and existing.incarnation == mark.incarnation:
         return False
     state.membership.marks[mark.target] = MarkState(
         mark.incarnation, count_sends(state)
@@ -364,12 +364,12 @@
     """Return a random one of the peers that hold the newest document."""
     best: list[Member] = []
     stalled = bool(state.configuration.stalled)
-    ahead = (state.configuration_offset, state.configuration.position)
+    own_progress = (state.configuration_offset, state.configuration.position)
     for member in state.membership.members.values():
         if not member.reachable:
             continue
-        newer = member.accepted > ahead[0]
-        if not newer and not (stalled and member.position > ahead[1]):
+        newer = member.accepted > own_progress[0]
+        if not newer and not (stalled and member.position > own_progress[1]):
             continue
         if best and member.accepted < best[0].accepted:
             continue
