--- a/figstep/core/settlement.py
+++ b/figstep/core/settlement.py
@@ -41,9 +41,9 @@
             case ClaimLost(record=identifier, name=name):
                 effects += _settle_lost(state, identifier, name, now)
             case IdentityReleased(name=name):
-                effects += _settle_freed(state, name)
+                effects += _settle_released(state, name)
             case OutcomeRecorded(name=name, outcome=outcome):
-                effects += _settle_finished(state, name, outcome)
+                effects += _settle_outcome(state, name, outcome)
             case claims.Unchanged():
                 continue
     return effects
@@ -92,7 +92,7 @@
     return effects
 
 
-def _settle_freed(state: State, name: str) -> list[Effect]:
+def _settle_released(state: State, name: str) -> list[Effect]:
     problem = Problem(
         503,
         "first_not_run",
@@ -105,7 +105,7 @@
     return effects
 
 
-def _settle_finished(state: State, name: str, outcome: claims.Outcome) -> list[Effect]:
+def _settle_outcome(state: State, name: str, outcome: claims.Outcome) -> list[Effect]:
     effects: list[Effect] = []
     for request_id in ownership.pop_waiters(state, name):
         effects.append(ownership.answer_duplicate(request_id, outcome))
