--- a/figstep/core/changes.py
+++ b/figstep/core/changes.py
@@ -74,8 +74,8 @@
     if isinstance(before, dict) and isinstance(after, dict):
         changes = []
         for name in sorted(before.keys() | after.keys()):
-            place = (*steps, Member(name))
-            changes += diff_documents(before.get(name), after.get(name), place)
+            child_steps = (*steps, Member(name))
+            changes += diff_documents(before.get(name), after.get(name), child_steps)
         return changes
     old, new = _index_by_name(before), _index_by_name(after)
     if before is None and new:
@@ -84,8 +84,8 @@
         return [FieldChange(steps, before, after)]
     changes = []
     for name in sorted(old.keys() | new.keys()):
-        place = (*steps, Item(name))
-        changes += diff_documents(old.get(name), new.get(name), place)
+        child_steps = (*steps, Item(name))
+        changes += diff_documents(old.get(name), new.get(name), child_steps)
     return changes
 
 
