--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -10,7 +10,7 @@
 from figstep.gateway.effects import OpenAttempt, Refuse
 from figstep.gateway.events import PiecesArrived, StreamEnded, StreamPiece, Ticked
 from figstep.gateway.prompts import Prompt
-from tests.gateway.worlds import PLAN, World
+from tests.gateway.worlds import PLAN, EntryHarness
 
 RUN = Millis(4_000)
 """How long each run of the replays takes."""
@@ -39,7 +39,7 @@
     factor: float
     seconds: int = 30
     engines: int = 2
-    world: World = field(default_factory=World)
+    world: EntryHarness = field(default_factory=EntryHarness)
     came: dict[int, Millis] = field(default_factory=dict)
     digests: dict[int, str] = field(default_factory=dict)
     first_try: dict[int, bool] = field(default_factory=dict)
@@ -129,7 +129,7 @@
 
 def test_a_request_waits_no_longer_than_its_caller_can_spare() -> None:
     """Guards against callers with little time left who are held to its end."""
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     engine = world.state.targets.find("e-1")
     assert engine is not None
@@ -143,7 +143,7 @@
 
 def test_returns_are_told_one_after_another() -> None:
     """Guards against callers who all come back to the room of one."""
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     engine = world.state.targets.find("e-1")
     assert engine is not None
@@ -158,7 +158,7 @@
 
 def test_a_prompt_goes_to_no_engine_that_would_read_it_too_late() -> None:
     """Guards against engines that read prompts whose callers have gone."""
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     engine = world.state.targets.find("e-1")
     assert engine is not None
--- a/tests/gateway/test_copies.py
+++ b/tests/gateway/test_copies.py
@@ -30,12 +30,12 @@
 )
 from figstep.gateway.streams import MAX_OVERLAP
 from figstep.gateway.targets import Registration
-from tests.gateway.worlds import ENGINES, World, start_with_backup
+from tests.gateway.worlds import ENGINES, EntryHarness, start_with_backup
 
 
-def start_without_backup(output: int = 900) -> tuple[World, OpenAttempt]:
+def start_without_backup(output: int = 900) -> tuple[EntryHarness, OpenAttempt]:
     """Return a world with a plan that found no room for a backup at its start."""
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     world.arrive_plan(output=output)
     opened = world.find(OpenAttempt)
@@ -98,16 +98,16 @@
     Four engines carry sixteen runs. A running backup of each fills the memory
     that is left: prompts find no room, and runs that grow are preempted.
     """
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2", "e-3")
     assert world.open_plan().backup == ""
-    without = World(moves=False)
+    without = EntryHarness(moves=False)
     without.register("e-1", "e-2", "e-3")
     assert without.open_plan().backup != ""
 
 
 def test_a_run_without_a_backup_is_copied_in_the_notice() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2", "e-3")
     opened = world.open_plan()
     world.send_pieces(opened.attempt, 1, 10)
@@ -120,7 +120,7 @@
 
 
 def test_a_copy_that_fails_is_tried_at_another_engine() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2", "e-3", "e-4")
     opened = world.open_plan()
     world.send_pieces(opened.attempt, 1, 10)
@@ -180,7 +180,7 @@
     The engine leaves as its run has sent one event. A backup grows there
     several times a second; asked for at once it would be refused and spoiled.
     """
-    world = World(moves=False)
+    world = EntryHarness(moves=False)
     world.register("e-1", "e-2", "e-3")
     opened = world.open_plan()
     world.send_pieces(opened.attempt, 1, 1)
@@ -211,7 +211,7 @@
 
 
 def test_one_run_of_an_engine_is_copied_at_a_time() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     for _ in range(2):
         opened = world.open_plan()
@@ -430,7 +430,7 @@
     assert [one.holder for one in kept if isinstance(one, CopyRun)] == [order.holder]
 
 
-def start_with_old_copy() -> tuple[World, CopyRun]:
+def start_with_old_copy() -> tuple[EntryHarness, CopyRun]:
     """Return a world whose run has a copy that has grown old, as its engine leaves."""
     world, _ = start_without_backup()
     world.handle(Ticked())
@@ -474,9 +474,9 @@
     assert world.find(OpenAttempt).target == order.holder
 
 
-def start_in_two_domains() -> tuple[World, OpenAttempt]:
+def start_in_two_domains() -> tuple[EntryHarness, OpenAttempt]:
     """Return a plan at e-1, with idle engines in its failure domain and another."""
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     opened = world.open_plan()
     world.send_pieces(opened.attempt, 1, 10)
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -35,7 +35,7 @@
     BOOKINGS,
     ENGINES,
     LOOKUP,
-    World,
+    EntryHarness,
     build_fleet,
     build_table,
     start_with_backup,
@@ -129,14 +129,18 @@
             Registration(new, BOOKINGS, info.address, info.failure_domain, 6, born=born)
         )
 
-    def send(self, world: World, digest: str = KILLER, path: str = "/lookup/a") -> None:
+    def send(
+        self, world: EntryHarness, digest: str = KILLER, path: str = "/lookup/a"
+    ) -> None:
         """Send a request that crashes targets, and play what follows."""
         world.arrive(path, digest=digest)
         opened = world.find_all(OpenAttempt)
         while opened:
             opened = self.play_attempt(world, opened[0])
 
-    def play_attempt(self, world: World, opened: OpenAttempt) -> list[OpenAttempt]:
+    def play_attempt(
+        self, world: EntryHarness, opened: OpenAttempt
+    ) -> list[OpenAttempt]:
         """Let a target crash under an attempt; returns what is sent next."""
         name = opened.target
         if name not in self.lives:
@@ -152,7 +156,7 @@
         self.lose(world, opened.attempt)
         return world.find_all(OpenAttempt)
 
-    def lose(self, world: World, attempt: int) -> None:
+    def lose(self, world: EntryHarness, attempt: int) -> None:
         """End an attempt as its target crashes; the effects of the loss stay."""
         world.handle(AttemptLost(attempt, self.loss))
         effects = list(world.effects)
@@ -170,14 +174,14 @@
         return sum(at - 60 > known for at, _ in self.runs)
 
 
-def has_turned_away(world: World) -> bool:
+def has_turned_away(world: EntryHarness) -> bool:
     """Tell whether the last request was refused for its crashes."""
     return any(
         effect.problem.code == "crashes_targets" for effect in world.find_all(Refuse)
     )
 
 
-def refuses(world: World, digest: str = KILLER) -> bool:
+def refuses(world: EntryHarness, digest: str = KILLER) -> bool:
     """Tell whether an entry refuses a read for its crashes."""
     world.arrive("/lookup/a", digest=digest)
     return has_turned_away(world)
@@ -240,7 +244,7 @@
     assert not replay.fleet[0].state.crashes.is_suspected(KILLER)
 
 
-def answer_at(world: World, name: str) -> None:
+def answer_at(world: EntryHarness, name: str) -> None:
     """Let a target answer some request of an entry."""
     for _ in range(20):
         world.arrive("/lookup/other")
@@ -252,9 +256,9 @@
 
 def start_beside(
     replay: Replay, target: str, count: int, path: str = "/lookup/a"
-) -> list[tuple[World, OpenAttempt]]:
+) -> list[tuple[EntryHarness, OpenAttempt]]:
     """Start requests until some run at a target, at any entry."""
-    found: list[tuple[World, OpenAttempt]] = []
+    found: list[tuple[EntryHarness, OpenAttempt]] = []
     number = 0
     while len(found) < count:
         world = replay.fleet[number % len(replay.fleet)]
@@ -317,7 +321,7 @@
     lost = [
         name for name, info in replay.lives.items() if info.failure_domain == "muc-a"
     ]
-    running: list[tuple[World, OpenAttempt]] = []
+    running: list[tuple[EntryHarness, OpenAttempt]] = []
     for number in range(80):
         world = replay.fleet[number % len(replay.fleet)]
         world.arrive("/lookup/a", digest=f"good-{number}")
@@ -344,7 +348,7 @@
 
 def test_a_request_that_waits_is_refused_as_its_crashes_are_told() -> None:
     """Guards against a killer in a queue that is started all the same."""
-    world = World()
+    world = EntryHarness()
     world.register("e-1", slots=1)
     world.arrive("/question/a", Prompt("m", 100, 50, 50))
     running = world.find(OpenAttempt)
@@ -400,7 +404,7 @@
     replay = Replay(73)
     return_often(replay, 2)
     replay.wait(20_000)
-    fresh = World(clock=replay.clock)
+    fresh = EntryHarness(clock=replay.clock)
     fresh.state.node = "entry-new"
     fresh.state.failure_domain = replay.fleet[0].state.failure_domain
     fresh.handle(EntriesCounted(74))
@@ -473,7 +477,7 @@
 
 def test_what_a_leaving_target_cuts_off_is_not_suspected() -> None:
     """Guards against requests blamed for a target that was told to end."""
-    world = World()
+    world = EntryHarness()
     world.register("b-1", "b-2", service=BOOKINGS)
     world.arrive("/lookup/a", digest="good")
     opened = world.find(OpenAttempt)
@@ -485,7 +489,7 @@
 
 def test_a_target_that_turns_connections_away_has_not_crashed() -> None:
     """Guards against reads refused for targets that have too many connections."""
-    world = World()
+    world = EntryHarness()
     world.register("b-1", "b-2", "b-3", service=BOOKINGS)
     world.arrive("/lookup/a", digest="good")
     first = world.find(OpenAttempt)
@@ -501,7 +505,7 @@
 
 def test_a_target_that_ends_much_later_has_not_crashed() -> None:
     """Guards against reads blamed for an end that had nothing to do with them."""
-    world = World()
+    world = EntryHarness()
     world.register("b-1", "b-2", service=BOOKINGS)
     world.arrive("/lookup/a", digest="good")
     opened = world.find(OpenAttempt)
@@ -513,7 +517,7 @@
 
 def test_a_caller_that_leaves_is_suspected_like_others() -> None:
     """Guards against a killer whose caller leaves before its target is found."""
-    world = World()
+    world = EntryHarness()
     world.register("b-1", "b-2", service=BOOKINGS)
     number = world.arrive("/lookup/a", digest=KILLER)
     opened = world.find(OpenAttempt)
@@ -524,7 +528,7 @@
 
 def test_a_prompt_that_crashes_engines_is_kept_away() -> None:
     """Guards against a prompt that crashes one engine after another."""
-    world = World()
+    world = EntryHarness()
     for number in range(4):
         info = Registration(
             f"e-{number}", ENGINES, f"e-{number}:80", DOMAINS[number], 64, born=1
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -23,15 +23,15 @@
 )
 from figstep.gateway.state import LEAVING_ANNOUNCE_DURATION, LEAVING_RETENTION
 from figstep.gateway.targets import Incarnation, Registration, Standing
-from tests.gateway.worlds import BOOKINGS, ENGINES, World, build_fleet
+from tests.gateway.worlds import BOOKINGS, ENGINES, EntryHarness, build_fleet
 
 FORGOTTEN = Millis(31_000)
 """Time after which a target that left and serves nothing is not known any more."""
 
 
-def build_world(*names: str) -> World:
+def build_world(*names: str) -> EntryHarness:
     """Return an entry with plain targets."""
-    world = World()
+    world = EntryHarness()
     world.register(*names, service=BOOKINGS, slots=6)
     return world
 
@@ -41,7 +41,7 @@
     return TargetLeaving(Incarnation(target, born))
 
 
-def list_called(world: World, calls: int = 6) -> set[str]:
+def list_called(world: EntryHarness, calls: int = 6) -> set[str]:
     """Return the targets that some calls are sent to."""
     called = set()
     for _ in range(calls):
@@ -60,7 +60,7 @@
 
 def test_streams_move_from_an_engine_that_says_that_it_leaves() -> None:
     """Guards against streams that end with an engine whose answer told its end."""
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2")
     opened = world.open_plan()
     world.send_pieces(opened.attempt, 1, 9)
@@ -168,7 +168,7 @@
 
 def test_a_report_says_no_less_than_an_answer() -> None:
     """Guards against an engine that comes back after its own notice was told."""
-    world = World()
+    world = EntryHarness()
     world.handle(EntriesCounted(8))
     world.register("e-1", "e-2")
     world.handle(EngineReported("e-1", leaving=True))
@@ -191,12 +191,12 @@
 
 def test_the_word_of_an_unknown_target_is_passed_over() -> None:
     """Guards against an answer that comes after its target was forgotten."""
-    assert World().handle(say("b-9")) == []
+    assert EntryHarness().handle(say("b-9")) == []
 
 
-def start_plan_unread() -> tuple[World, OpenAttempt]:
+def start_plan_unread() -> tuple[EntryHarness, OpenAttempt]:
     """Return an entry that can't read the store, alone, with a plan that runs."""
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2")
     opened = world.open_plan()
     world.send_pieces(opened.attempt, 1, 9)
--- a/tests/gateway/test_eligibility.py
+++ b/tests/gateway/test_eligibility.py
@@ -22,7 +22,7 @@
     ORDER,
     PLAN,
     QUESTION,
-    World,
+    EntryHarness,
     build_table,
 )
 
@@ -44,15 +44,17 @@
     )
 
 
-def register(world: World, name: str, domain: str, service: str = BOOKINGS) -> None:
+def register(
+    world: EntryHarness, name: str, domain: str, service: str = BOOKINGS
+) -> None:
     """Register a target of a failure domain."""
     info = Registration(name, service, f"{name}:80", domain, 24, born=1)
     world.handle(TargetRegistered(info))
 
 
-def build_world(allowed_regions: Homes, customer: Homes = None) -> World:
+def build_world(allowed_regions: Homes, customer: Homes = None) -> EntryHarness:
     """Return an entry in one of three regions, each with a target."""
-    world = World()
+    world = EntryHarness()
     world.handle(SettingsRead(0.2, 56.0, world.state.budget.window, REGIONS))
     world.handle(ConfigurationRead(bind(allowed_regions, customer)))
     for domain in REGIONS:
@@ -60,7 +62,7 @@
     return world
 
 
-def find_reached(world: World, path: str = "/order/a") -> set[str]:
+def find_reached(world: EntryHarness, path: str = "/order/a") -> set[str]:
     """Return the targets that some calls are sent to."""
     reached = set()
     for _ in range(12):
--- a/tests/gateway/test_evacuations.py
+++ b/tests/gateway/test_evacuations.py
@@ -24,25 +24,33 @@
 from figstep.gateway.places import Evacuations
 from figstep.gateway.targets import Registration
 from figstep.net.hellos import Hello, decode_hello, encode_hello
-from tests.gateway.worlds import BOOKINGS, ENGINES, World, build_fleet, build_table
+from tests.gateway.worlds import (
+    BOOKINGS,
+    ENGINES,
+    EntryHarness,
+    build_fleet,
+    build_table,
+)
 
 DOMAINS = ("muc-a", "muc-b", "nue-a", "aug-a")
 
 
-def evacuate(world: World, *domains: str, position: int = 5) -> None:
+def evacuate(world: EntryHarness, *domains: str, position: int = 5) -> None:
     """Let an entry read in the store which failure domains are evacuated."""
     world.handle(EvacuationsRead(Evacuations(frozenset(domains), position)))
 
 
-def register(world: World, name: str, domain: str, service: str = ENGINES) -> None:
+def register(
+    world: EntryHarness, name: str, domain: str, service: str = ENGINES
+) -> None:
     """Register a target of a failure domain."""
     info = Registration(name, service, f"{name}:80", domain, 24, born=1)
     world.handle(TargetRegistered(info))
 
 
-def build_world() -> World:
+def build_world() -> EntryHarness:
     """Return an entry with two engines and two plain targets, in two domains."""
-    world = World()
+    world = EntryHarness()
     for domain in DOMAINS[:2]:
         register(world, f"e-{domain}", domain)
         register(world, f"b-{domain}", domain, BOOKINGS)
@@ -100,7 +108,7 @@
 
 def test_a_waiting_prompt_is_refused_once_all_is_evacuated() -> None:
     """Guards against waiting callers who are held though nothing can take them."""
-    world = World()
+    world = EntryHarness()
     register(world, "e-1", "muc-a")
     for _ in range(9):
         world.arrive_plan()
@@ -113,7 +121,7 @@
 
 def test_runs_end_where_they_are_and_get_no_copy_there() -> None:
     """Guards against orders and copies sent to engines that shall get nothing."""
-    world = World()
+    world = EntryHarness()
     register(world, "e-1", "muc-a")
     opened = world.open_plan()
     world.send_pieces(opened.attempt, 1, 9)
@@ -129,7 +137,7 @@
 
 def test_a_copy_in_an_evacuated_domain_counts_as_none() -> None:
     """Guards against a stream that goes on from a copy at an evacuated engine."""
-    world = World()
+    world = EntryHarness()
     register(world, "e-1", "muc-a")
     opened = world.open_plan()
     world.send_pieces(opened.attempt, 1, 9)
@@ -142,7 +150,7 @@
 
 def test_evacuated_engines_are_asked_nothing() -> None:
     """Guards against questions to engines of an evacuated domain in an outage."""
-    world = World()
+    world = EntryHarness()
     register(world, "e-1", "muc-a")
     opened = world.open_plan()
     world.send_pieces(opened.attempt, 1, 9)
@@ -251,10 +259,10 @@
         rng: Draws which messages are lost.
     """
 
-    entries: list[World]
+    entries: list[EntryHarness]
     clock: ManualClock
     rng: random.Random
-    pending: list[tuple[Millis, World, PeerHeard]] = field(default_factory=list)
+    pending: list[tuple[Millis, EntryHarness, PeerHeard]] = field(default_factory=list)
 
     def step(self, millis: int) -> None:
         """Let time pass, in which each entry tells all others of its domain."""
@@ -267,7 +275,7 @@
         for world in self.entries:
             self._tell(world, now)
 
-    def _tell(self, world: World, now: Millis) -> None:
+    def _tell(self, world: EntryHarness, now: Millis) -> None:
         own = peers.describe_entry(world.state, now)
         domain = peers.describe_domain(world.state, now)
         speaks = peers.is_domain_representative(world.state, now)
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -18,7 +18,7 @@
 from figstep.gateway.prompts import Prompt
 from figstep.gateway.targets import DEFAULT_READ_RATE, Registration
 from figstep.net.links import FAR_SECONDS, FAR_WHOLE_SECONDS, HELLO_SECONDS
-from tests.gateway.worlds import ENGINES, World
+from tests.gateway.worlds import ENGINES, EntryHarness
 
 DOMAINS = ("muc-a", "muc-b", "nue-a", "aug-a", "rgb-a", "wue-a")
 PER_DOMAIN = 4
@@ -60,10 +60,10 @@
     """
 
     clock: ManualClock = field(default_factory=lambda: ManualClock(100_000))
-    worlds: list[World] = field(default_factory=list)
+    worlds: list[EntryHarness] = field(default_factory=list)
     engines: dict[str, Engine] = field(default_factory=dict)
     ratios: list[float] = field(default_factory=list)
-    due: list[tuple[Millis, World, str, int]] = field(default_factory=list)
+    due: list[tuple[Millis, EntryHarness, str, int]] = field(default_factory=list)
     told: dict[str, dict[str, PeerLoad]] = field(default_factory=dict)
     rng: random.Random = field(default_factory=lambda: random.Random(3))
 
@@ -71,7 +71,7 @@
         """Set up entries and engines, which know of each other."""
         for domain in DOMAINS:
             for number in range(PER_DOMAIN):
-                world = World(clock=self.clock)
+                world = EntryHarness(clock=self.clock)
                 world.state.node = f"entry-{domain}-{number}"
                 world.state.failure_domain = domain
                 world.state.rng.seed(len(self.worlds))
@@ -95,7 +95,7 @@
                 self._place(self.rng.choice(self.worlds))
             self._talk(tick * STEP)
 
-    def _place(self, world: World) -> None:
+    def _place(self, world: EntryHarness) -> None:
         world.arrive("/question/a", Prompt("m", TOKENS, 200, 40))
         announcements = world.find_all(AnnounceTarget)
         for opened in world.find_all(OpenAttempt):
@@ -130,24 +130,24 @@
                 if peers.is_domain_representative(world.state, self.clock.now()):
                     self._tell_far(world, at % round(FAR_WHOLE_SECONDS * 1_000) == 0)
 
-    def _tell_near(self, world: World) -> None:
+    def _tell_near(self, world: EntryHarness) -> None:
         message = peers.describe_entry(world.state, self.clock.now())
         for other in self.worlds:
             near = other.state.failure_domain == world.state.failure_domain
             if near and other is not world:
                 other.handle(message)
 
-    def _tell_target(self, world: World, target: str) -> None:
+    def _tell_target(self, world: EntryHarness, target: str) -> None:
         message = peers.describe_domain(world.state, self.clock.now())
         loads = tuple(load for load in message.loads if load.target == target)
         self._hand_far(world, replace(message, loads=loads, partial=True))
 
-    def _hand_far(self, world: World, message: PeerHeard) -> None:
+    def _hand_far(self, world: EntryHarness, message: PeerHeard) -> None:
         for other in self.worlds:
             if other.state.failure_domain != world.state.failure_domain:
                 other.handle(message)
 
-    def _tell_far(self, world: World, whole: bool) -> None:
+    def _tell_far(self, world: EntryHarness, whole: bool) -> None:
         message = peers.describe_domain(world.state, self.clock.now())
         told = self.told.setdefault(world.state.node, {})
         if not whole:
--- a/tests/gateway/test_fleet_properties.py
+++ b/tests/gateway/test_fleet_properties.py
@@ -65,7 +65,7 @@
     ORDER,
     PLAN,
     QUESTION,
-    World,
+    EntryHarness,
     build_fleet,
 )
 
@@ -413,7 +413,7 @@
         for run in [run for run in self.runs.values() if run.entry == entry]:
             self.close(run)
         before = self.fleet[entry]
-        world = World(clock=self.clock, next_number=before.next_number)
+        world = EntryHarness(clock=self.clock, next_number=before.next_number)
         world.state.node = before.state.node
         world.state.failure_domain = before.state.failure_domain
         world.state.next_attempt = before.state.next_attempt
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -21,7 +21,7 @@
 from figstep.gateway.targets import Registration
 from tests.gateway.worlds import (
     BOOKINGS,
-    World,
+    EntryHarness,
     build_fleet,
     start_with_backup,
     tell_all,
@@ -40,19 +40,19 @@
 """Milliseconds after which a rate binds that a target has begun to name."""
 
 
-def name_rate(world: World, rate: float | None, target: str = "b-1") -> None:
+def name_rate(world: EntryHarness, rate: float | None, target: str = "b-1") -> None:
     """Let an answer that was just asked for name a rate."""
     world.handle(RateNamed(target, rate, world.clock.now()))
 
 
-def build_world(*names: str) -> World:
+def build_world(*names: str) -> EntryHarness:
     """Return an entry with plain targets."""
-    world = World()
+    world = EntryHarness()
     world.register(*names, service=BOOKINGS, slots=6)
     return world
 
 
-def build_limited_fleet(size: int, domains: Sequence[str]) -> list[World]:
+def build_limited_fleet(size: int, domains: Sequence[str]) -> list[EntryHarness]:
     """Return entries that hear each other, with one target and its callers."""
     fleet = build_fleet(size, domains)
     for world in fleet:
@@ -62,7 +62,7 @@
 
 
 def play_fleet(
-    fleet: list[World], seconds: int, each: int, rate: float | None
+    fleet: list[EntryHarness], seconds: int, each: int, rate: float | None
 ) -> list[Millis]:
     """Let calls come to all entries; returns when they were sent on.
 
@@ -85,7 +85,7 @@
     return sent
 
 
-def answer_opened(world: World, rate: float | None) -> list[Millis]:
+def answer_opened(world: EntryHarness, rate: float | None) -> list[Millis]:
     """Answer what was just sent; returns when that was."""
     now = world.clock.now()
     opened = world.find_all(OpenAttempt)
@@ -250,7 +250,7 @@
 
 def test_a_run_is_not_copied_to_an_engine_that_takes_none() -> None:
     """Guards against a copy that its holder must not be asked to go on from."""
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2", "e-3")
     opened = world.open_plan()
     world.send_pieces(opened.attempt, 1, 9)
@@ -265,7 +265,7 @@
 
 def test_an_engine_in_need_copies_no_runs_ahead() -> None:
     """Guards against orders of copies that reach an engine beyond its rate."""
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2")
     opened = world.open_plan()
     name_rate(world, 1.0, opened.target)
@@ -279,7 +279,7 @@
 
 def test_a_run_goes_on_at_its_holder_once_that_takes_it() -> None:
     """Guards against a holder in need that gets all runs of an engine that leaves."""
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2")
     opened = world.open_plan()
     world.send_pieces(opened.attempt, 1, 9)
@@ -332,7 +332,7 @@
 
 def test_a_rate_of_an_unknown_target_is_passed_over() -> None:
     """Guards against an answer that comes after its target was forgotten."""
-    world = World()
+    world = EntryHarness()
     assert world.handle(RateNamed("b-9", 1.5, world.clock.now())) == []
 
 
@@ -344,7 +344,9 @@
     assert requests <= max(1.0, rate * window / 1_000)
 
 
-def refuse(world: World, retry_after: Millis | None, loss: Loss = Loss.REFUSED) -> None:
+def refuse(
+    world: EntryHarness, retry_after: Millis | None, loss: Loss = Loss.REFUSED
+) -> None:
     """Let a call be turned away by the target that it was sent to."""
     world.arrive("/order/a")
     attempt = world.find(OpenAttempt).attempt
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -13,7 +13,7 @@
 from figstep.gateway.places import Evacuations
 from figstep.gateway.refusals import Refusal
 from figstep.net.hellos import Hello, encode_hello
-from tests.gateway.worlds import World
+from tests.gateway.worlds import EntryHarness
 
 TARGETS = [f"e-{number}" for number in range(30)]
 
@@ -24,7 +24,7 @@
     return PeerHeard("entry-2", loads, failure_domain="muc-a")
 
 
-def read_peer_calls(world: World) -> dict[str, int]:
+def read_peer_calls(world: EntryHarness) -> dict[str, int]:
     """Return what an entry takes the others to have open."""
     found = {}
     for name, target in world.state.targets.targets.items():
@@ -38,7 +38,7 @@
     """Guards against loads that drift apart as only what changed is told."""
     rng = random.Random(seed)
     news = LoadUpdates()
-    world = World()
+    world = EntryHarness()
     world.register(*TARGETS)
     calls = dict.fromkeys(TARGETS, 0)
     now = Millis(0)
@@ -55,7 +55,7 @@
     """Guards against prompts that stay unknown since one datagram was lost."""
     rng = random.Random(seed)
     news = LoadUpdates()
-    world = World()
+    world = EntryHarness()
     world.register(*TARGETS)
     calls = dict.fromkeys(TARGETS, 0)
     world.handle(news.select(build_message(calls), Millis(0)))
@@ -71,7 +71,7 @@
 def test_a_peer_that_falls_silent_leaves_no_load_behind() -> None:
     """Guards against engines that look busy with calls of an entry that is gone."""
     news = LoadUpdates()
-    world = World()
+    world = EntryHarness()
     world.register("e-0", "e-1")
     world.handle(news.select(build_message({"e-0": 2}), Millis(0)))
     world.handle(news.select(build_message({"e-0": 3, "e-1": 1}), Millis(100)))
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -16,11 +16,11 @@
 )
 from figstep.gateway.targets import UNREACHED_DURATION, Registration
 from figstep.net.hellos import Hello, decode_hello, encode_hello
-from tests.gateway.worlds import BOOKINGS, ENGINES, World, build_large_world
+from tests.gateway.worlds import BOOKINGS, ENGINES, EntryHarness, build_large_world
 
 
 def test_loads_of_all_peers_are_summed() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     world.handle(PeerHeard("entry-2", (PeerLoad("e-1", 2, 8_000, 3_000),)))
     world.handle(PeerHeard("entry-3", (PeerLoad("e-1", 1, 4_000),)))
@@ -37,7 +37,7 @@
     A peer falls silent behind a cut. Its loads must not keep engines from
     work; its repeats go on, so that this entry keeps to its own part.
     """
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     world.handle(PeerHeard("entry-2", (PeerLoad("e-1", 2, 8_000),)))
     assert peers.sum_uses(world.state, "engines").complete
@@ -50,7 +50,7 @@
 
 
 def test_a_peer_that_says_that_it_ends_is_not_missed() -> None:
-    world = World()
+    world = EntryHarness()
     world.handle(PeerHeard("entry-2"))
     world.handle(PeerHeard("entry-2", closing=True))
     assert peers.sum_uses(world.state, "engines").complete
@@ -58,7 +58,7 @@
 
 
 def test_uses_of_all_peers_are_summed() -> None:
-    world = World()
+    world = EntryHarness()
     uses = (UseReport("engines", 10, 2), UseReport("bookings", 50, 9))
     world.handle(PeerHeard("entry-2", uses=uses))
     world.handle(PeerHeard("entry-3", uses=uses))
@@ -67,7 +67,7 @@
 
 
 def test_sums_of_another_failure_domain_count_for_a_while() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     load = PeerLoad("e-1", 4, 16_000)
     for entry in ("entry-8", "entry-9"):
@@ -82,7 +82,7 @@
 
 
 def test_sums_hold_what_all_entries_of_the_failure_domain_have_open() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2")
     world.open_plan()
     own = peers.list_loads(world.state)
@@ -103,7 +103,7 @@
 
 def test_sums_of_loads_stay_right_over_messages_silence_and_new_targets() -> None:
     """Guards against prompts that keep off an idle engine, or all go to a full one."""
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     rng = random.Random(5)
     for _ in range(300):
@@ -166,14 +166,14 @@
     assert peers.select_changed(told, loads) == loads
 
 
-def hear_unreached(world: World, entry: str, *targets: str) -> None:
+def hear_unreached(world: EntryHarness, entry: str, *targets: str) -> None:
     """Let a peer tell which targets it could not connect to."""
     world.handle(PeerHeard(entry, failure_domain="muc-a", unreached=targets))
 
 
 def test_a_target_that_others_can_not_reach_is_not_tried() -> None:
     """Guards against each entry finding a dead engine by a try of its own."""
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2")
     hear_unreached(world, "entry-2", "e-1")
     hear_unreached(world, "entry-3", "e-1")
@@ -183,7 +183,7 @@
 
 def test_no_copy_is_made_at_an_engine_that_others_can_not_reach() -> None:
     """Guards against runs without a copy since each order went to a dead engine."""
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     opened = world.open_plan()
     world.register("e-2", "e-3")
@@ -196,7 +196,7 @@
 
 def test_an_entry_that_is_cut_off_is_not_believed_alone() -> None:
     """Guards against one entry behind a cut that shuts engines for all others."""
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     for _ in range(5):
         hear_unreached(world, "entry-2", "e-1")
@@ -207,7 +207,7 @@
 
 def test_a_target_that_answers_this_entry_is_kept() -> None:
     """Guards against engines shut on the word of entries that can't reach them."""
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2")
     opened = world.open_plan()
     world.send_pieces(opened.attempt, 1, 1)
@@ -219,7 +219,7 @@
 
 def test_what_can_not_be_reached_is_told_at_once_and_not_for_long() -> None:
     """Guards against others that go on to a dead engine, or never come back to it."""
-    world = World()
+    world = EntryHarness()
     world.register("b-1", "b-2", service=BOOKINGS)
     world.arrive("/order/a")
     lost = world.find(OpenAttempt)
@@ -236,7 +236,7 @@
 
 def test_what_was_only_told_is_not_told_on() -> None:
     """Guards against entries that keep each other from a target that is back."""
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2")
     hear_unreached(world, "entry-2", "e-1")
     hear_unreached(world, "entry-3", "e-1")
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -10,7 +10,7 @@
     TargetRegistered,
 )
 from figstep.gateway.targets import Registration
-from tests.gateway.worlds import BOOKINGS, ENGINES, World
+from tests.gateway.worlds import BOOKINGS, ENGINES, EntryHarness
 
 
 def test_an_empty_engine_does_not_draw_all_prompts() -> None:
@@ -19,7 +19,7 @@
     It is empty, so by memory alone it is the best for every prompt until they
     are read; the fifth one there waits for four others.
     """
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2", "e-3")
     for name in ("e-1", "e-2"):
         engine = world.state.targets.find(name)
@@ -34,7 +34,7 @@
 
 
 def test_prompts_keep_away_from_an_engine_that_reads_slowly() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2")
     slow, fast = (world.state.targets.find(name) for name in ("e-1", "e-2"))
     assert slow is not None
@@ -45,7 +45,7 @@
 
 
 def test_a_prompt_that_would_be_late_behind_others_waits() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     world.handle(PeerHeard("entry-2", (PeerLoad("e-1", 4, 12_000, 12_000),)))
     world.arrive_plan()
@@ -58,7 +58,7 @@
     Four engines carry 23 runs and a backup of each: the next prompt is turned
     away although the runs alone leave plenty of room.
     """
-    world = World(moves=False)
+    world = EntryHarness(moves=False)
     world.register("e-1", "e-2")
     for name in ("e-1", "e-2"):
         engine = world.state.targets.find(name)
@@ -69,7 +69,7 @@
 
 
 def test_calls_go_to_the_least_loaded_target_that_answers() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("b-1", "b-2", service=BOOKINGS, slots=6)
     failing = world.state.targets.find("b-1")
     assert failing is not None
@@ -85,7 +85,7 @@
 
 
 def test_an_avoided_target_is_used_where_there_is_no_other() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("b-1", service=BOOKINGS)
     target = world.state.targets.find("b-1")
     assert target is not None
@@ -101,7 +101,7 @@
     old, in which an engine there gets two more prompts. An engine of the own
     domain with two prompts waiting is taken before one there that looks empty.
     """
-    world = World()
+    world = EntryHarness()
     world.handle(EntriesCounted(73))
     world.register("near")
     far = Registration("far", ENGINES, "far:80", "muc-b", 64, born=1)
--- a/tests/gateway/test_recovery.py
+++ b/tests/gateway/test_recovery.py
@@ -15,11 +15,11 @@
 from figstep.gateway.prompts import Prompt
 from figstep.gateway.recovery import MAX_SENDS
 from figstep.gateway.targets import UNREACHED_DURATION, Incarnation, Registration
-from tests.gateway.worlds import BOOKINGS, ENGINES, World, start_with_backup
+from tests.gateway.worlds import BOOKINGS, ENGINES, EntryHarness, start_with_backup
 
 
-def build_world() -> World:
-    world = World()
+def build_world() -> EntryHarness:
+    world = EntryHarness()
     world.register("b-1", "b-2", "b-3", service=BOOKINGS)
     world.register("e-1", "e-2")
     return world
@@ -176,9 +176,9 @@
     assert "repeat denied by the fleet's budget" in notes
 
 
-def build_domains(*sizes: tuple[str, int]) -> World:
+def build_domains(*sizes: tuple[str, int]) -> EntryHarness:
     """Return an entry in muc-a with some engines in each failure domain."""
-    world = World()
+    world = EntryHarness()
     world.handle(EntriesCounted(79))
     for domain, engines in sizes:
         for number in range(engines):
@@ -188,7 +188,7 @@
     return world
 
 
-def find_tries(world: World, path: str = "/plan/a") -> list[str]:
+def find_tries(world: EntryHarness, path: str = "/plan/a") -> list[str]:
     """Let a prompt come and lose all tries in muc-a; returns where it was sent."""
     world.arrive(path, Prompt("m", 300, 200, 40))
     tries = []
@@ -255,7 +255,7 @@
 
 def test_a_read_goes_on_in_another_failure_domain() -> None:
     """Guards against a read that follows a failure domain as it is lost."""
-    world = World()
+    world = EntryHarness()
     world.register("b-1", "b-2", "b-3", service=BOOKINGS)
     far = Registration("b-4", BOOKINGS, "b-4:80", "muc-b", 64, born=1)
     world.handle(TargetRegistered(far))
--- a/tests/gateway/test_reducer.py
+++ b/tests/gateway/test_reducer.py
@@ -13,10 +13,10 @@
 )
 from figstep.gateway.reducer import LAPSE_GRACE, MASS_LAPSE_GRACE
 from figstep.gateway.targets import Registration
-from tests.gateway.worlds import ENGINES, World, build_table
+from tests.gateway.worlds import ENGINES, EntryHarness, build_table
 
 
-def ready(world: World) -> list[str]:
+def ready(world: EntryHarness) -> list[str]:
     return sorted(target.name for target in world.state.targets.list_ready(ENGINES))
 
 
@@ -25,7 +25,7 @@
 
     A peer's copy brings version 3 while a slow read of the store brings 2.
     """
-    world = World()
+    world = EntryHarness()
     world.handle(ConfigurationRead(build_table(3)))
     world.handle(ConfigurationRead(build_table(2)))
     assert world.state.table is not None
@@ -33,7 +33,7 @@
 
 
 def test_targets_that_are_not_listed_are_gone() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2")
     info = Registration("e-2", ENGINES, "e-2:80", "muc-a", 64, born=1)
     world.handle(TargetsListed((info,), position=5))
@@ -41,7 +41,7 @@
 
 
 def test_an_older_list_changes_nothing() -> None:
-    world = World()
+    world = EntryHarness()
     info = Registration("e-1", ENGINES, "e-1:80", "muc-a", 64, born=1)
     world.handle(TargetsListed((info,), position=5))
     world.handle(TargetsListed((), position=4))
@@ -54,7 +54,7 @@
     The store is away for long, registrations lapse, and on its return all are
     gone for up to two seconds. One engine did die meanwhile.
     """
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2")
     world.handle(StoreLost())
     world.clock.advance(10_000)
@@ -70,7 +70,7 @@
 
 
 def test_a_departure_long_after_an_outage_counts_at_once() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     world.handle(StoreLost())
     world.handle(StoreRegained())
@@ -85,7 +85,7 @@
     The store turns this entry away and serves a peer all the while. On its
     return this entry reads that an engine left; nothing can have lapsed.
     """
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2")
     world.handle(PeerHeard("entry-2", reading=True))
     world.clock.advance(500)
@@ -98,7 +98,7 @@
 
 
 def test_a_peer_that_lost_the_store_too_proves_nothing() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2")
     world.handle(PeerHeard("entry-2"))
     world.clock.advance(500)
@@ -117,7 +117,7 @@
     A read waits at the store through a short outage, so that this entry does
     not notice it. All registrations lapse, and their loss is read at once.
     """
-    world = World()
+    world = EntryHarness()
     names = [f"e-{number}" for number in range(6)]
     world.register(*names)
     for name in names:
@@ -129,7 +129,7 @@
 
 
 def test_one_target_after_another_is_believed() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2", "e-3", "e-4")
     for name in ("e-1", "e-2", "e-3"):
         world.depart(name)
@@ -145,7 +145,7 @@
     they make the next one look like a lapse of all registrations, which is not
     believed for two seconds. The engine is gone by then.
     """
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2", "e-3", "e-4", "e-5", "e-6")
     for name in ("e-1", "e-2", "e-3"):
         world.depart(name)
--- a/tests/gateway/test_reports.py
+++ b/tests/gateway/test_reports.py
@@ -4,7 +4,7 @@
 from figstep.gateway.effects import OpenAttempt, ReadReport
 from figstep.gateway.events import EngineReported, EntriesCounted, StoreLost, Ticked
 from figstep.gateway.reports import QUERY_INTERVAL, RESTART_QUERY_MARGIN
-from tests.gateway.worlds import World, start_with_backup
+from tests.gateway.worlds import EntryHarness, start_with_backup
 
 
 def test_while_the_store_is_away_engines_are_asked_whether_they_leave() -> None:
@@ -27,9 +27,9 @@
     assert world.find(OpenAttempt).target == opened.backup
 
 
-def restart() -> World:
+def restart() -> EntryHarness:
     """Return a world whose entry has just started in place of one that was killed."""
-    world = World()
+    world = EntryHarness()
     world.state.budget.started = world.clock.now()
     world.state.budget.first_start = False
     return world
@@ -55,7 +55,7 @@
     assert world.find_all(OpenAttempt) == []
 
 
-def ask(world: World) -> None:
+def ask(world: EntryHarness) -> None:
     """Let the time between two questions pass, and the next one be asked."""
     world.clock.advance(QUERY_INTERVAL)
     world.handle(Ticked())
@@ -119,7 +119,7 @@
 
 
 def test_a_system_that_starts_for_the_first_time_asks_nobody() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     world.clock.advance(QUERY_INTERVAL)
     world.handle(Ticked())
--- a/tests/gateway/test_requests.py
+++ b/tests/gateway/test_requests.py
@@ -20,7 +20,7 @@
     Ticked,
 )
 from figstep.gateway.prompts import Prompt
-from tests.gateway.worlds import BOOKINGS, KEY, LOOKUP, World, build_table
+from tests.gateway.worlds import BOOKINGS, KEY, LOOKUP, EntryHarness, build_table
 
 
 @pytest.mark.parametrize(
@@ -35,7 +35,7 @@
 def test_bad_requests_reach_no_target(
     path: str, fields: dict[str, object], status: int
 ) -> None:
-    world = World()
+    world = EntryHarness()
     world.register("b-1", service=BOOKINGS)
     world.arrive(path, **fields)
     assert world.find(Refuse).problem.status == status
@@ -43,7 +43,7 @@
 
 
 def test_without_a_configuration_nothing_is_denied() -> None:
-    world = World()
+    world = EntryHarness()
     world.state.table = None
     world.arrive("/order/a")
     problem = world.find(Refuse).problem
@@ -52,7 +52,7 @@
 
 
 def test_a_public_route_needs_no_key() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("b-1", service=BOOKINGS)
     table = build_table(2, [replace(LOOKUP, public=True)])
     world.handle(ConfigurationRead(table))
@@ -61,7 +61,7 @@
 
 
 def test_an_answer_goes_on_as_it_came() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("b-1", service=BOOKINGS)
     number = world.arrive("/order/a", key=KEY)
     opened = world.find(OpenAttempt)
@@ -72,7 +72,7 @@
 
 
 def test_the_shorter_of_patience_and_route_bounds_a_request() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("b-1", service=BOOKINGS)
     world.arrive("/order/a", max_wait=Millis(300))
     assert world.find(OpenAttempt).deadline == world.clock.now() + 300
@@ -81,7 +81,7 @@
 
 
 def test_at_its_deadline_a_request_is_answered_and_its_target_freed() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("b-1", service=BOOKINGS)
     world.arrive("/order/a")
     world.clock.advance(800)
@@ -92,7 +92,7 @@
 
 
 def test_a_caller_that_leaves_frees_its_target() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("b-1", service=BOOKINGS)
     number = world.arrive("/order/a")
     world.handle(CallerGone(number))
@@ -103,7 +103,7 @@
 
 
 def test_what_finds_no_target_is_refused_at_once() -> None:
-    world = World()
+    world = EntryHarness()
     world.arrive("/order/a")
     problem = world.find(Refuse).problem
     assert (problem.status, problem.ran) == (503, Ran.NO)
@@ -111,7 +111,7 @@
 
 
 def test_a_prompt_that_finds_no_room_waits_and_starts_when_there_is_some() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     engine = world.state.targets.find("e-1")
     assert engine is not None
@@ -124,7 +124,7 @@
 
 
 def test_a_prompt_that_waits_in_vain_is_told_that_it_did_not_run() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     engine = world.state.targets.find("e-1")
     assert engine is not None
@@ -143,7 +143,7 @@
     has. Their prompts queue there for seconds. One a turn lets the entries
     hear of each other's between two starts.
     """
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     engine = world.state.targets.find("e-1")
     assert engine is not None
@@ -156,7 +156,7 @@
 
 
 def test_long_streams_are_sent_elsewhere_while_the_entry_ends() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     world.register("b-1", service=BOOKINGS)
     until = Millis(world.clock.now() + 7_000)
@@ -168,7 +168,7 @@
 
 
 def test_refused_callers_come_back_spread() -> None:
-    world = World()
+    world = EntryHarness()
     pauses = set()
     for _ in range(20):
         world.arrive("/order/a")
--- a/tests/gateway/test_sources.py
+++ b/tests/gateway/test_sources.py
@@ -14,12 +14,12 @@
     Ticked,
 )
 from figstep.gateway.targets import Incarnation, Standing
-from tests.gateway.worlds import World, build_fleet, build_large_world
+from tests.gateway.worlds import EntryHarness, build_fleet, build_large_world
 
 
 def test_records_that_the_store_does_not_tell_are_asked_of_a_peer() -> None:
     """Guards against a key that was taken away and works on at one entry."""
-    world = World()
+    world = EntryHarness()
     world.handle(PeerHeard("entry-2", address="10.0.0.2:7200", configuration=2))
     world.handle(Ticked())
     assert world.find_all(FetchRecords) == []
@@ -29,7 +29,7 @@
 
 
 def test_an_entry_that_is_ahead_asks_nobody() -> None:
-    world = World()
+    world = EntryHarness()
     world.handle(PeerHeard("entry-2", address="10.0.0.2:7200", configuration=1))
     for _ in range(3):
         world.clock.advance(Millis(500))
@@ -70,7 +70,7 @@
     assert sources.reads_store(world.state, world.clock.now())
 
 
-def hear_readers(world: World, count: int, receives_records: bool) -> None:
+def hear_readers(world: EntryHarness, count: int, receives_records: bool) -> None:
     """Let the first entries of the failure domain say that they read the store."""
     for number in range(count):
         name = f"entry-0-{number:02}"
@@ -120,7 +120,7 @@
     assert not sources.reads_store(world.state, world.clock.now())
 
 
-def hear_domain(world: World, name: str, **fields: bool) -> None:
+def hear_domain(world: EntryHarness, name: str, **fields: bool) -> None:
     """Let another failure domain tell its loads."""
     node = f"entry-{name}"
     world.handle(
@@ -152,7 +152,7 @@
     assert not world.state.store_unreachable
 
 
-def talk(fleet: list[World], millis: int) -> None:
+def talk(fleet: list[EntryHarness], millis: int) -> None:
     """Let time pass, and each entry tell those that hear it."""
     fleet[0].clock.advance(millis)
     now = fleet[0].clock.now()
@@ -243,7 +243,7 @@
 
 def test_an_old_registration_does_not_bring_a_leaving_engine_back() -> None:
     """Guards against prompts sent to an engine that a peer's old copy lists."""
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2")
     world.handle(EngineReported("e-1", leaving=True))
     world.register("e-1")
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -15,11 +15,11 @@
     StreamEnded,
     Ticked,
 )
-from tests.gateway.worlds import World, start_with_backup
+from tests.gateway.worlds import EntryHarness, start_with_backup
 
 
 def test_a_stream_begins_with_its_first_event_and_ends_whole() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("e-1", "e-2", "e-3")
     opened = world.open_plan()
     world.send_pieces(opened.attempt, 1, 10)
@@ -45,7 +45,7 @@
     assert world.find(Deliver).data == b"id: 11\n\n"
 
 
-def let_pass(world: World, millis: int, step: int = 30) -> list[OpenAttempt]:
+def let_pass(world: EntryHarness, millis: int, step: int = 30) -> list[OpenAttempt]:
     """Let time pass with looks at the streams; returns what was opened."""
     opened = []
     for _ in range(millis // step):
@@ -55,7 +55,7 @@
     return opened
 
 
-def run_steadily(world: World, attempt: int, pause: int) -> None:
+def run_steadily(world: EntryHarness, attempt: int, pause: int) -> None:
     """Let twenty events of a stream come, one after each pause."""
     for index in range(11, 31):
         world.clock.advance(pause)
@@ -124,7 +124,7 @@
 
 
 def test_a_stream_without_any_copy_is_cut_and_never_looks_whole() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     opened = world.open_plan()
     world.send_pieces(opened.attempt, 1, 3)
@@ -134,7 +134,7 @@
 
 
 def test_an_event_that_is_missing_cuts_the_stream() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     opened = world.open_plan()
     world.send_pieces(opened.attempt, 1, 3)
@@ -144,7 +144,7 @@
 
 
 def test_events_may_be_numbered_from_zero() -> None:
-    world = World()
+    world = EntryHarness()
     world.register("e-1")
     opened = world.open_plan()
     world.send_pieces(opened.attempt, 0, 2)
--- a/tests/gateway/test_warmups.py
+++ b/tests/gateway/test_warmups.py
@@ -18,7 +18,13 @@
 from figstep.gateway.places import Evacuations
 from figstep.gateway.routes import RoutingTable, Service
 from figstep.gateway.targets import Registration
-from tests.gateway.worlds import BOOKINGS, ENGINES, World, build_fleet, build_table
+from tests.gateway.worlds import (
+    BOOKINGS,
+    ENGINES,
+    EntryHarness,
+    build_fleet,
+    build_table,
+)
 
 DOMAINS = ("muc-a", "muc-b", "nue-a", "aug-a")
 RATE = 25.0
@@ -37,7 +43,7 @@
 
 
 def register(
-    world: World, name: str, warmup: int, domain: str = "muc-a", born: int = 1
+    world: EntryHarness, name: str, warmup: int, domain: str = "muc-a", born: int = 1
 ) -> None:
     """Register a plain target that says how long it stays cold."""
     info = Registration(
@@ -46,14 +52,14 @@
     world.handle(TargetRegistered(info))
 
 
-def build_world(rate: float = RATE) -> World:
+def build_world(rate: float = RATE) -> EntryHarness:
     """Return an entry that knows a service with a warm-up rate."""
-    world = World()
+    world = EntryHarness()
     world.handle(ConfigurationRead(build_cold_table(rate)))
     return world
 
 
-def count_sends(world: World, tries: int = 60) -> int:
+def count_sends(world: EntryHarness, tries: int = 60) -> int:
     """Return how many of some calls are sent at once."""
     sent = 0
     for _ in range(tries):
@@ -62,7 +68,7 @@
     return sent
 
 
-def build_cold_fleet(size: int, hears: bool = True) -> list[World]:
+def build_cold_fleet(size: int, hears: bool = True) -> list[EntryHarness]:
     """Return entries that have heard their own failure domain, or nobody."""
     fleet = build_fleet(size, DOMAINS)
     clock = fleet[0].clock
--- a/tests/gateway/worlds.py
+++ b/tests/gateway/worlds.py
@@ -36,7 +36,7 @@
 from figstep.gateway.state import State
 from figstep.gateway.targets import Registration
 
-Found = TypeVar("Found")
+EffectType = TypeVar("Found")
 
 ENGINES = "engines"
 BOOKINGS = "bookings"
@@ -104,7 +104,7 @@
 
 
 @dataclass
-class World:
+class EntryHarness:
     """A gateway's state, driven by events on a clock that tests move.
 
     Attributes:
@@ -159,7 +159,7 @@
         """Let a request for a long plan come."""
         return self.arrive("/plan/a", Prompt("m", tokens, 2_000, output))
 
-    def find(self, kind: type[Found]) -> Found:
+    def find(self, kind: type[EffectType]) -> EffectType:
         """Return the only effect of a kind."""
         found = self.find_all(kind)
         assert len(found) == 1, self.effects
@@ -170,7 +170,7 @@
         """Effects of the last event, its log lines left out."""
         return [effect for effect in self.effects if not isinstance(effect, Note)]
 
-    def find_all(self, kind: type[Found]) -> "list[Found]":
+    def find_all(self, kind: type[EffectType]) -> "list[Found]":
         """Return the effects of a kind."""
         return [effect for effect in self.effects if isinstance(effect, kind)]
 
@@ -189,12 +189,12 @@
         return self.handle(PiecesArrived(attempt, pieces))
 
 
-def start_with_backup() -> tuple[World, OpenAttempt]:
+def start_with_backup() -> tuple[EntryHarness, OpenAttempt]:
     """Return a world with a plan that runs for half a second and has a backup.
 
     Its engines don't copy runs on order: those that do get no running backups.
     """
-    world = World(moves=False)
+    world = EntryHarness(moves=False)
     world.register("e-1", "e-2", "e-3")
     opened = world.open_plan()
     world.send_pieces(opened.attempt, 1, 9)
@@ -203,21 +203,21 @@
     return world, opened
 
 
-def build_large_world() -> World:
+def build_large_world() -> EntryHarness:
     """Return an entry of a large fleet that has heard its own failure domain."""
-    world = World()
+    world = EntryHarness()
     world.handle(EntriesCounted(73))
     for number in range(18):
         world.handle(PeerHeard(f"entry-0-{number:02}", failure_domain="muc-a"))
     return world
 
 
-def build_fleet(size: int, domains: Sequence[str]) -> list[World]:
+def build_fleet(size: int, domains: Sequence[str]) -> list[EntryHarness]:
     """Return entries of some failure domains in turn, on one clock."""
     clock = ManualClock(100_000)
     fleet = []
     for number in range(size):
-        world = World(clock=clock)
+        world = EntryHarness(clock=clock)
         world.state.node = f"entry-{number:03}"
         world.state.failure_domain = domains[number % len(domains)]
         world.handle(EntriesCounted(size))
@@ -225,10 +225,10 @@
     return fleet
 
 
-def tell_all(fleet: list[World]) -> None:
+def tell_all(fleet: list[EntryHarness]) -> None:
     """Let each entry tell the others what it knows."""
     now = fleet[0].clock.now()
-    speakers: dict[str, World] = {}
+    speakers: dict[str, EntryHarness] = {}
     for world in fleet:
         speakers.setdefault(world.state.failure_domain, world)
         message = peers.describe_entry(world.state, now)
