--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -39,7 +39,7 @@
     factor: float
     seconds: int = 30
     engines: int = 2
-    world: EntryHarness = field(default_factory=EntryHarness)
+    harness: EntryHarness = field(default_factory=EntryHarness)
     came: dict[int, Millis] = field(default_factory=dict)
     digests: dict[int, str] = field(default_factory=dict)
     first_try: dict[int, bool] = field(default_factory=dict)
@@ -51,10 +51,10 @@
     def play(self) -> None:
         """Play all callers."""
         names = [f"e-{number}" for number in range(self.engines)]
-        self.world.register(*names)
+        self.harness.register(*names)
         per_second = self.factor * self.engines * PER_ENGINE * 1_000 / RUN
         gap = round(1_000 / per_second)
-        start = self.world.clock.now()
+        start = self.harness.clock.now()
         todo: list[tuple[Millis, int, str, object]] = []
         for number, at in enumerate(range(0, self.seconds * 1_000, gap)):
             due = Millis(start + at)
@@ -64,40 +64,40 @@
         order = len(todo)
         while todo:
             due, _, kind, what = heapq.heappop(todo)
-            self.world.clock.advance(due - self.world.clock.now())
+            self.harness.clock.advance(due - self.harness.clock.now())
             order += 1
             match kind:
                 case "caller":
                     self._arrive(*what)  # type: ignore[misc]
                 case "first":
                     piece = StreamPiece(1, b"id: 1\n\n")
-                    self.world.handle(PiecesArrived(what, [piece]))  # type: ignore[arg-type]
+                    self.harness.handle(PiecesArrived(what, [piece]))  # type: ignore[arg-type]
                 case "end":
-                    self.world.handle(StreamEnded(what))  # type: ignore[arg-type]
+                    self.harness.handle(StreamEnded(what))  # type: ignore[arg-type]
                 case _:
-                    self.world.handle(Ticked())
+                    self.harness.handle(Ticked())
             for later in self._take_effects(due):
                 order += 1
                 heapq.heappush(todo, (later[0], order, later[1], later[2]))
 
     def _arrive(self, digest: str, first: bool) -> None:
-        number = self.world.next_number
-        self.came[number] = self.world.clock.now()
+        number = self.harness.next_number
+        self.came[number] = self.harness.clock.now()
         self.digests[number] = digest
         self.first_try[number] = first
         prompt = Prompt("m", 3_600, 2_000, 320)
-        self.world.arrive("/plan/a", prompt, digest=digest)
+        self.harness.arrive("/plan/a", prompt, digest=digest)
 
     def _take_effects(self, now: Millis) -> list[tuple[Millis, str, object]]:
         later: list[tuple[Millis, str, object]] = []
-        for opened in self.world.find_all(OpenAttempt):
+        for opened in self.harness.find_all(OpenAttempt):
             waited = now - self.came[opened.number]
             self.started += 1
             if self.first_try[opened.number] and waited <= PLAN.objective // 2:
                 self.in_time += 1
             later.append((Millis(now + READING), "first", opened.attempt))
             later.append((Millis(now + RUN), "end", opened.attempt))
-        for refused in self.world.find_all(Refuse):
+        for refused in self.harness.find_all(Refuse):
             pause = refused.problem.retry_after
             if not self.first_try[refused.number] or pause is None:
                 continue
@@ -129,39 +129,39 @@
 
 def test_a_request_waits_no_longer_than_its_caller_can_spare() -> None:
     """Guards against callers with little time left who are held to its end."""
-    world = EntryHarness()
-    world.register("e-1")
-    engine = world.state.targets.find("e-1")
+    harness = EntryHarness()
+    harness.register("e-1")
+    engine = harness.state.targets.find("e-1")
     assert engine is not None
     engine.peer_calls, engine.peer_memory = 8, 34_000
-    world.arrive("/plan/a", Prompt("m", 3_000, 2_000, 300), max_wait=Millis(2_000))
-    assert world.find_all(Refuse) == []
-    world.clock.advance(round(2_000 * admission.WAIT_DEADLINE_FRACTION))
-    world.handle(Ticked())
-    assert world.find(Refuse).problem.retry_after is not None
+    harness.arrive("/plan/a", Prompt("m", 3_000, 2_000, 300), max_wait=Millis(2_000))
+    assert harness.find_all(Refuse) == []
+    harness.clock.advance(round(2_000 * admission.WAIT_DEADLINE_FRACTION))
+    harness.handle(Ticked())
+    assert harness.find(Refuse).problem.retry_after is not None
 
 
 def test_returns_are_told_one_after_another() -> None:
     """Guards against callers who all come back to the room of one."""
-    world = EntryHarness()
-    world.register("e-1")
-    engine = world.state.targets.find("e-1")
+    harness = EntryHarness()
+    harness.register("e-1")
+    engine = harness.state.targets.find("e-1")
     assert engine is not None
     engine.peer_calls, engine.peer_memory = 8, 34_000
     pauses = []
     for _ in range(admission.MIN_QUEUE_LIMIT + 3):
-        world.arrive("/plan/a", Prompt("m", 3_000, 2_000, 300))
-        pauses += [refused.problem.retry_after for refused in world.find_all(Refuse)]
+        harness.arrive("/plan/a", Prompt("m", 3_000, 2_000, 300))
+        pauses += [refused.problem.retry_after for refused in harness.find_all(Refuse)]
     assert len(pauses) == 3
     assert len(set(pauses)) == 3
 
 
 def test_a_prompt_goes_to_no_engine_that_would_read_it_too_late() -> None:
     """Guards against engines that read prompts whose callers have gone."""
-    world = EntryHarness()
-    world.register("e-1")
-    engine = world.state.targets.find("e-1")
+    harness = EntryHarness()
+    harness.register("e-1")
+    engine = harness.state.targets.find("e-1")
     assert engine is not None
     engine.own_read_rate = 1.0
-    world.arrive("/plan/a", Prompt("m", 3_000, 2_000, 300), max_wait=Millis(2_000))
-    assert world.find_all(OpenAttempt) == []
+    harness.arrive("/plan/a", Prompt("m", 3_000, 2_000, 300), max_wait=Millis(2_000))
+    assert harness.find_all(OpenAttempt) == []
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -99,8 +99,8 @@
     def register(self, info: Registration) -> None:
         """Let a target start."""
         self.lives[info.target] = info
-        for world in self.fleet:
-            world.handle(TargetRegistered(info))
+        for harness in self.fleet:
+            harness.handle(TargetRegistered(info))
 
     def wait(self, millis: int) -> None:
         """Let time pass; targets that were down start again."""
@@ -112,8 +112,8 @@
             self.clock.advance(max(0, back - self.clock.now()))
             self._restart(name)
         self.clock.advance(until - self.clock.now())
-        for world in self.fleet:
-            world.handle(Ticked())
+        for harness in self.fleet:
+            harness.handle(Ticked())
         tell_all(self.fleet)
 
     def _restart(self, name: str) -> None:
@@ -123,48 +123,48 @@
         if self.ending is not Ending.NEW_LIFE:
             new = f"b-{born}-{info.failure_domain}"
         if self.ending is Ending.LAPSE:
-            for world in self.fleet:
-                world.handle(TargetDeparted(name))
+            for harness in self.fleet:
+                harness.handle(TargetDeparted(name))
         self.register(
             Registration(new, BOOKINGS, info.address, info.failure_domain, 6, born=born)
         )
 
     def send(
-        self, world: EntryHarness, digest: str = KILLER, path: str = "/lookup/a"
+        self, harness: EntryHarness, digest: str = KILLER, path: str = "/lookup/a"
     ) -> None:
         """Send a request that crashes targets, and play what follows."""
-        world.arrive(path, digest=digest)
-        opened = world.find_all(OpenAttempt)
+        harness.arrive(path, digest=digest)
+        opened = harness.find_all(OpenAttempt)
         while opened:
-            opened = self.play_attempt(world, opened[0])
+            opened = self.play_attempt(harness, opened[0])
 
     def play_attempt(
-        self, world: EntryHarness, opened: OpenAttempt
+        self, harness: EntryHarness, opened: OpenAttempt
     ) -> list[OpenAttempt]:
         """Let a target crash under an attempt; returns what is sent next."""
         name = opened.target
         if name not in self.lives:
-            world.handle(AttemptLost(opened.attempt, Loss.MISDIRECTED))
-            return world.find_all(OpenAttempt)
+            harness.handle(AttemptLost(opened.attempt, Loss.MISDIRECTED))
+            return harness.find_all(OpenAttempt)
         if name in self.down:
             down = self.ending is Ending.PROBE
-            world.handle(AttemptLost(opened.attempt, Loss.UNREACHED, down=down))
-            return world.find_all(OpenAttempt)
+            harness.handle(AttemptLost(opened.attempt, Loss.UNREACHED, down=down))
+            return harness.find_all(OpenAttempt)
         self.clock.advance(60)
         self.runs.append((self.clock.now(), name))
         self.down[name] = Millis(self.clock.now() + DOWN)
-        self.lose(world, opened.attempt)
-        return world.find_all(OpenAttempt)
+        self.lose(harness, opened.attempt)
+        return harness.find_all(OpenAttempt)
 
-    def lose(self, world: EntryHarness, attempt: int) -> None:
+    def lose(self, harness: EntryHarness, attempt: int) -> None:
         """End an attempt as its target crashes; the effects of the loss stay."""
-        world.handle(AttemptLost(attempt, self.loss))
-        effects = list(world.effects)
-        for probe in world.find_all(ProbeTarget):
+        harness.handle(AttemptLost(attempt, self.loss))
+        effects = list(harness.effects)
+        for probe in harness.find_all(ProbeTarget):
             if self.ending is Ending.PROBE:
                 info = self.lives[probe.target]
-                world.handle(TargetDown(info.incarnation))
-        world.effects = effects
+                harness.handle(TargetDown(info.incarnation))
+        harness.effects = effects
 
     def count_late(self) -> int:
         """Return the runs that began after the third crash was known to all."""
@@ -174,17 +174,17 @@
         return sum(at - 60 > known for at, _ in self.runs)
 
 
-def has_turned_away(world: EntryHarness) -> bool:
+def has_turned_away(harness: EntryHarness) -> bool:
     """Tell whether the last request was refused for its crashes."""
     return any(
-        effect.problem.code == "crashes_targets" for effect in world.find_all(Refuse)
+        effect.problem.code == "crashes_targets" for effect in harness.find_all(Refuse)
     )
 
 
-def refuses(world: EntryHarness, digest: str = KILLER) -> bool:
+def refuses(harness: EntryHarness, digest: str = KILLER) -> bool:
     """Tell whether an entry refuses a read for its crashes."""
-    world.arrive("/lookup/a", digest=digest)
-    return has_turned_away(world)
+    harness.arrive("/lookup/a", digest=digest)
+    return has_turned_away(harness)
 
 
 def return_often(replay: Replay, times: int = 6) -> None:
@@ -213,7 +213,7 @@
     replay = Replay(300)
     return_often(replay, 3)
     assert len(replay.runs) == 2
-    assert all(refuses(world) for world in replay.fleet[::37])
+    assert all(refuses(harness) for harness in replay.fleet[::37])
 
 
 @pytest.mark.parametrize("loss", [Loss.REFUSED, Loss.UNREACHED])
@@ -230,26 +230,26 @@
     """Guards against reads refused for targets that reset, garble or fail."""
     replay = Replay(loss=loss)
     for number in range(6):
-        world = replay.fleet[number]
-        world.arrive("/lookup/a", digest=KILLER)
-        while opened := world.find_all(OpenAttempt):
-            world.handle(AttemptLost(opened[0].attempt, loss))
+        harness = replay.fleet[number]
+        harness.arrive("/lookup/a", digest=KILLER)
+        while opened := harness.find_all(OpenAttempt):
+            harness.handle(AttemptLost(opened[0].attempt, loss))
         replay.clock.advance(100)
         for name in replay.lives:
-            answer_at(world, name)
+            answer_at(harness, name)
         replay.wait(RETURN)
     for name in list(replay.lives):
-        for world in replay.fleet:
-            world.handle(TargetDeparted(name))
+        for harness in replay.fleet:
+            harness.handle(TargetDeparted(name))
     assert not replay.fleet[0].state.crashes.is_suspected(KILLER)
 
 
-def answer_at(world: EntryHarness, name: str) -> None:
+def answer_at(harness: EntryHarness, name: str) -> None:
     """Let a target answer some request of an entry."""
     for _ in range(20):
-        world.arrive("/lookup/other")
-        opened = world.find(OpenAttempt)
-        world.handle(AnswerArrived(opened.attempt, 200))
+        harness.arrive("/lookup/other")
+        opened = harness.find(OpenAttempt)
+        harness.handle(AnswerArrived(opened.attempt, 200))
         if opened.target == name:
             return
 
@@ -261,14 +261,14 @@
     found: list[tuple[EntryHarness, OpenAttempt]] = []
     number = 0
     while len(found) < count:
-        world = replay.fleet[number % len(replay.fleet)]
-        world.arrive(path, digest=f"good-{number}")
+        harness = replay.fleet[number % len(replay.fleet)]
+        harness.arrive(path, digest=f"good-{number}")
         number += 1
-        opened = world.find(OpenAttempt)
+        opened = harness.find(OpenAttempt)
         if opened.target == target:
-            found.append((world, opened))
+            found.append((harness, opened))
         else:
-            world.handle(AnswerArrived(opened.attempt, 200))
+            harness.handle(AnswerArrived(opened.attempt, 200))
     return found
 
 
@@ -295,10 +295,10 @@
             attempt = second.state.attempts[good.attempt]
             attempt.target = second.state.targets.targets[killer.target]
     replay.wait(RETURN)
-    world = replay.fleet[3]
-    world.arrive("/lookup/a", digest=digest)
-    assert world.find_all(OpenAttempt)
-    world.handle(AnswerArrived(world.find(OpenAttempt).attempt, 200))
+    harness = replay.fleet[3]
+    harness.arrive("/lookup/a", digest=digest)
+    assert harness.find_all(OpenAttempt)
+    harness.handle(AnswerArrived(harness.find(OpenAttempt).attempt, 200))
     return_often(replay, 4)
     assert refuses(replay.fleet[3])
     assert replay.count_late() <= MOST_RETRIES
@@ -323,45 +323,45 @@
     ]
     running: list[tuple[EntryHarness, OpenAttempt]] = []
     for number in range(80):
-        world = replay.fleet[number % len(replay.fleet)]
-        world.arrive("/lookup/a", digest=f"good-{number}")
-        running.append((world, world.find(OpenAttempt)))
+        harness = replay.fleet[number % len(replay.fleet)]
+        harness.arrive("/lookup/a", digest=f"good-{number}")
+        running.append((harness, harness.find(OpenAttempt)))
     assert sum(opened.target in lost for _, opened in running) >= 40
     # Those that are sent on may meet the next target as it goes.
     for name in lost:
         replay.down[name] = Millis(replay.clock.now() + DOWN)
-        for world, opened in list(running):
+        for harness, opened in list(running):
             if opened.target != name:
                 continue
-            running.remove((world, opened))
-            replay.lose(world, opened.attempt)
-            running += [(world, again) for again in world.find_all(OpenAttempt)]
+            running.remove((harness, opened))
+            replay.lose(harness, opened.attempt)
+            running += [(harness, again) for again in harness.find_all(OpenAttempt)]
         replay.clock.advance(30)
         tell_all(replay.fleet)
-    for world, opened in running[::2]:
-        world.handle(AnswerArrived(opened.attempt, 200))
+    for harness, opened in running[::2]:
+        harness.handle(AnswerArrived(opened.attempt, 200))
     replay.wait(RETURN)
     for number in range(80):
-        world = replay.fleet[(number + 1) % len(replay.fleet)]
-        assert not refuses(world, f"good-{number}")
+        harness = replay.fleet[(number + 1) % len(replay.fleet)]
+        assert not refuses(harness, f"good-{number}")
 
 
 def test_a_request_that_waits_is_refused_as_its_crashes_are_told() -> None:
     """Guards against a killer in a queue that is started all the same."""
-    world = EntryHarness()
-    world.register("e-1", slots=1)
-    world.arrive("/question/a", Prompt("m", 100, 50, 50))
-    running = world.find(OpenAttempt)
-    world.arrive("/question/a", Prompt("m", 100, 50, 50), digest=KILLER)
-    assert world.find_all(OpenAttempt) == []
+    harness = EntryHarness()
+    harness.register("e-1", slots=1)
+    harness.arrive("/question/a", Prompt("m", 100, 50, 50))
+    running = harness.find(OpenAttempt)
+    harness.arrive("/question/a", Prompt("m", 100, 50, 50), digest=KILLER)
+    assert harness.find_all(OpenAttempt) == []
     for number in range(2):
         suspicion = Suspicion(KILLER, f"e-{number + 7}@1")
-        world.state.crashes.record_suspicion(suspicion, world.clock.now())
-    world.handle(AnswerArrived(running.attempt, 200))
-    world.handle(Ticked())
-    assert world.find_all(OpenAttempt) == []
-    assert has_turned_away(world)
-    assert world.find(Refuse).problem.status == 503
+        harness.state.crashes.record_suspicion(suspicion, harness.clock.now())
+    harness.handle(AnswerArrived(running.attempt, 200))
+    harness.handle(Ticked())
+    assert harness.find_all(OpenAttempt) == []
+    assert has_turned_away(harness)
+    assert harness.find(Refuse).problem.status == 503
 
 
 def test_a_request_is_not_sent_on_once_others_tell_of_its_crashes() -> None:
@@ -392,8 +392,8 @@
     """Guards against a route of many attempts that crashes as many targets."""
     replay = Replay()
     route = replace(LOOKUP, attempts=4)
-    for world in replay.fleet:
-        world.handle(ConfigurationRead(build_table(2, [route])))
+    for harness in replay.fleet:
+        harness.handle(ConfigurationRead(build_table(2, [route])))
     replay.send(replay.fleet[0])
     # The repeat after the second crash goes out before that crash is known.
     assert len(replay.runs) <= 3
@@ -423,7 +423,7 @@
     replay.wait(4_000)
     replay.fleet = near + far
     tell_all(replay.fleet)
-    assert all(refuses(world) for world in far)
+    assert all(refuses(harness) for harness in far)
 
 
 def test_a_caller_that_comes_again_at_once_is_refused() -> None:
@@ -431,9 +431,9 @@
     replay = Replay(8)
     replay.send(replay.fleet[0])
     tell_all(replay.fleet)
-    for world in replay.fleet:
-        replay.send(world)
-        assert has_turned_away(world)
+    for harness in replay.fleet:
+        replay.send(harness)
+        assert has_turned_away(harness)
     assert len(replay.runs) == 2
 
 
@@ -442,12 +442,12 @@
     replay = Replay(8)
     replay.send(replay.fleet[0])
     tell_all(replay.fleet)
-    world = replay.fleet[1]
-    replay.send(world)
-    assert world.find(Refuse).problem.retry_after == SETTLING_RETRY_AFTER
+    harness = replay.fleet[1]
+    replay.send(harness)
+    assert harness.find(Refuse).problem.retry_after == SETTLING_RETRY_AFTER
     replay.wait(RETURN)
-    replay.send(world)
-    assert world.find(Refuse).problem.retry_after == REFUSED_RETRY_AFTER
+    replay.send(harness)
+    assert harness.find(Refuse).problem.retry_after == REFUSED_RETRY_AFTER
 
 
 def test_an_answer_clears_a_read_everywhere() -> None:
@@ -468,82 +468,82 @@
 
 def test_a_stream_that_had_begun_is_not_suspected() -> None:
     """Guards against streams blamed for what crashed their engine."""
-    world, opened = start_with_backup()
-    world.handle(AttemptLost(opened.attempt, Loss.BROKEN))
-    world.handle(TargetDown(Incarnation(opened.target, 1)))
+    harness, opened = start_with_backup()
+    harness.handle(AttemptLost(opened.attempt, Loss.BROKEN))
+    harness.handle(TargetDown(Incarnation(opened.target, 1)))
     digest = f"digest-{opened.number}"
-    assert not world.state.crashes.is_suspected(digest)
+    assert not harness.state.crashes.is_suspected(digest)
 
 
 def test_what_a_leaving_target_cuts_off_is_not_suspected() -> None:
     """Guards against requests blamed for a target that was told to end."""
-    world = EntryHarness()
-    world.register("b-1", "b-2", service=BOOKINGS)
-    world.arrive("/lookup/a", digest="good")
-    opened = world.find(OpenAttempt)
-    world.handle(TargetLeaving(Incarnation(opened.target, 1)))
-    world.handle(AttemptLost(opened.attempt, Loss.BROKEN))
-    world.handle(TargetDown(Incarnation(opened.target, 1)))
-    assert not world.state.crashes.is_suspected("good")
+    harness = EntryHarness()
+    harness.register("b-1", "b-2", service=BOOKINGS)
+    harness.arrive("/lookup/a", digest="good")
+    opened = harness.find(OpenAttempt)
+    harness.handle(TargetLeaving(Incarnation(opened.target, 1)))
+    harness.handle(AttemptLost(opened.attempt, Loss.BROKEN))
+    harness.handle(TargetDown(Incarnation(opened.target, 1)))
+    assert not harness.state.crashes.is_suspected("good")
 
 
 def test_a_target_that_turns_connections_away_has_not_crashed() -> None:
     """Guards against reads refused for targets that have too many connections."""
-    world = EntryHarness()
-    world.register("b-1", "b-2", "b-3", service=BOOKINGS)
-    world.arrive("/lookup/a", digest="good")
-    first = world.find(OpenAttempt)
-    world.handle(AttemptLost(first.attempt, Loss.BROKEN))
-    world.handle(TargetDown(Incarnation(first.target, 1)))
-    assert world.state.crashes.is_suspected("good")
-    world.clock.advance(MIN_RESTART_TIME - 1)
+    harness = EntryHarness()
+    harness.register("b-1", "b-2", "b-3", service=BOOKINGS)
+    harness.arrive("/lookup/a", digest="good")
+    first = harness.find(OpenAttempt)
+    harness.handle(AttemptLost(first.attempt, Loss.BROKEN))
+    harness.handle(TargetDown(Incarnation(first.target, 1)))
+    assert harness.state.crashes.is_suspected("good")
+    harness.clock.advance(MIN_RESTART_TIME - 1)
     for name in {"b-1", "b-2", "b-3"} - {first.target}:
-        world.depart(name)
-    answer_at(world, first.target)
-    assert not world.state.crashes.is_suspected("good")
+        harness.depart(name)
+    answer_at(harness, first.target)
+    assert not harness.state.crashes.is_suspected("good")
 
 
 def test_a_target_that_ends_much_later_has_not_crashed() -> None:
     """Guards against reads blamed for an end that had nothing to do with them."""
-    world = EntryHarness()
-    world.register("b-1", "b-2", service=BOOKINGS)
-    world.arrive("/lookup/a", digest="good")
-    opened = world.find(OpenAttempt)
-    world.handle(AttemptLost(opened.attempt, Loss.BROKEN))
-    world.clock.advance(LOST_RETENTION)
-    world.handle(TargetDeparted(opened.target))
-    assert not world.state.crashes.is_suspected("good")
+    harness = EntryHarness()
+    harness.register("b-1", "b-2", service=BOOKINGS)
+    harness.arrive("/lookup/a", digest="good")
+    opened = harness.find(OpenAttempt)
+    harness.handle(AttemptLost(opened.attempt, Loss.BROKEN))
+    harness.clock.advance(LOST_RETENTION)
+    harness.handle(TargetDeparted(opened.target))
+    assert not harness.state.crashes.is_suspected("good")
 
 
 def test_a_caller_that_leaves_is_suspected_like_others() -> None:
     """Guards against a killer whose caller leaves before its target is found."""
-    world = EntryHarness()
-    world.register("b-1", "b-2", service=BOOKINGS)
-    number = world.arrive("/lookup/a", digest=KILLER)
-    opened = world.find(OpenAttempt)
-    world.handle(CallerGone(number))
-    world.handle(TargetDeparted(opened.target))
-    assert world.state.crashes.is_suspected(KILLER)
+    harness = EntryHarness()
+    harness.register("b-1", "b-2", service=BOOKINGS)
+    number = harness.arrive("/lookup/a", digest=KILLER)
+    opened = harness.find(OpenAttempt)
+    harness.handle(CallerGone(number))
+    harness.handle(TargetDeparted(opened.target))
+    assert harness.state.crashes.is_suspected(KILLER)
 
 
 def test_a_prompt_that_crashes_engines_is_kept_away() -> None:
     """Guards against a prompt that crashes one engine after another."""
-    world = EntryHarness()
+    harness = EntryHarness()
     for number in range(4):
         info = Registration(
             f"e-{number}", ENGINES, f"e-{number}:80", DOMAINS[number], 64, born=1
         )
-        world.handle(TargetRegistered(info))
+        harness.handle(TargetRegistered(info))
     runs = 0
     for _ in range(4):
-        world.arrive("/question/a", Prompt("m", 500, 50, 50), digest=KILLER)
-        while opened := world.find_all(OpenAttempt):
+        harness.arrive("/question/a", Prompt("m", 500, 50, 50), digest=KILLER)
+        while opened := harness.find_all(OpenAttempt):
             runs += 1
-            world.handle(AttemptLost(opened[0].attempt, Loss.BROKEN))
-            effects = world.effects
-            world.handle(TargetDown(Incarnation(opened[0].target, 1)))
-            world.effects = effects
-        world.clock.advance(RETURN)
+            harness.handle(AttemptLost(opened[0].attempt, Loss.BROKEN))
+            effects = harness.effects
+            harness.handle(TargetDown(Incarnation(opened[0].target, 1)))
+            harness.effects = effects
+        harness.clock.advance(RETURN)
     assert runs == 2
 
 
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -29,11 +29,11 @@
 """Time after which a target that left and serves nothing is not known any more."""
 
 
-def build_world(*names: str) -> EntryHarness:
+def build_harness(*names: str) -> EntryHarness:
     """Return an entry with plain targets."""
-    world = EntryHarness()
-    world.register(*names, service=BOOKINGS, slots=6)
-    return world
+    harness = EntryHarness()
+    harness.register(*names, service=BOOKINGS, slots=6)
+    return harness
 
 
 def say(target: str, born: int = 1) -> TargetLeaving:
@@ -41,73 +41,73 @@
     return TargetLeaving(Incarnation(target, born))
 
 
-def list_called(world: EntryHarness, calls: int = 6) -> set[str]:
+def list_called(harness: EntryHarness, calls: int = 6) -> set[str]:
     """Return the targets that some calls are sent to."""
     called = set()
     for _ in range(calls):
-        world.arrive("/order/a")
-        called |= {opened.target for opened in world.find_all(OpenAttempt)}
+        harness.arrive("/order/a")
+        called |= {opened.target for opened in harness.find_all(OpenAttempt)}
     return called
 
 
 def test_calls_avoid_a_target_that_says_that_it_leaves() -> None:
     """Guards against departures that are known from the store alone."""
-    world = build_world("b-1", "b-2")
-    world.handle(StoreLost())
-    world.handle(say("b-1"))
-    assert list_called(world) == {"b-2"}
+    harness = build_harness("b-1", "b-2")
+    harness.handle(StoreLost())
+    harness.handle(say("b-1"))
+    assert list_called(harness) == {"b-2"}
 
 
 def test_streams_move_from_an_engine_that_says_that_it_leaves() -> None:
     """Guards against streams that end with an engine whose answer told its end."""
-    world = EntryHarness()
-    world.register("e-1", "e-2")
-    opened = world.open_plan()
-    world.send_pieces(opened.attempt, 1, 9)
-    world.handle(say(opened.target))
-    assert world.find(CopyRun).source == opened.target
+    harness = EntryHarness()
+    harness.register("e-1", "e-2")
+    opened = harness.open_plan()
+    harness.send_pieces(opened.attempt, 1, 9)
+    harness.handle(say(opened.target))
+    assert harness.find(CopyRun).source == opened.target
 
 
 def test_a_call_is_refused_at_once_where_all_targets_leave() -> None:
     """Guards against callers who wait for targets that take nothing more."""
-    world = build_world("b-1")
-    world.handle(say("b-1"))
-    world.arrive("/order/a")
-    assert world.find(Refuse).problem.status == 503
+    harness = build_harness("b-1")
+    harness.handle(say("b-1"))
+    harness.arrive("/order/a")
+    assert harness.find(Refuse).problem.status == 503
 
 
 @pytest.mark.parametrize("pause", [0, 5_000, LEAVING_ANNOUNCE_DURATION + 1, 60_000])
 def test_a_registration_from_before_does_not_bring_a_target_back(pause: int) -> None:
     """Guards against work for a target whose old record is read after an outage."""
-    world = build_world("b-1", "b-2")
+    harness = build_harness("b-1", "b-2")
     old = Registration("b-1", BOOKINGS, "b-1:80", "muc-a", 6, born=1)
-    world.handle(StoreLost())
-    world.handle(say("b-1"))
-    world.clock.advance(pause)
-    world.handle(Ticked())
-    world.handle(StoreRegained())
-    world.handle(TargetRegistered(old))
-    world.handle(TargetsListed((old, replace(old, target="b-2")), 9))
-    assert list_called(world) == {"b-2"}
+    harness.handle(StoreLost())
+    harness.handle(say("b-1"))
+    harness.clock.advance(pause)
+    harness.handle(Ticked())
+    harness.handle(StoreRegained())
+    harness.handle(TargetRegistered(old))
+    harness.handle(TargetsListed((old, replace(old, target="b-2")), 9))
+    assert list_called(harness) == {"b-2"}
 
 
 def test_a_target_that_had_left_by_the_store_keeps_to_its_word() -> None:
     """Guards against a registration that lapsed and comes back as the target leaves."""
-    world = build_world("b-1", "b-2")
-    world.handle(TargetDeparted("b-1"))
-    world.handle(say("b-1"))
-    world.register("b-1", service=BOOKINGS, slots=6)
-    assert list_called(world) == {"b-2"}
+    harness = build_harness("b-1", "b-2")
+    harness.handle(TargetDeparted("b-1"))
+    harness.handle(say("b-1"))
+    harness.register("b-1", service=BOOKINGS, slots=6)
+    assert list_called(harness) == {"b-2"}
 
 
 def test_a_target_that_starts_again_gets_work() -> None:
     """Guards against a new process that is shunned for the word of the one before."""
-    world = build_world("b-1", "b-2")
-    world.handle(say("b-1"))
-    told = peers.describe_entry(world.state, world.clock.now())
+    harness = build_harness("b-1", "b-2")
+    harness.handle(say("b-1"))
+    told = peers.describe_entry(harness.state, harness.clock.now())
     info = Registration("b-1", BOOKINGS, "b-1:80", "muc-a", 6, born=2)
-    other = build_world("b-2")
-    for one in (world, other):
+    other = build_harness("b-2")
+    for one in (harness, other):
         one.handle(TargetRegistered(info))
         one.handle(replace(told, node="entry-9"))
         found = one.state.targets.find("b-1")
@@ -117,11 +117,11 @@
 
 def test_a_late_answer_of_an_earlier_life_says_nothing_of_the_next() -> None:
     """Guards against a new process that is shunned for an answer still under way."""
-    world = build_world("b-1", "b-2")
+    harness = build_harness("b-1", "b-2")
     info = Registration("b-1", BOOKINGS, "b-1:80", "muc-a", 6, born=2)
-    world.handle(TargetRegistered(info))
-    world.handle(say("b-1", born=1))
-    found = world.state.targets.find("b-1")
+    harness.handle(TargetRegistered(info))
+    harness.handle(say("b-1", born=1))
+    found = harness.state.targets.find("b-1")
     assert found is not None
     assert found.standing is Standing.READY
 
@@ -130,62 +130,62 @@
 def test_what_a_target_said_to_one_entry_reaches_the_others(size: int) -> None:
     """Guards against entries that send on until the target has told each of them."""
     fleet = build_fleet(size, ("muc-a", "muc-b", "nue-a", "aug-a"))
-    for world in fleet:
-        world.register("b-1", "b-2", service=BOOKINGS, slots=6)
+    for harness in fleet:
+        harness.register("b-1", "b-2", service=BOOKINGS, slots=6)
     fleet[0].handle(say("b-1"))
     assert fleet[0].find_all(Announce)
     now = fleet[0].clock.now()
     near = peers.describe_entry(fleet[0].state, now)
     far = peers.describe_domain(fleet[0].state, now)
-    for world in fleet[1:]:
-        same = world.state.failure_domain == fleet[0].state.failure_domain
-        world.handle(near if same or size == 8 else far)
-    assert {name for world in fleet for name in list_called(world)} == {"b-2"}
+    for harness in fleet[1:]:
+        same = harness.state.failure_domain == fleet[0].state.failure_domain
+        harness.handle(near if same or size == 8 else far)
+    assert {name for harness in fleet for name in list_called(harness)} == {"b-2"}
 
 
 def test_a_word_that_comes_before_the_registration_holds() -> None:
     """Guards against an entry that starts and reads the target's record from before."""
-    teller = build_world("b-1")
+    teller = build_harness("b-1")
     teller.handle(say("b-1"))
-    world = build_world("b-2")
-    world.handle(peers.describe_entry(teller.state, teller.clock.now()))
-    world.register("b-1", service=BOOKINGS, slots=6)
-    assert list_called(world) == {"b-2"}
+    harness = build_harness("b-2")
+    harness.handle(peers.describe_entry(teller.state, teller.clock.now()))
+    harness.register("b-1", service=BOOKINGS, slots=6)
+    assert list_called(harness) == {"b-2"}
 
 
 def test_a_word_is_told_for_a_while_and_remembered_for_longer() -> None:
     """Guards against messages and a state that grow with every departure."""
-    world = build_world("b-1", "b-2")
-    world.handle(say("b-1"))
-    assert peers.describe_entry(world.state, world.clock.now()).leaving
-    world.clock.advance(LEAVING_ANNOUNCE_DURATION)
-    assert not peers.describe_entry(world.state, world.clock.now()).leaving
-    assert world.state.departures
-    world.clock.advance(LEAVING_RETENTION)
-    world.handle(Ticked())
-    assert not world.state.departures
+    harness = build_harness("b-1", "b-2")
+    harness.handle(say("b-1"))
+    assert peers.describe_entry(harness.state, harness.clock.now()).leaving
+    harness.clock.advance(LEAVING_ANNOUNCE_DURATION)
+    assert not peers.describe_entry(harness.state, harness.clock.now()).leaving
+    assert harness.state.departures
+    harness.clock.advance(LEAVING_RETENTION)
+    harness.handle(Ticked())
+    assert not harness.state.departures
 
 
 def test_a_report_says_no_less_than_an_answer() -> None:
     """Guards against an engine that comes back after its own notice was told."""
-    world = EntryHarness()
-    world.handle(EntriesCounted(8))
-    world.register("e-1", "e-2")
-    world.handle(EngineReported("e-1", leaving=True))
-    world.clock.advance(FORGOTTEN)
-    world.handle(Ticked())
+    harness = EntryHarness()
+    harness.handle(EntriesCounted(8))
+    harness.register("e-1", "e-2")
+    harness.handle(EngineReported("e-1", leaving=True))
+    harness.clock.advance(FORGOTTEN)
+    harness.handle(Ticked())
     info = Registration("e-1", ENGINES, "e-1:80", "muc-a", 64, born=1)
-    world.handle(TargetRegistered(info))
-    assert world.open_plan().target == "e-2"
+    harness.handle(TargetRegistered(info))
+    assert harness.open_plan().target == "e-2"
 
 
 def test_a_target_that_says_that_it_leaves_is_logged_once() -> None:
     """Guards against a departure that no log line shows."""
-    world = build_world("b-1")
+    harness = build_harness("b-1")
     told = []
     for _ in range(3):
-        world.handle(say("b-1"))
-        told += [note.message for note in world.find_all(Note)]
+        harness.handle(say("b-1"))
+        told += [note.message for note in harness.find_all(Note)]
     assert told == ["target says that it leaves"]
 
 
@@ -196,52 +196,52 @@
 
 def start_plan_unread() -> tuple[EntryHarness, OpenAttempt]:
     """Return an entry that can't read the store, alone, with a plan that runs."""
-    world = EntryHarness()
-    world.register("e-1", "e-2")
-    opened = world.open_plan()
-    world.send_pieces(opened.attempt, 1, 9)
-    world.handle(StoreLost())
-    return world, opened
+    harness = EntryHarness()
+    harness.register("e-1", "e-2")
+    opened = harness.open_plan()
+    harness.send_pieces(opened.attempt, 1, 9)
+    harness.handle(StoreLost())
+    return harness, opened
 
 
 def test_an_engine_that_is_drained_serves_on_while_nobody_reads_the_store() -> None:
     """Guards against runs moved, and room lost, though the engine serves on."""
-    world, opened = start_plan_unread()
-    world.handle(EngineReported(opened.target, leaving=True, ending=False))
-    assert not world.find_all(CopyRun)
-    found = world.state.targets.find(opened.target)
+    harness, opened = start_plan_unread()
+    harness.handle(EngineReported(opened.target, leaving=True, ending=False))
+    assert not harness.find_all(CopyRun)
+    found = harness.state.targets.find(opened.target)
     assert found is not None
     assert found.accepts_work
 
 
 def test_an_engine_that_says_when_it_ends_is_left_at_once() -> None:
     """Guards against runs lost with an engine that was only drained at first."""
-    world, opened = start_plan_unread()
-    world.handle(EngineReported(opened.target, leaving=True, ending=False))
-    world.handle(EngineReported(opened.target, leaving=True, ending=True))
-    assert world.find(CopyRun).source == opened.target
+    harness, opened = start_plan_unread()
+    harness.handle(EngineReported(opened.target, leaving=True, ending=False))
+    harness.handle(EngineReported(opened.target, leaving=True, ending=True))
+    assert harness.find(CopyRun).source == opened.target
 
 
 def test_an_engine_is_left_at_once_where_another_entry_reads_the_store() -> None:
     """Guards against runs kept at an engine whose word the store has taken."""
-    world, opened = start_plan_unread()
-    world.handle(PeerHeard("entry-2", reading=True))
-    world.handle(EngineReported(opened.target, leaving=True, ending=False))
-    assert world.find(CopyRun).source == opened.target
+    harness, opened = start_plan_unread()
+    harness.handle(PeerHeard("entry-2", reading=True))
+    harness.handle(EngineReported(opened.target, leaving=True, ending=False))
+    assert harness.find(CopyRun).source == opened.target
 
 
 def test_a_target_that_is_down_is_not_waited_for_after_an_outage() -> None:
     """Guards against requests sent to engines that went while the store was away."""
-    world = build_world("b-1", "b-2", "b-3")
-    world.handle(StoreLost())
-    world.arrive("/lookup/a")
-    opened = world.find(OpenAttempt)
-    world.handle(AttemptLost(opened.attempt, Loss.UNREACHED))
-    world.handle(StoreRegained())
+    harness = build_harness("b-1", "b-2", "b-3")
+    harness.handle(StoreLost())
+    harness.arrive("/lookup/a")
+    opened = harness.find(OpenAttempt)
+    harness.handle(AttemptLost(opened.attempt, Loss.UNREACHED))
+    harness.handle(StoreRegained())
     for name in ("b-1", "b-2", "b-3"):
-        world.depart(name)
+        harness.depart(name)
     standings = {
-        name: target.standing for name, target in world.state.targets.targets.items()
+        name: target.standing for name, target in harness.state.targets.targets.items()
     }
     assert standings.pop(opened.target) is Standing.LEAVING
     assert set(standings.values()) == {Standing.READY}
--- a/tests/gateway/test_evacuations.py
+++ b/tests/gateway/test_evacuations.py
@@ -35,161 +35,161 @@
 DOMAINS = ("muc-a", "muc-b", "nue-a", "aug-a")
 
 
-def evacuate(world: EntryHarness, *domains: str, position: int = 5) -> None:
+def evacuate(harness: EntryHarness, *domains: str, position: int = 5) -> None:
     """Let an entry read in the store which failure domains are evacuated."""
-    world.handle(EvacuationsRead(Evacuations(frozenset(domains), position)))
+    harness.handle(EvacuationsRead(Evacuations(frozenset(domains), position)))
 
 
 def register(
-    world: EntryHarness, name: str, domain: str, service: str = ENGINES
+    harness: EntryHarness, name: str, domain: str, service: str = ENGINES
 ) -> None:
     """Register a target of a failure domain."""
     info = Registration(name, service, f"{name}:80", domain, 24, born=1)
-    world.handle(TargetRegistered(info))
+    harness.handle(TargetRegistered(info))
 
 
-def build_world() -> EntryHarness:
+def build_harness() -> EntryHarness:
     """Return an entry with two engines and two plain targets, in two domains."""
-    world = EntryHarness()
+    harness = EntryHarness()
     for domain in DOMAINS[:2]:
-        register(world, f"e-{domain}", domain)
-        register(world, f"b-{domain}", domain, BOOKINGS)
-    return world
+        register(harness, f"e-{domain}", domain)
+        register(harness, f"b-{domain}", domain, BOOKINGS)
+    return harness
 
 
 @pytest.mark.parametrize("path", ["/order/a", "/lookup/a"])
 def test_calls_avoid_an_evacuated_domain(path: str) -> None:
     """Guards against calls that go on to the targets of an evacuated domain."""
-    world = build_world()
-    evacuate(world, "muc-a")
+    harness = build_harness()
+    evacuate(harness, "muc-a")
     for _ in range(8):
-        world.arrive(path)
-        assert world.find(OpenAttempt).target == "b-muc-b"
+        harness.arrive(path)
+        assert harness.find(OpenAttempt).target == "b-muc-b"
 
 
 def test_prompts_avoid_an_evacuated_domain() -> None:
     """Guards against prompts that are sent to engines that shall get nothing."""
-    world = build_world()
-    evacuate(world, "muc-a")
+    harness = build_harness()
+    evacuate(harness, "muc-a")
     for _ in range(2):
-        assert world.open_plan().target == "e-muc-b"
+        assert harness.open_plan().target == "e-muc-b"
 
 
 def test_a_target_that_comes_back_into_an_evacuated_domain_gets_nothing() -> None:
     """Guards against new registrations that hide the evacuation of their domain."""
-    world = build_world()
-    evacuate(world, "muc-a")
-    register(world, "b-new", "muc-a", BOOKINGS)
+    harness = build_harness()
+    evacuate(harness, "muc-a")
+    register(harness, "b-new", "muc-a", BOOKINGS)
     for _ in range(8):
-        world.arrive("/order/a")
-        assert world.find(OpenAttempt).target == "b-muc-b"
+        harness.arrive("/order/a")
+        assert harness.find(OpenAttempt).target == "b-muc-b"
 
 
 def test_retries_avoid_an_evacuated_domain() -> None:
     """Guards against second tries that go where nothing may be sent any more."""
-    world = build_world()
-    register(world, "b-3", "nue-a", BOOKINGS)
-    evacuate(world, "muc-a")
-    world.arrive("/lookup/a")
-    first = world.find(OpenAttempt)
-    world.handle(AttemptLost(first.attempt, Loss.FAILED, status=500))
-    assert {first.target, world.find(OpenAttempt).target} == {"b-muc-b", "b-3"}
+    harness = build_harness()
+    register(harness, "b-3", "nue-a", BOOKINGS)
+    evacuate(harness, "muc-a")
+    harness.arrive("/lookup/a")
+    first = harness.find(OpenAttempt)
+    harness.handle(AttemptLost(first.attempt, Loss.FAILED, status=500))
+    assert {first.target, harness.find(OpenAttempt).target} == {"b-muc-b", "b-3"}
 
 
 def test_a_call_is_refused_at_once_where_all_is_evacuated() -> None:
     """Guards against callers held until their deadline for targets that get nothing."""
-    world = build_world()
-    evacuate(world, "muc-a", "muc-b")
-    world.arrive("/order/a")
-    problem = world.find(Refuse).problem
+    harness = build_harness()
+    evacuate(harness, "muc-a", "muc-b")
+    harness.arrive("/order/a")
+    problem = harness.find(Refuse).problem
     assert (problem.status, problem.code) == (503, "evacuated")
     assert problem.retry_after is not None
 
 
 def test_a_waiting_prompt_is_refused_once_all_is_evacuated() -> None:
     """Guards against waiting callers who are held though nothing can take them."""
-    world = EntryHarness()
-    register(world, "e-1", "muc-a")
+    harness = EntryHarness()
+    register(harness, "e-1", "muc-a")
     for _ in range(9):
-        world.arrive_plan()
-    assert world.state.queue
-    evacuate(world, "muc-a")
-    world.handle(Ticked())
-    assert {refuse.problem.code for refuse in world.find_all(Refuse)} == {"evacuated"}
-    assert not world.state.queue
+        harness.arrive_plan()
+    assert harness.state.queue
+    evacuate(harness, "muc-a")
+    harness.handle(Ticked())
+    assert {refuse.problem.code for refuse in harness.find_all(Refuse)} == {"evacuated"}
+    assert not harness.state.queue
 
 
 def test_runs_end_where_they_are_and_get_no_copy_there() -> None:
     """Guards against orders and copies sent to engines that shall get nothing."""
-    world = EntryHarness()
-    register(world, "e-1", "muc-a")
-    opened = world.open_plan()
-    world.send_pieces(opened.attempt, 1, 9)
-    register(world, "e-2", "muc-b")
-    evacuate(world, "muc-a")
+    harness = EntryHarness()
+    register(harness, "e-1", "muc-a")
+    opened = harness.open_plan()
+    harness.send_pieces(opened.attempt, 1, 9)
+    register(harness, "e-2", "muc-b")
+    evacuate(harness, "muc-a")
     for _ in range(20):
-        world.clock.advance(100)
-        world.handle(Ticked())
-        assert not world.find_all(CopyRun)
-    world.send_pieces(opened.attempt, 10, 12)
-    assert world.state.requests[opened.number].delivered == 12
+        harness.clock.advance(100)
+        harness.handle(Ticked())
+        assert not harness.find_all(CopyRun)
+    harness.send_pieces(opened.attempt, 10, 12)
+    assert harness.state.requests[opened.number].delivered == 12
 
 
 def test_a_copy_in_an_evacuated_domain_counts_as_none() -> None:
     """Guards against a stream that goes on from a copy at an evacuated engine."""
-    world = EntryHarness()
-    register(world, "e-1", "muc-a")
-    opened = world.open_plan()
-    world.send_pieces(opened.attempt, 1, 9)
-    register(world, "e-2", "muc-b")
-    world.handle(RunCopied(opened.number, "e-1", "e-2", "handle"))
-    evacuate(world, "muc-b")
-    world.handle(AttemptLost(opened.attempt, Loss.BROKEN))
-    assert not world.find_all(OpenAttempt)
+    harness = EntryHarness()
+    register(harness, "e-1", "muc-a")
+    opened = harness.open_plan()
+    harness.send_pieces(opened.attempt, 1, 9)
+    register(harness, "e-2", "muc-b")
+    harness.handle(RunCopied(opened.number, "e-1", "e-2", "handle"))
+    evacuate(harness, "muc-b")
+    harness.handle(AttemptLost(opened.attempt, Loss.BROKEN))
+    assert not harness.find_all(OpenAttempt)
 
 
 def test_evacuated_engines_are_asked_nothing() -> None:
     """Guards against questions to engines of an evacuated domain in an outage."""
-    world = EntryHarness()
-    register(world, "e-1", "muc-a")
-    opened = world.open_plan()
-    world.send_pieces(opened.attempt, 1, 9)
-    world.handle(StoreLost())
-    evacuate(world, "muc-a")
-    world.clock.advance(1_000)
-    world.handle(Ticked())
-    assert not world.find_all(ReadReport)
+    harness = EntryHarness()
+    register(harness, "e-1", "muc-a")
+    opened = harness.open_plan()
+    harness.send_pieces(opened.attempt, 1, 9)
+    harness.handle(StoreLost())
+    evacuate(harness, "muc-a")
+    harness.clock.advance(1_000)
+    harness.handle(Ticked())
+    assert not harness.find_all(ReadReport)
 
 
 def test_a_domain_that_is_taken_back_gets_work_at_once() -> None:
     """Guards against a failure domain that stays shut after its evacuation ended."""
-    world = build_world()
-    evacuate(world, "muc-a", position=5)
-    evacuate(world, position=6)
+    harness = build_harness()
+    evacuate(harness, "muc-a", position=5)
+    evacuate(harness, position=6)
     targets = set()
     for _ in range(20):
-        world.arrive("/order/a")
-        targets.add(world.find(OpenAttempt).target)
+        harness.arrive("/order/a")
+        targets.add(harness.find(OpenAttempt).target)
     assert targets == {"b-muc-a", "b-muc-b"}
 
 
 def test_an_older_word_does_not_bring_an_evacuation_back() -> None:
     """Guards against a late message that undoes what the store said since."""
-    world = build_world()
-    evacuate(world, "muc-a", position=5)
-    evacuate(world, position=9)
+    harness = build_harness()
+    evacuate(harness, "muc-a", position=5)
+    evacuate(harness, position=9)
     told = Evacuations(frozenset({"muc-a"}), 5)
-    world.handle(PeerHeard("entry-2", evacuations=told))
-    assert not world.state.evacuations.domains
-    assert not world.state.targets.targets["e-muc-a"].evacuated
+    harness.handle(PeerHeard("entry-2", evacuations=told))
+    assert not harness.state.evacuations.domains
+    assert not harness.state.targets.targets["e-muc-a"].evacuated
 
 
 def test_a_configuration_leaves_an_evacuation_in_force() -> None:
     """Guards against versions of the configuration that end an evacuation."""
-    world = build_world()
-    evacuate(world, "muc-a")
-    world.handle(ConfigurationRead(build_table(version=2)))
-    assert world.open_plan().target == "e-muc-b"
+    harness = build_harness()
+    evacuate(harness, "muc-a")
+    harness.handle(ConfigurationRead(build_table(version=2)))
+    assert harness.open_plan().target == "e-muc-b"
 
 
 def test_a_message_carries_evacuations() -> None:
@@ -201,19 +201,19 @@
 
 def test_several_domains_are_evacuated_one_by_one() -> None:
     """Guards against a second evacuation that ends the first."""
-    world = build_world()
-    evacuate(world, "nue-a", position=5)
-    evacuate(world, "nue-a", "muc-a", position=6)
-    assert world.open_plan().target == "e-muc-b"
-    evacuate(world, "muc-a", position=7)
-    assert world.state.evacuations.domains == {"muc-a"}
+    harness = build_harness()
+    evacuate(harness, "nue-a", position=5)
+    evacuate(harness, "nue-a", "muc-a", position=6)
+    assert harness.open_plan().target == "e-muc-b"
+    evacuate(harness, "muc-a", position=7)
+    assert harness.state.evacuations.domains == {"muc-a"}
 
 
 def test_a_domain_that_nobody_has_shuts_nothing() -> None:
     """Guards against a record with a wrong name that stops all work."""
-    world = build_world()
-    evacuate(world, "moon")
-    assert {world.open_plan().target, world.open_plan().target} == {
+    harness = build_harness()
+    evacuate(harness, "moon")
+    assert {harness.open_plan().target, harness.open_plan().target} == {
         "e-muc-a",
         "e-muc-b",
     }
@@ -221,11 +221,11 @@
 
 def test_a_repeated_evacuation_is_told_once() -> None:
     """Guards against log lines for each message that says the same."""
-    world = build_world()
-    evacuate(world, "muc-a", position=5)
-    assert world.find(Note).message == "failure domain evacuated"
-    evacuate(world, "muc-a", position=6)
-    assert not world.find_all(Note)
+    harness = build_harness()
+    evacuate(harness, "muc-a", position=5)
+    assert harness.find(Note).message == "failure domain evacuated"
+    evacuate(harness, "muc-a", position=6)
+    assert not harness.find_all(Note)
 
 
 @given(
@@ -238,15 +238,15 @@
     told: list[tuple[int, frozenset[str]]],
 ) -> None:
     """Guards against words that come late, twice or crossed."""
-    world = build_world()
+    harness = build_harness()
     newest = Evacuations()
     for position, domains in told:
         word = Evacuations(domains, position)
         if position > newest.position:
             newest = word
-        world.handle(PeerHeard("entry-2", evacuations=word))
-        assert world.state.evacuations == newest
-        for target in world.state.targets.targets.values():
+        harness.handle(PeerHeard("entry-2", evacuations=word))
+        assert harness.state.evacuations == newest
+        for target in harness.state.targets.targets.values():
             assert target.evacuated == (target.info.failure_domain in newest.domains)
 
 
@@ -270,19 +270,19 @@
         now = self.clock.now()
         due = [item for item in self.pending if item[0] <= now]
         self.pending = [item for item in self.pending if item[0] > now]
-        for _, world, message in due:
-            world.handle(message)
-        for world in self.entries:
-            self._tell(world, now)
-
-    def _tell(self, world: EntryHarness, now: Millis) -> None:
-        own = peers.describe_entry(world.state, now)
-        domain = peers.describe_domain(world.state, now)
-        speaks = peers.is_domain_representative(world.state, now)
+        for _, harness, message in due:
+            harness.handle(message)
+        for harness in self.entries:
+            self._tell(harness, now)
+
+    def _tell(self, harness: EntryHarness, now: Millis) -> None:
+        own = peers.describe_entry(harness.state, now)
+        domain = peers.describe_domain(harness.state, now)
+        speaks = peers.is_domain_representative(harness.state, now)
         for other in self.entries:
-            if other is world or self.rng.random() < 0.1:
+            if other is harness or self.rng.random() < 0.1:
                 continue
-            near = other.state.failure_domain == world.state.failure_domain
+            near = other.state.failure_domain == harness.state.failure_domain
             if not near and not speaks:
                 continue
             delay = Millis(self.rng.randrange(1, 200))
@@ -292,9 +292,9 @@
 def build_talking_fleet(size: int, seed: int) -> Fleet:
     """Return a fleet of which each entry knows one target a failure domain."""
     entries = build_fleet(size, DOMAINS)
-    for world in entries:
+    for harness in entries:
         for domain in DOMAINS:
-            register(world, f"b-{domain}", domain, BOOKINGS)
+            register(harness, f"b-{domain}", domain, BOOKINGS)
     return Fleet(entries, entries[0].clock, random.Random(seed))
 
 
@@ -307,19 +307,19 @@
     fleet = build_talking_fleet(size, seed)
     fleet.step(200)
     readers = fleet.entries[: max(1, size // 10)]
-    for world in readers:
-        evacuate(world, "muc-b", position=7)
+    for harness in readers:
+        evacuate(harness, "muc-b", position=7)
     for _ in range(10):
         fleet.step(200)
-    for world in fleet.entries:
-        world.arrive("/order/a")
-        assert world.find(OpenAttempt).target != "b-muc-b"
+    for harness in fleet.entries:
+        harness.arrive("/order/a")
+        assert harness.find(OpenAttempt).target != "b-muc-b"
     restarted = build_talking_fleet(size, seed).entries[0]
     fleet.entries[-1] = restarted
     restarted.clock = fleet.clock
-    for world in readers:
-        evacuate(world, position=9)
+    for harness in readers:
+        evacuate(harness, position=9)
     for _ in range(10):
         fleet.step(200)
-    for world in fleet.entries:
-        assert world.state.evacuations == Evacuations(frozenset(), 9)
+    for harness in fleet.entries:
+        assert harness.state.evacuations == Evacuations(frozenset(), 9)
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -71,19 +71,19 @@
         """Set up entries and engines, which know of each other."""
         for domain in DOMAINS:
             for number in range(PER_DOMAIN):
-                world = EntryHarness(clock=self.clock)
-                world.state.node = f"entry-{domain}-{number}"
-                world.state.failure_domain = domain
-                world.state.rng.seed(len(self.worlds))
-                world.handle(EntriesCounted(FLEET))
-                self.worlds.append(world)
+                harness = EntryHarness(clock=self.clock)
+                harness.state.node = f"entry-{domain}-{number}"
+                harness.state.failure_domain = domain
+                harness.state.rng.seed(len(self.worlds))
+                harness.handle(EntriesCounted(FLEET))
+                self.worlds.append(harness)
         for domain in DOMAINS:
             for number in range(ENGINES_IN[domain]):
                 name = f"e-{domain}-{number}"
                 self.engines[name] = Engine()
                 info = Registration(name, ENGINES, f"{name}:80", domain, 24, born=1)
-                for world in self.worlds:
-                    world.handle(TargetRegistered(info))
+                for harness in self.worlds:
+                    harness.handle(TargetRegistered(info))
 
     def play(self) -> None:
         """Let prompts come, be read and run."""
@@ -95,66 +95,66 @@
                 self._place(self.rng.choice(self.worlds))
             self._talk(tick * STEP)
 
-    def _place(self, world: EntryHarness) -> None:
-        world.arrive("/question/a", Prompt("m", TOKENS, 200, 40))
-        announcements = world.find_all(AnnounceTarget)
-        for opened in world.find_all(OpenAttempt):
-            notes = [n for n in world.find_all(Note) if "expected_ms" in n.fields]
+    def _place(self, harness: EntryHarness) -> None:
+        harness.arrive("/question/a", Prompt("m", TOKENS, 200, 40))
+        announcements = harness.find_all(AnnounceTarget)
+        for opened in harness.find_all(OpenAttempt):
+            notes = [n for n in harness.find_all(Note) if "expected_ms" in n.fields]
             expected = notes[0].fields["expected_ms"]
             assert isinstance(expected, int)
             now = self.clock.now()
             read_at = self.engines[opened.target].read(now)
             self.ratios.append((read_at - now) / expected)
-            self.due.append((read_at, world, "read", opened.attempt))
-            self.due.append((Millis(read_at + RUN), world, "end", opened.attempt))
-            self._tell_near(world)
+            self.due.append((read_at, harness, "read", opened.attempt))
+            self.due.append((Millis(read_at + RUN), harness, "end", opened.attempt))
+            self._tell_near(harness)
         for announced in announcements:
-            self._tell_target(world, announced.target)
+            self._tell_target(harness, announced.target)
 
     def _end_what_is_due(self) -> None:
         now = self.clock.now()
         due = [item for item in self.due if item[0] <= now]
         self.due = [item for item in self.due if item[0] > now]
-        for _, world, kind, attempt in sorted(due, key=lambda item: item[0]):
+        for _, harness, kind, attempt in sorted(due, key=lambda item: item[0]):
             if kind == "read":
-                world.handle(PiecesArrived(attempt, [StreamPiece(1, b"id: 1\n\n")]))
+                harness.handle(PiecesArrived(attempt, [StreamPiece(1, b"id: 1\n\n")]))
             else:
-                world.handle(StreamEnded(attempt))
+                harness.handle(StreamEnded(attempt))
 
     def _talk(self, at: int) -> None:
-        for world in self.worlds:
+        for harness in self.worlds:
             if at % round(HELLO_SECONDS * 1_000) == 0:
-                self._tell_near(world)
+                self._tell_near(harness)
         if at % round(FAR_SECONDS * 1_000) == 0:
-            for world in self.worlds:
-                if peers.is_domain_representative(world.state, self.clock.now()):
-                    self._tell_far(world, at % round(FAR_WHOLE_SECONDS * 1_000) == 0)
+            for harness in self.worlds:
+                if peers.is_domain_representative(harness.state, self.clock.now()):
+                    self._tell_far(harness, at % round(FAR_WHOLE_SECONDS * 1_000) == 0)
 
-    def _tell_near(self, world: EntryHarness) -> None:
-        message = peers.describe_entry(world.state, self.clock.now())
+    def _tell_near(self, harness: EntryHarness) -> None:
+        message = peers.describe_entry(harness.state, self.clock.now())
         for other in self.worlds:
-            near = other.state.failure_domain == world.state.failure_domain
-            if near and other is not world:
+            near = other.state.failure_domain == harness.state.failure_domain
+            if near and other is not harness:
                 other.handle(message)
 
-    def _tell_target(self, world: EntryHarness, target: str) -> None:
-        message = peers.describe_domain(world.state, self.clock.now())
+    def _tell_target(self, harness: EntryHarness, target: str) -> None:
+        message = peers.describe_domain(harness.state, self.clock.now())
         loads = tuple(load for load in message.loads if load.target == target)
-        self._hand_far(world, replace(message, loads=loads, partial=True))
+        self._hand_far(harness, replace(message, loads=loads, partial=True))
 
-    def _hand_far(self, world: EntryHarness, message: PeerHeard) -> None:
+    def _hand_far(self, harness: EntryHarness, message: PeerHeard) -> None:
         for other in self.worlds:
-            if other.state.failure_domain != world.state.failure_domain:
+            if other.state.failure_domain != harness.state.failure_domain:
                 other.handle(message)
 
-    def _tell_far(self, world: EntryHarness, whole: bool) -> None:
-        message = peers.describe_domain(world.state, self.clock.now())
-        told = self.told.setdefault(world.state.node, {})
+    def _tell_far(self, harness: EntryHarness, whole: bool) -> None:
+        message = peers.describe_domain(harness.state, self.clock.now())
+        told = self.told.setdefault(harness.state.node, {})
         if not whole:
             changed = peers.select_changed(told, message.loads)
             message = replace(message, loads=changed, partial=True)
         told.update((load.target, load) for load in message.loads)
-        self._hand_far(world, message)
+        self._hand_far(harness, message)
 
 
 def test_prompts_are_read_when_a_large_fleet_expects_it() -> None:
--- a/tests/gateway/test_fleet_properties.py
+++ b/tests/gateway/test_fleet_properties.py
@@ -259,14 +259,14 @@
     )
     def arrive(self, entry: int, prefix: str, digest: str) -> None:
         """Let a request come; one without a digest comes once."""
-        world = self.fleet[entry]
+        harness = self.fleet[entry]
         prompt = Prompt("m", 3_000, 2_000, 900) if "lookup" not in prefix else None
         if prefix == "/order/":
             prompt = None
-        name = digest or f"digest-{entry}-{world.next_number}"
-        self.calls[entry][world.next_number] = Call(ROUTES[prefix], name)
-        world.arrive(f"{prefix}a", prompt, digest=name)
-        for effect in world.effects:
+        name = digest or f"digest-{entry}-{harness.next_number}"
+        self.calls[entry][harness.next_number] = Call(ROUTES[prefix], name)
+        harness.arrive(f"{prefix}a", prompt, digest=name)
+        for effect in harness.effects:
             self.perform(entry, effect)
         self.settle()
 
@@ -413,11 +413,11 @@
         for run in [run for run in self.runs.values() if run.entry == entry]:
             self.close(run)
         before = self.fleet[entry]
-        world = EntryHarness(clock=self.clock, next_number=before.next_number)
-        world.state.node = before.state.node
-        world.state.failure_domain = before.state.failure_domain
-        world.state.next_attempt = before.state.next_attempt
-        self.fleet[entry] = world
+        harness = EntryHarness(clock=self.clock, next_number=before.next_number)
+        harness.state.node = before.state.node
+        harness.state.failure_domain = before.state.failure_domain
+        harness.state.next_attempt = before.state.next_attempt
+        self.fleet[entry] = harness
         self.calls[entry] = {}
         self.copies = [copy for copy in self.copies if copy[0] != entry]
         self.handle(entry, EntriesCounted(ENTRIES))
@@ -434,8 +434,8 @@
     def tell(self) -> None:
         """Let each entry send the others what it knows."""
         now = self.clock.now()
-        for sender, world in enumerate(self.fleet):
-            message = peers.describe_entry(world.state, now)
+        for sender, harness in enumerate(self.fleet):
+            message = peers.describe_entry(harness.state, now)
             for receiver in range(ENTRIES):
                 if receiver != sender:
                     self.network.append((receiver, message))
@@ -477,19 +477,19 @@
     @invariant()
     def attempts_are_of_requests(self) -> None:
         """No attempt outlives its request, and each is open at its target."""
-        for entry, world in enumerate(self.fleet):
-            for number, attempt in world.state.attempts.items():
-                assert attempt.request in world.state.requests
+        for entry, harness in enumerate(self.fleet):
+            for number, attempt in harness.state.attempts.items():
+                assert attempt.request in harness.state.requests
                 assert (entry, number) in self.runs
 
     @invariant()
     def loads_are_of_attempts(self) -> None:
         """What an entry counts at a target is what it has open there."""
-        for world in self.fleet:
+        for harness in self.fleet:
             open_there = Counter(
-                id(attempt.target) for attempt in world.state.attempts.values()
+                id(attempt.target) for attempt in harness.state.attempts.values()
             )
-            for target in world.state.targets.targets.values():
+            for target in harness.state.targets.targets.values():
                 assert target.calls == open_there[id(target)]
 
     def teardown(self) -> None:
@@ -506,11 +506,11 @@
                     self.settle()
             self.copies.clear()
             self.pass_time(20)
-        for world in self.fleet:
-            assert not world.state.requests
-            assert not world.state.attempts
-            assert not len(world.state.queue)
-            for target in world.state.targets.targets.values():
+        for harness in self.fleet:
+            assert not harness.state.requests
+            assert not harness.state.attempts
+            assert not len(harness.state.queue)
+            for target in harness.state.targets.targets.values():
                 assert target.calls == 0
                 assert target.memory == 0
                 assert target.reading == 0
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -40,23 +40,23 @@
 """Milliseconds after which a rate binds that a target has begun to name."""
 
 
-def name_rate(world: EntryHarness, rate: float | None, target: str = "b-1") -> None:
+def name_rate(harness: EntryHarness, rate: float | None, target: str = "b-1") -> None:
     """Let an answer that was just asked for name a rate."""
-    world.handle(RateNamed(target, rate, world.clock.now()))
+    harness.handle(RateNamed(target, rate, harness.clock.now()))
 
 
-def build_world(*names: str) -> EntryHarness:
+def build_harness(*names: str) -> EntryHarness:
     """Return an entry with plain targets."""
-    world = EntryHarness()
-    world.register(*names, service=BOOKINGS, slots=6)
-    return world
+    harness = EntryHarness()
+    harness.register(*names, service=BOOKINGS, slots=6)
+    return harness
 
 
 def build_limited_fleet(size: int, domains: Sequence[str]) -> list[EntryHarness]:
     """Return entries that hear each other, with one target and its callers."""
     fleet = build_fleet(size, domains)
-    for world in fleet:
-        world.register("b-1", service=BOOKINGS, slots=6)
+    for harness in fleet:
+        harness.register("b-1", service=BOOKINGS, slots=6)
     tell_all(fleet)
     return fleet
 
@@ -75,23 +75,23 @@
     sent: list[Millis] = []
     clock = fleet[0].clock
     for _ in range(seconds * each):
-        for world in fleet:
-            world.arrive("/order/a")
-            sent += answer_opened(world, rate)
-            world.handle(Ticked())
-            sent += answer_opened(world, rate)
+        for harness in fleet:
+            harness.arrive("/order/a")
+            sent += answer_opened(harness, rate)
+            harness.handle(Ticked())
+            sent += answer_opened(harness, rate)
         clock.advance(1_000 // each)
         tell_all(fleet)
     return sent
 
 
-def answer_opened(world: EntryHarness, rate: float | None) -> list[Millis]:
+def answer_opened(harness: EntryHarness, rate: float | None) -> list[Millis]:
     """Answer what was just sent; returns when that was."""
-    now = world.clock.now()
-    opened = world.find_all(OpenAttempt)
+    now = harness.clock.now()
+    opened = harness.find_all(OpenAttempt)
     for attempt in opened:
-        name_rate(world, rate)
-        world.handle(AnswerArrived(attempt.attempt, 200))
+        name_rate(harness, rate)
+        harness.handle(AnswerArrived(attempt.attempt, 200))
     return [now] * len(opened)
 
 
@@ -115,8 +115,8 @@
     fleet = build_limited_fleet(size, domains)
     sent = play_fleet(fleet, 1, 1, None)
     named_at = fleet[0].clock.now()
-    for world in fleet:
-        name_rate(world, RATE)
+    for harness in fleet:
+        name_rate(harness, RATE)
     sent += play_fleet(fleet, 17, 2, RATE)
     busiest = count_busiest(sent, named_at + SETTLED)
     assert LEAST_IN_A_WINDOW <= busiest <= MOST_IN_A_WINDOW
@@ -126,8 +126,8 @@
 def test_a_rate_counts_what_came_before_it_was_named(seed: int) -> None:
     """Guards against a rate that is sent on top of what made the target need it."""
     fleet = build_limited_fleet(8, DOMAINS[:4])
-    for number, world in enumerate(fleet):
-        world.state.rng.seed(seed * 100 + number)
+    for number, harness in enumerate(fleet):
+        harness.state.rng.seed(seed * 100 + number)
     sent = play_fleet(fleet, 12, 1, None)
     named_at = fleet[0].clock.now()
     sent += play_fleet(fleet, 17, 1, RATE)
@@ -141,63 +141,63 @@
     name_rate(fleet[0], RATE)
     tell_all(fleet)
     tell_all(fleet)
-    known = [world.state.targets.targets["b-1"].limit for world in fleet]
+    known = [harness.state.targets.targets["b-1"].limit for harness in fleet]
     assert [limit.rate for limit in known if limit is not None] == [RATE] * size
 
 
 def test_load_goes_to_targets_that_name_no_rate() -> None:
     """Guards against calls that wait for a target in need beside others."""
-    world = build_world("b-1", "b-2")
-    name_rate(world, 0.5)
+    harness = build_harness("b-1", "b-2")
+    name_rate(harness, 0.5)
     chosen = []
     for _ in range(10):
-        world.arrive("/order/a")
-        chosen.append(world.find(OpenAttempt).target)
+        harness.arrive("/order/a")
+        chosen.append(harness.find(OpenAttempt).target)
     assert chosen.count("b-1") <= 2
 
 
 def test_a_call_is_refused_at_once_where_no_target_opens_in_time() -> None:
     """Guards against callers who wait in vain for targets that all name rates."""
-    world = build_world("b-1")
+    harness = build_harness("b-1")
     for _ in range(40):
-        world.arrive("/order/a")
-    name_rate(world, RATE)
-    world.clock.advance(10)
-    world.arrive("/order/a")
-    problem = world.find(Refuse).problem
+        harness.arrive("/order/a")
+    name_rate(harness, RATE)
+    harness.clock.advance(10)
+    harness.arrive("/order/a")
+    problem = harness.find(Refuse).problem
     assert problem.status == 503
     assert problem.retry_after is not None
 
 
 def test_a_target_that_got_no_more_than_it_names_goes_on() -> None:
     """Guards against a service that stands still as all its targets name rates."""
-    world = build_world("b-1")
-    name_rate(world, 25.0)
-    world.arrive("/order/a")
-    assert world.find(OpenAttempt).target == "b-1"
+    harness = build_harness("b-1")
+    name_rate(harness, 25.0)
+    harness.arrive("/order/a")
+    assert harness.find(OpenAttempt).target == "b-1"
 
 
 def test_the_need_ends_with_an_answer_that_names_no_rate() -> None:
     """Guards against a target that gets little for good after a short need."""
-    world = build_world("b-1")
-    name_rate(world, 0.5)
-    world.clock.advance(1)
-    name_rate(world, None)
-    assert world.find(Announce)
+    harness = build_harness("b-1")
+    name_rate(harness, 0.5)
+    harness.clock.advance(1)
+    name_rate(harness, None)
+    assert harness.find(Announce)
     for _ in range(10):
-        world.arrive("/order/a")
-        assert world.find(OpenAttempt)
+        harness.arrive("/order/a")
+        assert harness.find(OpenAttempt)
 
 
 def test_an_answer_asked_for_before_the_need_does_not_end_it() -> None:
     """Guards against answers that overtake each other on their way."""
-    world = build_world("b-1")
-    asked = world.clock.now()
-    world.clock.advance(30)
-    name_rate(world, 0.5)
-    world.clock.advance(1)
-    world.handle(RateNamed("b-1", None, asked))
-    limit = world.state.targets.targets["b-1"].limit
+    harness = build_harness("b-1")
+    asked = harness.clock.now()
+    harness.clock.advance(30)
+    name_rate(harness, 0.5)
+    harness.clock.advance(1)
+    harness.handle(RateNamed("b-1", None, asked))
+    limit = harness.state.targets.targets["b-1"].limit
     assert limit is not None
     assert limit.rate == 0.5
 
@@ -211,7 +211,7 @@
     name_rate(second, None)
     first.clock.advance(50)
     tell_all([first, second])
-    known = [world.state.targets.targets["b-1"].limit for world in (first, second)]
+    known = [harness.state.targets.targets["b-1"].limit for harness in (first, second)]
     assert [limit.rate for limit in known if limit is not None] == [None, None]
 
 
@@ -219,8 +219,8 @@
 def test_a_silent_target_passes_to_entries_with_callers(rate: float) -> None:
     """Guards against a need that never ends as those who may ask have no callers."""
     fleet = build_limited_fleet(8, DOMAINS[:1])
-    for world in fleet:
-        name_rate(world, rate)
+    for harness in fleet:
+        name_rate(harness, rate)
     busy = fleet[3]
     for _ in range(400):
         busy.clock.advance(500)
@@ -233,107 +233,107 @@
 
 def test_a_target_that_starts_again_has_named_nothing() -> None:
     """Guards against a new process that is spared for the need of the one before."""
-    world = build_world("b-1")
+    harness = build_harness("b-1")
     for _ in range(60):
-        world.arrive("/order/a")
-    name_rate(world, 0.5)
-    told = peers.describe_entry(world.state, world.clock.now())
+        harness.arrive("/order/a")
+    name_rate(harness, 0.5)
+    told = peers.describe_entry(harness.state, harness.clock.now())
     info = Registration("b-1", BOOKINGS, "b-1:80", "muc-a", 6, born=2)
-    world.handle(TargetRegistered(info))
-    other = build_world("b-1")
+    harness.handle(TargetRegistered(info))
+    other = build_harness("b-1")
     other.handle(TargetRegistered(info))
     other.handle(told)
-    for one in (world, other):
+    for one in (harness, other):
         one.arrive("/order/a")
         assert one.find(OpenAttempt).target == "b-1"
 
 
 def test_a_run_is_not_copied_to_an_engine_that_takes_none() -> None:
     """Guards against a copy that its holder must not be asked to go on from."""
-    world = EntryHarness()
-    world.register("e-1", "e-2", "e-3")
-    opened = world.open_plan()
-    world.send_pieces(opened.attempt, 1, 9)
+    harness = EntryHarness()
+    harness.register("e-1", "e-2", "e-3")
+    opened = harness.open_plan()
+    harness.send_pieces(opened.attempt, 1, 9)
     others = sorted({"e-1", "e-2", "e-3"} - {opened.target})
-    name_rate(world, 0.0, others[0])
-    limit = world.state.targets.targets[others[0]].limit
+    name_rate(harness, 0.0, others[0])
+    limit = harness.state.targets.targets[others[0]].limit
     assert limit is not None
-    limit.opens_at = Millis(world.clock.now() + 60_000)
-    world.handle(TargetDeparted(opened.target))
-    assert world.find(CopyRun).holder == others[1]
+    limit.opens_at = Millis(harness.clock.now() + 60_000)
+    harness.handle(TargetDeparted(opened.target))
+    assert harness.find(CopyRun).holder == others[1]
 
 
 def test_an_engine_in_need_copies_no_runs_ahead() -> None:
     """Guards against orders of copies that reach an engine beyond its rate."""
-    world = EntryHarness()
-    world.register("e-1", "e-2")
-    opened = world.open_plan()
-    name_rate(world, 1.0, opened.target)
-    world.send_pieces(opened.attempt, 1, 9)
+    harness = EntryHarness()
+    harness.register("e-1", "e-2")
+    opened = harness.open_plan()
+    name_rate(harness, 1.0, opened.target)
+    harness.send_pieces(opened.attempt, 1, 9)
     for _ in range(5):
-        world.clock.advance(100)
-        assert not [e for e in world.handle(Ticked()) if isinstance(e, CopyRun)]
-    world.handle(TargetDeparted(opened.target))
-    assert world.find(CopyRun).source == opened.target
+        harness.clock.advance(100)
+        assert not [e for e in harness.handle(Ticked()) if isinstance(e, CopyRun)]
+    harness.handle(TargetDeparted(opened.target))
+    assert harness.find(CopyRun).source == opened.target
 
 
 def test_a_run_goes_on_at_its_holder_once_that_takes_it() -> None:
     """Guards against a holder in need that gets all runs of an engine that leaves."""
-    world = EntryHarness()
-    world.register("e-1", "e-2")
-    opened = world.open_plan()
-    world.send_pieces(opened.attempt, 1, 9)
-    world.handle(TargetDeparted(opened.target))
-    order = world.find(CopyRun)
-    name_rate(world, 5.0, order.holder)
-    limit = world.state.targets.targets[order.holder].limit
+    harness = EntryHarness()
+    harness.register("e-1", "e-2")
+    opened = harness.open_plan()
+    harness.send_pieces(opened.attempt, 1, 9)
+    harness.handle(TargetDeparted(opened.target))
+    order = harness.find(CopyRun)
+    name_rate(harness, 5.0, order.holder)
+    limit = harness.state.targets.targets[order.holder].limit
     assert limit is not None
-    limit.opens_at = Millis(world.clock.now() + 300)
-    world.handle(RunCopied(order.number, opened.target, order.holder, "h-1"))
-    assert not world.find_all(OpenAttempt)
-    world.clock.advance(320)
-    world.handle(Ticked())
-    assert world.find(OpenAttempt).target == order.holder
+    limit.opens_at = Millis(harness.clock.now() + 300)
+    harness.handle(RunCopied(order.number, opened.target, order.holder, "h-1"))
+    assert not harness.find_all(OpenAttempt)
+    harness.clock.advance(320)
+    harness.handle(Ticked())
+    assert harness.find(OpenAttempt).target == order.holder
 
 
 def test_a_copy_at_a_holder_that_takes_nothing_is_not_used() -> None:
     """Guards against a broken run that is pressed on a target in need."""
-    world, opened = start_with_backup()
-    name_rate(world, 0.0, opened.backup)
-    limit = world.state.targets.targets[opened.backup].limit
+    harness, opened = start_with_backup()
+    name_rate(harness, 0.0, opened.backup)
+    limit = harness.state.targets.targets[opened.backup].limit
     assert limit is not None
-    limit.opens_at = Millis(world.clock.now() + 60_000)
-    world.handle(TargetDeparted(opened.target))
-    assert not world.find_all(OpenAttempt)
+    limit.opens_at = Millis(harness.clock.now() + 60_000)
+    harness.handle(TargetDeparted(opened.target))
+    assert not harness.find_all(OpenAttempt)
 
 
 def test_ages_alone_are_no_news() -> None:
     """Guards against a message each moment while any target names a rate."""
-    world = build_world("b-1")
-    name_rate(world, 1.5)
+    harness = build_harness("b-1")
+    name_rate(harness, 1.5)
     news = LoadUpdates()
-    first = peers.describe_entry(world.state, world.clock.now())
-    news.select(first, world.clock.now())
-    world.clock.advance(200)
-    second = peers.describe_entry(world.state, world.clock.now())
+    first = peers.describe_entry(harness.state, harness.clock.now())
+    news.select(first, harness.clock.now())
+    harness.clock.advance(200)
+    second = peers.describe_entry(harness.state, harness.clock.now())
     assert first != second
     assert not news.has_urgent_changes(second)
 
 
 def test_a_named_rate_is_logged_once_for_each_change() -> None:
     """Guards against a rate that no log line shows, and against one line an answer."""
-    world = build_world("b-1")
+    harness = build_harness("b-1")
     told = []
     for rate in (1.5, 1.5, 2.0, None, None):
-        name_rate(world, rate)
-        told += [note.fields["rate"] for note in world.find_all(Note)]
+        name_rate(harness, rate)
+        told += [note.fields["rate"] for note in harness.find_all(Note)]
     assert told == [1.5, 2.0, None]
 
 
 def test_a_rate_of_an_unknown_target_is_passed_over() -> None:
     """Guards against an answer that comes after its target was forgotten."""
-    world = EntryHarness()
-    assert world.handle(RateNamed("b-9", 1.5, world.clock.now())) == []
+    harness = EntryHarness()
+    assert harness.handle(RateNamed("b-9", 1.5, harness.clock.now())) == []
 
 
 @pytest.mark.parametrize("rate", [0.0, 0.1, 0.24, 0.25, 1.0, 1.1, 2.5, 40.0])
@@ -345,67 +345,67 @@
 
 
 def refuse(
-    world: EntryHarness, retry_after: Millis | None, loss: Loss = Loss.REFUSED
+    harness: EntryHarness, retry_after: Millis | None, loss: Loss = Loss.REFUSED
 ) -> None:
     """Let a call be turned away by the target that it was sent to."""
-    world.arrive("/order/a")
-    attempt = world.find(OpenAttempt).attempt
-    world.handle(AttemptLost(attempt, loss, retry_after))
+    harness.arrive("/order/a")
+    attempt = harness.find(OpenAttempt).attempt
+    harness.handle(AttemptLost(attempt, loss, retry_after))
 
 
 @pytest.mark.parametrize("loss", [Loss.REFUSED, Loss.FAILED])
 def test_a_target_that_wants_a_pause_gets_nothing_meanwhile(loss: Loss) -> None:
     """Guards against a full target that each call of an entry asks again."""
-    world = build_world("b-1")
-    refuse(world, Millis(2_000), loss)
-    world.register("b-2", service=BOOKINGS, slots=6)
+    harness = build_harness("b-1")
+    refuse(harness, Millis(2_000), loss)
+    harness.register("b-2", service=BOOKINGS, slots=6)
     for _ in range(8):
-        world.arrive("/order/a")
-        assert world.find(OpenAttempt).target == "b-2"
-    world.clock.advance(2_000)
-    world.depart("b-2")
-    world.arrive("/order/a")
-    assert world.find(OpenAttempt).target == "b-1"
+        harness.arrive("/order/a")
+        assert harness.find(OpenAttempt).target == "b-2"
+    harness.clock.advance(2_000)
+    harness.depart("b-2")
+    harness.arrive("/order/a")
+    assert harness.find(OpenAttempt).target == "b-1"
 
 
 def test_a_refusal_without_a_pause_asks_for_none() -> None:
     """Guards against targets that are spared though they have room again."""
-    world = build_world("b-1")
-    refuse(world, None)
-    world.arrive("/order/a")
-    assert world.find(OpenAttempt).target == "b-1"
+    harness = build_harness("b-1")
+    refuse(harness, None)
+    harness.arrive("/order/a")
+    assert harness.find(OpenAttempt).target == "b-1"
 
 
 def test_a_shorter_pause_does_not_end_a_longer_one() -> None:
     """Guards against refusals that overtake each other on their way."""
-    world = build_world("b-1")
+    harness = build_harness("b-1")
     attempts = []
     for _ in range(2):
-        world.arrive("/order/a")
-        attempts.append(world.find(OpenAttempt).attempt)
-    world.handle(AttemptLost(attempts[0], Loss.REFUSED, Millis(2_000)))
-    world.handle(AttemptLost(attempts[1], Loss.REFUSED, Millis(100)))
-    world.clock.advance(500)
-    world.arrive("/order/a")
-    assert not world.find_all(OpenAttempt)
+        harness.arrive("/order/a")
+        attempts.append(harness.find(OpenAttempt).attempt)
+    harness.handle(AttemptLost(attempts[0], Loss.REFUSED, Millis(2_000)))
+    harness.handle(AttemptLost(attempts[1], Loss.REFUSED, Millis(100)))
+    harness.clock.advance(500)
+    harness.arrive("/order/a")
+    assert not harness.find_all(OpenAttempt)
 
 
 def test_a_call_waits_out_a_short_pause() -> None:
     """Guards against callers refused for a pause that ends before their wait."""
-    world = build_world("b-1")
-    refuse(world, Millis(100))
-    world.arrive("/order/a")
-    assert not world.find_all(Refuse)
-    world.clock.advance(110)
-    world.handle(Ticked())
-    assert world.find(OpenAttempt).target == "b-1"
+    harness = build_harness("b-1")
+    refuse(harness, Millis(100))
+    harness.arrive("/order/a")
+    assert not harness.find_all(Refuse)
+    harness.clock.advance(110)
+    harness.handle(Ticked())
+    assert harness.find(OpenAttempt).target == "b-1"
 
 
 def test_a_target_that_starts_again_wants_no_pause() -> None:
     """Guards against a new process that is spared for the pause of the one before."""
-    world = build_world("b-1")
-    refuse(world, Millis(60_000))
+    harness = build_harness("b-1")
+    refuse(harness, Millis(60_000))
     info = Registration("b-1", BOOKINGS, "b-1:80", "muc-a", 6, born=2)
-    world.handle(TargetRegistered(info))
-    world.arrive("/order/a")
-    assert world.find(OpenAttempt).target == "b-1"
+    harness.handle(TargetRegistered(info))
+    harness.arrive("/order/a")
+    assert harness.find(OpenAttempt).target == "b-1"
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -24,10 +24,10 @@
     return PeerHeard("entry-2", loads, failure_domain="muc-a")
 
 
-def read_peer_calls(world: EntryHarness) -> dict[str, int]:
+def read_peer_calls(harness: EntryHarness) -> dict[str, int]:
     """Return what an entry takes the others to have open."""
     found = {}
-    for name, target in world.state.targets.targets.items():
+    for name, target in harness.state.targets.targets.items():
         if target.peer_calls:
             found[name] = target.peer_calls
     return found
@@ -38,16 +38,16 @@
     """Guards against loads that drift apart as only what changed is told."""
     rng = random.Random(seed)
     news = LoadUpdates()
-    world = EntryHarness()
-    world.register(*TARGETS)
+    harness = EntryHarness()
+    harness.register(*TARGETS)
     calls = dict.fromkeys(TARGETS, 0)
     now = Millis(0)
     for _ in range(300):
         now = Millis(now + rng.randrange(10, 300))
         target = rng.choice(TARGETS)
         calls[target] = max(0, calls[target] + rng.choice((-1, 1)))
-        world.handle(news.select(build_message(calls), now))
-        assert read_peer_calls(world) == {t: n for t, n in calls.items() if n}
+        harness.handle(news.select(build_message(calls), now))
+        assert read_peer_calls(harness) == {t: n for t, n in calls.items() if n}
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -55,29 +55,29 @@
     """Guards against prompts that stay unknown since one datagram was lost."""
     rng = random.Random(seed)
     news = LoadUpdates()
-    world = EntryHarness()
-    world.register(*TARGETS)
+    harness = EntryHarness()
+    harness.register(*TARGETS)
     calls = dict.fromkeys(TARGETS, 0)
-    world.handle(news.select(build_message(calls), Millis(0)))
+    harness.handle(news.select(build_message(calls), Millis(0)))
     for step in range(1, 15):
         calls[rng.choice(TARGETS)] += 1
         lost = news.select(build_message(calls), Millis(step * 100))
         assert lost.partial
     calls["e-0"] += 1
-    world.handle(news.select(build_message(calls), Millis(1_600)))
-    assert read_peer_calls(world) == {t: n for t, n in calls.items() if n}
+    harness.handle(news.select(build_message(calls), Millis(1_600)))
+    assert read_peer_calls(harness) == {t: n for t, n in calls.items() if n}
 
 
 def test_a_peer_that_falls_silent_leaves_no_load_behind() -> None:
     """Guards against engines that look busy with calls of an entry that is gone."""
     news = LoadUpdates()
-    world = EntryHarness()
-    world.register("e-0", "e-1")
-    world.handle(news.select(build_message({"e-0": 2}), Millis(0)))
-    world.handle(news.select(build_message({"e-0": 3, "e-1": 1}), Millis(100)))
-    assert read_peer_calls(world) == {"e-0": 3, "e-1": 1}
-    world.handle(replace(build_message({}), closing=True))
-    assert read_peer_calls(world) == {}
+    harness = EntryHarness()
+    harness.register("e-0", "e-1")
+    harness.handle(news.select(build_message({"e-0": 2}), Millis(0)))
+    harness.handle(news.select(build_message({"e-0": 3, "e-1": 1}), Millis(100)))
+    assert read_peer_calls(harness) == {"e-0": 3, "e-1": 1}
+    harness.handle(replace(build_message({}), closing=True))
+    assert read_peer_calls(harness) == {}
 
 
 def test_what_changed_is_told_in_a_small_message() -> None:
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -20,12 +20,12 @@
 
 
 def test_loads_of_all_peers_are_summed() -> None:
-    world = EntryHarness()
-    world.register("e-1")
-    world.handle(PeerHeard("entry-2", (PeerLoad("e-1", 2, 8_000, 3_000),)))
-    world.handle(PeerHeard("entry-3", (PeerLoad("e-1", 1, 4_000),)))
-    world.handle(PeerHeard("entry-3", (PeerLoad("e-1", 3, 9_000),)))
-    engine = world.state.targets.find("e-1")
+    harness = EntryHarness()
+    harness.register("e-1")
+    harness.handle(PeerHeard("entry-2", (PeerLoad("e-1", 2, 8_000, 3_000),)))
+    harness.handle(PeerHeard("entry-3", (PeerLoad("e-1", 1, 4_000),)))
+    harness.handle(PeerHeard("entry-3", (PeerLoad("e-1", 3, 9_000),)))
+    engine = harness.state.targets.find("e-1")
     assert engine is not None
     assert (engine.peer_calls, engine.peer_memory) == (5, 17_000)
     assert engine.peer_reading == 3_000
@@ -37,77 +37,77 @@
     A peer falls silent behind a cut. Its loads must not keep engines from
     work; its repeats go on, so that this entry keeps to its own part.
     """
-    world = EntryHarness()
-    world.register("e-1")
-    world.handle(PeerHeard("entry-2", (PeerLoad("e-1", 2, 8_000),)))
-    assert peers.sum_uses(world.state, "engines").complete
-    world.clock.advance(peers.PEER_TIMEOUT)
-    world.handle(Ticked())
-    engine = world.state.targets.find("e-1")
+    harness = EntryHarness()
+    harness.register("e-1")
+    harness.handle(PeerHeard("entry-2", (PeerLoad("e-1", 2, 8_000),)))
+    assert peers.sum_uses(harness.state, "engines").complete
+    harness.clock.advance(peers.PEER_TIMEOUT)
+    harness.handle(Ticked())
+    engine = harness.state.targets.find("e-1")
     assert engine is not None
     assert engine.peer_calls == 0
-    assert not peers.sum_uses(world.state, "engines").complete
+    assert not peers.sum_uses(harness.state, "engines").complete
 
 
 def test_a_peer_that_says_that_it_ends_is_not_missed() -> None:
-    world = EntryHarness()
-    world.handle(PeerHeard("entry-2"))
-    world.handle(PeerHeard("entry-2", closing=True))
-    assert peers.sum_uses(world.state, "engines").complete
-    assert world.state.peers == {}
+    harness = EntryHarness()
+    harness.handle(PeerHeard("entry-2"))
+    harness.handle(PeerHeard("entry-2", closing=True))
+    assert peers.sum_uses(harness.state, "engines").complete
+    assert harness.state.peers == {}
 
 
 def test_uses_of_all_peers_are_summed() -> None:
-    world = EntryHarness()
+    harness = EntryHarness()
     uses = (UseReport("engines", 10, 2), UseReport("bookings", 50, 9))
-    world.handle(PeerHeard("entry-2", uses=uses))
-    world.handle(PeerHeard("entry-3", uses=uses))
-    fleet = peers.sum_uses(world.state, "engines")
+    harness.handle(PeerHeard("entry-2", uses=uses))
+    harness.handle(PeerHeard("entry-3", uses=uses))
+    fleet = peers.sum_uses(harness.state, "engines")
     assert (fleet.requests, fleet.repeats, fleet.entries) == (20, 4, 3)
 
 
 def test_sums_of_another_failure_domain_count_for_a_while() -> None:
-    world = EntryHarness()
-    world.register("e-1")
+    harness = EntryHarness()
+    harness.register("e-1")
     load = PeerLoad("e-1", 4, 16_000)
     for entry in ("entry-8", "entry-9"):
-        world.handle(PeerHeard(entry, (load,), far=True, failure_domain="muc-b"))
-    engine = world.state.targets.find("e-1")
+        harness.handle(PeerHeard(entry, (load,), far=True, failure_domain="muc-b"))
+    engine = harness.state.targets.find("e-1")
     assert engine is not None
     assert engine.peer_memory == 16_000
-    assert world.state.peers == {}
-    world.clock.advance(peers.REMOTE_LOADS_TIMEOUT)
-    world.handle(Ticked())
+    assert harness.state.peers == {}
+    harness.clock.advance(peers.REMOTE_LOADS_TIMEOUT)
+    harness.handle(Ticked())
     assert engine.peer_memory == 0
 
 
 def test_sums_hold_what_all_entries_of_the_failure_domain_have_open() -> None:
-    world = EntryHarness()
-    world.register("e-1", "e-2")
-    world.open_plan()
-    own = peers.list_loads(world.state)
-    world.handle(PeerHeard("entry-2", (PeerLoad("e-1", 2, 8_000),)))
+    harness = EntryHarness()
+    harness.register("e-1", "e-2")
+    harness.open_plan()
+    own = peers.list_loads(harness.state)
+    harness.handle(PeerHeard("entry-2", (PeerLoad("e-1", 2, 8_000),)))
     far = PeerHeard("x", (PeerLoad("e-1", 9, 9),), far=True, failure_domain="muc-b")
-    world.handle(far)
-    told = peers.describe_domain(world.state, world.clock.now())
+    harness.handle(far)
+    told = peers.describe_domain(harness.state, harness.clock.now())
     assert told.far
     assert sum(load.calls for load in told.loads) == 2 + sum(o.calls for o in own)
 
 
 def test_a_failure_domain_shares_its_part_of_the_retry_budget() -> None:
-    world = build_large_world()
-    fleet = peers.sum_uses(world.state, "engines")
+    harness = build_large_world()
+    fleet = peers.sum_uses(harness.state, "engines")
     assert fleet.entries == 19
     assert fleet.fleet_fraction == 19 / 73
 
 
 def test_sums_of_loads_stay_right_over_messages_silence_and_new_targets() -> None:
     """Guards against prompts that keep off an idle engine, or all go to a full one."""
-    world = EntryHarness()
-    world.register("e-1")
+    harness = EntryHarness()
+    harness.register("e-1")
     rng = random.Random(5)
     for _ in range(300):
-        world.clock.advance(rng.randrange(400))
+        harness.clock.advance(rng.randrange(400))
         loads = (
             PeerLoad("e-1", rng.randrange(9), 100, rng.randrange(9), rng.random()),
             PeerLoad("e-2", rng.randrange(9), 100),
@@ -118,7 +118,7 @@
         loads = loads[: rng.randrange(3)] if partial else loads
         domain = "muc-b" if far else "muc-a"
         closing = rng.random() < 0.1 and not far
-        world.handle(
+        harness.handle(
             PeerHeard(
                 node,
                 loads,
@@ -129,27 +129,27 @@
             )
         )
         if rng.random() < 0.2:
-            world.register("e-2")
+            harness.register("e-2")
         if rng.random() < 0.1:
             info = Registration(
                 "e-1", ENGINES, "e-1:80", "muc-a", 64, born=rng.randrange(9)
             )
-            world.handle(TargetRegistered(info))
-        world.handle(Ticked())
-        for target in world.state.targets.targets.values():
+            harness.handle(TargetRegistered(info))
+        harness.handle(Ticked())
+        for target in harness.state.targets.targets.values():
             kept = (target.peer_calls, target.peer_reading, target.peer_rate_count)
             rate = target.read_rate
-            peers.recount_loads(world.state)
+            peers.recount_loads(harness.state)
             anew = (target.peer_calls, target.peer_reading, target.peer_rate_count)
             assert kept == anew
             assert abs(rate - target.read_rate) < 1e-6
 
 
 def test_one_entry_of_a_failure_domain_speaks_for_it() -> None:
-    world = build_large_world()
-    assert not peers.is_domain_representative(world.state, world.clock.now())
-    world.clock.advance(sources.READER_TIMEOUT)
-    assert peers.is_domain_representative(world.state, world.clock.now())
+    harness = build_large_world()
+    assert not peers.is_domain_representative(harness.state, harness.clock.now())
+    harness.clock.advance(sources.READER_TIMEOUT)
+    assert peers.is_domain_representative(harness.state, harness.clock.now())
 
 
 def test_only_loads_that_changed_are_told_between_whole_messages() -> None:
@@ -166,78 +166,78 @@
     assert peers.select_changed(told, loads) == loads
 
 
-def hear_unreached(world: EntryHarness, entry: str, *targets: str) -> None:
+def hear_unreached(harness: EntryHarness, entry: str, *targets: str) -> None:
     """Let a peer tell which targets it could not connect to."""
-    world.handle(PeerHeard(entry, failure_domain="muc-a", unreached=targets))
+    harness.handle(PeerHeard(entry, failure_domain="muc-a", unreached=targets))
 
 
 def test_a_target_that_others_can_not_reach_is_not_tried() -> None:
     """Guards against each entry finding a dead engine by a try of its own."""
-    world = EntryHarness()
-    world.register("e-1", "e-2")
-    hear_unreached(world, "entry-2", "e-1")
-    hear_unreached(world, "entry-3", "e-1")
+    harness = EntryHarness()
+    harness.register("e-1", "e-2")
+    hear_unreached(harness, "entry-2", "e-1")
+    hear_unreached(harness, "entry-3", "e-1")
     for _ in range(2):
-        assert world.open_plan().target == "e-2"
+        assert harness.open_plan().target == "e-2"
 
 
 def test_no_copy_is_made_at_an_engine_that_others_can_not_reach() -> None:
     """Guards against runs without a copy since each order went to a dead engine."""
-    world = EntryHarness()
-    world.register("e-1")
-    opened = world.open_plan()
-    world.register("e-2", "e-3")
-    hear_unreached(world, "entry-2", "e-2")
-    hear_unreached(world, "entry-3", "e-2")
-    world.send_pieces(opened.attempt, 1, 9)
-    world.handle(Ticked())
-    assert world.find(CopyRun).holder == "e-3"
+    harness = EntryHarness()
+    harness.register("e-1")
+    opened = harness.open_plan()
+    harness.register("e-2", "e-3")
+    hear_unreached(harness, "entry-2", "e-2")
+    hear_unreached(harness, "entry-3", "e-2")
+    harness.send_pieces(opened.attempt, 1, 9)
+    harness.handle(Ticked())
+    assert harness.find(CopyRun).holder == "e-3"
 
 
 def test_an_entry_that_is_cut_off_is_not_believed_alone() -> None:
     """Guards against one entry behind a cut that shuts engines for all others."""
-    world = EntryHarness()
-    world.register("e-1")
+    harness = EntryHarness()
+    harness.register("e-1")
     for _ in range(5):
-        hear_unreached(world, "entry-2", "e-1")
-        world.clock.advance(100)
-    assert world.open_plan().target == "e-1"
-    assert world.state.targets.targets["e-1"].backoff_until <= world.clock.now()
+        hear_unreached(harness, "entry-2", "e-1")
+        harness.clock.advance(100)
+    assert harness.open_plan().target == "e-1"
+    assert harness.state.targets.targets["e-1"].backoff_until <= harness.clock.now()
 
 
 def test_a_target_that_answers_this_entry_is_kept() -> None:
     """Guards against engines shut on the word of entries that can't reach them."""
-    world = EntryHarness()
-    world.register("e-1", "e-2")
-    opened = world.open_plan()
-    world.send_pieces(opened.attempt, 1, 1)
-    hear_unreached(world, "entry-2", opened.target)
-    hear_unreached(world, "entry-3", opened.target)
-    target = world.state.targets.targets[opened.target]
-    assert target.backoff_until <= world.clock.now()
+    harness = EntryHarness()
+    harness.register("e-1", "e-2")
+    opened = harness.open_plan()
+    harness.send_pieces(opened.attempt, 1, 1)
+    hear_unreached(harness, "entry-2", opened.target)
+    hear_unreached(harness, "entry-3", opened.target)
+    target = harness.state.targets.targets[opened.target]
+    assert target.backoff_until <= harness.clock.now()
 
 
 def test_what_can_not_be_reached_is_told_at_once_and_not_for_long() -> None:
     """Guards against others that go on to a dead engine, or never come back to it."""
-    world = EntryHarness()
-    world.register("b-1", "b-2", service=BOOKINGS)
-    world.arrive("/order/a")
-    lost = world.find(OpenAttempt)
-    world.handle(AttemptLost(lost.attempt, Loss.UNREACHED))
-    assert world.find_all(Announce)
-    now = world.clock.now()
-    told = peers.describe_entry(world.state, now)
+    harness = EntryHarness()
+    harness.register("b-1", "b-2", service=BOOKINGS)
+    harness.arrive("/order/a")
+    lost = harness.find(OpenAttempt)
+    harness.handle(AttemptLost(lost.attempt, Loss.UNREACHED))
+    assert harness.find_all(Announce)
+    now = harness.clock.now()
+    told = peers.describe_entry(harness.state, now)
     assert told.unreached == (lost.target,)
     data = encode_hello(Hello(told))
     assert decode_hello(data, "10.0.0.1:7000").content.unreached == told.unreached
     later = Millis(now + UNREACHED_DURATION)
-    assert peers.describe_entry(world.state, later).unreached == ()
+    assert peers.describe_entry(harness.state, later).unreached == ()
 
 
 def test_what_was_only_told_is_not_told_on() -> None:
     """Guards against entries that keep each other from a target that is back."""
-    world = EntryHarness()
-    world.register("e-1", "e-2")
-    hear_unreached(world, "entry-2", "e-1")
-    hear_unreached(world, "entry-3", "e-1")
-    assert peers.describe_entry(world.state, world.clock.now()).unreached == ()
+    harness = EntryHarness()
+    harness.register("e-1", "e-2")
+    hear_unreached(harness, "entry-2", "e-1")
+    hear_unreached(harness, "entry-3", "e-1")
+    assert peers.describe_entry(harness.state, harness.clock.now()).unreached == ()
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -19,37 +19,37 @@
     It is empty, so by memory alone it is the best for every prompt until they
     are read; the fifth one there waits for four others.
     """
-    world = EntryHarness()
-    world.register("e-1", "e-2", "e-3")
+    harness = EntryHarness()
+    harness.register("e-1", "e-2", "e-3")
     for name in ("e-1", "e-2"):
-        engine = world.state.targets.find(name)
+        engine = harness.state.targets.find(name)
         assert engine is not None
         engine.own_read_rate = 7.0
         engine.peer_memory = 12_000
     targets = Counter()
     for _ in range(6):
-        world.arrive_plan()
-        targets[world.find(OpenAttempt).target] += 1
+        harness.arrive_plan()
+        targets[harness.find(OpenAttempt).target] += 1
     assert max(targets.values()) <= 3
 
 
 def test_prompts_keep_away_from_an_engine_that_reads_slowly() -> None:
-    world = EntryHarness()
-    world.register("e-1", "e-2")
-    slow, fast = (world.state.targets.find(name) for name in ("e-1", "e-2"))
+    harness = EntryHarness()
+    harness.register("e-1", "e-2")
+    slow, fast = (harness.state.targets.find(name) for name in ("e-1", "e-2"))
     assert slow is not None
     assert fast is not None
     slow.own_read_rate, fast.own_read_rate = 2.0, 7.0
-    world.arrive_plan()
-    assert world.find(OpenAttempt).target == "e-2"
+    harness.arrive_plan()
+    assert harness.find(OpenAttempt).target == "e-2"
 
 
 def test_a_prompt_that_would_be_late_behind_others_waits() -> None:
-    world = EntryHarness()
-    world.register("e-1")
-    world.handle(PeerHeard("entry-2", (PeerLoad("e-1", 4, 12_000, 12_000),)))
-    world.arrive_plan()
-    assert world.find_all(OpenAttempt) == []
+    harness = EntryHarness()
+    harness.register("e-1")
+    harness.handle(PeerHeard("entry-2", (PeerLoad("e-1", 4, 12_000, 12_000),)))
+    harness.arrive_plan()
+    assert harness.find_all(OpenAttempt) == []
 
 
 def test_backups_leave_room_for_prompts() -> None:
@@ -58,40 +58,40 @@
     Four engines carry 23 runs and a backup of each: the next prompt is turned
     away although the runs alone leave plenty of room.
     """
-    world = EntryHarness(moves=False)
-    world.register("e-1", "e-2")
+    harness = EntryHarness(moves=False)
+    harness.register("e-1", "e-2")
     for name in ("e-1", "e-2"):
-        engine = world.state.targets.find(name)
+        engine = harness.state.targets.find(name)
         assert engine is not None
         engine.peer_memory = 25_000
-    world.arrive_plan()
-    assert world.find(OpenAttempt).backup == ""
+    harness.arrive_plan()
+    assert harness.find(OpenAttempt).backup == ""
 
 
 def test_calls_go_to_the_least_loaded_target_that_answers() -> None:
-    world = EntryHarness()
-    world.register("b-1", "b-2", service=BOOKINGS, slots=6)
-    failing = world.state.targets.find("b-1")
+    harness = EntryHarness()
+    harness.register("b-1", "b-2", service=BOOKINGS, slots=6)
+    failing = harness.state.targets.find("b-1")
     assert failing is not None
     failing.failures = 0.8
-    world.arrive("/order/a")
-    assert world.find(OpenAttempt).target == "b-2"
+    harness.arrive("/order/a")
+    assert harness.find(OpenAttempt).target == "b-2"
     failing.failures = 0.0
-    busy = world.state.targets.find("b-2")
+    busy = harness.state.targets.find("b-2")
     assert busy is not None
     busy.peer_calls = 6
-    world.arrive("/order/a")
-    assert world.find(OpenAttempt).target == "b-1"
+    harness.arrive("/order/a")
+    assert harness.find(OpenAttempt).target == "b-1"
 
 
 def test_an_avoided_target_is_used_where_there_is_no_other() -> None:
-    world = EntryHarness()
-    world.register("b-1", service=BOOKINGS)
-    target = world.state.targets.find("b-1")
+    harness = EntryHarness()
+    harness.register("b-1", service=BOOKINGS)
+    target = harness.state.targets.find("b-1")
     assert target is not None
-    target.record_loss(world.clock.now(), reached=False)
-    world.arrive("/order/a")
-    assert world.find(OpenAttempt).target == "b-1"
+    target.record_loss(harness.clock.now(), reached=False)
+    harness.arrive("/order/a")
+    assert harness.find(OpenAttempt).target == "b-1"
 
 
 def test_in_a_large_fleet_prompts_stay_with_engines_whose_loads_are_known() -> None:
@@ -101,13 +101,13 @@
     old, in which an engine there gets two more prompts. An engine of the own
     domain with two prompts waiting is taken before one there that looks empty.
     """
-    world = EntryHarness()
-    world.handle(EntriesCounted(73))
-    world.register("near")
+    harness = EntryHarness()
+    harness.handle(EntriesCounted(73))
+    harness.register("near")
     far = Registration("far", ENGINES, "far:80", "muc-b", 64, born=1)
-    world.handle(TargetRegistered(far))
+    harness.handle(TargetRegistered(far))
     for name in ("near", "far"):
-        world.state.targets.targets[name].own_read_rate = 7.0
-    world.handle(PeerHeard("entry-2", (PeerLoad("near", 1, 3_400, 3_000),)))
-    world.arrive_plan()
-    assert world.find(OpenAttempt).target == "near"
+        harness.state.targets.targets[name].own_read_rate = 7.0
+    harness.handle(PeerHeard("entry-2", (PeerLoad("near", 1, 3_400, 3_000),)))
+    harness.arrive_plan()
+    assert harness.find(OpenAttempt).target == "near"
--- a/tests/gateway/test_reducer.py
+++ b/tests/gateway/test_reducer.py
@@ -16,8 +16,8 @@
 from tests.gateway.worlds import ENGINES, EntryHarness, build_table
 
 
-def ready(world: EntryHarness) -> list[str]:
-    return sorted(target.name for target in world.state.targets.list_ready(ENGINES))
+def ready(harness: EntryHarness) -> list[str]:
+    return sorted(target.name for target in harness.state.targets.list_ready(ENGINES))
 
 
 def test_configuration_never_goes_back() -> None:
@@ -25,27 +25,27 @@
 
     A peer's copy brings version 3 while a slow read of the store brings 2.
     """
-    world = EntryHarness()
-    world.handle(ConfigurationRead(build_table(3)))
-    world.handle(ConfigurationRead(build_table(2)))
-    assert world.state.table is not None
-    assert world.state.table.version == 3
+    harness = EntryHarness()
+    harness.handle(ConfigurationRead(build_table(3)))
+    harness.handle(ConfigurationRead(build_table(2)))
+    assert harness.state.table is not None
+    assert harness.state.table.version == 3
 
 
 def test_targets_that_are_not_listed_are_gone() -> None:
-    world = EntryHarness()
-    world.register("e-1", "e-2")
+    harness = EntryHarness()
+    harness.register("e-1", "e-2")
     info = Registration("e-2", ENGINES, "e-2:80", "muc-a", 64, born=1)
-    world.handle(TargetsListed((info,), position=5))
-    assert ready(world) == ["e-2"]
+    harness.handle(TargetsListed((info,), position=5))
+    assert ready(harness) == ["e-2"]
 
 
 def test_an_older_list_changes_nothing() -> None:
-    world = EntryHarness()
+    harness = EntryHarness()
     info = Registration("e-1", ENGINES, "e-1:80", "muc-a", 64, born=1)
-    world.handle(TargetsListed((info,), position=5))
-    world.handle(TargetsListed((), position=4))
-    assert ready(world) == ["e-1"]
+    harness.handle(TargetsListed((info,), position=5))
+    harness.handle(TargetsListed((), position=4))
+    assert ready(harness) == ["e-1"]
 
 
 def test_lapsed_registrations_keep_their_targets_until_they_are_back() -> None:
@@ -54,29 +54,29 @@
     The store is away for long, registrations lapse, and on its return all are
     gone for up to two seconds. One engine did die meanwhile.
     """
-    world = EntryHarness()
-    world.register("e-1", "e-2")
-    world.handle(StoreLost())
-    world.clock.advance(10_000)
-    world.handle(StoreRegained())
-    world.depart("e-1")
-    world.depart("e-2")
-    assert ready(world) == ["e-1", "e-2"]
+    harness = EntryHarness()
+    harness.register("e-1", "e-2")
+    harness.handle(StoreLost())
+    harness.clock.advance(10_000)
+    harness.handle(StoreRegained())
+    harness.depart("e-1")
+    harness.depart("e-2")
+    assert ready(harness) == ["e-1", "e-2"]
     info = Registration("e-1", ENGINES, "e-1:80", "muc-a", 64, born=1)
-    world.handle(TargetRegistered(info))
-    world.clock.advance(LAPSE_GRACE)
-    world.handle(Ticked())
-    assert ready(world) == ["e-1"]
+    harness.handle(TargetRegistered(info))
+    harness.clock.advance(LAPSE_GRACE)
+    harness.handle(Ticked())
+    assert ready(harness) == ["e-1"]
 
 
 def test_a_departure_long_after_an_outage_counts_at_once() -> None:
-    world = EntryHarness()
-    world.register("e-1")
-    world.handle(StoreLost())
-    world.handle(StoreRegained())
-    world.clock.advance(Millis(LAPSE_GRACE + 1))
-    world.depart("e-1")
-    assert ready(world) == []
+    harness = EntryHarness()
+    harness.register("e-1")
+    harness.handle(StoreLost())
+    harness.handle(StoreRegained())
+    harness.clock.advance(Millis(LAPSE_GRACE + 1))
+    harness.depart("e-1")
+    assert ready(harness) == []
 
 
 def test_an_entry_that_alone_was_cut_off_believes_departures_at_once() -> None:
@@ -85,30 +85,30 @@
     The store turns this entry away and serves a peer all the while. On its
     return this entry reads that an engine left; nothing can have lapsed.
     """
-    world = EntryHarness()
-    world.register("e-1", "e-2")
-    world.handle(PeerHeard("entry-2", reading=True))
-    world.clock.advance(500)
-    world.handle(StoreLost())
-    world.clock.advance(2_000)
-    world.handle(PeerHeard("entry-2", reading=True))
-    world.handle(StoreRegained())
-    world.depart("e-1")
-    assert ready(world) == ["e-2"]
+    harness = EntryHarness()
+    harness.register("e-1", "e-2")
+    harness.handle(PeerHeard("entry-2", reading=True))
+    harness.clock.advance(500)
+    harness.handle(StoreLost())
+    harness.clock.advance(2_000)
+    harness.handle(PeerHeard("entry-2", reading=True))
+    harness.handle(StoreRegained())
+    harness.depart("e-1")
+    assert ready(harness) == ["e-2"]
 
 
 def test_a_peer_that_lost_the_store_too_proves_nothing() -> None:
-    world = EntryHarness()
-    world.register("e-1", "e-2")
-    world.handle(PeerHeard("entry-2"))
-    world.clock.advance(500)
-    world.handle(StoreLost())
-    world.handle(PeerHeard("entry-2", receives_records=False))
-    world.clock.advance(2_000)
-    world.handle(PeerHeard("entry-2"))
-    world.handle(StoreRegained())
-    world.depart("e-1")
-    assert ready(world) == ["e-1", "e-2"]
+    harness = EntryHarness()
+    harness.register("e-1", "e-2")
+    harness.handle(PeerHeard("entry-2"))
+    harness.clock.advance(500)
+    harness.handle(StoreLost())
+    harness.handle(PeerHeard("entry-2", receives_records=False))
+    harness.clock.advance(2_000)
+    harness.handle(PeerHeard("entry-2"))
+    harness.handle(StoreRegained())
+    harness.depart("e-1")
+    assert ready(harness) == ["e-1", "e-2"]
 
 
 def test_most_targets_departing_at_once_have_lapsed() -> None:
@@ -117,24 +117,24 @@
     A read waits at the store through a short outage, so that this entry does
     not notice it. All registrations lapse, and their loss is read at once.
     """
-    world = EntryHarness()
+    harness = EntryHarness()
     names = [f"e-{number}" for number in range(6)]
-    world.register(*names)
+    harness.register(*names)
     for name in names:
-        world.depart(name)
-    assert len(ready(world)) >= 3
-    world.clock.advance(MASS_LAPSE_GRACE)
-    world.handle(Ticked())
-    assert ready(world) == []
+        harness.depart(name)
+    assert len(ready(harness)) >= 3
+    harness.clock.advance(MASS_LAPSE_GRACE)
+    harness.handle(Ticked())
+    assert ready(harness) == []
 
 
 def test_one_target_after_another_is_believed() -> None:
-    world = EntryHarness()
-    world.register("e-1", "e-2", "e-3", "e-4")
+    harness = EntryHarness()
+    harness.register("e-1", "e-2", "e-3", "e-4")
     for name in ("e-1", "e-2", "e-3"):
-        world.depart(name)
-        world.clock.advance(1_000)
-    assert ready(world) == ["e-4"]
+        harness.depart(name)
+        harness.clock.advance(1_000)
+    assert ready(harness) == ["e-4"]
 
 
 def test_targets_that_left_long_ago_don_t_make_a_departure_look_like_a_lapse() -> None:
@@ -145,20 +145,20 @@
     they make the next one look like a lapse of all registrations, which is not
     believed for two seconds. The engine is gone by then.
     """
-    world = EntryHarness()
-    world.register("e-1", "e-2", "e-3", "e-4", "e-5", "e-6")
+    harness = EntryHarness()
+    harness.register("e-1", "e-2", "e-3", "e-4", "e-5", "e-6")
     for name in ("e-1", "e-2", "e-3"):
-        world.depart(name)
-        world.clock.advance(3_000)
+        harness.depart(name)
+        harness.clock.advance(3_000)
     left = [
         Registration(name, ENGINES, f"{name}:80", "muc-a", 64, born=1)
         for name in ("e-5", "e-6")
     ]
-    world.handle(TargetsListed(tuple(left), position=9))
-    assert ready(world) == ["e-5", "e-6"]
+    harness.handle(TargetsListed(tuple(left), position=9))
+    assert ready(harness) == ["e-5", "e-6"]
     # What is known already is not told again.
-    world.handle(TargetsListed(tuple(left), position=10))
+    harness.handle(TargetsListed(tuple(left), position=10))
     departed = [
-        note for note in world.find_all(Note) if note.message == "target departed"
+        note for note in harness.find_all(Note) if note.message == "target departed"
     ]
     assert departed == []
--- a/tests/gateway/test_reports.py
+++ b/tests/gateway/test_reports.py
@@ -13,26 +13,26 @@
     The store is away; an engine is reclaimed. Its registration can't tell, but
     it says so itself, and its stream goes on from the backup.
     """
-    world, opened = start_with_backup()
-    world.handle(Ticked())
-    assert world.find_all(ReadReport) == []
-    world.handle(StoreLost())
-    world.handle(Ticked())
-    assert world.find(ReadReport).target == opened.target
-    world.handle(EngineReported(opened.target, leaving=False))
-    assert world.effects == []
-    world.handle(Ticked())
-    assert world.find_all(ReadReport) == []
-    world.handle(EngineReported(opened.target, leaving=True))
-    assert world.find(OpenAttempt).target == opened.backup
+    harness, opened = start_with_backup()
+    harness.handle(Ticked())
+    assert harness.find_all(ReadReport) == []
+    harness.handle(StoreLost())
+    harness.handle(Ticked())
+    assert harness.find(ReadReport).target == opened.target
+    harness.handle(EngineReported(opened.target, leaving=False))
+    assert harness.effects == []
+    harness.handle(Ticked())
+    assert harness.find_all(ReadReport) == []
+    harness.handle(EngineReported(opened.target, leaving=True))
+    assert harness.find(OpenAttempt).target == opened.backup
 
 
 def restart() -> EntryHarness:
     """Return a world whose entry has just started in place of one that was killed."""
-    world = EntryHarness()
-    world.state.budget.started = world.clock.now()
-    world.state.budget.first_start = False
-    return world
+    harness = EntryHarness()
+    harness.state.budget.started = harness.clock.now()
+    harness.state.budget.first_start = False
+    return harness
 
 
 def test_prompts_keep_off_memory_that_killed_processes_left_behind() -> None:
@@ -42,44 +42,44 @@
     these copies for seconds. The entries that start again know of none of them:
     the engine looks empty, and prompts sent there wait until it drops them.
     """
-    world = restart()
-    world.register("e-1", "e-2")
-    world.handle(Ticked())
-    assert {effect.target for effect in world.find_all(ReadReport)} == {"e-1", "e-2"}
-    world.handle(EngineReported("e-1", leaving=False, memory=32_000))
-    world.handle(EngineReported("e-2", leaving=False, memory=0))
+    harness = restart()
+    harness.register("e-1", "e-2")
+    harness.handle(Ticked())
+    assert {effect.target for effect in harness.find_all(ReadReport)} == {"e-1", "e-2"}
+    harness.handle(EngineReported("e-1", leaving=False, memory=32_000))
+    harness.handle(EngineReported("e-2", leaving=False, memory=0))
     for _ in range(2):
-        world.arrive_plan()
-        assert world.find(OpenAttempt).target == "e-2"
-    world.arrive_plan()
-    assert world.find_all(OpenAttempt) == []
+        harness.arrive_plan()
+        assert harness.find(OpenAttempt).target == "e-2"
+    harness.arrive_plan()
+    assert harness.find_all(OpenAttempt) == []
 
 
-def ask(world: EntryHarness) -> None:
+def ask(harness: EntryHarness) -> None:
     """Let the time between two questions pass, and the next one be asked."""
-    world.clock.advance(QUERY_INTERVAL)
-    world.handle(Ticked())
-    assert world.find(ReadReport).target == "e-1"
+    harness.clock.advance(QUERY_INTERVAL)
+    harness.handle(Ticked())
+    assert harness.find(ReadReport).target == "e-1"
 
 
 def test_what_an_engine_reports_is_compared_with_what_was_counted_before() -> None:
     """Runs of this process would count twice, and prompts be refused for them."""
-    world = restart()
-    world.register("e-1")
-    engine = world.state.targets.targets["e-1"]
-    ask(world)
-    world.handle(EngineReported("e-1", leaving=False, memory=8_000))
+    harness = restart()
+    harness.register("e-1")
+    engine = harness.state.targets.targets["e-1"]
+    ask(harness)
+    harness.handle(EngineReported("e-1", leaving=False, memory=8_000))
     assert engine.unclaimed == 8_000
-    assert world.open_plan().target == "e-1"
-    ask(world)
+    assert harness.open_plan().target == "e-1"
+    ask(harness)
     # As old as the question before: the plan is not in it yet.
-    world.handle(EngineReported("e-1", leaving=False, memory=8_000))
+    harness.handle(EngineReported("e-1", leaving=False, memory=8_000))
     assert engine.unclaimed == 8_000
-    ask(world)
-    world.handle(EngineReported("e-1", leaving=False, memory=11_000))
+    ask(harness)
+    harness.handle(EngineReported("e-1", leaving=False, memory=11_000))
     assert engine.unclaimed == 11_000 - engine.claimed_memory
-    ask(world)
-    world.handle(EngineReported("e-1", leaving=False, memory=3_000))
+    ask(harness)
+    harness.handle(EngineReported("e-1", leaving=False, memory=3_000))
     assert engine.unclaimed == 0
 
 
@@ -89,38 +89,38 @@
     Engines that run much are asked for the first time then. What they report is
     what is counted for them already.
     """
-    world, opened = start_with_backup()
-    engine = world.state.targets.targets[opened.target]
-    world.handle(StoreLost())
-    world.handle(Ticked())
+    harness, opened = start_with_backup()
+    engine = harness.state.targets.targets[opened.target]
+    harness.handle(StoreLost())
+    harness.handle(Ticked())
     report = EngineReported(opened.target, leaving=False, memory=3_040)
-    world.handle(report)
+    harness.handle(report)
     assert engine.unclaimed == 0
 
 
 def test_engines_are_asked_for_memory_only_until_copies_are_dropped() -> None:
-    world = restart()
-    world.register("e-1")
-    ask(world)
-    world.handle(EngineReported("e-1", leaving=False, memory=8_000))
-    assert world.state.targets.targets["e-1"].unclaimed == 8_000
-    world.clock.advance(Millis(5_000 + RESTART_QUERY_MARGIN))
-    world.handle(Ticked())
-    assert world.find_all(ReadReport) == []
-    assert world.state.targets.targets["e-1"].unclaimed == 0
+    harness = restart()
+    harness.register("e-1")
+    ask(harness)
+    harness.handle(EngineReported("e-1", leaving=False, memory=8_000))
+    assert harness.state.targets.targets["e-1"].unclaimed == 8_000
+    harness.clock.advance(Millis(5_000 + RESTART_QUERY_MARGIN))
+    harness.handle(Ticked())
+    assert harness.find_all(ReadReport) == []
+    assert harness.state.targets.targets["e-1"].unclaimed == 0
 
 
 def test_a_large_fleet_does_not_ask_all_engines() -> None:
-    world = restart()
-    world.register("e-1")
-    world.handle(EntriesCounted(61))
-    world.handle(Ticked())
-    assert world.find_all(ReadReport) == []
+    harness = restart()
+    harness.register("e-1")
+    harness.handle(EntriesCounted(61))
+    harness.handle(Ticked())
+    assert harness.find_all(ReadReport) == []
 
 
 def test_a_system_that_starts_for_the_first_time_asks_nobody() -> None:
-    world = EntryHarness()
-    world.register("e-1")
-    world.clock.advance(QUERY_INTERVAL)
-    world.handle(Ticked())
-    assert world.find_all(ReadReport) == []
+    harness = EntryHarness()
+    harness.register("e-1")
+    harness.clock.advance(QUERY_INTERVAL)
+    harness.handle(Ticked())
+    assert harness.find_all(ReadReport) == []
--- a/tests/gateway/test_requests.py
+++ b/tests/gateway/test_requests.py
@@ -35,104 +35,104 @@
 def test_bad_requests_reach_no_target(
     path: str, fields: dict[str, object], status: int
 ) -> None:
-    world = EntryHarness()
-    world.register("b-1", service=BOOKINGS)
-    world.arrive(path, **fields)
-    assert world.find(Refuse).problem.status == status
-    assert world.find_all(OpenAttempt) == []
+    harness = EntryHarness()
+    harness.register("b-1", service=BOOKINGS)
+    harness.arrive(path, **fields)
+    assert harness.find(Refuse).problem.status == status
+    assert harness.find_all(OpenAttempt) == []
 
 
 def test_without_a_configuration_nothing_is_denied() -> None:
-    world = EntryHarness()
-    world.state.table = None
-    world.arrive("/order/a")
-    problem = world.find(Refuse).problem
+    harness = EntryHarness()
+    harness.state.table = None
+    harness.arrive("/order/a")
+    problem = harness.find(Refuse).problem
     assert (problem.status, problem.ran) == (503, Ran.NO)
     assert problem.retry_after is not None
 
 
 def test_a_public_route_needs_no_key() -> None:
-    world = EntryHarness()
-    world.register("b-1", service=BOOKINGS)
+    harness = EntryHarness()
+    harness.register("b-1", service=BOOKINGS)
     table = build_table(2, [replace(LOOKUP, public=True)])
-    world.handle(ConfigurationRead(table))
-    world.arrive("/lookup/a", key=None)
-    assert world.find(OpenAttempt).customer == ""
+    harness.handle(ConfigurationRead(table))
+    harness.arrive("/lookup/a", key=None)
+    assert harness.find(OpenAttempt).customer == ""
 
 
 def test_an_answer_goes_on_as_it_came() -> None:
-    world = EntryHarness()
-    world.register("b-1", service=BOOKINGS)
-    number = world.arrive("/order/a", key=KEY)
-    opened = world.find(OpenAttempt)
+    harness = EntryHarness()
+    harness.register("b-1", service=BOOKINGS)
+    number = harness.arrive("/order/a", key=KEY)
+    opened = harness.find(OpenAttempt)
     assert opened.customer == "gurdwara"
-    world.handle(AnswerArrived(opened.attempt, 200))
-    assert world.find(Answer) == Answer(number, opened.attempt)
-    assert world.state.requests == {}
+    harness.handle(AnswerArrived(opened.attempt, 200))
+    assert harness.find(Answer) == Answer(number, opened.attempt)
+    assert harness.state.requests == {}
 
 
 def test_the_shorter_of_patience_and_route_bounds_a_request() -> None:
-    world = EntryHarness()
-    world.register("b-1", service=BOOKINGS)
-    world.arrive("/order/a", max_wait=Millis(300))
-    assert world.find(OpenAttempt).deadline == world.clock.now() + 300
-    world.arrive("/order/a", max_wait=Millis(60_000))
-    assert world.find(OpenAttempt).deadline == world.clock.now() + 800
+    harness = EntryHarness()
+    harness.register("b-1", service=BOOKINGS)
+    harness.arrive("/order/a", max_wait=Millis(300))
+    assert harness.find(OpenAttempt).deadline == harness.clock.now() + 300
+    harness.arrive("/order/a", max_wait=Millis(60_000))
+    assert harness.find(OpenAttempt).deadline == harness.clock.now() + 800
 
 
 def test_at_its_deadline_a_request_is_answered_and_its_target_freed() -> None:
-    world = EntryHarness()
-    world.register("b-1", service=BOOKINGS)
-    world.arrive("/order/a")
-    world.clock.advance(800)
-    world.handle(Ticked())
-    problem = world.find(Refuse).problem
+    harness = EntryHarness()
+    harness.register("b-1", service=BOOKINGS)
+    harness.arrive("/order/a")
+    harness.clock.advance(800)
+    harness.handle(Ticked())
+    problem = harness.find(Refuse).problem
     assert (problem.status, problem.ran) == (504, Ran.UNKNOWN)
-    assert len(world.find_all(CloseAttempt)) == 1
+    assert len(harness.find_all(CloseAttempt)) == 1
 
 
 def test_a_caller_that_leaves_frees_its_target() -> None:
-    world = EntryHarness()
-    world.register("b-1", service=BOOKINGS)
-    number = world.arrive("/order/a")
-    world.handle(CallerGone(number))
-    assert len(world.find_all(CloseAttempt)) == 1
-    target = world.state.targets.find("b-1")
+    harness = EntryHarness()
+    harness.register("b-1", service=BOOKINGS)
+    number = harness.arrive("/order/a")
+    harness.handle(CallerGone(number))
+    assert len(harness.find_all(CloseAttempt)) == 1
+    target = harness.state.targets.find("b-1")
     assert target is not None
     assert target.calls == 0
 
 
 def test_what_finds_no_target_is_refused_at_once() -> None:
-    world = EntryHarness()
-    world.arrive("/order/a")
-    problem = world.find(Refuse).problem
+    harness = EntryHarness()
+    harness.arrive("/order/a")
+    problem = harness.find(Refuse).problem
     assert (problem.status, problem.ran) == (503, Ran.NO)
     assert problem.retry_after is not None
 
 
 def test_a_prompt_that_finds_no_room_waits_and_starts_when_there_is_some() -> None:
-    world = EntryHarness()
-    world.register("e-1")
-    engine = world.state.targets.find("e-1")
+    harness = EntryHarness()
+    harness.register("e-1")
+    engine = harness.state.targets.find("e-1")
     assert engine is not None
     engine.peer_calls, engine.peer_memory = 8, 34_000
-    world.arrive_plan()
-    assert world.find_all(OpenAttempt) == []
+    harness.arrive_plan()
+    assert harness.find_all(OpenAttempt) == []
     engine.peer_memory = 0
-    world.handle(Ticked())
-    assert len(world.find_all(OpenAttempt)) == 1
+    harness.handle(Ticked())
+    assert len(harness.find_all(OpenAttempt)) == 1
 
 
 def test_a_prompt_that_waits_in_vain_is_told_that_it_did_not_run() -> None:
-    world = EntryHarness()
-    world.register("e-1")
-    engine = world.state.targets.find("e-1")
+    harness = EntryHarness()
+    harness.register("e-1")
+    engine = harness.state.targets.find("e-1")
     assert engine is not None
     engine.peer_calls, engine.peer_memory = 8, 34_000
-    world.arrive_plan()
-    world.clock.advance(2_700)
-    world.handle(Ticked())
-    problem = world.find(Refuse).problem
+    harness.arrive_plan()
+    harness.clock.advance(2_700)
+    harness.handle(Ticked())
+    problem = harness.find(Refuse).problem
     assert (problem.status, problem.ran) == (503, Ran.NO)
 
 
@@ -143,34 +143,34 @@
     has. Their prompts queue there for seconds. One a turn lets the entries
     hear of each other's between two starts.
     """
-    world = EntryHarness()
-    world.register("e-1")
-    engine = world.state.targets.find("e-1")
+    harness = EntryHarness()
+    harness.register("e-1")
+    engine = harness.state.targets.find("e-1")
     assert engine is not None
     engine.peer_calls, engine.peer_memory = 8, 34_000
-    world.arrive_plan()
-    question = world.arrive("/question/a", Prompt("m", 2_000, 50, 15))
+    harness.arrive_plan()
+    question = harness.arrive("/question/a", Prompt("m", 2_000, 50, 15))
     engine.peer_memory = 0
-    world.handle(Ticked())
-    assert world.find(OpenAttempt).number == question
+    harness.handle(Ticked())
+    assert harness.find(OpenAttempt).number == question
 
 
 def test_long_streams_are_sent_elsewhere_while_the_entry_ends() -> None:
-    world = EntryHarness()
-    world.register("e-1")
-    world.register("b-1", service=BOOKINGS)
-    until = Millis(world.clock.now() + 7_000)
-    world.handle(ShutdownRequested(until))
-    world.arrive_plan()
-    assert world.find(Refuse).problem.ran is Ran.NO
-    world.arrive("/order/a")
-    assert len(world.find_all(OpenAttempt)) == 1
+    harness = EntryHarness()
+    harness.register("e-1")
+    harness.register("b-1", service=BOOKINGS)
+    until = Millis(harness.clock.now() + 7_000)
+    harness.handle(ShutdownRequested(until))
+    harness.arrive_plan()
+    assert harness.find(Refuse).problem.ran is Ran.NO
+    harness.arrive("/order/a")
+    assert len(harness.find_all(OpenAttempt)) == 1
 
 
 def test_refused_callers_come_back_spread() -> None:
-    world = EntryHarness()
+    harness = EntryHarness()
     pauses = set()
     for _ in range(20):
-        world.arrive("/order/a")
-        pauses.add(world.find(Refuse).problem.retry_after)
+        harness.arrive("/order/a")
+        pauses.add(harness.find(Refuse).problem.retry_after)
     assert len(pauses) > 10
--- a/tests/gateway/test_shares.py
+++ b/tests/gateway/test_shares.py
@@ -10,6 +10,6 @@
     now = fleet[0].clock.now()
     for target in ("b-1", "b-2", "b-3"):
         split = [
-            shares.share_requests(world.state, target, RATE, now) for world in fleet
+            shares.share_requests(harness.state, target, RATE, now) for harness in fleet
         ]
         assert RATE - len(DOMAINS) <= sum(split) <= RATE
--- a/tests/gateway/test_sources.py
+++ b/tests/gateway/test_sources.py
@@ -19,62 +19,62 @@
 
 def test_records_that_the_store_does_not_tell_are_asked_of_a_peer() -> None:
     """Guards against a key that was taken away and works on at one entry."""
-    world = EntryHarness()
-    world.handle(PeerHeard("entry-2", address="10.0.0.2:7200", configuration=2))
-    world.handle(Ticked())
-    assert world.find_all(FetchRecords) == []
-    world.clock.advance(sources.CATCH_UP_DELAY)
-    world.handle(Ticked())
-    assert world.find(FetchRecords).address == "10.0.0.2:7200"
+    harness = EntryHarness()
+    harness.handle(PeerHeard("entry-2", address="10.0.0.2:7200", configuration=2))
+    harness.handle(Ticked())
+    assert harness.find_all(FetchRecords) == []
+    harness.clock.advance(sources.CATCH_UP_DELAY)
+    harness.handle(Ticked())
+    assert harness.find(FetchRecords).address == "10.0.0.2:7200"
 
 
 def test_an_entry_that_is_ahead_asks_nobody() -> None:
-    world = EntryHarness()
-    world.handle(PeerHeard("entry-2", address="10.0.0.2:7200", configuration=1))
+    harness = EntryHarness()
+    harness.handle(PeerHeard("entry-2", address="10.0.0.2:7200", configuration=1))
     for _ in range(3):
-        world.clock.advance(Millis(500))
-        world.handle(PeerHeard("entry-2", configuration=1))
-        world.handle(Ticked())
-        assert world.find_all(FetchRecords) == []
+        harness.clock.advance(Millis(500))
+        harness.handle(PeerHeard("entry-2", configuration=1))
+        harness.handle(Ticked())
+        assert harness.find_all(FetchRecords) == []
 
 
 def test_few_entries_of_a_large_fleet_read_the_store() -> None:
-    world = build_large_world()
-    now = world.clock.now()
-    assert not sources.reads_store(world.state, now)
-    world.state.node = "entry-0"
-    assert sources.reads_store(world.state, now)
+    harness = build_large_world()
+    now = harness.clock.now()
+    assert not sources.reads_store(harness.state, now)
+    harness.state.node = "entry-0"
+    assert sources.reads_store(harness.state, now)
 
 
 def test_another_entry_reads_when_the_readers_fall_silent() -> None:
     """Guards against a failure domain whose readers all died at once."""
-    world = build_large_world()
-    world.state.node = "entry-0-03-next"
-    assert not sources.reads_store(world.state, world.clock.now())
-    world.clock.advance(sources.READER_TIMEOUT)
+    harness = build_large_world()
+    harness.state.node = "entry-0-03-next"
+    assert not sources.reads_store(harness.state, harness.clock.now())
+    harness.clock.advance(sources.READER_TIMEOUT)
     for number in range(4, 18):
-        world.handle(PeerHeard(f"entry-0-{number:02}", failure_domain="muc-a"))
-    assert sources.reads_store(world.state, world.clock.now())
+        harness.handle(PeerHeard(f"entry-0-{number:02}", failure_domain="muc-a"))
+    assert sources.reads_store(harness.state, harness.clock.now())
 
 
 def test_an_entry_whose_store_is_away_keeps_asking() -> None:
-    world = build_large_world()
-    world.handle(StoreLost())
-    assert sources.reads_store(world.state, world.clock.now())
+    harness = build_large_world()
+    harness.handle(StoreLost())
+    assert sources.reads_store(harness.state, harness.clock.now())
 
 
 def test_an_entry_keeps_asking_while_the_readers_are_turned_away_too() -> None:
-    world = build_large_world()
-    world.handle(StoreLost())
-    hear_readers(world, 18, receives_records=False)
-    assert sources.reads_store(world.state, world.clock.now())
+    harness = build_large_world()
+    harness.handle(StoreLost())
+    hear_readers(harness, 18, receives_records=False)
+    assert sources.reads_store(harness.state, harness.clock.now())
 
 
-def hear_readers(world: EntryHarness, count: int, receives_records: bool) -> None:
+def hear_readers(harness: EntryHarness, count: int, receives_records: bool) -> None:
     """Let the first entries of the failure domain say that they read the store."""
     for number in range(count):
         name = f"entry-0-{number:02}"
-        world.handle(
+        harness.handle(
             PeerHeard(
                 name,
                 failure_domain="muc-a",
@@ -86,89 +86,89 @@
 
 def test_few_entries_read_in_vain_while_the_store_is_away() -> None:
     """Guards against a fleet that asks a store that is down all at once."""
-    world = build_large_world()
-    hear_readers(world, sources.MAX_UNHEALTHY_READERS - 1, receives_records=False)
-    world.state.node = "entry-0-05-next"
-    assert sources.reads_store(world.state, world.clock.now())
-    hear_readers(world, sources.MAX_UNHEALTHY_READERS, receives_records=False)
-    assert not sources.reads_store(world.state, world.clock.now())
+    harness = build_large_world()
+    hear_readers(harness, sources.MAX_UNHEALTHY_READERS - 1, receives_records=False)
+    harness.state.node = "entry-0-05-next"
+    assert sources.reads_store(harness.state, harness.clock.now())
+    hear_readers(harness, sources.MAX_UNHEALTHY_READERS, receives_records=False)
+    assert not sources.reads_store(harness.state, harness.clock.now())
 
 
 def test_entries_that_read_in_vain_are_shared_among_failure_domains() -> None:
     """Guards against calls in an outage that grow with the failure domains."""
-    world = build_large_world()
+    harness = build_large_world()
     for domain in ("muc-b", "nue-a", "aug-a"):
-        hear_domain(world, domain)
-    hear_readers(world, 1, receives_records=False)
-    world.state.node = "entry-0-00-next"
-    assert sources.reads_store(world.state, world.clock.now())
-    hear_readers(world, 2, receives_records=False)
-    world.state.node = "entry-0-01-next"
-    assert not sources.reads_store(world.state, world.clock.now())
+        hear_domain(harness, domain)
+    hear_readers(harness, 1, receives_records=False)
+    harness.state.node = "entry-0-00-next"
+    assert sources.reads_store(harness.state, harness.clock.now())
+    hear_readers(harness, 2, receives_records=False)
+    harness.state.node = "entry-0-01-next"
+    assert not sources.reads_store(harness.state, harness.clock.now())
 
 
 def test_entries_that_are_about_to_read_in_vain_count_as_well() -> None:
     """Guards against a fleet that asks all at once as the store is lost."""
-    world = build_large_world()
+    harness = build_large_world()
     for domain in ("muc-b", "nue-a", "aug-a"):
-        hear_domain(world, domain)
-    hear_readers(world, 1, receives_records=False)
-    world.handle(
+        hear_domain(harness, domain)
+    hear_readers(harness, 1, receives_records=False)
+    harness.handle(
         PeerHeard("entry-0-01", failure_domain="muc-a", receives_records=False)
     )
-    world.state.node = "entry-0-01-next"
-    assert not sources.reads_store(world.state, world.clock.now())
+    harness.state.node = "entry-0-01-next"
+    assert not sources.reads_store(harness.state, harness.clock.now())
 
 
-def hear_domain(world: EntryHarness, name: str, **fields: bool) -> None:
+def hear_domain(harness: EntryHarness, name: str, **fields: bool) -> None:
     """Let another failure domain tell its loads."""
     node = f"entry-{name}"
-    world.handle(
+    harness.handle(
         PeerHeard(node, failure_domain=name, far=True, **fields)  # type: ignore[arg-type]
     )
 
 
 def test_one_entry_of_each_of_many_failure_domains_reads_the_store() -> None:
     """Guards against calls to the store that grow with the failure domains."""
-    world = build_large_world()
-    world.state.node = "entry-0-00-next"
-    assert sources.reads_store(world.state, world.clock.now())
-    hear_domain(world, "muc-b")
-    hear_domain(world, "nue-a")
-    assert not sources.reads_store(world.state, world.clock.now())
+    harness = build_large_world()
+    harness.state.node = "entry-0-00-next"
+    assert sources.reads_store(harness.state, harness.clock.now())
+    hear_domain(harness, "muc-b")
+    hear_domain(harness, "nue-a")
+    assert not sources.reads_store(harness.state, harness.clock.now())
 
 
 def test_an_entry_that_hears_of_no_reader_takes_the_store_for_away() -> None:
     """Guards against registrations that lapse in an outage taken for departures."""
-    world = build_large_world()
-    hear_readers(world, 6, receives_records=True)
-    world.handle(Ticked())
-    assert not world.state.store_unreachable
-    hear_readers(world, 6, receives_records=False)
-    world.handle(Ticked())
-    assert world.state.store_unreachable
-    hear_domain(world, "muc-b", reading=True)
-    world.handle(Ticked())
-    assert not world.state.store_unreachable
+    harness = build_large_world()
+    hear_readers(harness, 6, receives_records=True)
+    harness.handle(Ticked())
+    assert not harness.state.store_unreachable
+    hear_readers(harness, 6, receives_records=False)
+    harness.handle(Ticked())
+    assert harness.state.store_unreachable
+    hear_domain(harness, "muc-b", reading=True)
+    harness.handle(Ticked())
+    assert not harness.state.store_unreachable
 
 
 def talk(fleet: list[EntryHarness], millis: int) -> None:
     """Let time pass, and each entry tell those that hear it."""
     fleet[0].clock.advance(millis)
     now = fleet[0].clock.now()
-    for world in fleet:
-        own = peers.describe_entry(world.state, now)
-        domain = peers.describe_domain(world.state, now)
-        speaks = peers.is_domain_representative(world.state, now)
+    for harness in fleet:
+        own = peers.describe_entry(harness.state, now)
+        domain = peers.describe_domain(harness.state, now)
+        speaks = peers.is_domain_representative(harness.state, now)
         for other in fleet:
-            if other is world:
+            if other is harness:
                 continue
-            if other.state.failure_domain == world.state.failure_domain:
+            if other.state.failure_domain == harness.state.failure_domain:
                 other.handle(own)
             elif speaks:
                 other.handle(domain)
-    for world in fleet:
-        world.handle(Ticked())
+    for harness in fleet:
+        harness.handle(Ticked())
 
 
 @pytest.mark.parametrize("domains", [("muc-a",), ("muc-a", "muc-b", "nue-a", "aug-a")])
@@ -177,13 +177,13 @@
     fleet = build_fleet(24, domains)
     for _ in range(10):
         talk(fleet, 200)
-    assert not any(world.state.store_unreachable for world in fleet)
+    assert not any(harness.state.store_unreachable for harness in fleet)
     for _ in range(10):
-        for world in fleet:
-            if sources.reads_store(world.state, world.clock.now()):
-                world.handle(StoreLost())
+        for harness in fleet:
+            if sources.reads_store(harness.state, harness.clock.now()):
+                harness.handle(StoreLost())
         talk(fleet, 200)
-    assert all(world.state.store_unreachable for world in fleet)
+    assert all(harness.state.store_unreachable for harness in fleet)
 
 
 def test_one_reader_that_is_answered_is_enough_for_all() -> None:
@@ -192,35 +192,35 @@
     for _ in range(10):
         talk(fleet, 200)
     for _ in range(10):
-        for world in fleet[1:]:
-            if sources.reads_store(world.state, world.clock.now()):
-                world.handle(StoreLost())
+        for harness in fleet[1:]:
+            if sources.reads_store(harness.state, harness.clock.now()):
+                harness.handle(StoreLost())
         talk(fleet, 200)
-    assert not any(world.state.store_unreachable for world in fleet)
+    assert not any(harness.state.store_unreachable for harness in fleet)
 
 
 def test_an_entry_that_does_not_read_is_no_witness_of_the_store() -> None:
     """Guards against lapsed registrations taken for departures after an outage."""
-    world = build_large_world()
-    hear_readers(world, 1, receives_records=False)
-    world.handle(PeerHeard("entry-0-09", failure_domain="muc-a"))
-    world.clock.advance(1_000)
-    world.handle(StoreLost())
-    assert not sources.was_store_available(world.state)
+    harness = build_large_world()
+    hear_readers(harness, 1, receives_records=False)
+    harness.handle(PeerHeard("entry-0-09", failure_domain="muc-a"))
+    harness.clock.advance(1_000)
+    harness.handle(StoreLost())
+    assert not sources.was_store_available(harness.state)
 
 
 def test_one_entry_of_a_failure_domain_asks_an_engine_while_the_store_is_away() -> None:
     """Guards against questions of all entries to all engines."""
     asked = 0
     for number in range(18):
-        world = build_large_world()
-        world.state.node = f"entry-0-{number:02}"
-        world.state.peers.pop(world.state.node)
-        world.register("e-1")
-        world.open_plan()
-        world.handle(StoreLost())
-        world.handle(Ticked())
-        asked += len(world.find_all(ReadReport))
+        harness = build_large_world()
+        harness.state.node = f"entry-0-{number:02}"
+        harness.state.peers.pop(harness.state.node)
+        harness.register("e-1")
+        harness.open_plan()
+        harness.handle(StoreLost())
+        harness.handle(Ticked())
+        asked += len(harness.find_all(ReadReport))
     assert asked == 1
 
 
@@ -243,11 +243,11 @@
 
 def test_an_old_registration_does_not_bring_a_leaving_engine_back() -> None:
     """Guards against prompts sent to an engine that a peer's old copy lists."""
-    world = EntryHarness()
-    world.register("e-1", "e-2")
-    world.handle(EngineReported("e-1", leaving=True))
-    world.register("e-1")
-    found = world.state.targets.find("e-1")
+    harness = EntryHarness()
+    harness.register("e-1", "e-2")
+    harness.handle(EngineReported("e-1", leaving=True))
+    harness.register("e-1")
+    found = harness.state.targets.find("e-1")
     assert found is not None
     assert found.standing is Standing.LEAVING
 
@@ -258,18 +258,18 @@
     """Guards against a key that was taken away and works on for seconds."""
     asked = 0
     for number in range(17):
-        world = build_large_world()
-        world.state.rng.seed(number)
-        world.state.node = f"entry-1-{number:02}"
+        harness = build_large_world()
+        harness.state.rng.seed(number)
+        harness.state.node = f"entry-1-{number:02}"
         ahead = PeerHeard(
             "entry-0-05",
             address="10.0.0.5:7200",
             configuration=2,
             failure_domain="muc-a",
         )
-        world.handle(ahead)
-        world.handle(Ticked())
-        world.clock.advance(sources.RELAY_DELAY)
-        world.handle(Ticked())
-        asked += len(world.find_all(FetchRecords))
+        harness.handle(ahead)
+        harness.handle(Ticked())
+        harness.clock.advance(sources.RELAY_DELAY)
+        harness.handle(Ticked())
+        asked += len(harness.find_all(FetchRecords))
     assert asked <= 4
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -19,15 +19,15 @@
 
 
 def test_a_stream_begins_with_its_first_event_and_ends_whole() -> None:
-    world = EntryHarness()
-    world.register("e-1", "e-2", "e-3")
-    opened = world.open_plan()
-    world.send_pieces(opened.attempt, 1, 10)
-    assert world.find(BeginStream).attempt == opened.attempt
-    world.handle(StreamEnded(opened.attempt))
-    assert world.find(FinishStream).number == opened.number
-    assert world.state.requests == {}
-    assert all(t.memory == 0 for t in world.state.targets.targets.values())
+    harness = EntryHarness()
+    harness.register("e-1", "e-2", "e-3")
+    opened = harness.open_plan()
+    harness.send_pieces(opened.attempt, 1, 10)
+    assert harness.find(BeginStream).attempt == opened.attempt
+    harness.handle(StreamEnded(opened.attempt))
+    assert harness.find(FinishStream).number == opened.number
+    assert harness.state.requests == {}
+    assert all(t.memory == 0 for t in harness.state.targets.targets.values())
 
 
 def test_a_plan_gets_a_running_backup_elsewhere() -> None:
@@ -37,30 +37,30 @@
 
 
 def test_a_stream_whose_engine_dies_goes_on_from_its_backup() -> None:
-    world, opened = start_with_backup()
-    world.handle(AttemptLost(opened.attempt, Loss.BROKEN))
-    resumed = world.find(OpenAttempt)
+    harness, opened = start_with_backup()
+    harness.handle(AttemptLost(opened.attempt, Loss.BROKEN))
+    resumed = harness.find(OpenAttempt)
     assert resumed.target == opened.backup
-    world.send_pieces(resumed.attempt, 11, 11)
-    assert world.find(Deliver).data == b"id: 11\n\n"
+    harness.send_pieces(resumed.attempt, 11, 11)
+    assert harness.find(Deliver).data == b"id: 11\n\n"
 
 
-def let_pass(world: EntryHarness, millis: int, step: int = 30) -> list[OpenAttempt]:
+def let_pass(harness: EntryHarness, millis: int, step: int = 30) -> list[OpenAttempt]:
     """Let time pass with looks at the streams; returns what was opened."""
     opened = []
     for _ in range(millis // step):
-        world.clock.advance(step)
-        world.handle(Ticked())
-        opened += world.find_all(OpenAttempt)
+        harness.clock.advance(step)
+        harness.handle(Ticked())
+        opened += harness.find_all(OpenAttempt)
     return opened
 
 
-def run_steadily(world: EntryHarness, attempt: int, pause: int) -> None:
+def run_steadily(harness: EntryHarness, attempt: int, pause: int) -> None:
     """Let twenty events of a stream come, one after each pause."""
     for index in range(11, 31):
-        world.clock.advance(pause)
-        world.handle(Ticked())
-        world.send_pieces(attempt, index, index)
+        harness.clock.advance(pause)
+        harness.handle(Ticked())
+        harness.send_pieces(attempt, index, index)
 
 
 def test_a_stream_that_stalls_goes_on_from_its_backup_in_time() -> None:
@@ -69,27 +69,27 @@
     Its engine sends an event each 45 ms, then nothing. The backup is asked after
     120 ms, which leaves 60 of the pause that the caller may see.
     """
-    world, opened = start_with_backup()
-    world.state.requests[1].longest_pause = Millis(0)
-    run_steadily(world, opened.attempt, 45)
-    assert let_pass(world, 90) == []
-    assert [one.target for one in let_pass(world, 30)] == [opened.backup]
+    harness, opened = start_with_backup()
+    harness.state.requests[1].longest_pause = Millis(0)
+    run_steadily(harness, opened.attempt, 45)
+    assert let_pass(harness, 90) == []
+    assert [one.target for one in let_pass(harness, 30)] == [opened.backup]
 
 
 def test_a_slow_stream_is_not_taken_for_a_stalled_one() -> None:
-    world, opened = start_with_backup()
-    world.state.requests[1].longest_pause = Millis(0)
-    run_steadily(world, opened.attempt, 110)
-    assert let_pass(world, 180) == []
-    assert [one.target for one in let_pass(world, 120)] == [opened.backup]
+    harness, opened = start_with_backup()
+    harness.state.requests[1].longest_pause = Millis(0)
+    run_steadily(harness, opened.attempt, 110)
+    assert let_pass(harness, 180) == []
+    assert [one.target for one in let_pass(harness, 120)] == [opened.backup]
 
 
 def test_a_stream_that_is_late_already_waits_longer() -> None:
-    world, opened = start_with_backup()
-    assert world.state.requests[1].longest_pause == 500
-    run_steadily(world, opened.attempt, 45)
-    assert let_pass(world, 390) == []
-    assert [one.target for one in let_pass(world, 30)] == [opened.backup]
+    harness, opened = start_with_backup()
+    assert harness.state.requests[1].longest_pause == 500
+    run_steadily(harness, opened.attempt, 45)
+    assert let_pass(harness, 390) == []
+    assert [one.target for one in let_pass(harness, 30)] == [opened.backup]
 
 
 def test_an_entry_that_stood_still_reads_what_came_before_it_judges() -> None:
@@ -98,14 +98,14 @@
     The process was frozen for two seconds; its engines sent on, and the events
     wait in its sockets.
     """
-    world, opened = start_with_backup()
-    world.state.requests[1].longest_pause = Millis(0)
-    run_steadily(world, opened.attempt, 45)
-    world.clock.advance(2_000)
-    world.handle(Ticked())
-    assert world.find_all(OpenAttempt) == []
-    world.send_pieces(opened.attempt, 31, 70)
-    assert let_pass(world, 30) == []
+    harness, opened = start_with_backup()
+    harness.state.requests[1].longest_pause = Millis(0)
+    run_steadily(harness, opened.attempt, 45)
+    harness.clock.advance(2_000)
+    harness.handle(Ticked())
+    assert harness.find_all(OpenAttempt) == []
+    harness.send_pieces(opened.attempt, 31, 70)
+    assert let_pass(harness, 30) == []
 
 
 def test_a_run_is_never_left_open_at_two_engines() -> None:
@@ -114,41 +114,41 @@
     The holder accepts the run but sends nothing yet, while the engine that
     leaves still generates. After 300 ms the old one is closed.
     """
-    world, opened = start_with_backup()
-    world.depart(opened.target)
-    standby = world.find(OpenAttempt)
-    world.state.attempts[standby.attempt].answered = True
-    world.clock.advance(300)
-    world.handle(Ticked())
-    assert world.find(CloseAttempt).attempt == opened.attempt
+    harness, opened = start_with_backup()
+    harness.depart(opened.target)
+    standby = harness.find(OpenAttempt)
+    harness.state.attempts[standby.attempt].answered = True
+    harness.clock.advance(300)
+    harness.handle(Ticked())
+    assert harness.find(CloseAttempt).attempt == opened.attempt
 
 
 def test_a_stream_without_any_copy_is_cut_and_never_looks_whole() -> None:
-    world = EntryHarness()
-    world.register("e-1")
-    opened = world.open_plan()
-    world.send_pieces(opened.attempt, 1, 3)
-    world.handle(AttemptLost(opened.attempt, Loss.BROKEN))
-    assert len(world.find_all(BreakStream)) == 1
-    assert world.find_all(FinishStream) == []
+    harness = EntryHarness()
+    harness.register("e-1")
+    opened = harness.open_plan()
+    harness.send_pieces(opened.attempt, 1, 3)
+    harness.handle(AttemptLost(opened.attempt, Loss.BROKEN))
+    assert len(harness.find_all(BreakStream)) == 1
+    assert harness.find_all(FinishStream) == []
 
 
 def test_an_event_that_is_missing_cuts_the_stream() -> None:
-    world = EntryHarness()
-    world.register("e-1")
-    opened = world.open_plan()
-    world.send_pieces(opened.attempt, 1, 3)
-    world.send_pieces(opened.attempt, 5, 5)
-    assert world.find_all(Deliver) == []
-    assert len(world.find_all(BreakStream)) == 1
+    harness = EntryHarness()
+    harness.register("e-1")
+    opened = harness.open_plan()
+    harness.send_pieces(opened.attempt, 1, 3)
+    harness.send_pieces(opened.attempt, 5, 5)
+    assert harness.find_all(Deliver) == []
+    assert len(harness.find_all(BreakStream)) == 1
 
 
 def test_events_may_be_numbered_from_zero() -> None:
-    world = EntryHarness()
-    world.register("e-1")
-    opened = world.open_plan()
-    world.send_pieces(opened.attempt, 0, 2)
-    assert world.find(Deliver).data == b"id: 0\n\nid: 1\n\nid: 2\n\n"
+    harness = EntryHarness()
+    harness.register("e-1")
+    opened = harness.open_plan()
+    harness.send_pieces(opened.attempt, 0, 2)
+    assert harness.find(Deliver).data == b"id: 0\n\nid: 1\n\nid: 2\n\n"
 
 
 def test_a_run_that_went_on_has_the_backup_of_its_new_engine() -> None:
@@ -157,12 +157,12 @@
     The old engine delivers an event while the holder takes the run over. The
     copy used up there stays noted, and hides the new engine's backup as it dies.
     """
-    world, opened = start_with_backup()
-    world.register("e-4")
-    world.depart(opened.target)
-    standby = world.find(OpenAttempt)
-    world.send_pieces(opened.attempt, 11, 11)
-    world.send_pieces(standby.attempt, 12, 20)
+    harness, opened = start_with_backup()
+    harness.register("e-4")
+    harness.depart(opened.target)
+    standby = harness.find(OpenAttempt)
+    harness.send_pieces(opened.attempt, 11, 11)
+    harness.send_pieces(standby.attempt, 12, 20)
     assert standby.backup
-    world.handle(AttemptLost(standby.attempt, Loss.BROKEN))
-    assert world.find(OpenAttempt).target == standby.backup
+    harness.handle(AttemptLost(standby.attempt, Loss.BROKEN))
+    assert harness.find(OpenAttempt).target == standby.backup
--- a/tests/gateway/test_warmups.py
+++ b/tests/gateway/test_warmups.py
@@ -43,28 +43,28 @@
 
 
 def register(
-    world: EntryHarness, name: str, warmup: int, domain: str = "muc-a", born: int = 1
+    harness: EntryHarness, name: str, warmup: int, domain: str = "muc-a", born: int = 1
 ) -> None:
     """Register a plain target that says how long it stays cold."""
     info = Registration(
         name, BOOKINGS, f"{name}:80", domain, 6, warmup=Millis(warmup), born=born
     )
-    world.handle(TargetRegistered(info))
+    harness.handle(TargetRegistered(info))
 
 
-def build_world(rate: float = RATE) -> EntryHarness:
+def build_harness(rate: float = RATE) -> EntryHarness:
     """Return an entry that knows a service with a warm-up rate."""
-    world = EntryHarness()
-    world.handle(ConfigurationRead(build_cold_table(rate)))
-    return world
+    harness = EntryHarness()
+    harness.handle(ConfigurationRead(build_cold_table(rate)))
+    return harness
 
 
-def count_sends(world: EntryHarness, tries: int = 60) -> int:
+def count_sends(harness: EntryHarness, tries: int = 60) -> int:
     """Return how many of some calls are sent at once."""
     sent = 0
     for _ in range(tries):
-        world.arrive("/order/a")
-        sent += len(world.find_all(OpenAttempt))
+        harness.arrive("/order/a")
+        sent += len(harness.find_all(OpenAttempt))
     return sent
 
 
@@ -72,15 +72,15 @@
     """Return entries that have heard their own failure domain, or nobody."""
     fleet = build_fleet(size, DOMAINS)
     clock = fleet[0].clock
-    for world in fleet:
-        world.handle(ConfigurationRead(build_cold_table()))
+    for harness in fleet:
+        harness.handle(ConfigurationRead(build_cold_table()))
     if not hears:
         return fleet
-    for world in fleet:
-        message = peers.describe_entry(world.state, clock.now())
+    for harness in fleet:
+        message = peers.describe_entry(harness.state, clock.now())
         for other in fleet:
             domain = other.state.failure_domain
-            if other is not world and domain == world.state.failure_domain:
+            if other is not harness and domain == harness.state.failure_domain:
                 other.handle(message)
     return fleet
 
@@ -89,9 +89,9 @@
 def test_a_herd_of_waiting_calls_does_not_crash_a_cold_target(size: int) -> None:
     """Guards against a target that crashes as all entries send to it at once."""
     fleet = build_cold_fleet(size)
-    for world in fleet:
-        register(world, "b-1", 1_000)
-    sent = sum(count_sends(world, 20) for world in fleet)
+    for harness in fleet:
+        register(harness, "b-1", 1_000)
+    sent = sum(count_sends(harness, 20) for harness in fleet)
     assert RATE / 2 <= sent <= MOST_IN_A_SECOND
 
 
@@ -99,29 +99,29 @@
 def test_entries_that_hear_nobody_spare_a_cold_target(size: int) -> None:
     """Guards against cut entries that each take the whole rate for themselves."""
     fleet = build_cold_fleet(size, hears=False)
-    for world in fleet:
-        register(world, "b-1", 1_000)
-    assert sum(count_sends(world, 20) for world in fleet) <= MOST_IN_A_SECOND
+    for harness in fleet:
+        register(harness, "b-1", 1_000)
+    assert sum(count_sends(harness, 20) for harness in fleet) <= MOST_IN_A_SECOND
 
 
 def test_restarted_entries_spare_a_cold_target() -> None:
     """Guards against processes that restart together and know of no other yet."""
-    world = build_world()
-    world.state.budget.first_start = False
-    world.state.budget.started = world.clock.now()
-    register(world, "b-1", 1_000)
-    assert count_sends(world) == 0
+    harness = build_harness()
+    harness.state.budget.first_start = False
+    harness.state.budget.started = harness.clock.now()
+    register(harness, "b-1", 1_000)
+    assert count_sends(harness) == 0
 
 
 def test_what_a_cold_target_gets_slides_with_time() -> None:
     """Guards against bursts at the edge of two seconds."""
-    world = build_world()
-    register(world, "b-1", 5_000)
+    harness = build_harness()
+    register(harness, "b-1", 5_000)
     sent: list[Millis] = []
     for _ in range(400):
-        world.arrive("/order/a")
-        sent += [world.clock.now()] * len(world.find_all(OpenAttempt))
-        world.clock.advance(10)
+        harness.arrive("/order/a")
+        sent += [harness.clock.now()] * len(harness.find_all(OpenAttempt))
+        harness.clock.advance(10)
     for start in sent:
         within = [at for at in sent if start <= at < start + 1_000]
         assert len(within) <= RATE
@@ -130,60 +130,60 @@
 
 def test_load_goes_to_warm_targets_first() -> None:
     """Guards against calls that wait for a cold target beside warm ones."""
-    world = build_world(rate=0.5)
-    register(world, "b-cold", 1_000)
-    register(world, "b-warm", 0)
-    assert count_sends(world, 5) == 5
-    assert {a.target.name for a in world.state.attempts.values()} == {"b-warm"}
+    harness = build_harness(rate=0.5)
+    register(harness, "b-cold", 1_000)
+    register(harness, "b-warm", 0)
+    assert count_sends(harness, 5) == 5
+    assert {a.target.name for a in harness.state.attempts.values()} == {"b-warm"}
 
 
 def test_a_call_waits_for_a_cold_target_and_starts_when_it_is_warm() -> None:
     """Guards against callers refused while their only target warms up."""
-    world = build_world(rate=0.5)
-    register(world, "b-1", 100)
-    world.arrive("/order/a")
-    assert not world.find_all(OpenAttempt)
-    world.clock.advance(120)
-    world.handle(Ticked())
-    assert world.find(OpenAttempt).target == "b-1"
+    harness = build_harness(rate=0.5)
+    register(harness, "b-1", 100)
+    harness.arrive("/order/a")
+    assert not harness.find_all(OpenAttempt)
+    harness.clock.advance(120)
+    harness.handle(Ticked())
+    assert harness.find(OpenAttempt).target == "b-1"
 
 
 def test_a_known_target_may_become_cold_again() -> None:
     """Guards against targets taken for warm as they were so at their start."""
-    world = build_world(rate=0.5)
-    register(world, "b-1", 0)
-    world.clock.advance(10_000)
-    register(world, "b-1", 1_000)
-    assert count_sends(world, 3) == 0
+    harness = build_harness(rate=0.5)
+    register(harness, "b-1", 0)
+    harness.clock.advance(10_000)
+    register(harness, "b-1", 1_000)
+    assert count_sends(harness, 3) == 0
 
 
 def test_a_domain_that_is_taken_back_is_cold() -> None:
     """Guards against a herd that meets the cold targets of a returned domain."""
-    world = build_world(rate=0.5)
-    register(world, "b-1", 0)
-    world.handle(EvacuationsRead(Evacuations(frozenset({"muc-a"}), 1)))
-    world.clock.advance(5_000)
-    world.handle(EvacuationsRead(Evacuations(frozenset(), 2)))
-    assert count_sends(world, 3) == 0
-    world.clock.advance(WARMUP)
-    world.handle(Ticked())
-    assert count_sends(world, 3) > 0
+    harness = build_harness(rate=0.5)
+    register(harness, "b-1", 0)
+    harness.handle(EvacuationsRead(Evacuations(frozenset({"muc-a"}), 1)))
+    harness.clock.advance(5_000)
+    harness.handle(EvacuationsRead(Evacuations(frozenset(), 2)))
+    assert count_sends(harness, 3) == 0
+    harness.clock.advance(WARMUP)
+    harness.handle(Ticked())
+    assert count_sends(harness, 3) > 0
 
 
 def test_a_target_that_was_down_is_cold_when_it_is_back() -> None:
     """Guards against a crowd of calls as a target answers again in a store outage."""
-    world = build_world(rate=0.5)
-    register(world, "b-1", 0)
-    world.arrive("/order/a")
-    lost = world.find(OpenAttempt)
-    world.handle(AttemptLost(lost.attempt, Loss.UNREACHED))
-    target = world.state.targets.targets["b-1"]
-    world.clock.advance(target.backoff_until - world.clock.now())
-    assert count_sends(world, 3) == 0
+    harness = build_harness(rate=0.5)
+    register(harness, "b-1", 0)
+    harness.arrive("/order/a")
+    lost = harness.find(OpenAttempt)
+    harness.handle(AttemptLost(lost.attempt, Loss.UNREACHED))
+    target = harness.state.targets.targets["b-1"]
+    harness.clock.advance(target.backoff_until - harness.clock.now())
+    assert count_sends(harness, 3) == 0
 
 
 def test_a_service_without_a_rate_takes_all() -> None:
     """Guards against a limit where a service names none."""
-    world = build_world(rate=0.0)
-    register(world, "b-1", 1_000)
-    assert count_sends(world, 5) == 5
+    harness = build_harness(rate=0.0)
+    register(harness, "b-1", 1_000)
+    assert count_sends(harness, 5) == 5
--- a/tests/gateway/worlds.py
+++ b/tests/gateway/worlds.py
@@ -194,22 +194,22 @@
 
     Its engines don't copy runs on order: those that do get no running backups.
     """
-    world = EntryHarness(moves=False)
-    world.register("e-1", "e-2", "e-3")
-    opened = world.open_plan()
-    world.send_pieces(opened.attempt, 1, 9)
-    world.clock.advance(500)
-    world.send_pieces(opened.attempt, 10, 10)
-    return world, opened
+    harness = EntryHarness(moves=False)
+    harness.register("e-1", "e-2", "e-3")
+    opened = harness.open_plan()
+    harness.send_pieces(opened.attempt, 1, 9)
+    harness.clock.advance(500)
+    harness.send_pieces(opened.attempt, 10, 10)
+    return harness, opened
 
 
 def build_large_world() -> EntryHarness:
     """Return an entry of a large fleet that has heard its own failure domain."""
-    world = EntryHarness()
-    world.handle(EntriesCounted(73))
+    harness = EntryHarness()
+    harness.handle(EntriesCounted(73))
     for number in range(18):
-        world.handle(PeerHeard(f"entry-0-{number:02}", failure_domain="muc-a"))
-    return world
+        harness.handle(PeerHeard(f"entry-0-{number:02}", failure_domain="muc-a"))
+    return harness
 
 
 def build_fleet(size: int, domains: Sequence[str]) -> list[EntryHarness]:
@@ -217,11 +217,11 @@
     clock = ManualClock(100_000)
     fleet = []
     for number in range(size):
-        world = EntryHarness(clock=clock)
-        world.state.node = f"entry-{number:03}"
-        world.state.failure_domain = domains[number % len(domains)]
-        world.handle(EntriesCounted(size))
-        fleet.append(world)
+        harness = EntryHarness(clock=clock)
+        harness.state.node = f"entry-{number:03}"
+        harness.state.failure_domain = domains[number % len(domains)]
+        harness.handle(EntriesCounted(size))
+        fleet.append(harness)
     return fleet
 
 
@@ -229,12 +229,12 @@
     """Let each entry tell the others what it knows."""
     now = fleet[0].clock.now()
     speakers: dict[str, EntryHarness] = {}
-    for world in fleet:
-        speakers.setdefault(world.state.failure_domain, world)
-        message = peers.describe_entry(world.state, now)
+    for harness in fleet:
+        speakers.setdefault(harness.state.failure_domain, harness)
+        message = peers.describe_entry(harness.state, now)
         for other in fleet:
-            near = other.state.failure_domain == world.state.failure_domain
-            if other is not world and (near or not world.state.is_large):
+            near = other.state.failure_domain == harness.state.failure_domain
+            if other is not harness and (near or not harness.state.is_large):
                 other.handle(message)
     if not fleet[0].state.is_large:
         return
