--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -86,18 +86,18 @@
         self.digests[number] = digest
         self.first_try[number] = first
         prompt = Prompt("m", 3_600, 2_000, 320)
-        self.harness.arrive("/plan/a", prompt, digest=digest)
+        self.harness.receive_request("/plan/a", prompt, digest=digest)
 
     def _take_effects(self, now: Millis) -> list[tuple[Millis, str, object]]:
         later: list[tuple[Millis, str, object]] = []
-        for opened in self.harness.find_all(OpenAttempt):
+        for opened in self.harness.find_effects(OpenAttempt):
             waited = now - self.came[opened.number]
             self.started += 1
             if self.first_try[opened.number] and waited <= PLAN.objective // 2:
                 self.in_time += 1
             later.append((Millis(now + READING), "first", opened.attempt))
             later.append((Millis(now + RUN), "end", opened.attempt))
-        for refused in self.harness.find_all(Refuse):
+        for refused in self.harness.find_effects(Refuse):
             pause = refused.problem.retry_after
             if not self.first_try[refused.number] or pause is None:
                 continue
@@ -134,8 +134,10 @@
     engine = harness.state.targets.find("e-1")
     assert engine is not None
     engine.peer_calls, engine.peer_memory = 8, 34_000
-    harness.arrive("/plan/a", Prompt("m", 3_000, 2_000, 300), max_wait=Millis(2_000))
-    assert harness.find_all(Refuse) == []
+    harness.receive_request(
+        "/plan/a", Prompt("m", 3_000, 2_000, 300), max_wait=Millis(2_000)
+    )
+    assert harness.find_effects(Refuse) == []
     harness.clock.advance(round(2_000 * admission.WAIT_DEADLINE_FRACTION))
     harness.handle(Ticked())
     assert harness.find(Refuse).problem.retry_after is not None
@@ -150,8 +152,10 @@
     engine.peer_calls, engine.peer_memory = 8, 34_000
     pauses = []
     for _ in range(admission.MIN_QUEUE_LIMIT + 3):
-        harness.arrive("/plan/a", Prompt("m", 3_000, 2_000, 300))
-        pauses += [refused.problem.retry_after for refused in harness.find_all(Refuse)]
+        harness.receive_request("/plan/a", Prompt("m", 3_000, 2_000, 300))
+        pauses += [
+            refused.problem.retry_after for refused in harness.find_effects(Refuse)
+        ]
     assert len(pauses) == 3
     assert len(set(pauses)) == 3
 
@@ -163,5 +167,7 @@
     engine = harness.state.targets.find("e-1")
     assert engine is not None
     engine.own_read_rate = 1.0
-    harness.arrive("/plan/a", Prompt("m", 3_000, 2_000, 300), max_wait=Millis(2_000))
-    assert harness.find_all(OpenAttempt) == []
+    harness.receive_request(
+        "/plan/a", Prompt("m", 3_000, 2_000, 300), max_wait=Millis(2_000)
+    )
+    assert harness.find_effects(OpenAttempt) == []
--- a/tests/gateway/test_copies.py
+++ b/tests/gateway/test_copies.py
@@ -37,12 +37,12 @@
     """Return a world with a plan that found no room for a backup at its start."""
     harness = EntryHarness()
     harness.register("e-1")
-    harness.arrive_plan(output=output)
+    harness.receive_plan(output=output)
     opened = harness.find(OpenAttempt)
     assert opened.backup == ""
     harness.send_pieces(opened.attempt, 1, 10)
     harness.handle(Ticked())
-    assert harness.find_all(CopyRun) == []
+    assert harness.find_effects(CopyRun) == []
     harness.register("e-2", "e-3")
     return harness, opened
 
@@ -72,7 +72,7 @@
     harness.depart(opened.target)
     standby = harness.find(OpenAttempt)
     harness.handle(AttemptLost(standby.attempt, Loss.REFUSED))
-    assert harness.find_all(BreakStream) == []
+    assert harness.find_effects(BreakStream) == []
     harness.send_pieces(opened.attempt, 11, 11)
     assert harness.find(Deliver).data == b"id: 11\n\n"
 
@@ -85,7 +85,7 @@
     harness.depart(opened.target)
     standby = harness.find(OpenAttempt)
     harness.handle(AttemptLost(standby.attempt, Loss.REFUSED))
-    assert harness.find_all(BreakStream) == []
+    assert harness.find_effects(BreakStream) == []
     harness.send_pieces(opened.attempt, 11, 11)
     assert harness.find(Deliver).data == b"id: 11\n\n"
     harness.handle(Ticked())
@@ -153,7 +153,7 @@
     assert holder is not None
     holder.peer_reading = 3_000
     harness.depart(opened.target)
-    assert harness.find_all(OpenAttempt) == []
+    assert harness.find_effects(OpenAttempt) == []
     harness.clock.advance(100)
     holder.peer_reading = 0
     harness.handle(Ticked())
@@ -185,8 +185,8 @@
     opened = harness.open_plan()
     harness.send_pieces(opened.attempt, 1, 1)
     harness.depart(opened.target)
-    assert harness.find_all(OpenAttempt) == []
-    assert harness.find_all(CopyRun) == []
+    assert harness.find_effects(OpenAttempt) == []
+    assert harness.find_effects(CopyRun) == []
     harness.clock.advance(BACKUP_ARRIVAL_DELAY)
     harness.send_pieces(opened.attempt, 2, 9)
     harness.handle(Ticked())
@@ -220,7 +220,7 @@
     harness.handle(Ticked())
     first = harness.find(CopyRun)
     harness.handle(Ticked())
-    assert harness.find_all(CopyRun) == []
+    assert harness.find_effects(CopyRun) == []
     harness.handle(RunCopied(first.number, first.source, first.holder, "h-1"))
     harness.handle(Ticked())
     assert harness.find(CopyRun).number != first.number
@@ -235,7 +235,7 @@
         harness.clock.advance(100)
         harness.state.requests[1].delivered_at = harness.clock.now()
         harness.handle(Ticked())
-        assert harness.find_all(CopyRun) == []
+        assert harness.find_effects(CopyRun) == []
     harness.clock.advance(100)
     harness.state.requests[1].delivered_at = harness.clock.now()
     harness.handle(Ticked())
@@ -254,7 +254,7 @@
     busy = PeerLoad(opened.target, 2, 8_000, outgoing=4_000)
     harness.handle(PeerHeard("entry-2", (busy,)))
     harness.handle(Ticked())
-    assert harness.find_all(CopyRun) == []
+    assert harness.find_effects(CopyRun) == []
     harness.handle(PeerHeard("entry-2", (PeerLoad(opened.target, 2, 8_000),)))
     harness.handle(Ticked())
     assert harness.find(CopyRun).source == opened.target
@@ -313,7 +313,7 @@
 def test_a_run_that_ends_soon_is_not_copied() -> None:
     harness, _ = start_without_backup(output=200)
     harness.handle(Ticked())
-    assert harness.find_all(CopyRun) == []
+    assert harness.find_effects(CopyRun) == []
 
 
 def test_a_copy_takes_its_memory_once() -> None:
@@ -345,7 +345,7 @@
     harness.depart("e-2" if order.holder == "e-3" else "e-3")
     harness.handle(RunNotCopied(1, order.source, order.holder, "answered 503"))
     harness.handle(Ticked())
-    assert harness.find_all(CopyRun) == []
+    assert harness.find_effects(CopyRun) == []
     harness.clock.advance(1_000)
     harness.state.requests[1].delivered_at = harness.clock.now()
     harness.handle(Ticked())
@@ -359,7 +359,7 @@
     harness.depart(opened.target)
     order = harness.find(CopyRun)
     harness.handle(RunNotCopied(1, order.source, order.holder, "answered 503"))
-    assert harness.find_all(CopyRun) == []
+    assert harness.find_effects(CopyRun) == []
     harness.clock.advance(300)
     harness.send_pieces(opened.attempt, 11, 14)
     harness.handle(Ticked())
@@ -376,7 +376,7 @@
     order = harness.find(CopyRun)
     harness.handle(RunCopied(1, order.source, order.holder, "h-1"))
     harness.handle(Ticked())
-    assert harness.find_all(DropCopy) == []
+    assert harness.find_effects(DropCopy) == []
     harness.handle(PeerHeard("entry-2", (PeerLoad(order.holder, 9, 34_000),)))
     harness.handle(Ticked())
     assert harness.find(DropCopy).copy.holder == order.holder
@@ -391,7 +391,7 @@
     harness.handle(PeerHeard("entry-2", (PeerLoad(order.holder, 9, 34_000),)))
     harness.depart(opened.target)
     harness.handle(Ticked())
-    assert harness.find_all(DropCopy) == []
+    assert harness.find_effects(DropCopy) == []
 
 
 def test_copies_ahead_leave_room_for_prompts() -> None:
@@ -403,10 +403,10 @@
     loads = (PeerLoad("e-2", 5, 18_000), PeerLoad("e-3", 5, 18_000))
     harness.handle(PeerHeard("entry-2", loads))
     harness.handle(Ticked())
-    assert harness.find_all(CopyRun) == []
+    assert harness.find_effects(CopyRun) == []
     harness.handle(PeerHeard("entry-2", (PeerLoad("e-2", 5, 15_000),)))
     harness.handle(Ticked())
-    assert harness.find_all(CopyRun) != []
+    assert harness.find_effects(CopyRun) != []
 
 
 def test_while_a_prompt_waits_copies_are_kept_but_none_is_begun() -> None:
@@ -445,7 +445,7 @@
     """Guards against pauses of a quarter second, of what the copy lacks."""
     harness, order = start_with_old_copy()
     assert harness.find(CopyRun) == order
-    assert harness.find_all(OpenAttempt) == []
+    assert harness.find_effects(OpenAttempt) == []
     harness.handle(RunCopied(1, order.source, order.holder, "h-1"))
     assert harness.find(OpenAttempt).target == order.holder
 
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -38,8 +38,8 @@
     EntryHarness,
     build_fleet,
     build_table,
+    exchange_messages,
     start_with_backup,
-    tell_all,
 )
 
 DOMAINS = ("muc-a", "muc-b", "nue-a", "aug-a")
@@ -94,7 +94,7 @@
             domain = self.domains[number % len(self.domains)]
             name = f"b-{number}"
             self.register(Registration(name, BOOKINGS, f"{name}:80", domain, 6, born=1))
-        tell_all(self.fleet)
+        exchange_messages(self.fleet)
 
     def register(self, info: Registration) -> None:
         """Let a target start."""
@@ -114,7 +114,7 @@
         self.clock.advance(until - self.clock.now())
         for harness in self.fleet:
             harness.handle(Ticked())
-        tell_all(self.fleet)
+        exchange_messages(self.fleet)
 
     def _restart(self, name: str) -> None:
         info = self.lives.pop(name)
@@ -133,8 +133,8 @@
         self, harness: EntryHarness, digest: str = KILLER, path: str = "/lookup/a"
     ) -> None:
         """Send a request that crashes targets, and play what follows."""
-        harness.arrive(path, digest=digest)
-        opened = harness.find_all(OpenAttempt)
+        harness.receive_request(path, digest=digest)
+        opened = harness.find_effects(OpenAttempt)
         while opened:
             opened = self.play_attempt(harness, opened[0])
 
@@ -145,22 +145,22 @@
         name = opened.target
         if name not in self.lives:
             harness.handle(AttemptLost(opened.attempt, Loss.MISDIRECTED))
-            return harness.find_all(OpenAttempt)
+            return harness.find_effects(OpenAttempt)
         if name in self.down:
             down = self.ending is Ending.PROBE
             harness.handle(AttemptLost(opened.attempt, Loss.UNREACHED, down=down))
-            return harness.find_all(OpenAttempt)
+            return harness.find_effects(OpenAttempt)
         self.clock.advance(60)
         self.runs.append((self.clock.now(), name))
         self.down[name] = Millis(self.clock.now() + DOWN)
         self.lose(harness, opened.attempt)
-        return harness.find_all(OpenAttempt)
+        return harness.find_effects(OpenAttempt)
 
     def lose(self, harness: EntryHarness, attempt: int) -> None:
         """End an attempt as its target crashes; the effects of the loss stay."""
         harness.handle(AttemptLost(attempt, self.loss))
         effects = list(harness.effects)
-        for probe in harness.find_all(ProbeTarget):
+        for probe in harness.find_effects(ProbeTarget):
             if self.ending is Ending.PROBE:
                 info = self.lives[probe.target]
                 harness.handle(TargetDown(info.incarnation))
@@ -177,13 +177,14 @@
 def has_turned_away(harness: EntryHarness) -> bool:
     """Tell whether the last request was refused for its crashes."""
     return any(
-        effect.problem.code == "crashes_targets" for effect in harness.find_all(Refuse)
+        effect.problem.code == "crashes_targets"
+        for effect in harness.find_effects(Refuse)
     )
 
 
 def refuses(harness: EntryHarness, digest: str = KILLER) -> bool:
     """Tell whether an entry refuses a read for its crashes."""
-    harness.arrive("/lookup/a", digest=digest)
+    harness.receive_request("/lookup/a", digest=digest)
     return has_turned_away(harness)
 
 
@@ -231,8 +232,8 @@
     replay = Replay(loss=loss)
     for number in range(6):
         harness = replay.fleet[number]
-        harness.arrive("/lookup/a", digest=KILLER)
-        while opened := harness.find_all(OpenAttempt):
+        harness.receive_request("/lookup/a", digest=KILLER)
+        while opened := harness.find_effects(OpenAttempt):
             harness.handle(AttemptLost(opened[0].attempt, loss))
         replay.clock.advance(100)
         for name in replay.lives:
@@ -247,7 +248,7 @@
 def answer_at(harness: EntryHarness, name: str) -> None:
     """Let a target answer some request of an entry."""
     for _ in range(20):
-        harness.arrive("/lookup/other")
+        harness.receive_request("/lookup/other")
         opened = harness.find(OpenAttempt)
         harness.handle(AnswerArrived(opened.attempt, 200))
         if opened.target == name:
@@ -262,7 +263,7 @@
     number = 0
     while len(found) < count:
         harness = replay.fleet[number % len(replay.fleet)]
-        harness.arrive(path, digest=f"good-{number}")
+        harness.receive_request(path, digest=f"good-{number}")
         number += 1
         opened = harness.find(OpenAttempt)
         if opened.target == target:
@@ -277,15 +278,15 @@
     """Guards against an innocent read that is sent on to where the killer goes."""
     replay = Replay(size)
     first, second = replay.fleet[:2]
-    first.arrive("/lookup/a", digest=KILLER)
+    first.receive_request("/lookup/a", digest=KILLER)
     killer = first.find(OpenAttempt)
     [(second, good)] = start_beside(replay, killer.target, 1)
     digest = second.state.requests[good.number].spec.digest
     for _ in range(2):
         [next_killer] = replay.play_attempt(first, killer) or [None]
         replay.lose(second, good.attempt)
-        again = second.find_all(OpenAttempt)
-        tell_all(replay.fleet)
+        again = second.find_effects(OpenAttempt)
+        exchange_messages(replay.fleet)
         if next_killer is None:
             break
         killer = next_killer
@@ -296,8 +297,8 @@
             attempt.target = second.state.targets.targets[killer.target]
     replay.wait(RETURN)
     harness = replay.fleet[3]
-    harness.arrive("/lookup/a", digest=digest)
-    assert harness.find_all(OpenAttempt)
+    harness.receive_request("/lookup/a", digest=digest)
+    assert harness.find_effects(OpenAttempt)
     harness.handle(AnswerArrived(harness.find(OpenAttempt).attempt, 200))
     return_often(replay, 4)
     assert refuses(replay.fleet[3])
@@ -324,7 +325,7 @@
     running: list[tuple[EntryHarness, OpenAttempt]] = []
     for number in range(80):
         harness = replay.fleet[number % len(replay.fleet)]
-        harness.arrive("/lookup/a", digest=f"good-{number}")
+        harness.receive_request("/lookup/a", digest=f"good-{number}")
         running.append((harness, harness.find(OpenAttempt)))
     assert sum(opened.target in lost for _, opened in running) >= 40
     # Those that are sent on may meet the next target as it goes.
@@ -335,9 +336,9 @@
                 continue
             running.remove((harness, opened))
             replay.lose(harness, opened.attempt)
-            running += [(harness, again) for again in harness.find_all(OpenAttempt)]
+            running += [(harness, again) for again in harness.find_effects(OpenAttempt)]
         replay.clock.advance(30)
-        tell_all(replay.fleet)
+        exchange_messages(replay.fleet)
     for harness, opened in running[::2]:
         harness.handle(AnswerArrived(opened.attempt, 200))
     replay.wait(RETURN)
@@ -350,16 +351,16 @@
     """Guards against a killer in a queue that is started all the same."""
     harness = EntryHarness()
     harness.register("e-1", slots=1)
-    harness.arrive("/question/a", Prompt("m", 100, 50, 50))
+    harness.receive_request("/question/a", Prompt("m", 100, 50, 50))
     running = harness.find(OpenAttempt)
-    harness.arrive("/question/a", Prompt("m", 100, 50, 50), digest=KILLER)
-    assert harness.find_all(OpenAttempt) == []
+    harness.receive_request("/question/a", Prompt("m", 100, 50, 50), digest=KILLER)
+    assert harness.find_effects(OpenAttempt) == []
     for number in range(2):
         suspicion = Suspicion(KILLER, f"e-{number + 7}@1")
         harness.state.crashes.record_suspicion(suspicion, harness.clock.now())
     harness.handle(AnswerArrived(running.attempt, 200))
     harness.handle(Ticked())
-    assert harness.find_all(OpenAttempt) == []
+    assert harness.find_effects(OpenAttempt) == []
     assert has_turned_away(harness)
     assert harness.find(Refuse).problem.status == 503
 
@@ -368,23 +369,23 @@
     """Guards against a killer at two entries at once that goes on at both."""
     replay = Replay()
     first, second = replay.fleet[:2]
-    first.arrive("/lookup/a", digest=KILLER)
+    first.receive_request("/lookup/a", digest=KILLER)
     here = first.find(OpenAttempt)
-    second.arrive("/lookup/a", digest=KILLER)
+    second.receive_request("/lookup/a", digest=KILLER)
     there = second.find(OpenAttempt)
     if there.target == here.target:
         attempt = second.state.attempts[there.attempt]
         other = next(name for name in replay.lives if name != here.target)
         attempt.target = second.state.targets.targets[other]
     replay.lose(first, here.attempt)
-    tell_all(replay.fleet)
+    exchange_messages(replay.fleet)
     replay.lose(second, there.attempt)
-    tell_all(replay.fleet)
+    exchange_messages(replay.fleet)
     assert first.state.crashes.is_refused(KILLER, replay.clock.now())
     sent = first.state.requests[here.number].current
     assert sent is not None
     first.handle(AttemptLost(sent.number, Loss.REFUSED))
-    assert first.find_all(OpenAttempt) == []
+    assert first.find_effects(OpenAttempt) == []
     assert has_turned_away(first)
 
 
@@ -422,7 +423,7 @@
     return_often(replay, 2)
     replay.wait(4_000)
     replay.fleet = near + far
-    tell_all(replay.fleet)
+    exchange_messages(replay.fleet)
     assert all(refuses(harness) for harness in far)
 
 
@@ -430,7 +431,7 @@
     """Guards against crashes in the time before others can have been told."""
     replay = Replay(8)
     replay.send(replay.fleet[0])
-    tell_all(replay.fleet)
+    exchange_messages(replay.fleet)
     for harness in replay.fleet:
         replay.send(harness)
         assert has_turned_away(harness)
@@ -441,7 +442,7 @@
     """Guards against an innocent read sent away before others could clear it."""
     replay = Replay(8)
     replay.send(replay.fleet[0])
-    tell_all(replay.fleet)
+    exchange_messages(replay.fleet)
     harness = replay.fleet[1]
     replay.send(harness)
     assert harness.find(Refuse).problem.retry_after == SETTLING_RETRY_AFTER
@@ -454,15 +455,15 @@
     """Guards against a read that stays suspected though it has run."""
     replay = Replay(8)
     first, second = replay.fleet[:2]
-    first.arrive("/lookup/a", digest="good")
+    first.receive_request("/lookup/a", digest="good")
     replay.lose(first, first.find(OpenAttempt).attempt)
     again = first.find(OpenAttempt)
-    tell_all(replay.fleet)
+    exchange_messages(replay.fleet)
     assert second.state.crashes.is_suspected("good")
     replay.clock.advance(20)
     first.handle(AnswerArrived(again.attempt, 200))
-    assert any(note.message == "request cleared" for note in first.find_all(Note))
-    tell_all(replay.fleet)
+    assert any(note.message == "request cleared" for note in first.find_effects(Note))
+    exchange_messages(replay.fleet)
     assert not second.state.crashes.is_suspected("good")
 
 
@@ -479,7 +480,7 @@
     """Guards against requests blamed for a target that was told to end."""
     harness = EntryHarness()
     harness.register("b-1", "b-2", service=BOOKINGS)
-    harness.arrive("/lookup/a", digest="good")
+    harness.receive_request("/lookup/a", digest="good")
     opened = harness.find(OpenAttempt)
     harness.handle(TargetLeaving(Incarnation(opened.target, 1)))
     harness.handle(AttemptLost(opened.attempt, Loss.BROKEN))
@@ -491,7 +492,7 @@
     """Guards against reads refused for targets that have too many connections."""
     harness = EntryHarness()
     harness.register("b-1", "b-2", "b-3", service=BOOKINGS)
-    harness.arrive("/lookup/a", digest="good")
+    harness.receive_request("/lookup/a", digest="good")
     first = harness.find(OpenAttempt)
     harness.handle(AttemptLost(first.attempt, Loss.BROKEN))
     harness.handle(TargetDown(Incarnation(first.target, 1)))
@@ -507,7 +508,7 @@
     """Guards against reads blamed for an end that had nothing to do with them."""
     harness = EntryHarness()
     harness.register("b-1", "b-2", service=BOOKINGS)
-    harness.arrive("/lookup/a", digest="good")
+    harness.receive_request("/lookup/a", digest="good")
     opened = harness.find(OpenAttempt)
     harness.handle(AttemptLost(opened.attempt, Loss.BROKEN))
     harness.clock.advance(LOST_RETENTION)
@@ -519,7 +520,7 @@
     """Guards against a killer whose caller leaves before its target is found."""
     harness = EntryHarness()
     harness.register("b-1", "b-2", service=BOOKINGS)
-    number = harness.arrive("/lookup/a", digest=KILLER)
+    number = harness.receive_request("/lookup/a", digest=KILLER)
     opened = harness.find(OpenAttempt)
     harness.handle(CallerGone(number))
     harness.handle(TargetDeparted(opened.target))
@@ -536,8 +537,8 @@
         harness.handle(TargetRegistered(info))
     runs = 0
     for _ in range(4):
-        harness.arrive("/question/a", Prompt("m", 500, 50, 50), digest=KILLER)
-        while opened := harness.find_all(OpenAttempt):
+        harness.receive_request("/question/a", Prompt("m", 500, 50, 50), digest=KILLER)
+        while opened := harness.find_effects(OpenAttempt):
             runs += 1
             harness.handle(AttemptLost(opened[0].attempt, Loss.BROKEN))
             effects = harness.effects
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -45,8 +45,8 @@
     """Return the targets that some calls are sent to."""
     called = set()
     for _ in range(calls):
-        harness.arrive("/order/a")
-        called |= {opened.target for opened in harness.find_all(OpenAttempt)}
+        harness.receive_request("/order/a")
+        called |= {opened.target for opened in harness.find_effects(OpenAttempt)}
     return called
 
 
@@ -72,7 +72,7 @@
     """Guards against callers who wait for targets that take nothing more."""
     harness = build_harness("b-1")
     harness.handle(say("b-1"))
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     assert harness.find(Refuse).problem.status == 503
 
 
@@ -133,7 +133,7 @@
     for harness in fleet:
         harness.register("b-1", "b-2", service=BOOKINGS, slots=6)
     fleet[0].handle(say("b-1"))
-    assert fleet[0].find_all(Announce)
+    assert fleet[0].find_effects(Announce)
     now = fleet[0].clock.now()
     near = peers.describe_entry(fleet[0].state, now)
     far = peers.describe_domain(fleet[0].state, now)
@@ -185,7 +185,7 @@
     told = []
     for _ in range(3):
         harness.handle(say("b-1"))
-        told += [note.message for note in harness.find_all(Note)]
+        told += [note.message for note in harness.find_effects(Note)]
     assert told == ["target says that it leaves"]
 
 
@@ -208,7 +208,7 @@
     """Guards against runs moved, and room lost, though the engine serves on."""
     harness, opened = start_plan_unread()
     harness.handle(EngineReported(opened.target, leaving=True, ending=False))
-    assert not harness.find_all(CopyRun)
+    assert not harness.find_effects(CopyRun)
     found = harness.state.targets.find(opened.target)
     assert found is not None
     assert found.accepts_work
@@ -234,7 +234,7 @@
     """Guards against requests sent to engines that went while the store was away."""
     harness = build_harness("b-1", "b-2", "b-3")
     harness.handle(StoreLost())
-    harness.arrive("/lookup/a")
+    harness.receive_request("/lookup/a")
     opened = harness.find(OpenAttempt)
     harness.handle(AttemptLost(opened.attempt, Loss.UNREACHED))
     harness.handle(StoreRegained())
--- a/tests/gateway/test_eligibility.py
+++ b/tests/gateway/test_eligibility.py
@@ -66,8 +66,8 @@
     """Return the targets that some calls are sent to."""
     reached = set()
     for _ in range(12):
-        harness.arrive(path)
-        reached |= {opened.target for opened in harness.find_all(OpenAttempt)}
+        harness.receive_request(path)
+        reached |= {opened.target for opened in harness.find_effects(OpenAttempt)}
     return reached
 
 
@@ -94,7 +94,7 @@
 def test_a_request_without_any_home_is_refused_at_once() -> None:
     """Guards against callers held for targets that they may never be sent to."""
     harness = build_harness(frozenset({"berlin"}), frozenset({"eire"}))
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     problem = harness.find(Refuse).problem
     assert (problem.status, problem.code) == (503, "no_home")
 
@@ -109,10 +109,10 @@
 def test_retries_stay_at_home() -> None:
     """Guards against second tries that leave the regions of their route."""
     harness = build_harness(frozenset({"berlin"}))
-    harness.arrive("/lookup/a")
+    harness.receive_request("/lookup/a")
     first = harness.find(OpenAttempt)
     harness.handle(AttemptLost(first.attempt, Loss.FAILED, status=500))
-    assert not harness.find_all(OpenAttempt)
+    assert not harness.find_effects(OpenAttempt)
 
 
 def test_copies_stay_at_home() -> None:
@@ -123,7 +123,7 @@
     harness.send_pieces(opened.attempt, 1, 9)
     register(harness, "e-2", "muc-a", ENGINES)
     harness.handle(TargetDeparted("e-1"))
-    assert not harness.find_all(CopyRun)
+    assert not harness.find_effects(CopyRun)
     register(harness, "e-3", "ber-a", ENGINES)
     assert harness.find(CopyRun).holder == "e-3"
 
@@ -133,19 +133,21 @@
     harness = build_harness(None)
     register(harness, "e-1", "ber-a", ENGINES)
     for _ in range(9):
-        harness.arrive_plan()
+        harness.receive_plan()
     assert harness.state.queue
     harness.handle(ConfigurationRead(bind(frozenset({"eire"}), version=3)))
     register(harness, "e-2", "muc-a", ENGINES)
     harness.handle(Ticked())
-    assert not harness.find_all(OpenAttempt)
-    assert {refuse.problem.code for refuse in harness.find_all(Refuse)} == {"no_home"}
+    assert not harness.find_effects(OpenAttempt)
+    assert {refuse.problem.code for refuse in harness.find_effects(Refuse)} == {
+        "no_home"
+    }
 
 
 def test_a_route_that_was_dropped_keeps_its_homes() -> None:
     """Guards against a request set free as its route leaves the configuration."""
     harness = build_harness(frozenset({"eire"}))
-    number = harness.arrive("/order/a")
+    number = harness.receive_request("/order/a")
     table = replace(bind(None, version=3), routes={})
     harness.handle(ConfigurationRead(table))
     assert harness.state.requests[number].allowed_regions == frozenset({"eire"})
--- a/tests/gateway/test_evacuations.py
+++ b/tests/gateway/test_evacuations.py
@@ -63,7 +63,7 @@
     harness = build_harness()
     evacuate(harness, "muc-a")
     for _ in range(8):
-        harness.arrive(path)
+        harness.receive_request(path)
         assert harness.find(OpenAttempt).target == "b-muc-b"
 
 
@@ -81,7 +81,7 @@
     evacuate(harness, "muc-a")
     register(harness, "b-new", "muc-a", BOOKINGS)
     for _ in range(8):
-        harness.arrive("/order/a")
+        harness.receive_request("/order/a")
         assert harness.find(OpenAttempt).target == "b-muc-b"
 
 
@@ -90,7 +90,7 @@
     harness = build_harness()
     register(harness, "b-3", "nue-a", BOOKINGS)
     evacuate(harness, "muc-a")
-    harness.arrive("/lookup/a")
+    harness.receive_request("/lookup/a")
     first = harness.find(OpenAttempt)
     harness.handle(AttemptLost(first.attempt, Loss.FAILED, status=500))
     assert {first.target, harness.find(OpenAttempt).target} == {"b-muc-b", "b-3"}
@@ -100,7 +100,7 @@
     """Guards against callers held until their deadline for targets that get nothing."""
     harness = build_harness()
     evacuate(harness, "muc-a", "muc-b")
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     problem = harness.find(Refuse).problem
     assert (problem.status, problem.code) == (503, "evacuated")
     assert problem.retry_after is not None
@@ -111,11 +111,13 @@
     harness = EntryHarness()
     register(harness, "e-1", "muc-a")
     for _ in range(9):
-        harness.arrive_plan()
+        harness.receive_plan()
     assert harness.state.queue
     evacuate(harness, "muc-a")
     harness.handle(Ticked())
-    assert {refuse.problem.code for refuse in harness.find_all(Refuse)} == {"evacuated"}
+    assert {refuse.problem.code for refuse in harness.find_effects(Refuse)} == {
+        "evacuated"
+    }
     assert not harness.state.queue
 
 
@@ -130,7 +132,7 @@
     for _ in range(20):
         harness.clock.advance(100)
         harness.handle(Ticked())
-        assert not harness.find_all(CopyRun)
+        assert not harness.find_effects(CopyRun)
     harness.send_pieces(opened.attempt, 10, 12)
     assert harness.state.requests[opened.number].delivered == 12
 
@@ -145,7 +147,7 @@
     harness.handle(RunCopied(opened.number, "e-1", "e-2", "handle"))
     evacuate(harness, "muc-b")
     harness.handle(AttemptLost(opened.attempt, Loss.BROKEN))
-    assert not harness.find_all(OpenAttempt)
+    assert not harness.find_effects(OpenAttempt)
 
 
 def test_evacuated_engines_are_asked_nothing() -> None:
@@ -158,7 +160,7 @@
     evacuate(harness, "muc-a")
     harness.clock.advance(1_000)
     harness.handle(Ticked())
-    assert not harness.find_all(ReadReport)
+    assert not harness.find_effects(ReadReport)
 
 
 def test_a_domain_that_is_taken_back_gets_work_at_once() -> None:
@@ -168,7 +170,7 @@
     evacuate(harness, position=6)
     targets = set()
     for _ in range(20):
-        harness.arrive("/order/a")
+        harness.receive_request("/order/a")
         targets.add(harness.find(OpenAttempt).target)
     assert targets == {"b-muc-a", "b-muc-b"}
 
@@ -225,7 +227,7 @@
     evacuate(harness, "muc-a", position=5)
     assert harness.find(Note).message == "failure domain evacuated"
     evacuate(harness, "muc-a", position=6)
-    assert not harness.find_all(Note)
+    assert not harness.find_effects(Note)
 
 
 @given(
@@ -312,7 +314,7 @@
     for _ in range(10):
         fleet.step(200)
     for harness in fleet.entries:
-        harness.arrive("/order/a")
+        harness.receive_request("/order/a")
         assert harness.find(OpenAttempt).target != "b-muc-b"
     restarted = build_talking_fleet(size, seed).entries[0]
     fleet.entries[-1] = restarted
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -96,10 +96,10 @@
             self._talk(tick * STEP)
 
     def _place(self, harness: EntryHarness) -> None:
-        harness.arrive("/question/a", Prompt("m", TOKENS, 200, 40))
-        announcements = harness.find_all(AnnounceTarget)
-        for opened in harness.find_all(OpenAttempt):
-            notes = [n for n in harness.find_all(Note) if "expected_ms" in n.fields]
+        harness.receive_request("/question/a", Prompt("m", TOKENS, 200, 40))
+        announcements = harness.find_effects(AnnounceTarget)
+        for opened in harness.find_effects(OpenAttempt):
+            notes = [n for n in harness.find_effects(Note) if "expected_ms" in n.fields]
             expected = notes[0].fields["expected_ms"]
             assert isinstance(expected, int)
             now = self.clock.now()
--- a/tests/gateway/test_fleet_properties.py
+++ b/tests/gateway/test_fleet_properties.py
@@ -257,7 +257,7 @@
         prefix=st.sampled_from(sorted(ROUTES)),
         digest=st.sampled_from([*KILLERS, *["menu"] * 5, *[""] * 5]),
     )
-    def arrive(self, entry: int, prefix: str, digest: str) -> None:
+    def receive_request(self, entry: int, prefix: str, digest: str) -> None:
         """Let a request come; one without a digest comes once."""
         harness = self.fleet[entry]
         prompt = Prompt("m", 3_000, 2_000, 900) if "lookup" not in prefix else None
@@ -265,7 +265,7 @@
             prompt = None
         name = digest or f"digest-{entry}-{harness.next_number}"
         self.calls[entry][harness.next_number] = Call(ROUTES[prefix], name)
-        harness.arrive(f"{prefix}a", prompt, digest=name)
+        harness.receive_request(f"{prefix}a", prompt, digest=name)
         for effect in harness.effects:
             self.perform(entry, effect)
         self.settle()
@@ -274,7 +274,7 @@
     def stream(self, entry: int, events: int) -> None:
         """Let a stream come and begin."""
         number = self.fleet[entry].next_number
-        self.arrive(entry, "/plan/", "")
+        self.receive_request(entry, "/plan/", "")
         for run in list(self.runs.values()):
             if run in self.calls[entry][number].runs:
                 self.go_on(run, events)
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -23,8 +23,8 @@
     BOOKINGS,
     EntryHarness,
     build_fleet,
+    exchange_messages,
     start_with_backup,
-    tell_all,
 )
 
 DOMAINS = ("muc-a", "muc-b", "nue-a", "aug-a", "rgb-a", "wue-a")
@@ -57,7 +57,7 @@
     fleet = build_fleet(size, domains)
     for harness in fleet:
         harness.register("b-1", service=BOOKINGS, slots=6)
-    tell_all(fleet)
+    exchange_messages(fleet)
     return fleet
 
 
@@ -76,19 +76,19 @@
     clock = fleet[0].clock
     for _ in range(seconds * each):
         for harness in fleet:
-            harness.arrive("/order/a")
+            harness.receive_request("/order/a")
             sent += answer_opened(harness, rate)
             harness.handle(Ticked())
             sent += answer_opened(harness, rate)
         clock.advance(1_000 // each)
-        tell_all(fleet)
+        exchange_messages(fleet)
     return sent
 
 
 def answer_opened(harness: EntryHarness, rate: float | None) -> list[Millis]:
     """Answer what was just sent; returns when that was."""
     now = harness.clock.now()
-    opened = harness.find_all(OpenAttempt)
+    opened = harness.find_effects(OpenAttempt)
     for attempt in opened:
         name_rate(harness, rate)
         harness.handle(AnswerArrived(attempt.attempt, 200))
@@ -139,8 +139,8 @@
     """Guards against entries that send on until the target has told each of them."""
     fleet = build_limited_fleet(size, DOMAINS[:4])
     name_rate(fleet[0], RATE)
-    tell_all(fleet)
-    tell_all(fleet)
+    exchange_messages(fleet)
+    exchange_messages(fleet)
     known = [harness.state.targets.targets["b-1"].limit for harness in fleet]
     assert [limit.rate for limit in known if limit is not None] == [RATE] * size
 
@@ -151,7 +151,7 @@
     name_rate(harness, 0.5)
     chosen = []
     for _ in range(10):
-        harness.arrive("/order/a")
+        harness.receive_request("/order/a")
         chosen.append(harness.find(OpenAttempt).target)
     assert chosen.count("b-1") <= 2
 
@@ -160,10 +160,10 @@
     """Guards against callers who wait in vain for targets that all name rates."""
     harness = build_harness("b-1")
     for _ in range(40):
-        harness.arrive("/order/a")
+        harness.receive_request("/order/a")
     name_rate(harness, RATE)
     harness.clock.advance(10)
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     problem = harness.find(Refuse).problem
     assert problem.status == 503
     assert problem.retry_after is not None
@@ -173,7 +173,7 @@
     """Guards against a service that stands still as all its targets name rates."""
     harness = build_harness("b-1")
     name_rate(harness, 25.0)
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     assert harness.find(OpenAttempt).target == "b-1"
 
 
@@ -185,7 +185,7 @@
     name_rate(harness, None)
     assert harness.find(Announce)
     for _ in range(10):
-        harness.arrive("/order/a")
+        harness.receive_request("/order/a")
         assert harness.find(OpenAttempt)
 
 
@@ -207,10 +207,10 @@
     first, second = build_limited_fleet(2, DOMAINS[:1])
     name_rate(first, 0.5)
     first.clock.advance(50)
-    tell_all([first, second])
+    exchange_messages([first, second])
     name_rate(second, None)
     first.clock.advance(50)
-    tell_all([first, second])
+    exchange_messages([first, second])
     known = [harness.state.targets.targets["b-1"].limit for harness in (first, second)]
     assert [limit.rate for limit in known if limit is not None] == [None, None]
 
@@ -224,9 +224,9 @@
     busy = fleet[3]
     for _ in range(400):
         busy.clock.advance(500)
-        tell_all(fleet)
-        busy.arrive("/order/a")
-        if busy.find_all(OpenAttempt):
+        exchange_messages(fleet)
+        busy.receive_request("/order/a")
+        if busy.find_effects(OpenAttempt):
             return
     pytest.fail("the busy entry never got a turn")
 
@@ -235,7 +235,7 @@
     """Guards against a new process that is spared for the need of the one before."""
     harness = build_harness("b-1")
     for _ in range(60):
-        harness.arrive("/order/a")
+        harness.receive_request("/order/a")
     name_rate(harness, 0.5)
     told = peers.describe_entry(harness.state, harness.clock.now())
     info = Registration("b-1", BOOKINGS, "b-1:80", "muc-a", 6, born=2)
@@ -244,7 +244,7 @@
     other.handle(TargetRegistered(info))
     other.handle(told)
     for one in (harness, other):
-        one.arrive("/order/a")
+        one.receive_request("/order/a")
         assert one.find(OpenAttempt).target == "b-1"
 
 
@@ -290,7 +290,7 @@
     assert limit is not None
     limit.opens_at = Millis(harness.clock.now() + 300)
     harness.handle(RunCopied(order.number, opened.target, order.holder, "h-1"))
-    assert not harness.find_all(OpenAttempt)
+    assert not harness.find_effects(OpenAttempt)
     harness.clock.advance(320)
     harness.handle(Ticked())
     assert harness.find(OpenAttempt).target == order.holder
@@ -304,7 +304,7 @@
     assert limit is not None
     limit.opens_at = Millis(harness.clock.now() + 60_000)
     harness.handle(TargetDeparted(opened.target))
-    assert not harness.find_all(OpenAttempt)
+    assert not harness.find_effects(OpenAttempt)
 
 
 def test_ages_alone_are_no_news() -> None:
@@ -326,7 +326,7 @@
     told = []
     for rate in (1.5, 1.5, 2.0, None, None):
         name_rate(harness, rate)
-        told += [note.fields["rate"] for note in harness.find_all(Note)]
+        told += [note.fields["rate"] for note in harness.find_effects(Note)]
     assert told == [1.5, 2.0, None]
 
 
@@ -348,7 +348,7 @@
     harness: EntryHarness, retry_after: Millis | None, loss: Loss = Loss.REFUSED
 ) -> None:
     """Let a call be turned away by the target that it was sent to."""
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     attempt = harness.find(OpenAttempt).attempt
     harness.handle(AttemptLost(attempt, loss, retry_after))
 
@@ -360,11 +360,11 @@
     refuse(harness, Millis(2_000), loss)
     harness.register("b-2", service=BOOKINGS, slots=6)
     for _ in range(8):
-        harness.arrive("/order/a")
+        harness.receive_request("/order/a")
         assert harness.find(OpenAttempt).target == "b-2"
     harness.clock.advance(2_000)
     harness.depart("b-2")
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     assert harness.find(OpenAttempt).target == "b-1"
 
 
@@ -372,7 +372,7 @@
     """Guards against targets that are spared though they have room again."""
     harness = build_harness("b-1")
     refuse(harness, None)
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     assert harness.find(OpenAttempt).target == "b-1"
 
 
@@ -381,21 +381,21 @@
     harness = build_harness("b-1")
     attempts = []
     for _ in range(2):
-        harness.arrive("/order/a")
+        harness.receive_request("/order/a")
         attempts.append(harness.find(OpenAttempt).attempt)
     harness.handle(AttemptLost(attempts[0], Loss.REFUSED, Millis(2_000)))
     harness.handle(AttemptLost(attempts[1], Loss.REFUSED, Millis(100)))
     harness.clock.advance(500)
-    harness.arrive("/order/a")
-    assert not harness.find_all(OpenAttempt)
+    harness.receive_request("/order/a")
+    assert not harness.find_effects(OpenAttempt)
 
 
 def test_a_call_waits_out_a_short_pause() -> None:
     """Guards against callers refused for a pause that ends before their wait."""
     harness = build_harness("b-1")
     refuse(harness, Millis(100))
-    harness.arrive("/order/a")
-    assert not harness.find_all(Refuse)
+    harness.receive_request("/order/a")
+    assert not harness.find_effects(Refuse)
     harness.clock.advance(110)
     harness.handle(Ticked())
     assert harness.find(OpenAttempt).target == "b-1"
@@ -407,5 +407,5 @@
     refuse(harness, Millis(60_000))
     info = Registration("b-1", BOOKINGS, "b-1:80", "muc-a", 6, born=2)
     harness.handle(TargetRegistered(info))
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     assert harness.find(OpenAttempt).target == "b-1"
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -16,7 +16,12 @@
 )
 from figstep.gateway.targets import UNREACHED_DURATION, Registration
 from figstep.net.hellos import Hello, decode_hello, encode_hello
-from tests.gateway.worlds import BOOKINGS, ENGINES, EntryHarness, build_large_world
+from tests.gateway.worlds import (
+    BOOKINGS,
+    ENGINES,
+    EntryHarness,
+    build_large_fleet_entry,
+)
 
 
 def test_loads_of_all_peers_are_summed() -> None:
@@ -95,7 +100,7 @@
 
 
 def test_a_failure_domain_shares_its_part_of_the_retry_budget() -> None:
-    harness = build_large_world()
+    harness = build_large_fleet_entry()
     fleet = peers.sum_uses(harness.state, "engines")
     assert fleet.entries == 19
     assert fleet.fleet_fraction == 19 / 73
@@ -146,7 +151,7 @@
 
 
 def test_one_entry_of_a_failure_domain_speaks_for_it() -> None:
-    harness = build_large_world()
+    harness = build_large_fleet_entry()
     assert not peers.is_domain_representative(harness.state, harness.clock.now())
     harness.clock.advance(sources.READER_TIMEOUT)
     assert peers.is_domain_representative(harness.state, harness.clock.now())
@@ -221,10 +226,10 @@
     """Guards against others that go on to a dead engine, or never come back to it."""
     harness = EntryHarness()
     harness.register("b-1", "b-2", service=BOOKINGS)
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     lost = harness.find(OpenAttempt)
     harness.handle(AttemptLost(lost.attempt, Loss.UNREACHED))
-    assert harness.find_all(Announce)
+    assert harness.find_effects(Announce)
     now = harness.clock.now()
     told = peers.describe_entry(harness.state, now)
     assert told.unreached == (lost.target,)
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -28,7 +28,7 @@
         engine.peer_memory = 12_000
     targets = Counter()
     for _ in range(6):
-        harness.arrive_plan()
+        harness.receive_plan()
         targets[harness.find(OpenAttempt).target] += 1
     assert max(targets.values()) <= 3
 
@@ -40,7 +40,7 @@
     assert slow is not None
     assert fast is not None
     slow.own_read_rate, fast.own_read_rate = 2.0, 7.0
-    harness.arrive_plan()
+    harness.receive_plan()
     assert harness.find(OpenAttempt).target == "e-2"
 
 
@@ -48,8 +48,8 @@
     harness = EntryHarness()
     harness.register("e-1")
     harness.handle(PeerHeard("entry-2", (PeerLoad("e-1", 4, 12_000, 12_000),)))
-    harness.arrive_plan()
-    assert harness.find_all(OpenAttempt) == []
+    harness.receive_plan()
+    assert harness.find_effects(OpenAttempt) == []
 
 
 def test_backups_leave_room_for_prompts() -> None:
@@ -64,7 +64,7 @@
         engine = harness.state.targets.find(name)
         assert engine is not None
         engine.peer_memory = 25_000
-    harness.arrive_plan()
+    harness.receive_plan()
     assert harness.find(OpenAttempt).backup == ""
 
 
@@ -74,13 +74,13 @@
     failing = harness.state.targets.find("b-1")
     assert failing is not None
     failing.failures = 0.8
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     assert harness.find(OpenAttempt).target == "b-2"
     failing.failures = 0.0
     busy = harness.state.targets.find("b-2")
     assert busy is not None
     busy.peer_calls = 6
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     assert harness.find(OpenAttempt).target == "b-1"
 
 
@@ -90,7 +90,7 @@
     target = harness.state.targets.find("b-1")
     assert target is not None
     target.record_loss(harness.clock.now(), reached=False)
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     assert harness.find(OpenAttempt).target == "b-1"
 
 
@@ -109,5 +109,5 @@
     for name in ("near", "far"):
         harness.state.targets.targets[name].own_read_rate = 7.0
     harness.handle(PeerHeard("entry-2", (PeerLoad("near", 1, 3_400, 3_000),)))
-    harness.arrive_plan()
+    harness.receive_plan()
     assert harness.find(OpenAttempt).target == "near"
--- a/tests/gateway/test_recovery.py
+++ b/tests/gateway/test_recovery.py
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize("loss", [Loss.UNREACHED, Loss.REFUSED, Loss.MISDIRECTED])
 def test_what_did_not_run_is_sent_to_another_target(loss: Loss) -> None:
     harness = build_harness()
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     first = harness.find(OpenAttempt)
     harness.handle(AttemptLost(first.attempt, loss))
     assert harness.find(OpenAttempt).target != first.target
@@ -42,18 +42,18 @@
     so it goes to no other target, and its caller is not told "not run".
     """
     harness = build_harness()
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     first = harness.find(OpenAttempt)
     harness.handle(AttemptLost(first.attempt, loss))
     problem = harness.find(Refuse).problem
     assert (problem.status, problem.ran) == (502, Ran.UNKNOWN)
-    assert harness.find_all(OpenAttempt) == []
+    assert harness.find_effects(OpenAttempt) == []
 
 
 def test_an_order_that_all_refuse_is_told_not_run() -> None:
     harness = build_harness()
-    harness.arrive("/order/a")
-    while harness.find_all(OpenAttempt):
+    harness.receive_request("/order/a")
+    while harness.find_effects(OpenAttempt):
         opened = harness.find(OpenAttempt)
         harness.handle(AttemptLost(opened.attempt, Loss.REFUSED))
     problem = harness.find(Refuse).problem
@@ -62,11 +62,11 @@
 
 def test_an_order_that_may_have_run_at_one_is_never_told_not_run() -> None:
     harness = build_harness()
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     first = harness.find(OpenAttempt)
     harness.state.requests[first.number].may_have_run = True
     harness.handle(AttemptLost(first.attempt, Loss.REFUSED))
-    while harness.find_all(OpenAttempt):
+    while harness.find_effects(OpenAttempt):
         opened = harness.find(OpenAttempt)
         harness.handle(AttemptLost(opened.attempt, Loss.REFUSED))
     assert harness.find(Refuse).problem.ran is Ran.UNKNOWN
@@ -74,7 +74,7 @@
 
 def test_a_lookup_runs_again_within_its_attempts() -> None:
     harness = build_harness()
-    number = harness.arrive("/lookup/a")
+    number = harness.receive_request("/lookup/a")
     first = harness.find(OpenAttempt)
     harness.handle(AttemptLost(first.attempt, Loss.FAILED, status=500))
     second = harness.find(OpenAttempt)
@@ -85,7 +85,7 @@
 
 def test_a_failure_that_an_order_got_is_handed_on() -> None:
     harness = build_harness()
-    number = harness.arrive("/order/a")
+    number = harness.receive_request("/order/a")
     first = harness.find(OpenAttempt)
     harness.handle(AttemptLost(first.attempt, Loss.FAILED, status=500))
     assert harness.find(Answer) == Answer(number, first.attempt)
@@ -93,7 +93,7 @@
 
 def test_a_failure_that_would_say_not_run_is_not_handed_on() -> None:
     harness = build_harness()
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     first = harness.find(OpenAttempt)
     harness.handle(AttemptLost(first.attempt, Loss.FAILED, status=None))
     assert harness.find(Refuse).problem.status == 502
@@ -101,7 +101,7 @@
 
 def test_a_silent_lookup_is_asked_of_another_target() -> None:
     harness = build_harness()
-    harness.arrive("/lookup/a")
+    harness.receive_request("/lookup/a")
     first = harness.find(OpenAttempt)
     harness.clock.advance(400)
     harness.handle(Ticked())
@@ -110,10 +110,10 @@
 
 def test_a_silent_order_is_left_alone() -> None:
     harness = build_harness()
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     harness.clock.advance(700)
     harness.handle(Ticked())
-    assert harness.find_all(OpenAttempt) == []
+    assert harness.find_effects(OpenAttempt) == []
 
 
 def test_a_route_with_one_attempt_is_not_cut_for_silence() -> None:
@@ -123,7 +123,7 @@
     the first before the deadline only turns a late answer into a failure.
     """
     harness = build_harness()
-    harness.arrive("/lookup/a")
+    harness.receive_request("/lookup/a")
     first = harness.find(OpenAttempt)
     harness.state.requests[first.number].lost_runs = 1
     harness.clock.advance(400)
@@ -140,20 +140,20 @@
     """
     harness = build_harness()
     prompt = Prompt("m", 100, 50, 10)
-    harness.arrive("/question/a", prompt, digest="poison")
+    harness.receive_request("/question/a", prompt, digest="poison")
     first = harness.find(OpenAttempt)
     harness.handle(AttemptLost(first.attempt, Loss.BROKEN))
     second = harness.find(OpenAttempt)
     harness.handle(TargetDown(Incarnation(first.target, 1)))
     harness.handle(AttemptLost(second.attempt, Loss.BROKEN))
     harness.handle(TargetDown(Incarnation(second.target, 1)))
-    harness.arrive("/question/a", prompt, digest="poison")
+    harness.receive_request("/question/a", prompt, digest="poison")
     assert harness.find(Refuse).problem.code == "crashes_targets"
 
 
 def test_a_resumable_stream_goes_on_anew_where_it_broke() -> None:
     harness = build_harness()
-    harness.arrive("/question/a", Prompt("m", 100, 50, 10))
+    harness.receive_request("/question/a", Prompt("m", 100, 50, 10))
     first = harness.find(OpenAttempt)
     harness.send_pieces(first.attempt, 1, 2)
     harness.handle(AttemptLost(first.attempt, Loss.BROKEN))
@@ -170,9 +170,9 @@
     harness, opened = start_with_backup()
     harness.state.budget.allowance = 0.0
     harness.handle(AttemptLost(opened.attempt, Loss.BROKEN))
-    assert len(harness.find_all(BreakStream)) == 1
+    assert len(harness.find_effects(BreakStream)) == 1
     assert harness.state.requests == {}
-    notes = [note.message for note in harness.find_all(Note)]
+    notes = [note.message for note in harness.find_effects(Note)]
     assert "repeat denied by the fleet's budget" in notes
 
 
@@ -190,9 +190,9 @@
 
 def find_tries(harness: EntryHarness, path: str = "/plan/a") -> list[str]:
     """Let a prompt come and lose all tries in muc-a; returns where it was sent."""
-    harness.arrive(path, Prompt("m", 300, 200, 40))
+    harness.receive_request(path, Prompt("m", 300, 200, 40))
     tries = []
-    while harness.find_all(OpenAttempt):
+    while harness.find_effects(OpenAttempt):
         opened = harness.find(OpenAttempt)
         tries.append(opened.target)
         if not opened.target.startswith("e-muc-a"):
@@ -226,7 +226,7 @@
     harness = build_domains(("muc-a", 9), ("muc-b", 9))
     find_tries(harness)
     harness.clock.advance(UNREACHED_DURATION)
-    harness.arrive_plan()
+    harness.receive_plan()
     assert harness.find(OpenAttempt).target.startswith("e-muc-a")
 
 
@@ -236,7 +236,7 @@
     find_tries(harness)
     alive = harness.state.targets.targets["e-muc-a-8"]
     alive.record_success(harness.clock.now())
-    harness.arrive_plan()
+    harness.receive_plan()
     assert harness.find(OpenAttempt).target.startswith("e-muc-a")
 
 
@@ -244,9 +244,9 @@
     """Guards against a prompt that goes round all engines of a full pool."""
     harness = build_domains(("muc-a", 9))
     harness.state.budget.allowance = 10_000.0
-    harness.arrive_plan()
+    harness.receive_plan()
     tries = 0
-    while harness.find_all(OpenAttempt):
+    while harness.find_effects(OpenAttempt):
         tries += 1
         opened = harness.find(OpenAttempt)
         harness.handle(AttemptLost(opened.attempt, Loss.REFUSED))
@@ -259,7 +259,7 @@
     harness.register("b-1", "b-2", "b-3", service=BOOKINGS)
     far = Registration("b-4", BOOKINGS, "b-4:80", "muc-b", 64, born=1)
     harness.handle(TargetRegistered(far))
-    harness.arrive("/lookup/a")
+    harness.receive_request("/lookup/a")
     first = harness.find(OpenAttempt)
     assert first.target != far.target
     harness.handle(AttemptLost(first.attempt, Loss.BROKEN))
--- a/tests/gateway/test_reducer.py
+++ b/tests/gateway/test_reducer.py
@@ -159,6 +159,6 @@
     # What is known already is not told again.
     harness.handle(TargetsListed(tuple(left), position=10))
     departed = [
-        note for note in harness.find_all(Note) if note.message == "target departed"
+        note for note in harness.find_effects(Note) if note.message == "target departed"
     ]
     assert departed == []
--- a/tests/gateway/test_reports.py
+++ b/tests/gateway/test_reports.py
@@ -15,14 +15,14 @@
     """
     harness, opened = start_with_backup()
     harness.handle(Ticked())
-    assert harness.find_all(ReadReport) == []
+    assert harness.find_effects(ReadReport) == []
     harness.handle(StoreLost())
     harness.handle(Ticked())
     assert harness.find(ReadReport).target == opened.target
     harness.handle(EngineReported(opened.target, leaving=False))
     assert harness.effects == []
     harness.handle(Ticked())
-    assert harness.find_all(ReadReport) == []
+    assert harness.find_effects(ReadReport) == []
     harness.handle(EngineReported(opened.target, leaving=True))
     assert harness.find(OpenAttempt).target == opened.backup
 
@@ -45,14 +45,17 @@
     harness = restart()
     harness.register("e-1", "e-2")
     harness.handle(Ticked())
-    assert {effect.target for effect in harness.find_all(ReadReport)} == {"e-1", "e-2"}
+    assert {effect.target for effect in harness.find_effects(ReadReport)} == {
+        "e-1",
+        "e-2",
+    }
     harness.handle(EngineReported("e-1", leaving=False, memory=32_000))
     harness.handle(EngineReported("e-2", leaving=False, memory=0))
     for _ in range(2):
-        harness.arrive_plan()
+        harness.receive_plan()
         assert harness.find(OpenAttempt).target == "e-2"
-    harness.arrive_plan()
-    assert harness.find_all(OpenAttempt) == []
+    harness.receive_plan()
+    assert harness.find_effects(OpenAttempt) == []
 
 
 def ask(harness: EntryHarness) -> None:
@@ -106,7 +109,7 @@
     assert harness.state.targets.targets["e-1"].unclaimed == 8_000
     harness.clock.advance(Millis(5_000 + RESTART_QUERY_MARGIN))
     harness.handle(Ticked())
-    assert harness.find_all(ReadReport) == []
+    assert harness.find_effects(ReadReport) == []
     assert harness.state.targets.targets["e-1"].unclaimed == 0
 
 
@@ -115,7 +118,7 @@
     harness.register("e-1")
     harness.handle(EntriesCounted(61))
     harness.handle(Ticked())
-    assert harness.find_all(ReadReport) == []
+    assert harness.find_effects(ReadReport) == []
 
 
 def test_a_system_that_starts_for_the_first_time_asks_nobody() -> None:
@@ -123,4 +126,4 @@
     harness.register("e-1")
     harness.clock.advance(QUERY_INTERVAL)
     harness.handle(Ticked())
-    assert harness.find_all(ReadReport) == []
+    assert harness.find_effects(ReadReport) == []
--- a/tests/gateway/test_requests.py
+++ b/tests/gateway/test_requests.py
@@ -37,15 +37,15 @@
 ) -> None:
     harness = EntryHarness()
     harness.register("b-1", service=BOOKINGS)
-    harness.arrive(path, **fields)
+    harness.receive_request(path, **fields)
     assert harness.find(Refuse).problem.status == status
-    assert harness.find_all(OpenAttempt) == []
+    assert harness.find_effects(OpenAttempt) == []
 
 
 def test_without_a_configuration_nothing_is_denied() -> None:
     harness = EntryHarness()
     harness.state.table = None
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     problem = harness.find(Refuse).problem
     assert (problem.status, problem.ran) == (503, Ran.NO)
     assert problem.retry_after is not None
@@ -56,14 +56,14 @@
     harness.register("b-1", service=BOOKINGS)
     table = build_table(2, [replace(LOOKUP, public=True)])
     harness.handle(ConfigurationRead(table))
-    harness.arrive("/lookup/a", key=None)
+    harness.receive_request("/lookup/a", key=None)
     assert harness.find(OpenAttempt).customer == ""
 
 
 def test_an_answer_goes_on_as_it_came() -> None:
     harness = EntryHarness()
     harness.register("b-1", service=BOOKINGS)
-    number = harness.arrive("/order/a", key=KEY)
+    number = harness.receive_request("/order/a", key=KEY)
     opened = harness.find(OpenAttempt)
     assert opened.customer == "gurdwara"
     harness.handle(AnswerArrived(opened.attempt, 200))
@@ -74,29 +74,29 @@
 def test_the_shorter_of_patience_and_route_bounds_a_request() -> None:
     harness = EntryHarness()
     harness.register("b-1", service=BOOKINGS)
-    harness.arrive("/order/a", max_wait=Millis(300))
+    harness.receive_request("/order/a", max_wait=Millis(300))
     assert harness.find(OpenAttempt).deadline == harness.clock.now() + 300
-    harness.arrive("/order/a", max_wait=Millis(60_000))
+    harness.receive_request("/order/a", max_wait=Millis(60_000))
     assert harness.find(OpenAttempt).deadline == harness.clock.now() + 800
 
 
 def test_at_its_deadline_a_request_is_answered_and_its_target_freed() -> None:
     harness = EntryHarness()
     harness.register("b-1", service=BOOKINGS)
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     harness.clock.advance(800)
     harness.handle(Ticked())
     problem = harness.find(Refuse).problem
     assert (problem.status, problem.ran) == (504, Ran.UNKNOWN)
-    assert len(harness.find_all(CloseAttempt)) == 1
+    assert len(harness.find_effects(CloseAttempt)) == 1
 
 
 def test_a_caller_that_leaves_frees_its_target() -> None:
     harness = EntryHarness()
     harness.register("b-1", service=BOOKINGS)
-    number = harness.arrive("/order/a")
+    number = harness.receive_request("/order/a")
     harness.handle(CallerGone(number))
-    assert len(harness.find_all(CloseAttempt)) == 1
+    assert len(harness.find_effects(CloseAttempt)) == 1
     target = harness.state.targets.find("b-1")
     assert target is not None
     assert target.calls == 0
@@ -104,7 +104,7 @@
 
 def test_what_finds_no_target_is_refused_at_once() -> None:
     harness = EntryHarness()
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     problem = harness.find(Refuse).problem
     assert (problem.status, problem.ran) == (503, Ran.NO)
     assert problem.retry_after is not None
@@ -116,11 +116,11 @@
     engine = harness.state.targets.find("e-1")
     assert engine is not None
     engine.peer_calls, engine.peer_memory = 8, 34_000
-    harness.arrive_plan()
-    assert harness.find_all(OpenAttempt) == []
+    harness.receive_plan()
+    assert harness.find_effects(OpenAttempt) == []
     engine.peer_memory = 0
     harness.handle(Ticked())
-    assert len(harness.find_all(OpenAttempt)) == 1
+    assert len(harness.find_effects(OpenAttempt)) == 1
 
 
 def test_a_prompt_that_waits_in_vain_is_told_that_it_did_not_run() -> None:
@@ -129,7 +129,7 @@
     engine = harness.state.targets.find("e-1")
     assert engine is not None
     engine.peer_calls, engine.peer_memory = 8, 34_000
-    harness.arrive_plan()
+    harness.receive_plan()
     harness.clock.advance(2_700)
     harness.handle(Ticked())
     problem = harness.find(Refuse).problem
@@ -148,8 +148,8 @@
     engine = harness.state.targets.find("e-1")
     assert engine is not None
     engine.peer_calls, engine.peer_memory = 8, 34_000
-    harness.arrive_plan()
-    question = harness.arrive("/question/a", Prompt("m", 2_000, 50, 15))
+    harness.receive_plan()
+    question = harness.receive_request("/question/a", Prompt("m", 2_000, 50, 15))
     engine.peer_memory = 0
     harness.handle(Ticked())
     assert harness.find(OpenAttempt).number == question
@@ -161,16 +161,16 @@
     harness.register("b-1", service=BOOKINGS)
     until = Millis(harness.clock.now() + 7_000)
     harness.handle(ShutdownRequested(until))
-    harness.arrive_plan()
+    harness.receive_plan()
     assert harness.find(Refuse).problem.ran is Ran.NO
-    harness.arrive("/order/a")
-    assert len(harness.find_all(OpenAttempt)) == 1
+    harness.receive_request("/order/a")
+    assert len(harness.find_effects(OpenAttempt)) == 1
 
 
 def test_refused_callers_come_back_spread() -> None:
     harness = EntryHarness()
     pauses = set()
     for _ in range(20):
-        harness.arrive("/order/a")
+        harness.receive_request("/order/a")
         pauses.add(harness.find(Refuse).problem.retry_after)
     assert len(pauses) > 10
--- a/tests/gateway/test_sources.py
+++ b/tests/gateway/test_sources.py
@@ -14,7 +14,7 @@
     Ticked,
 )
 from figstep.gateway.targets import Incarnation, Standing
-from tests.gateway.worlds import EntryHarness, build_fleet, build_large_world
+from tests.gateway.worlds import EntryHarness, build_fleet, build_large_fleet_entry
 
 
 def test_records_that_the_store_does_not_tell_are_asked_of_a_peer() -> None:
@@ -22,7 +22,7 @@
     harness = EntryHarness()
     harness.handle(PeerHeard("entry-2", address="10.0.0.2:7200", configuration=2))
     harness.handle(Ticked())
-    assert harness.find_all(FetchRecords) == []
+    assert harness.find_effects(FetchRecords) == []
     harness.clock.advance(sources.CATCH_UP_DELAY)
     harness.handle(Ticked())
     assert harness.find(FetchRecords).address == "10.0.0.2:7200"
@@ -35,11 +35,11 @@
         harness.clock.advance(Millis(500))
         harness.handle(PeerHeard("entry-2", configuration=1))
         harness.handle(Ticked())
-        assert harness.find_all(FetchRecords) == []
+        assert harness.find_effects(FetchRecords) == []
 
 
 def test_few_entries_of_a_large_fleet_read_the_store() -> None:
-    harness = build_large_world()
+    harness = build_large_fleet_entry()
     now = harness.clock.now()
     assert not sources.reads_store(harness.state, now)
     harness.state.node = "entry-0"
@@ -48,7 +48,7 @@
 
 def test_another_entry_reads_when_the_readers_fall_silent() -> None:
     """Guards against a failure domain whose readers all died at once."""
-    harness = build_large_world()
+    harness = build_large_fleet_entry()
     harness.state.node = "entry-0-03-next"
     assert not sources.reads_store(harness.state, harness.clock.now())
     harness.clock.advance(sources.READER_TIMEOUT)
@@ -58,13 +58,13 @@
 
 
 def test_an_entry_whose_store_is_away_keeps_asking() -> None:
-    harness = build_large_world()
+    harness = build_large_fleet_entry()
     harness.handle(StoreLost())
     assert sources.reads_store(harness.state, harness.clock.now())
 
 
 def test_an_entry_keeps_asking_while_the_readers_are_turned_away_too() -> None:
-    harness = build_large_world()
+    harness = build_large_fleet_entry()
     harness.handle(StoreLost())
     hear_readers(harness, 18, receives_records=False)
     assert sources.reads_store(harness.state, harness.clock.now())
@@ -86,7 +86,7 @@
 
 def test_few_entries_read_in_vain_while_the_store_is_away() -> None:
     """Guards against a fleet that asks a store that is down all at once."""
-    harness = build_large_world()
+    harness = build_large_fleet_entry()
     hear_readers(harness, sources.MAX_UNHEALTHY_READERS - 1, receives_records=False)
     harness.state.node = "entry-0-05-next"
     assert sources.reads_store(harness.state, harness.clock.now())
@@ -96,7 +96,7 @@
 
 def test_entries_that_read_in_vain_are_shared_among_failure_domains() -> None:
     """Guards against calls in an outage that grow with the failure domains."""
-    harness = build_large_world()
+    harness = build_large_fleet_entry()
     for domain in ("muc-b", "nue-a", "aug-a"):
         hear_domain(harness, domain)
     hear_readers(harness, 1, receives_records=False)
@@ -109,7 +109,7 @@
 
 def test_entries_that_are_about_to_read_in_vain_count_as_well() -> None:
     """Guards against a fleet that asks all at once as the store is lost."""
-    harness = build_large_world()
+    harness = build_large_fleet_entry()
     for domain in ("muc-b", "nue-a", "aug-a"):
         hear_domain(harness, domain)
     hear_readers(harness, 1, receives_records=False)
@@ -130,7 +130,7 @@
 
 def test_one_entry_of_each_of_many_failure_domains_reads_the_store() -> None:
     """Guards against calls to the store that grow with the failure domains."""
-    harness = build_large_world()
+    harness = build_large_fleet_entry()
     harness.state.node = "entry-0-00-next"
     assert sources.reads_store(harness.state, harness.clock.now())
     hear_domain(harness, "muc-b")
@@ -140,7 +140,7 @@
 
 def test_an_entry_that_hears_of_no_reader_takes_the_store_for_away() -> None:
     """Guards against registrations that lapse in an outage taken for departures."""
-    harness = build_large_world()
+    harness = build_large_fleet_entry()
     hear_readers(harness, 6, receives_records=True)
     harness.handle(Ticked())
     assert not harness.state.store_unreachable
@@ -201,7 +201,7 @@
 
 def test_an_entry_that_does_not_read_is_no_witness_of_the_store() -> None:
     """Guards against lapsed registrations taken for departures after an outage."""
-    harness = build_large_world()
+    harness = build_large_fleet_entry()
     hear_readers(harness, 1, receives_records=False)
     harness.handle(PeerHeard("entry-0-09", failure_domain="muc-a"))
     harness.clock.advance(1_000)
@@ -213,25 +213,25 @@
     """Guards against questions of all entries to all engines."""
     asked = 0
     for number in range(18):
-        harness = build_large_world()
+        harness = build_large_fleet_entry()
         harness.state.node = f"entry-0-{number:02}"
         harness.state.peers.pop(harness.state.node)
         harness.register("e-1")
         harness.open_plan()
         harness.handle(StoreLost())
         harness.handle(Ticked())
-        asked += len(harness.find_all(ReadReport))
+        asked += len(harness.find_effects(ReadReport))
     assert asked == 1
 
 
 def test_what_an_engine_says_of_its_leaving_reaches_the_others() -> None:
     """Guards against streams that end with an engine whose notice one entry knew."""
-    asker = build_large_world()
+    asker = build_large_fleet_entry()
     asker.register("e-1", "e-2")
     asker.handle(EngineReported("e-1", leaving=True))
-    assert asker.find_all(Announce)
+    assert asker.find_effects(Announce)
     told = peers.describe_entry(asker.state, asker.clock.now())
-    other = build_large_world()
+    other = build_large_fleet_entry()
     other.register("e-1", "e-2")
     opened = other.open_plan()
     leaving = (Incarnation(opened.target, 1),)
@@ -258,7 +258,7 @@
     """Guards against a key that was taken away and works on for seconds."""
     asked = 0
     for number in range(17):
-        harness = build_large_world()
+        harness = build_large_fleet_entry()
         harness.state.rng.seed(number)
         harness.state.node = f"entry-1-{number:02}"
         ahead = PeerHeard(
@@ -271,5 +271,5 @@
         harness.handle(Ticked())
         harness.clock.advance(sources.RELAY_DELAY)
         harness.handle(Ticked())
-        asked += len(harness.find_all(FetchRecords))
+        asked += len(harness.find_effects(FetchRecords))
     assert asked <= 4
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -51,7 +51,7 @@
     for _ in range(millis // step):
         harness.clock.advance(step)
         harness.handle(Ticked())
-        opened += harness.find_all(OpenAttempt)
+        opened += harness.find_effects(OpenAttempt)
     return opened
 
 
@@ -103,7 +103,7 @@
     run_steadily(harness, opened.attempt, 45)
     harness.clock.advance(2_000)
     harness.handle(Ticked())
-    assert harness.find_all(OpenAttempt) == []
+    assert harness.find_effects(OpenAttempt) == []
     harness.send_pieces(opened.attempt, 31, 70)
     assert let_pass(harness, 30) == []
 
@@ -129,8 +129,8 @@
     opened = harness.open_plan()
     harness.send_pieces(opened.attempt, 1, 3)
     harness.handle(AttemptLost(opened.attempt, Loss.BROKEN))
-    assert len(harness.find_all(BreakStream)) == 1
-    assert harness.find_all(FinishStream) == []
+    assert len(harness.find_effects(BreakStream)) == 1
+    assert harness.find_effects(FinishStream) == []
 
 
 def test_an_event_that_is_missing_cuts_the_stream() -> None:
@@ -139,8 +139,8 @@
     opened = harness.open_plan()
     harness.send_pieces(opened.attempt, 1, 3)
     harness.send_pieces(opened.attempt, 5, 5)
-    assert harness.find_all(Deliver) == []
-    assert len(harness.find_all(BreakStream)) == 1
+    assert harness.find_effects(Deliver) == []
+    assert len(harness.find_effects(BreakStream)) == 1
 
 
 def test_events_may_be_numbered_from_zero() -> None:
--- a/tests/gateway/test_warmups.py
+++ b/tests/gateway/test_warmups.py
@@ -63,8 +63,8 @@
     """Return how many of some calls are sent at once."""
     sent = 0
     for _ in range(tries):
-        harness.arrive("/order/a")
-        sent += len(harness.find_all(OpenAttempt))
+        harness.receive_request("/order/a")
+        sent += len(harness.find_effects(OpenAttempt))
     return sent
 
 
@@ -119,8 +119,8 @@
     register(harness, "b-1", 5_000)
     sent: list[Millis] = []
     for _ in range(400):
-        harness.arrive("/order/a")
-        sent += [harness.clock.now()] * len(harness.find_all(OpenAttempt))
+        harness.receive_request("/order/a")
+        sent += [harness.clock.now()] * len(harness.find_effects(OpenAttempt))
         harness.clock.advance(10)
     for start in sent:
         within = [at for at in sent if start <= at < start + 1_000]
@@ -141,8 +141,8 @@
     """Guards against callers refused while their only target warms up."""
     harness = build_harness(rate=0.5)
     register(harness, "b-1", 100)
-    harness.arrive("/order/a")
-    assert not harness.find_all(OpenAttempt)
+    harness.receive_request("/order/a")
+    assert not harness.find_effects(OpenAttempt)
     harness.clock.advance(120)
     harness.handle(Ticked())
     assert harness.find(OpenAttempt).target == "b-1"
@@ -174,7 +174,7 @@
     """Guards against a crowd of calls as a target answers again in a store outage."""
     harness = build_harness(rate=0.5)
     register(harness, "b-1", 0)
-    harness.arrive("/order/a")
+    harness.receive_request("/order/a")
     lost = harness.find(OpenAttempt)
     harness.handle(AttemptLost(lost.attempt, Loss.UNREACHED))
     target = harness.state.targets.targets["b-1"]
--- a/tests/gateway/worlds.py
+++ b/tests/gateway/worlds.py
@@ -137,12 +137,14 @@
         """Let a registration go."""
         return self.handle(TargetDeparted(name))
 
-    def arrive(self, path: str, prompt: Prompt | None = None, **fields: object) -> int:
+    def receive_request(
+        self, path: str, prompt: Prompt | None = None, **fields: object
+    ) -> int:
         """Let a request come; returns its number."""
         number = self.next_number
         self.next_number += 1
-        given: dict[str, object] = {"key": KEY, "digest": f"digest-{number}"}
-        given.update(fields)
+        request_fields: dict[str, object] = {"key": KEY, "digest": f"digest-{number}"}
+        request_fields.update(fields)
         request = RoutedRequest(
             number,
             f"id-{number}",
@@ -150,18 +152,18 @@
             "host",
             path,
             prompt=prompt,
-            **given,  # type: ignore[arg-type]
+            **request_fields,  # type: ignore[arg-type]
         )
         self.handle(RequestArrived(request))
         return number
 
-    def arrive_plan(self, tokens: int = 3_000, output: int = 900) -> int:
+    def receive_plan(self, tokens: int = 3_000, output: int = 900) -> int:
         """Let a request for a long plan come."""
-        return self.arrive("/plan/a", Prompt("m", tokens, 2_000, output))
+        return self.receive_request("/plan/a", Prompt("m", tokens, 2_000, output))
 
     def find(self, kind: type[EffectType]) -> EffectType:
         """Return the only effect of a kind."""
-        found = self.find_all(kind)
+        found = self.find_effects(kind)
         assert len(found) == 1, self.effects
         return found[0]
 
@@ -170,13 +172,13 @@
         """Effects of the last event, its log lines left out."""
         return [effect for effect in self.effects if not isinstance(effect, Note)]
 
-    def find_all(self, kind: type[EffectType]) -> "list[Found]":
+    def find_effects(self, kind: type[EffectType]) -> "list[Found]":
         """Return the effects of a kind."""
         return [effect for effect in self.effects if isinstance(effect, kind)]
 
     def open_plan(self) -> OpenAttempt:
         """Let a plan come and start; returns its attempt."""
-        self.arrive_plan()
+        self.receive_plan()
         return self.find(OpenAttempt)
 
     def send_pieces(self, attempt: int, first: int, last: int) -> list[Effect]:
@@ -203,7 +205,7 @@
     return harness, opened
 
 
-def build_large_world() -> EntryHarness:
+def build_large_fleet_entry() -> EntryHarness:
     """Return an entry of a large fleet that has heard its own failure domain."""
     harness = EntryHarness()
     harness.handle(EntriesCounted(73))
@@ -225,12 +227,12 @@
     return fleet
 
 
-def tell_all(fleet: list[EntryHarness]) -> None:
+def exchange_messages(fleet: list[EntryHarness]) -> None:
     """Let each entry tell the others what it knows."""
     now = fleet[0].clock.now()
-    speakers: dict[str, EntryHarness] = {}
+    representatives: dict[str, EntryHarness] = {}
     for harness in fleet:
-        speakers.setdefault(harness.state.failure_domain, harness)
+        representatives.setdefault(harness.state.failure_domain, harness)
         message = peers.describe_entry(harness.state, now)
         for other in fleet:
             near = other.state.failure_domain == harness.state.failure_domain
@@ -238,8 +240,8 @@
                 other.handle(message)
     if not fleet[0].state.is_large:
         return
-    for domain, speaker in speakers.items():
-        message = peers.describe_domain(speaker.state, now)
+    for domain, representative in representatives.items():
+        message = peers.describe_domain(representative.state, now)
         for other in fleet:
             if other.state.failure_domain != domain:
                 other.handle(message)
