--- a/tests/gateway/test_evacuations.py
+++ b/tests/gateway/test_evacuations.py
@@ -280,15 +280,17 @@
     def _tell(self, harness: EntryHarness, now: Millis) -> None:
         own = peers.describe_entry(harness.state, now)
         domain = peers.describe_domain(harness.state, now)
-        speaks = peers.is_domain_representative(harness.state, now)
+        represents_domain = peers.is_domain_representative(harness.state, now)
         for other in self.entries:
             if other is harness or self.rng.random() < 0.1:
                 continue
-            near = other.state.failure_domain == harness.state.failure_domain
-            if not near and not speaks:
+            is_local = other.state.failure_domain == harness.state.failure_domain
+            if not is_local and not represents_domain:
                 continue
             delay = Millis(self.rng.randrange(1, 200))
-            self.pending.append((Millis(now + delay), other, own if near else domain))
+            self.pending.append(
+                (Millis(now + delay), other, own if is_local else domain)
+            )
 
 
 def build_talking_fleet(size: int, seed: int) -> Fleet:
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -133,8 +133,8 @@
     def _tell_near(self, harness: EntryHarness) -> None:
         message = peers.describe_entry(harness.state, self.clock.now())
         for other in self.worlds:
-            near = other.state.failure_domain == harness.state.failure_domain
-            if near and other is not harness:
+            is_local = other.state.failure_domain == harness.state.failure_domain
+            if is_local and other is not harness:
                 other.handle(message)
 
     def _tell_target(self, harness: EntryHarness, target: str) -> None:
--- a/tests/gateway/test_sources.py
+++ b/tests/gateway/test_sources.py
@@ -159,13 +159,13 @@
     for harness in fleet:
         own = peers.describe_entry(harness.state, now)
         domain = peers.describe_domain(harness.state, now)
-        speaks = peers.is_domain_representative(harness.state, now)
+        represents_domain = peers.is_domain_representative(harness.state, now)
         for other in fleet:
             if other is harness:
                 continue
             if other.state.failure_domain == harness.state.failure_domain:
                 other.handle(own)
-            elif speaks:
+            elif represents_domain:
                 other.handle(domain)
     for harness in fleet:
         harness.handle(Ticked())
--- a/tests/gateway/worlds.py
+++ b/tests/gateway/worlds.py
@@ -235,8 +235,8 @@
         representatives.setdefault(harness.state.failure_domain, harness)
         message = peers.describe_entry(harness.state, now)
         for other in fleet:
-            near = other.state.failure_domain == harness.state.failure_domain
-            if other is not harness and (near or not harness.state.is_large):
+            is_local = other.state.failure_domain == harness.state.failure_domain
+            if other is not harness and (is_local or not harness.state.is_large):
                 other.handle(message)
     if not fleet[0].state.is_large:
         return
