--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -12,16 +12,16 @@
 from figstep.gateway.prompts import Prompt
 from tests.gateway.worlds import PLAN, EntryHarness
 
-RUN = Millis(4_000)
+RUN_DURATION = Millis(4_000)
 """How long each run of the replays takes."""
 
-READING = Millis(300)
+PREFILL_DURATION = Millis(300)
 """How long until its first event."""
 
-PER_ENGINE = 8
+RUNS_PER_ENGINE = 8
 """Runs that fit into an engine's memory."""
 
-TICK = Millis(30)
+TICK_INTERVAL = Millis(30)
 
 
 @dataclass
@@ -30,8 +30,8 @@
 
     Attributes:
         factor: Callers a second, in parts of what the pool can run.
-        refused_after: Waits of callers who were refused at their first try.
-        in_time: First tries that started before half their objective was over.
+        refusal_delays: Waits of callers who were refused at their first try.
+        started_early: First tries that started before half their objective was over.
         started: All starts.
         returned: Callers who came back.
     """
@@ -40,11 +40,11 @@
     seconds: int = 30
     engines: int = 2
     harness: EntryHarness = field(default_factory=EntryHarness)
-    came: dict[int, Millis] = field(default_factory=dict)
+    arrived_at: dict[int, Millis] = field(default_factory=dict)
     digests: dict[int, str] = field(default_factory=dict)
     first_try: dict[int, bool] = field(default_factory=dict)
-    refused_after: list[int] = field(default_factory=list)
-    in_time: int = 0
+    refusal_delays: list[int] = field(default_factory=list)
+    started_early: int = 0
     started: int = 0
     returned: int = 0
 
@@ -52,14 +52,16 @@
         """Play all callers."""
         names = [f"e-{number}" for number in range(self.engines)]
         self.harness.register(*names)
-        per_second = self.factor * self.engines * PER_ENGINE * 1_000 / RUN
+        per_second = self.factor * self.engines * RUNS_PER_ENGINE * 1_000 / RUN_DURATION
         gap = round(1_000 / per_second)
         start = self.harness.clock.now()
         todo: list[tuple[Millis, int, str, object]] = []
         for number, at in enumerate(range(0, self.seconds * 1_000, gap)):
             due = Millis(start + at)
             heapq.heappush(todo, (due, number, "caller", (f"d-{number}", True)))
-        for number, at in enumerate(range(0, (self.seconds + 10) * 1_000, TICK)):
+        for number, at in enumerate(
+            range(0, (self.seconds + 10) * 1_000, TICK_INTERVAL)
+        ):
             heapq.heappush(todo, (Millis(start + at), -1 - number, "tick", None))
         order = len(todo)
         while todo:
@@ -82,7 +84,7 @@
 
     def _arrive(self, digest: str, first: bool) -> None:
         number = self.harness.next_number
-        self.came[number] = self.harness.clock.now()
+        self.arrived_at[number] = self.harness.clock.now()
         self.digests[number] = digest
         self.first_try[number] = first
         prompt = Prompt("m", 3_600, 2_000, 320)
@@ -91,17 +93,17 @@
     def _take_effects(self, now: Millis) -> list[tuple[Millis, str, object]]:
         later: list[tuple[Millis, str, object]] = []
         for opened in self.harness.find_effects(OpenAttempt):
-            waited = now - self.came[opened.number]
+            waited = now - self.arrived_at[opened.number]
             self.started += 1
             if self.first_try[opened.number] and waited <= PLAN.objective // 2:
-                self.in_time += 1
-            later.append((Millis(now + READING), "first", opened.attempt))
-            later.append((Millis(now + RUN), "end", opened.attempt))
+                self.started_early += 1
+            later.append((Millis(now + PREFILL_DURATION), "first", opened.attempt))
+            later.append((Millis(now + RUN_DURATION), "end", opened.attempt))
         for refused in self.harness.find_effects(Refuse):
             pause = refused.problem.retry_after
             if not self.first_try[refused.number] or pause is None:
                 continue
-            self.refused_after.append(now - self.came[refused.number])
+            self.refusal_delays.append(now - self.arrived_at[refused.number])
             self.returned += 1
             again = (self.digests[refused.number], False)
             later.append((Millis(now + pause), "caller", again))
@@ -113,9 +115,9 @@
     """Guards against callers held for seconds who are then turned away."""
     load = Overload(factor)
     load.play()
-    at_once = [waited for waited in load.refused_after if waited <= 225]
-    assert len(load.refused_after) > 20
-    assert len(at_once) >= 0.5 * len(load.refused_after)
+    at_once = [waited for waited in load.refusal_delays if waited <= 225]
+    assert len(load.refusal_delays) > 20
+    assert len(at_once) >= 0.5 * len(load.refusal_delays)
 
 
 @pytest.mark.parametrize("factor", [1.5, 2.5])
@@ -123,7 +125,7 @@
     """Guards against callers who are turned away while engines have room."""
     load = Overload(factor)
     load.play()
-    possible = load.engines * PER_ENGINE * load.seconds * 1_000 / RUN
+    possible = load.engines * RUNS_PER_ENGINE * load.seconds * 1_000 / RUN_DURATION
     assert load.started >= 0.9 * possible
 
 
