--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -48,7 +48,7 @@
     started: int = 0
     returned: int = 0
 
-    def play(self) -> None:
+    def simulate(self) -> None:
         """Play all callers."""
         names = [f"e-{number}" for number in range(self.engines)]
         self.harness.register(*names)
@@ -114,7 +114,7 @@
 def test_under_lasting_overload_most_refusals_come_at_once(factor: float) -> None:
     """Guards against callers held for seconds who are then turned away."""
     load = Overload(factor)
-    load.play()
+    load.simulate()
     at_once = [waited for waited in load.refusal_delays if waited <= 225]
     assert len(load.refusal_delays) > 20
     assert len(at_once) >= 0.5 * len(load.refusal_delays)
@@ -124,7 +124,7 @@
 def test_under_lasting_overload_engines_stay_in_use(factor: float) -> None:
     """Guards against callers who are turned away while engines have room."""
     load = Overload(factor)
-    load.play()
+    load.simulate()
     possible = load.engines * RUNS_PER_ENGINE * load.seconds * 1_000 / RUN_DURATION
     assert load.started >= 0.9 * possible
 
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -85,7 +85,7 @@
                 for harness in self.worlds:
                     harness.handle(TargetRegistered(info))
 
-    def play(self) -> None:
+    def simulate(self) -> None:
         """Let prompts come, be read and run."""
         self.build()
         for tick in range(SECONDS * 1_000 // STEP):
@@ -162,7 +162,7 @@
     ratios = []
     for seed in range(3, 11):
         fleet = Fleet(rng=random.Random(seed))
-        fleet.play()
+        fleet.simulate()
         ratios += fleet.ratios
     ratios.sort()
     assert ratios[len(ratios) * 9 // 10] <= 1.3
