--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -53,34 +53,36 @@
         names = [f"e-{number}" for number in range(self.engines)]
         self.harness.register(*names)
         per_second = self.factor * self.engines * RUNS_PER_ENGINE * 1_000 / RUN_DURATION
-        gap = round(1_000 / per_second)
+        interval = round(1_000 / per_second)
         start = self.harness.clock.now()
-        todo: list[tuple[Millis, int, str, object]] = []
-        for number, at in enumerate(range(0, self.seconds * 1_000, gap)):
+        schedule: list[tuple[Millis, int, str, object]] = []
+        for number, at in enumerate(range(0, self.seconds * 1_000, interval)):
             due = Millis(start + at)
-            heapq.heappush(todo, (due, number, "caller", (f"d-{number}", True)))
+            heapq.heappush(schedule, (due, number, "caller", (f"d-{number}", True)))
         for number, at in enumerate(
             range(0, (self.seconds + 10) * 1_000, TICK_INTERVAL)
         ):
-            heapq.heappush(todo, (Millis(start + at), -1 - number, "tick", None))
-        order = len(todo)
-        while todo:
-            due, _, kind, what = heapq.heappop(todo)
+            heapq.heappush(schedule, (Millis(start + at), -1 - number, "tick", None))
+        sequence = len(schedule)
+        while schedule:
+            due, _, kind, payload = heapq.heappop(schedule)
             self.harness.clock.advance(due - self.harness.clock.now())
-            order += 1
+            sequence += 1
             match kind:
                 case "caller":
-                    self._arrive(*what)  # type: ignore[misc]
+                    self._arrive(*payload)  # type: ignore[misc]
                 case "first":
                     piece = StreamPiece(1, b"id: 1\n\n")
-                    self.harness.handle(PiecesArrived(what, [piece]))  # type: ignore[arg-type]
+                    self.harness.handle(PiecesArrived(payload, [piece]))  # type: ignore[arg-type]
                 case "end":
-                    self.harness.handle(StreamEnded(what))  # type: ignore[arg-type]
+                    self.harness.handle(StreamEnded(payload))  # type: ignore[arg-type]
                 case _:
                     self.harness.handle(Ticked())
-            for later in self._take_effects(due):
-                order += 1
-                heapq.heappush(todo, (later[0], order, later[1], later[2]))
+            for follow_ups in self._collect_follow_ups(due):
+                sequence += 1
+                heapq.heappush(
+                    schedule, (follow_ups[0], sequence, follow_ups[1], follow_ups[2])
+                )
 
     def _arrive(self, digest: str, first: bool) -> None:
         number = self.harness.next_number
@@ -90,24 +92,24 @@
         prompt = Prompt("m", 3_600, 2_000, 320)
         self.harness.receive_request("/plan/a", prompt, digest=digest)
 
-    def _take_effects(self, now: Millis) -> list[tuple[Millis, str, object]]:
-        later: list[tuple[Millis, str, object]] = []
+    def _collect_follow_ups(self, now: Millis) -> list[tuple[Millis, str, object]]:
+        follow_ups: list[tuple[Millis, str, object]] = []
         for opened in self.harness.find_effects(OpenAttempt):
             waited = now - self.arrived_at[opened.number]
             self.started += 1
             if self.first_try[opened.number] and waited <= PLAN.objective // 2:
                 self.started_early += 1
-            later.append((Millis(now + PREFILL_DURATION), "first", opened.attempt))
-            later.append((Millis(now + RUN_DURATION), "end", opened.attempt))
+            follow_ups.append((Millis(now + PREFILL_DURATION), "first", opened.attempt))
+            follow_ups.append((Millis(now + RUN_DURATION), "end", opened.attempt))
         for refused in self.harness.find_effects(Refuse):
             pause = refused.problem.retry_after
             if not self.first_try[refused.number] or pause is None:
                 continue
             self.refusal_delays.append(now - self.arrived_at[refused.number])
             self.returned += 1
-            again = (self.digests[refused.number], False)
-            later.append((Millis(now + pause), "caller", again))
-        return later
+            retry = (self.digests[refused.number], False)
+            follow_ups.append((Millis(now + pause), "caller", retry))
+        return follow_ups
 
 
 @pytest.mark.parametrize("factor", [1.5, 2.5])
