--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -44,7 +44,7 @@
 
 DOMAINS = ("muc-a", "muc-b", "nue-a", "aug-a")
 KILLER = "killer"
-RETURN = 3_600
+RETRY_DELAY = 3_600
 """Milliseconds after which a caller sends the same request again."""
 
 DOWN = 3_000
@@ -192,7 +192,7 @@
     """Let the caller come back to one entry after another."""
     for number in range(times):
         replay.send(replay.fleet[number % len(replay.fleet)])
-        replay.wait(RETURN)
+        replay.wait(RETRY_DELAY)
 
 
 @pytest.mark.parametrize("size", [8, 73])
@@ -238,7 +238,7 @@
         replay.clock.advance(100)
         for name in replay.lives:
             answer_at(harness, name)
-        replay.wait(RETURN)
+        replay.wait(RETRY_DELAY)
     for name in list(replay.lives):
         for harness in replay.fleet:
             harness.handle(TargetDeparted(name))
@@ -295,7 +295,7 @@
             # Send it to where the killer goes, as happens in one case of three.
             attempt = second.state.attempts[good.attempt]
             attempt.target = second.state.targets.targets[killer.target]
-    replay.wait(RETURN)
+    replay.wait(RETRY_DELAY)
     harness = replay.fleet[3]
     harness.receive_request("/lookup/a", digest=digest)
     assert harness.find_effects(OpenAttempt)
@@ -341,7 +341,7 @@
         exchange_messages(replay.fleet)
     for harness, opened in running[::2]:
         harness.handle(AnswerArrived(opened.attempt, 200))
-    replay.wait(RETURN)
+    replay.wait(RETRY_DELAY)
     for number in range(80):
         harness = replay.fleet[(number + 1) % len(replay.fleet)]
         assert not refuses(harness, f"good-{number}")
@@ -446,7 +446,7 @@
     harness = replay.fleet[1]
     replay.send(harness)
     assert harness.find(Refuse).problem.retry_after == SETTLING_RETRY_AFTER
-    replay.wait(RETURN)
+    replay.wait(RETRY_DELAY)
     replay.send(harness)
     assert harness.find(Refuse).problem.retry_after == REFUSED_RETRY_AFTER
 
@@ -544,7 +544,7 @@
             effects = harness.effects
             harness.handle(TargetDown(Incarnation(opened[0].target, 1)))
             harness.effects = effects
-        harness.clock.advance(RETURN)
+        harness.clock.advance(RETRY_DELAY)
     assert runs == 2
 
 
@@ -552,7 +552,7 @@
     """Guards against messages of a large fleet that all tell of old crashes."""
     replay = Replay(73)
     return_often(replay, 2)
-    replay.wait(RETURN)
+    replay.wait(RETRY_DELAY)
     news = LoadUpdates()
     now = replay.clock.now()
     own = peers.describe_entry(replay.fleet[0].state, now)
