--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -47,7 +47,7 @@
 RETRY_DELAY = 3_600
 """Milliseconds after which a caller sends the same request again."""
 
-DOWN = 3_000
+RESTART_DELAY = 3_000
 """Milliseconds for which a target that crashed is down."""
 
 CONTACT = 3_000
@@ -152,7 +152,7 @@
             return harness.find_effects(OpenAttempt)
         self.clock.advance(60)
         self.runs.append((self.clock.now(), name))
-        self.down[name] = Millis(self.clock.now() + DOWN)
+        self.down[name] = Millis(self.clock.now() + RESTART_DELAY)
         self.lose(harness, opened.attempt)
         return harness.find_effects(OpenAttempt)
 
@@ -330,7 +330,7 @@
     assert sum(opened.target in lost for _, opened in running) >= 40
     # Those that are sent on may meet the next target as it goes.
     for name in lost:
-        replay.down[name] = Millis(replay.clock.now() + DOWN)
+        replay.down[name] = Millis(replay.clock.now() + RESTART_DELAY)
         for harness, opened in list(running):
             if opened.target != name:
                 continue
--- a/tests/gateway/test_fleet_properties.py
+++ b/tests/gateway/test_fleet_properties.py
@@ -75,7 +75,7 @@
 """Events of a whole stream."""
 
 STEP = Millis(50)
-DOWN = Millis(1_500)
+RESTART_DELAY = Millis(1_500)
 """How long a target that crashed is down."""
 
 NOT_RUN = (408, 421, 429, 503)
@@ -376,7 +376,7 @@
         """Let targets that were down for long start again, as another life."""
         now = self.clock.now()
         for name, at in list(self.down.items()):
-            if now - at >= DOWN:
+            if now - at >= RESTART_DELAY:
                 del self.down[name]
                 self.register(replace(self.known[name], born=now))
 
