--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -50,20 +50,20 @@
 RESTART_DELAY = 3_000
 """Milliseconds for which a target that crashed is down."""
 
-CONTACT = 3_000
+PROPAGATION_DELAY = 3_000
 """Milliseconds after the third crash from which on retries count."""
 
-MOST_RETRIES = 3
+MAX_LATE_RUNS = 3
 """Retries later than that which are borne."""
 
 
-class Ending(Enum):
+class CrashEvidence(Enum):
     """How the end of a target shows."""
 
     PROBE = "nobody listens at its address"
     LAPSE = "its registration goes"
-    NEW_LIFE = "it starts again under its id"
-    NEW_NAME = "another id starts at its address"
+    NEW_INCARNATION = "it starts again under its id"
+    NEW_ID = "another id starts at its address"
 
 
 @dataclass
@@ -72,19 +72,19 @@
 
     Attributes:
         size: Entries.
-        ending: How the end of a target shows.
+        evidence: How the end of a target shows.
         loss: How the attempt that crashes a target is lost.
         runs: When the read ran, and where.
-        lives: Start of each target's newest life.
+        registrations: Start of each target's newest life.
         down: Targets that are down, and until when.
     """
 
     size: int = 8
-    ending: Ending = Ending.PROBE
+    evidence: CrashEvidence = CrashEvidence.PROBE
     loss: Loss = Loss.BROKEN
     domains: tuple[str, ...] = DOMAINS
     runs: list[tuple[Millis, str]] = field(default_factory=list)
-    lives: dict[str, Registration] = field(default_factory=dict)
+    registrations: dict[str, Registration] = field(default_factory=dict)
     down: dict[str, Millis] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
@@ -98,7 +98,7 @@
 
     def register(self, info: Registration) -> None:
         """Let a target start."""
-        self.lives[info.target] = info
+        self.registrations[info.target] = info
         for harness in self.fleet:
             harness.handle(TargetRegistered(info))
 
@@ -117,12 +117,12 @@
         exchange_messages(self.fleet)
 
     def _restart(self, name: str) -> None:
-        info = self.lives.pop(name)
+        info = self.registrations.pop(name)
         born = self.clock.now()
         new = info.target
-        if self.ending is not Ending.NEW_LIFE:
+        if self.evidence is not CrashEvidence.NEW_INCARNATION:
             new = f"b-{born}-{info.failure_domain}"
-        if self.ending is Ending.LAPSE:
+        if self.evidence is CrashEvidence.LAPSE:
             for harness in self.fleet:
                 harness.handle(TargetDeparted(name))
         self.register(
@@ -143,11 +143,11 @@
     ) -> list[OpenAttempt]:
         """Let a target crash under an attempt; returns what is sent next."""
         name = opened.target
-        if name not in self.lives:
+        if name not in self.registrations:
             harness.handle(AttemptLost(opened.attempt, Loss.MISDIRECTED))
             return harness.find_effects(OpenAttempt)
         if name in self.down:
-            down = self.ending is Ending.PROBE
+            down = self.evidence is CrashEvidence.PROBE
             harness.handle(AttemptLost(opened.attempt, Loss.UNREACHED, down=down))
             return harness.find_effects(OpenAttempt)
         self.clock.advance(60)
@@ -161,8 +161,8 @@
         harness.handle(AttemptLost(attempt, self.loss))
         effects = list(harness.effects)
         for probe in harness.find_effects(ProbeTarget):
-            if self.ending is Ending.PROBE:
-                info = self.lives[probe.target]
+            if self.evidence is CrashEvidence.PROBE:
+                info = self.registrations[probe.target]
                 harness.handle(TargetDown(info.incarnation))
         harness.effects = effects
 
@@ -170,7 +170,7 @@
         """Return the runs that began after the third crash was known to all."""
         if len(self.runs) < 3:
             return 0
-        known = self.runs[2][0] + CONTACT
+        known = self.runs[2][0] + PROPAGATION_DELAY
         return sum(at - 60 > known for at, _ in self.runs)
 
 
@@ -196,15 +196,15 @@
 
 
 @pytest.mark.parametrize("size", [8, 73])
-@pytest.mark.parametrize("ending", list(Ending))
+@pytest.mark.parametrize("ending", list(CrashEvidence))
 @pytest.mark.parametrize("loss", [Loss.BROKEN, Loss.GARBLED, Loss.SILENT, Loss.FAILED])
 def test_a_read_that_crashes_its_targets_is_kept_away(
-    size: int, ending: Ending, loss: Loss
+    size: int, evidence: CrashEvidence, loss: Loss
 ) -> None:
     """Guards against targets that crash one after another under one read."""
-    replay = Replay(size, ending, loss)
+    replay = Replay(size, evidence, loss)
     return_often(replay)
-    assert replay.count_late() <= MOST_RETRIES
+    assert replay.count_late() <= MAX_LATE_RUNS
     assert len(replay.runs) <= 4
     assert refuses(replay.fleet[5])
 
@@ -236,10 +236,10 @@
         while opened := harness.find_effects(OpenAttempt):
             harness.handle(AttemptLost(opened[0].attempt, loss))
         replay.clock.advance(100)
-        for name in replay.lives:
+        for name in replay.registrations:
             answer_at(harness, name)
         replay.wait(RETRY_DELAY)
-    for name in list(replay.lives):
+    for name in list(replay.registrations):
         for harness in replay.fleet:
             harness.handle(TargetDeparted(name))
     assert not replay.fleet[0].state.crashes.is_suspected(KILLER)
@@ -302,7 +302,7 @@
     harness.handle(AnswerArrived(harness.find(OpenAttempt).attempt, 200))
     return_often(replay, 4)
     assert refuses(replay.fleet[3])
-    assert replay.count_late() <= MOST_RETRIES
+    assert replay.count_late() <= MAX_LATE_RUNS
 
 
 @pytest.mark.parametrize(
@@ -320,7 +320,9 @@
     """Guards against requests refused that were at targets of a lost domain."""
     replay = Replay(size, domains=domains)
     lost = [
-        name for name, info in replay.lives.items() if info.failure_domain == "muc-a"
+        name
+        for name, info in replay.registrations.items()
+        if info.failure_domain == "muc-a"
     ]
     running: list[tuple[EntryHarness, OpenAttempt]] = []
     for number in range(80):
@@ -375,7 +377,7 @@
     there = second.find(OpenAttempt)
     if there.target == here.target:
         attempt = second.state.attempts[there.attempt]
-        other = next(name for name in replay.lives if name != here.target)
+        other = next(name for name in replay.registrations if name != here.target)
         attempt.target = second.state.targets.targets[other]
     replay.lose(first, here.attempt)
     exchange_messages(replay.fleet)
@@ -409,7 +411,7 @@
     fresh.state.node = "entry-new"
     fresh.state.failure_domain = replay.fleet[0].state.failure_domain
     fresh.handle(EntriesCounted(74))
-    for info in replay.lives.values():
+    for info in replay.registrations.values():
         fresh.handle(TargetRegistered(info))
     fresh.handle(peers.describe_entry(replay.fleet[0].state, replay.clock.now()))
     assert refuses(fresh)
