--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -153,10 +153,10 @@
         self.clock.advance(60)
         self.runs.append((self.clock.now(), name))
         self.down[name] = Millis(self.clock.now() + RESTART_DELAY)
-        self.lose(harness, opened.attempt)
+        self.lose_attempt(harness, opened.attempt)
         return harness.find_effects(OpenAttempt)
 
-    def lose(self, harness: EntryHarness, attempt: int) -> None:
+    def lose_attempt(self, harness: EntryHarness, attempt: int) -> None:
         """End an attempt as its target crashes; the effects of the loss stay."""
         harness.handle(AttemptLost(attempt, self.loss))
         effects = list(harness.effects)
@@ -284,7 +284,7 @@
     digest = second.state.requests[good.number].spec.digest
     for _ in range(2):
         [next_killer] = replay.play_attempt(first, killer) or [None]
-        replay.lose(second, good.attempt)
+        replay.lose_attempt(second, good.attempt)
         again = second.find_effects(OpenAttempt)
         exchange_messages(replay.fleet)
         if next_killer is None:
@@ -337,7 +337,7 @@
             if opened.target != name:
                 continue
             running.remove((harness, opened))
-            replay.lose(harness, opened.attempt)
+            replay.lose_attempt(harness, opened.attempt)
             running += [(harness, again) for again in harness.find_effects(OpenAttempt)]
         replay.clock.advance(30)
         exchange_messages(replay.fleet)
@@ -379,9 +379,9 @@
         attempt = second.state.attempts[there.attempt]
         other = next(name for name in replay.registrations if name != here.target)
         attempt.target = second.state.targets.targets[other]
-    replay.lose(first, here.attempt)
+    replay.lose_attempt(first, here.attempt)
     exchange_messages(replay.fleet)
-    replay.lose(second, there.attempt)
+    replay.lose_attempt(second, there.attempt)
     exchange_messages(replay.fleet)
     assert first.state.crashes.is_refused(KILLER, replay.clock.now())
     sent = first.state.requests[here.number].current
@@ -458,7 +458,7 @@
     replay = Replay(8)
     first, second = replay.fleet[:2]
     first.receive_request("/lookup/a", digest="good")
-    replay.lose(first, first.find(OpenAttempt).attempt)
+    replay.lose_attempt(first, first.find(OpenAttempt).attempt)
     again = first.find(OpenAttempt)
     exchange_messages(replay.fleet)
     assert second.state.crashes.is_suspected("good")
--- a/tests/gateway/test_fleet_properties.py
+++ b/tests/gateway/test_fleet_properties.py
@@ -327,7 +327,7 @@
             [Loss.BROKEN, Loss.GARBLED, Loss.REFUSED, Loss.FAILED, Loss.SILENT]
         ),
     )
-    def lose(self, data: st.DataObject, loss: Loss) -> None:
+    def lose_attempt(self, data: st.DataObject, loss: Loss) -> None:
         """Let an attempt end without an answer, at a target that lives."""
         run = data.draw(st.sampled_from(list(self.runs.values())))
         if run.index and loss in (Loss.REFUSED, Loss.FAILED):
