--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -136,9 +136,9 @@
         harness.receive_request(path, digest=digest)
         opened = harness.find_effects(OpenAttempt)
         while opened:
-            opened = self.play_attempt(harness, opened[0])
+            opened = self.crash_target(harness, opened[0])
 
-    def play_attempt(
+    def crash_target(
         self, harness: EntryHarness, opened: OpenAttempt
     ) -> list[OpenAttempt]:
         """Let a target crash under an attempt; returns what is sent next."""
@@ -166,7 +166,7 @@
                 harness.handle(TargetDown(info.incarnation))
         harness.effects = effects
 
-    def count_late(self) -> int:
+    def count_late_runs(self) -> int:
         """Return the runs that began after the third crash was known to all."""
         if len(self.runs) < 3:
             return 0
@@ -174,7 +174,7 @@
         return sum(at - 60 > known for at, _ in self.runs)
 
 
-def has_turned_away(harness: EntryHarness) -> bool:
+def was_rejected(harness: EntryHarness) -> bool:
     """Tell whether the last request was refused for its crashes."""
     return any(
         effect.problem.code == "crashes_targets"
@@ -182,13 +182,13 @@
     )
 
 
-def refuses(harness: EntryHarness, digest: str = KILLER) -> bool:
+def rejects_request(harness: EntryHarness, digest: str = KILLER) -> bool:
     """Tell whether an entry refuses a read for its crashes."""
     harness.receive_request("/lookup/a", digest=digest)
-    return has_turned_away(harness)
+    return was_rejected(harness)
 
 
-def return_often(replay: Replay, times: int = 6) -> None:
+def retry_repeatedly(replay: Replay, times: int = 6) -> None:
     """Let the caller come back to one entry after another."""
     for number in range(times):
         replay.send(replay.fleet[number % len(replay.fleet)])
@@ -203,26 +203,26 @@
 ) -> None:
     """Guards against targets that crash one after another under one read."""
     replay = Replay(size, evidence, loss)
-    return_often(replay)
-    assert replay.count_late() <= MAX_LATE_RUNS
+    retry_repeatedly(replay)
+    assert replay.count_late_runs() <= MAX_LATE_RUNS
     assert len(replay.runs) <= 4
-    assert refuses(replay.fleet[5])
+    assert rejects_request(replay.fleet[5])
 
 
 def test_entries_of_a_large_fleet_keep_a_read_away() -> None:
     """Guards against crashes that only one failure domain hears of."""
     replay = Replay(300)
-    return_often(replay, 3)
+    retry_repeatedly(replay, 3)
     assert len(replay.runs) == 2
-    assert all(refuses(harness) for harness in replay.fleet[::37])
+    assert all(rejects_request(harness) for harness in replay.fleet[::37])
 
 
 @pytest.mark.parametrize("loss", [Loss.REFUSED, Loss.UNREACHED])
 def test_what_did_not_run_is_not_suspected(loss: Loss) -> None:
     """Guards against requests blamed for targets that never began them."""
     replay = Replay(loss=loss)
-    return_often(replay)
-    assert not refuses(replay.fleet[5])
+    retry_repeatedly(replay)
+    assert not rejects_request(replay.fleet[5])
     assert not replay.fleet[5].state.crashes.is_suspected(KILLER)
 
 
@@ -237,7 +237,7 @@
             harness.handle(AttemptLost(opened[0].attempt, loss))
         replay.clock.advance(100)
         for name in replay.registrations:
-            answer_at(harness, name)
+            answer_from(harness, name)
         replay.wait(RETRY_DELAY)
     for name in list(replay.registrations):
         for harness in replay.fleet:
@@ -245,7 +245,7 @@
     assert not replay.fleet[0].state.crashes.is_suspected(KILLER)
 
 
-def answer_at(harness: EntryHarness, name: str) -> None:
+def answer_from(harness: EntryHarness, name: str) -> None:
     """Let a target answer some request of an entry."""
     for _ in range(20):
         harness.receive_request("/lookup/other")
@@ -255,7 +255,7 @@
             return
 
 
-def start_beside(
+def start_at_target(
     replay: Replay, target: str, count: int, path: str = "/lookup/a"
 ) -> list[tuple[EntryHarness, OpenAttempt]]:
     """Start requests until some run at a target, at any entry."""
@@ -280,10 +280,10 @@
     first, second = replay.fleet[:2]
     first.receive_request("/lookup/a", digest=KILLER)
     killer = first.find(OpenAttempt)
-    [(second, good)] = start_beside(replay, killer.target, 1)
+    [(second, good)] = start_at_target(replay, killer.target, 1)
     digest = second.state.requests[good.number].spec.digest
     for _ in range(2):
-        [next_killer] = replay.play_attempt(first, killer) or [None]
+        [next_killer] = replay.crash_target(first, killer) or [None]
         replay.lose_attempt(second, good.attempt)
         again = second.find_effects(OpenAttempt)
         exchange_messages(replay.fleet)
@@ -300,9 +300,9 @@
     harness.receive_request("/lookup/a", digest=digest)
     assert harness.find_effects(OpenAttempt)
     harness.handle(AnswerArrived(harness.find(OpenAttempt).attempt, 200))
-    return_often(replay, 4)
-    assert refuses(replay.fleet[3])
-    assert replay.count_late() <= MAX_LATE_RUNS
+    retry_repeatedly(replay, 4)
+    assert rejects_request(replay.fleet[3])
+    assert replay.count_late_runs() <= MAX_LATE_RUNS
 
 
 @pytest.mark.parametrize(
@@ -346,7 +346,7 @@
     replay.wait(RETRY_DELAY)
     for number in range(80):
         harness = replay.fleet[(number + 1) % len(replay.fleet)]
-        assert not refuses(harness, f"good-{number}")
+        assert not rejects_request(harness, f"good-{number}")
 
 
 def test_a_request_that_waits_is_refused_as_its_crashes_are_told() -> None:
@@ -363,7 +363,7 @@
     harness.handle(AnswerArrived(running.attempt, 200))
     harness.handle(Ticked())
     assert harness.find_effects(OpenAttempt) == []
-    assert has_turned_away(harness)
+    assert was_rejected(harness)
     assert harness.find(Refuse).problem.status == 503
 
 
@@ -372,23 +372,25 @@
     replay = Replay()
     first, second = replay.fleet[:2]
     first.receive_request("/lookup/a", digest=KILLER)
-    here = first.find(OpenAttempt)
+    first_opened = first.find(OpenAttempt)
     second.receive_request("/lookup/a", digest=KILLER)
-    there = second.find(OpenAttempt)
-    if there.target == here.target:
-        attempt = second.state.attempts[there.attempt]
-        other = next(name for name in replay.registrations if name != here.target)
+    second_opened = second.find(OpenAttempt)
+    if second_opened.target == first_opened.target:
+        attempt = second.state.attempts[second_opened.attempt]
+        other = next(
+            name for name in replay.registrations if name != first_opened.target
+        )
         attempt.target = second.state.targets.targets[other]
-    replay.lose_attempt(first, here.attempt)
+    replay.lose_attempt(first, first_opened.attempt)
     exchange_messages(replay.fleet)
-    replay.lose_attempt(second, there.attempt)
+    replay.lose_attempt(second, second_opened.attempt)
     exchange_messages(replay.fleet)
     assert first.state.crashes.is_refused(KILLER, replay.clock.now())
-    sent = first.state.requests[here.number].current
+    sent = first.state.requests[first_opened.number].current
     assert sent is not None
     first.handle(AttemptLost(sent.number, Loss.REFUSED))
     assert first.find_effects(OpenAttempt) == []
-    assert has_turned_away(first)
+    assert was_rejected(first)
 
 
 def test_a_run_is_not_repeated_once_its_crashes_refuse_it() -> None:
@@ -405,7 +407,7 @@
 def test_an_entry_that_starts_again_learns_what_is_refused() -> None:
     """Guards against a restarted entry that sends a killer on."""
     replay = Replay(73)
-    return_often(replay, 2)
+    retry_repeatedly(replay, 2)
     replay.wait(20_000)
     fresh = EntryHarness(clock=replay.clock)
     fresh.state.node = "entry-new"
@@ -414,19 +416,19 @@
     for info in replay.registrations.values():
         fresh.handle(TargetRegistered(info))
     fresh.handle(peers.describe_entry(replay.fleet[0].state, replay.clock.now()))
-    assert refuses(fresh)
+    assert rejects_request(fresh)
 
 
 def test_entries_that_were_cut_off_learn_what_is_refused() -> None:
     """Guards against crashes that are told only while they are new."""
     replay = Replay(8)
-    near, far = replay.fleet[:4], replay.fleet[4:]
-    replay.fleet = near
-    return_often(replay, 2)
+    connected, isolated = replay.fleet[:4], replay.fleet[4:]
+    replay.fleet = connected
+    retry_repeatedly(replay, 2)
     replay.wait(4_000)
-    replay.fleet = near + far
+    replay.fleet = connected + isolated
     exchange_messages(replay.fleet)
-    assert all(refuses(harness) for harness in far)
+    assert all(rejects_request(harness) for harness in isolated)
 
 
 def test_a_caller_that_comes_again_at_once_is_refused() -> None:
@@ -436,7 +438,7 @@
     exchange_messages(replay.fleet)
     for harness in replay.fleet:
         replay.send(harness)
-        assert has_turned_away(harness)
+        assert was_rejected(harness)
     assert len(replay.runs) == 2
 
 
@@ -502,7 +504,7 @@
     harness.clock.advance(MIN_RESTART_TIME - 1)
     for name in {"b-1", "b-2", "b-3"} - {first.target}:
         harness.depart(name)
-    answer_at(harness, first.target)
+    answer_from(harness, first.target)
     assert not harness.state.crashes.is_suspected("good")
 
 
@@ -553,7 +555,7 @@
 def test_old_suspicions_are_left_out_of_what_changed() -> None:
     """Guards against messages of a large fleet that all tell of old crashes."""
     replay = Replay(73)
-    return_often(replay, 2)
+    retry_repeatedly(replay, 2)
     replay.wait(RETRY_DELAY)
     news = LoadUpdates()
     now = replay.clock.now()
