--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -25,7 +25,7 @@
 from figstep.gateway.targets import Incarnation, Registration, Standing
 from tests.gateway.worlds import BOOKINGS, ENGINES, EntryHarness, build_fleet
 
-FORGOTTEN = Millis(31_000)
+RETENTION_DURATION = Millis(31_000)
 """Time after which a target that left and serves nothing is not known any more."""
 
 
@@ -36,12 +36,12 @@
     return harness
 
 
-def say(target: str, born: int = 1) -> TargetLeaving:
+def build_leaving(target: str, born: int = 1) -> TargetLeaving:
     """Return a target's word that it leaves."""
     return TargetLeaving(Incarnation(target, born))
 
 
-def list_called(harness: EntryHarness, calls: int = 6) -> set[str]:
+def list_called_targets(harness: EntryHarness, calls: int = 6) -> set[str]:
     """Return the targets that some calls are sent to."""
     called = set()
     for _ in range(calls):
@@ -54,8 +54,8 @@
     """Guards against departures that are known from the store alone."""
     harness = build_harness("b-1", "b-2")
     harness.handle(StoreLost())
-    harness.handle(say("b-1"))
-    assert list_called(harness) == {"b-2"}
+    harness.handle(build_leaving("b-1"))
+    assert list_called_targets(harness) == {"b-2"}
 
 
 def test_streams_move_from_an_engine_that_says_that_it_leaves() -> None:
@@ -64,14 +64,14 @@
     harness.register("e-1", "e-2")
     opened = harness.open_plan()
     harness.send_pieces(opened.attempt, 1, 9)
-    harness.handle(say(opened.target))
+    harness.handle(build_leaving(opened.target))
     assert harness.find(CopyRun).source == opened.target
 
 
 def test_a_call_is_refused_at_once_where_all_targets_leave() -> None:
     """Guards against callers who wait for targets that take nothing more."""
     harness = build_harness("b-1")
-    harness.handle(say("b-1"))
+    harness.handle(build_leaving("b-1"))
     harness.receive_request("/order/a")
     assert harness.find(Refuse).problem.status == 503
 
@@ -82,28 +82,28 @@
     harness = build_harness("b-1", "b-2")
     old = Registration("b-1", BOOKINGS, "b-1:80", "muc-a", 6, born=1)
     harness.handle(StoreLost())
-    harness.handle(say("b-1"))
+    harness.handle(build_leaving("b-1"))
     harness.clock.advance(pause)
     harness.handle(Ticked())
     harness.handle(StoreRegained())
     harness.handle(TargetRegistered(old))
     harness.handle(TargetsListed((old, replace(old, target="b-2")), 9))
-    assert list_called(harness) == {"b-2"}
+    assert list_called_targets(harness) == {"b-2"}
 
 
 def test_a_target_that_had_left_by_the_store_keeps_to_its_word() -> None:
     """Guards against a registration that lapsed and comes back as the target leaves."""
     harness = build_harness("b-1", "b-2")
     harness.handle(TargetDeparted("b-1"))
-    harness.handle(say("b-1"))
+    harness.handle(build_leaving("b-1"))
     harness.register("b-1", service=BOOKINGS, slots=6)
-    assert list_called(harness) == {"b-2"}
+    assert list_called_targets(harness) == {"b-2"}
 
 
 def test_a_target_that_starts_again_gets_work() -> None:
     """Guards against a new process that is shunned for the word of the one before."""
     harness = build_harness("b-1", "b-2")
-    harness.handle(say("b-1"))
+    harness.handle(build_leaving("b-1"))
     told = peers.describe_entry(harness.state, harness.clock.now())
     info = Registration("b-1", BOOKINGS, "b-1:80", "muc-a", 6, born=2)
     other = build_harness("b-2")
@@ -120,7 +120,7 @@
     harness = build_harness("b-1", "b-2")
     info = Registration("b-1", BOOKINGS, "b-1:80", "muc-a", 6, born=2)
     harness.handle(TargetRegistered(info))
-    harness.handle(say("b-1", born=1))
+    harness.handle(build_leaving("b-1", born=1))
     found = harness.state.targets.find("b-1")
     assert found is not None
     assert found.standing is Standing.READY
@@ -132,7 +132,7 @@
     fleet = build_fleet(size, ("muc-a", "muc-b", "nue-a", "aug-a"))
     for harness in fleet:
         harness.register("b-1", "b-2", service=BOOKINGS, slots=6)
-    fleet[0].handle(say("b-1"))
+    fleet[0].handle(build_leaving("b-1"))
     assert fleet[0].find_effects(Announce)
     now = fleet[0].clock.now()
     near = peers.describe_entry(fleet[0].state, now)
@@ -140,23 +140,25 @@
     for harness in fleet[1:]:
         same = harness.state.failure_domain == fleet[0].state.failure_domain
         harness.handle(near if same or size == 8 else far)
-    assert {name for harness in fleet for name in list_called(harness)} == {"b-2"}
+    assert {name for harness in fleet for name in list_called_targets(harness)} == {
+        "b-2"
+    }
 
 
 def test_a_word_that_comes_before_the_registration_holds() -> None:
     """Guards against an entry that starts and reads the target's record from before."""
     teller = build_harness("b-1")
-    teller.handle(say("b-1"))
+    teller.handle(build_leaving("b-1"))
     harness = build_harness("b-2")
     harness.handle(peers.describe_entry(teller.state, teller.clock.now()))
     harness.register("b-1", service=BOOKINGS, slots=6)
-    assert list_called(harness) == {"b-2"}
+    assert list_called_targets(harness) == {"b-2"}
 
 
 def test_a_word_is_told_for_a_while_and_remembered_for_longer() -> None:
     """Guards against messages and a state that grow with every departure."""
     harness = build_harness("b-1", "b-2")
-    harness.handle(say("b-1"))
+    harness.handle(build_leaving("b-1"))
     assert peers.describe_entry(harness.state, harness.clock.now()).leaving
     harness.clock.advance(LEAVING_ANNOUNCE_DURATION)
     assert not peers.describe_entry(harness.state, harness.clock.now()).leaving
@@ -172,7 +174,7 @@
     harness.handle(EntriesCounted(8))
     harness.register("e-1", "e-2")
     harness.handle(EngineReported("e-1", leaving=True))
-    harness.clock.advance(FORGOTTEN)
+    harness.clock.advance(RETENTION_DURATION)
     harness.handle(Ticked())
     info = Registration("e-1", ENGINES, "e-1:80", "muc-a", 64, born=1)
     harness.handle(TargetRegistered(info))
@@ -184,17 +186,17 @@
     harness = build_harness("b-1")
     told = []
     for _ in range(3):
-        harness.handle(say("b-1"))
+        harness.handle(build_leaving("b-1"))
         told += [note.message for note in harness.find_effects(Note)]
     assert told == ["target says that it leaves"]
 
 
 def test_the_word_of_an_unknown_target_is_passed_over() -> None:
     """Guards against an answer that comes after its target was forgotten."""
-    assert EntryHarness().handle(say("b-9")) == []
+    assert EntryHarness().handle(build_leaving("b-9")) == []
 
 
-def start_plan_unread() -> tuple[EntryHarness, OpenAttempt]:
+def start_plan_without_store() -> tuple[EntryHarness, OpenAttempt]:
     """Return an entry that can't read the store, alone, with a plan that runs."""
     harness = EntryHarness()
     harness.register("e-1", "e-2")
@@ -206,7 +208,7 @@
 
 def test_an_engine_that_is_drained_serves_on_while_nobody_reads_the_store() -> None:
     """Guards against runs moved, and room lost, though the engine serves on."""
-    harness, opened = start_plan_unread()
+    harness, opened = start_plan_without_store()
     harness.handle(EngineReported(opened.target, leaving=True, ending=False))
     assert not harness.find_effects(CopyRun)
     found = harness.state.targets.find(opened.target)
@@ -216,7 +218,7 @@
 
 def test_an_engine_that_says_when_it_ends_is_left_at_once() -> None:
     """Guards against runs lost with an engine that was only drained at first."""
-    harness, opened = start_plan_unread()
+    harness, opened = start_plan_without_store()
     harness.handle(EngineReported(opened.target, leaving=True, ending=False))
     harness.handle(EngineReported(opened.target, leaving=True, ending=True))
     assert harness.find(CopyRun).source == opened.target
@@ -224,7 +226,7 @@
 
 def test_an_engine_is_left_at_once_where_another_entry_reads_the_store() -> None:
     """Guards against runs kept at an engine whose word the store has taken."""
-    harness, opened = start_plan_unread()
+    harness, opened = start_plan_without_store()
     harness.handle(PeerHeard("entry-2", reading=True))
     harness.handle(EngineReported(opened.target, leaving=True, ending=False))
     assert harness.find(CopyRun).source == opened.target
