--- a/tests/gateway/test_eligibility.py
+++ b/tests/gateway/test_eligibility.py
@@ -27,11 +27,11 @@
 )
 
 REGIONS = {"muc-a": "bayern", "ber-a": "berlin", "ie-a": "eire"}
-Homes = frozenset[str] | None
+RegionSet = frozenset[str] | None
 
 
-def bind(
-    allowed_regions: Homes, customer: Homes = None, version: int = 2
+def build_bound_table(
+    allowed_regions: RegionSet, customer: RegionSet = None, version: int = 2
 ) -> RoutingTable:
     """Return a configuration whose routes and customer are bound to regions."""
     routes = [
@@ -52,35 +52,37 @@
     harness.handle(TargetRegistered(info))
 
 
-def build_harness(allowed_regions: Homes, customer: Homes = None) -> EntryHarness:
+def build_harness(
+    allowed_regions: RegionSet, customer: RegionSet = None
+) -> EntryHarness:
     """Return an entry in one of three regions, each with a target."""
     harness = EntryHarness()
     harness.handle(SettingsRead(0.2, 56.0, harness.state.budget.window, REGIONS))
-    harness.handle(ConfigurationRead(bind(allowed_regions, customer)))
+    harness.handle(ConfigurationRead(build_bound_table(allowed_regions, customer)))
     for domain in REGIONS:
         register(harness, f"b-{domain}", domain)
     return harness
 
 
-def find_reached(harness: EntryHarness, path: str = "/order/a") -> set[str]:
+def list_called_targets(harness: EntryHarness, path: str = "/order/a") -> set[str]:
     """Return the targets that some calls are sent to."""
-    reached = set()
+    called = set()
     for _ in range(12):
         harness.receive_request(path)
-        reached |= {opened.target for opened in harness.find_effects(OpenAttempt)}
-    return reached
+        called |= {opened.target for opened in harness.find_effects(OpenAttempt)}
+    return called
 
 
 def test_a_request_stays_in_the_regions_of_its_route() -> None:
     """Guards against requests run in a region that their route forbids."""
     harness = build_harness(frozenset({"berlin", "eire"}))
-    assert find_reached(harness) == {"b-ber-a", "b-ie-a"}
+    assert list_called_targets(harness) == {"b-ber-a", "b-ie-a"}
 
 
 def test_a_request_stays_in_the_regions_of_its_customer() -> None:
     """Guards against requests run in a region that their customer forbids."""
     harness = build_harness(None, frozenset({"eire"}))
-    assert find_reached(harness) == {"b-ie-a"}
+    assert list_called_targets(harness) == {"b-ie-a"}
 
 
 def test_regions_of_route_and_customer_both_bind() -> None:
@@ -88,7 +90,7 @@
     harness = build_harness(
         frozenset({"berlin", "eire"}), frozenset({"bayern", "eire"})
     )
-    assert find_reached(harness) == {"b-ie-a"}
+    assert list_called_targets(harness) == {"b-ie-a"}
 
 
 def test_a_request_without_any_home_is_refused_at_once() -> None:
@@ -103,7 +105,7 @@
     """Guards against a new failure domain that is taken for a home."""
     harness = build_harness(frozenset({"berlin"}))
     register(harness, "b-new", "ham-a")
-    assert find_reached(harness) == {"b-ber-a"}
+    assert list_called_targets(harness) == {"b-ber-a"}
 
 
 def test_retries_stay_at_home() -> None:
@@ -135,7 +137,7 @@
     for _ in range(9):
         harness.receive_plan()
     assert harness.state.queue
-    harness.handle(ConfigurationRead(bind(frozenset({"eire"}), version=3)))
+    harness.handle(ConfigurationRead(build_bound_table(frozenset({"eire"}), version=3)))
     register(harness, "e-2", "muc-a", ENGINES)
     harness.handle(Ticked())
     assert not harness.find_effects(OpenAttempt)
@@ -148,6 +150,6 @@
     """Guards against a request set free as its route leaves the configuration."""
     harness = build_harness(frozenset({"eire"}))
     number = harness.receive_request("/order/a")
-    table = replace(bind(None, version=3), routes={})
+    table = replace(build_bound_table(None, version=3), routes={})
     harness.handle(ConfigurationRead(table))
     assert harness.state.requests[number].allowed_regions == frozenset({"eire"})
