--- a/tests/gateway/test_evacuations.py
+++ b/tests/gateway/test_evacuations.py
@@ -180,8 +180,8 @@
     harness = build_harness()
     evacuate(harness, "muc-a", position=5)
     evacuate(harness, position=9)
-    told = Evacuations(frozenset({"muc-a"}), 5)
-    harness.handle(PeerHeard("entry-2", evacuations=told))
+    records = Evacuations(frozenset({"muc-a"}), 5)
+    harness.handle(PeerHeard("entry-2", evacuations=records))
     assert not harness.state.evacuations.domains
     assert not harness.state.targets.targets["e-muc-a"].evacuated
 
@@ -196,9 +196,9 @@
 
 def test_a_message_carries_evacuations() -> None:
     """Guards against peers that learn the position but not what is evacuated."""
-    told = Evacuations(frozenset({"muc-a", "nue-a"}), 17)
-    data = encode_hello(Hello(PeerHeard("entry-1", evacuations=told)))
-    assert decode_hello(data, "10.0.0.1:7000").content.evacuations == told
+    records = Evacuations(frozenset({"muc-a", "nue-a"}), 17)
+    data = encode_hello(Hello(PeerHeard("entry-1", evacuations=records)))
+    assert decode_hello(data, "10.0.0.1:7000").content.evacuations == records
 
 
 def test_several_domains_are_evacuated_one_by_one() -> None:
@@ -237,16 +237,16 @@
     )
 )
 def test_the_newest_word_holds_in_any_order(
-    told: list[tuple[int, frozenset[str]]],
+    records: list[tuple[int, frozenset[str]]],
 ) -> None:
     """Guards against words that come late, twice or crossed."""
     harness = build_harness()
     newest = Evacuations()
-    for position, domains in told:
-        word = Evacuations(domains, position)
+    for position, domains in records:
+        record = Evacuations(domains, position)
         if position > newest.position:
-            newest = word
-        harness.handle(PeerHeard("entry-2", evacuations=word))
+            newest = record
+        harness.handle(PeerHeard("entry-2", evacuations=record))
         assert harness.state.evacuations == newest
         for target in harness.state.targets.targets.values():
             assert target.evacuated == (target.info.failure_domain in newest.domains)
@@ -275,9 +275,9 @@
         for _, harness, message in due:
             harness.handle(message)
         for harness in self.entries:
-            self._tell(harness, now)
+            self._send_messages(harness, now)
 
-    def _tell(self, harness: EntryHarness, now: Millis) -> None:
+    def _send_messages(self, harness: EntryHarness, now: Millis) -> None:
         own = peers.describe_entry(harness.state, now)
         domain = peers.describe_domain(harness.state, now)
         represents_domain = peers.is_domain_representative(harness.state, now)
@@ -293,7 +293,7 @@
             )
 
 
-def build_talking_fleet(size: int, seed: int) -> Fleet:
+def build_lossy_fleet(size: int, seed: int) -> Fleet:
     """Return a fleet of which each entry knows one target a failure domain."""
     entries = build_fleet(size, DOMAINS)
     for harness in entries:
@@ -308,7 +308,7 @@
     size: int, seed: int
 ) -> None:
     """Guards against entries cut from the store that go on sending to the domain."""
-    fleet = build_talking_fleet(size, seed)
+    fleet = build_lossy_fleet(size, seed)
     fleet.step(200)
     readers = fleet.entries[: max(1, size // 10)]
     for harness in readers:
@@ -318,7 +318,7 @@
     for harness in fleet.entries:
         harness.receive_request("/order/a")
         assert harness.find(OpenAttempt).target != "b-muc-b"
-    restarted = build_talking_fleet(size, seed).entries[0]
+    restarted = build_lossy_fleet(size, seed).entries[0]
     fleet.entries[-1] = restarted
     restarted.clock = fleet.clock
     for harness in readers:
