--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -21,16 +21,23 @@
 from tests.gateway.worlds import ENGINES, EntryHarness
 
 DOMAINS = ("muc-a", "muc-b", "nue-a", "aug-a", "rgb-a", "wue-a")
-PER_DOMAIN = 4
-ENGINES_IN = {"muc-a": 9, "muc-b": 9, "nue-a": 9, "aug-a": 2, "rgb-a": 1, "wue-a": 1}
+ENTRIES_PER_DOMAIN = 4
+ENGINES_PER_DOMAIN = {
+    "muc-a": 9,
+    "muc-b": 9,
+    "nue-a": 9,
+    "aug-a": 2,
+    "rgb-a": 1,
+    "wue-a": 1,
+}
 """Engines of each failure domain: callers are as many in all of them."""
 
-FLEET = 195
-PROMPTS_A_SECOND = 28
-SECONDS = 8
+FLEET_SIZE = 195
+PROMPTS_PER_SECOND = 28
+DURATION_SECONDS = 8
 STEP = Millis(10)
-TOKENS = 1_700
-RUN = Millis(3_000)
+PROMPT_TOKENS = 1_700
+GENERATION_DURATION = Millis(3_000)
 """How long a run goes on once its prompt is read."""
 
 
@@ -47,7 +54,7 @@
     def read(self, now: Millis) -> Millis:
         """Take a prompt; returns when it has been read."""
         start = max(self.free_at, now)
-        self.free_at = Millis(start + round(TOKENS / DEFAULT_READ_RATE))
+        self.free_at = Millis(start + round(PROMPT_TOKENS / DEFAULT_READ_RATE))
         return self.free_at
 
 
@@ -64,21 +71,21 @@
     engines: dict[str, Engine] = field(default_factory=dict)
     ratios: list[float] = field(default_factory=list)
     due: list[tuple[Millis, EntryHarness, str, int]] = field(default_factory=list)
-    told: dict[str, dict[str, PeerLoad]] = field(default_factory=dict)
+    sent_loads: dict[str, dict[str, PeerLoad]] = field(default_factory=dict)
     rng: random.Random = field(default_factory=lambda: random.Random(3))
 
     def build(self) -> None:
         """Set up entries and engines, which know of each other."""
         for domain in DOMAINS:
-            for number in range(PER_DOMAIN):
+            for number in range(ENTRIES_PER_DOMAIN):
                 harness = EntryHarness(clock=self.clock)
                 harness.state.node = f"entry-{domain}-{number}"
                 harness.state.failure_domain = domain
                 harness.state.rng.seed(len(self.worlds))
-                harness.handle(EntriesCounted(FLEET))
+                harness.handle(EntriesCounted(FLEET_SIZE))
                 self.worlds.append(harness)
         for domain in DOMAINS:
-            for number in range(ENGINES_IN[domain]):
+            for number in range(ENGINES_PER_DOMAIN[domain]):
                 name = f"e-{domain}-{number}"
                 self.engines[name] = Engine()
                 info = Registration(name, ENGINES, f"{name}:80", domain, 24, born=1)
@@ -88,15 +95,15 @@
     def simulate(self) -> None:
         """Let prompts come, be read and run."""
         self.build()
-        for tick in range(SECONDS * 1_000 // STEP):
+        for tick in range(DURATION_SECONDS * 1_000 // STEP):
             self.clock.advance(STEP)
-            self._end_what_is_due()
-            if self.rng.random() < PROMPTS_A_SECOND * STEP / 1_000:
+            self._process_due()
+            if self.rng.random() < PROMPTS_PER_SECOND * STEP / 1_000:
                 self._place(self.rng.choice(self.worlds))
-            self._talk(tick * STEP)
+            self._exchange_messages(tick * STEP)
 
     def _place(self, harness: EntryHarness) -> None:
-        harness.receive_request("/question/a", Prompt("m", TOKENS, 200, 40))
+        harness.receive_request("/question/a", Prompt("m", PROMPT_TOKENS, 200, 40))
         announcements = harness.find_effects(AnnounceTarget)
         for opened in harness.find_effects(OpenAttempt):
             notes = [n for n in harness.find_effects(Note) if "expected_ms" in n.fields]
@@ -106,12 +113,14 @@
             read_at = self.engines[opened.target].read(now)
             self.ratios.append((read_at - now) / expected)
             self.due.append((read_at, harness, "read", opened.attempt))
-            self.due.append((Millis(read_at + RUN), harness, "end", opened.attempt))
-            self._tell_near(harness)
+            self.due.append(
+                (Millis(read_at + GENERATION_DURATION), harness, "end", opened.attempt)
+            )
+            self._send_locally(harness)
         for announced in announcements:
-            self._tell_target(harness, announced.target)
+            self._announce_load(harness, announced.target)
 
-    def _end_what_is_due(self) -> None:
+    def _process_due(self) -> None:
         now = self.clock.now()
         due = [item for item in self.due if item[0] <= now]
         self.due = [item for item in self.due if item[0] > now]
@@ -121,40 +130,42 @@
             else:
                 harness.handle(StreamEnded(attempt))
 
-    def _talk(self, at: int) -> None:
+    def _exchange_messages(self, at: int) -> None:
         for harness in self.worlds:
             if at % round(HELLO_SECONDS * 1_000) == 0:
-                self._tell_near(harness)
+                self._send_locally(harness)
         if at % round(FAR_SECONDS * 1_000) == 0:
             for harness in self.worlds:
                 if peers.is_domain_representative(harness.state, self.clock.now()):
-                    self._tell_far(harness, at % round(FAR_WHOLE_SECONDS * 1_000) == 0)
+                    self._send_remotely(
+                        harness, at % round(FAR_WHOLE_SECONDS * 1_000) == 0
+                    )
 
-    def _tell_near(self, harness: EntryHarness) -> None:
+    def _send_locally(self, harness: EntryHarness) -> None:
         message = peers.describe_entry(harness.state, self.clock.now())
         for other in self.worlds:
             is_local = other.state.failure_domain == harness.state.failure_domain
             if is_local and other is not harness:
                 other.handle(message)
 
-    def _tell_target(self, harness: EntryHarness, target: str) -> None:
+    def _announce_load(self, harness: EntryHarness, target: str) -> None:
         message = peers.describe_domain(harness.state, self.clock.now())
         loads = tuple(load for load in message.loads if load.target == target)
-        self._hand_far(harness, replace(message, loads=loads, partial=True))
+        self._deliver_remotely(harness, replace(message, loads=loads, partial=True))
 
-    def _hand_far(self, harness: EntryHarness, message: PeerHeard) -> None:
+    def _deliver_remotely(self, harness: EntryHarness, message: PeerHeard) -> None:
         for other in self.worlds:
             if other.state.failure_domain != harness.state.failure_domain:
                 other.handle(message)
 
-    def _tell_far(self, harness: EntryHarness, whole: bool) -> None:
+    def _send_remotely(self, harness: EntryHarness, whole: bool) -> None:
         message = peers.describe_domain(harness.state, self.clock.now())
-        told = self.told.setdefault(harness.state.node, {})
+        sent_loads = self.sent_loads.setdefault(harness.state.node, {})
         if not whole:
-            changed = peers.select_changed(told, message.loads)
+            changed = peers.select_changed(sent_loads, message.loads)
             message = replace(message, loads=changed, partial=True)
-        told.update((load.target, load) for load in message.loads)
-        self._hand_far(harness, message)
+        sent_loads.update((load.target, load) for load in message.loads)
+        self._deliver_remotely(harness, message)
 
 
 def test_prompts_are_read_when_a_large_fleet_expects_it() -> None:
