--- a/tests/gateway/test_fleet_properties.py
+++ b/tests/gateway/test_fleet_properties.py
@@ -71,14 +71,14 @@
 
 ENTRIES = 3
 DOMAINS = ("muc-a", "muc-b")
-EVENTS = 12
+STREAM_EVENTS = 12
 """Events of a whole stream."""
 
 STEP = Millis(50)
 RESTART_DELAY = Millis(1_500)
 """How long a target that crashed is down."""
 
-NOT_RUN = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 KILLERS = ("killer-1", "killer-2")
 ROUTES = {route.prefix: route for route in (PLAN, QUESTION, ORDER, LOOKUP)}
 
@@ -90,9 +90,9 @@
     Attributes:
         entry: Number of the entry.
         attempt: Number of the attempt there.
-        life: The target's life that got it.
+        incarnation: The target's life that got it.
         opened: When it came.
-        goes_on: Whether it goes on from a copy.
+        resumed: Whether it goes on from a copy.
         index: Last event that it sent.
         open: Whether it has not ended.
         ran: Whether it may have run.
@@ -100,9 +100,9 @@
 
     entry: int
     attempt: int
-    life: Incarnation
+    incarnation: Incarnation
     opened: Millis
-    goes_on: bool
+    resumed: bool
     index: int = 0
     open: bool = True
     ran: bool = True
@@ -139,12 +139,12 @@
         self.runs: dict[tuple[int, int], Run] = {}
         self.copies: list[tuple[int, CopyRun]] = []
         self.network: list[tuple[int, PeerHeard]] = []
-        self.todo: deque[Callable[[], None]] = deque()
+        self.pending: deque[Callable[[], None]] = deque()
         self.up: dict[str, Registration] = {}
         self.known: dict[str, Registration] = {}
         self.down: dict[str, Millis] = {}
         self.ended: set[Incarnation] = set()
-        self.met: dict[str, set[Incarnation]] = {}
+        self.received_by: dict[str, set[Incarnation]] = {}
         for service, letter in ((BOOKINGS, "b"), (ENGINES, "e")):
             for number in range(3):
                 name = f"{letter}-{number}"
@@ -152,7 +152,7 @@
                 self.register(
                     Registration(name, service, f"{name}:80", domain, 64, born=1)
                 )
-        self.tell()
+        self.send_messages()
 
     # What the entries ask for
 
@@ -161,10 +161,10 @@
         for effect in self.fleet[entry].handle(event):
             self.perform(entry, effect)
 
-    def settle(self) -> None:
+    def run_pending(self) -> None:
         """Do what was put off until an entry had ended its event."""
-        while self.todo:
-            self.todo.popleft()()
+        while self.pending:
+            self.pending.popleft()()
 
     def perform(self, entry: int, effect: Effect) -> None:
         """Do what an entry asks for."""
@@ -179,18 +179,18 @@
                 self.copies.append((entry, effect))
             case ProbeTarget(target=name):
                 info = self.fleet[entry].state.targets.targets[name].info
-                self.todo.append(partial(self.probe, entry, info.incarnation))
+                self.pending.append(partial(self.probe, entry, info.incarnation))
             case ReadReport(target=name) if name in self.up:
                 report = EngineReported(name, leaving=False)
-                self.todo.append(partial(self.handle, entry, report))
+                self.pending.append(partial(self.handle, entry, report))
             case Announce():
-                self.todo.append(self.tell)
+                self.pending.append(self.send_messages)
             case Deliver(number=number, data=data):
-                self.take_events(self.calls[entry][number], data)
+                self.receive_events(self.calls[entry][number], data)
             case Answer(number=number) | BreakStream(number=number):
                 self.end(entry, number)
             case FinishStream(number=number):
-                assert self.calls[entry][number].events == EVENTS
+                assert self.calls[entry][number].events == STREAM_EVENTS
                 self.end(entry, number)
             case Refuse(number=number, problem=problem):
                 self.refuse(entry, number, problem.status, problem.code)
@@ -204,30 +204,32 @@
         if info is None or info.incarnation != known.incarnation:
             loss = Loss.UNREACHED if info is None else Loss.MISDIRECTED
             lost = AttemptLost(opened.attempt, loss, down=info is None)
-            self.todo.append(partial(self.handle, entry, lost))
+            self.pending.append(partial(self.handle, entry, lost))
             return
         if call.route.kind is RouteKind.UNSAFE or call.route is PLAN:
             if opened.source is None:
                 assert not any(run.ran for run in call.runs), "runs twice"
         now = self.clock.now()
-        goes_on = opened.source is not None
-        run = Run(entry, opened.attempt, info.incarnation, now, goes_on)
+        resumed = opened.source is not None
+        run = Run(entry, opened.attempt, info.incarnation, now, resumed)
         run.index = opened.after or 0
         call.runs.append(run)
         self.runs[entry, opened.attempt] = run
-        self.met.setdefault(call.digest, set()).add(info.incarnation)
-        lasting = [run for run in call.runs if run.ran and run.life not in self.ended]
+        self.received_by.setdefault(call.digest, set()).add(info.incarnation)
+        live_runs = [
+            run for run in call.runs if run.ran and run.incarnation not in self.ended
+        ]
         if call.route.kind is RouteKind.SAFE:
-            assert len(lasting) <= call.route.attempts, "too many targets"
+            assert len(live_runs) <= call.route.attempts, "too many targets"
         if call.digest in KILLERS:
-            self.todo.append(partial(self.crash, info.target, info.incarnation))
+            self.pending.append(partial(self.crash, info.target, info.incarnation))
 
-    def probe(self, entry: int, life: Incarnation) -> None:
+    def probe(self, entry: int, incarnation: Incarnation) -> None:
         """Answer whether anybody listens at a target's address."""
-        if life.target not in self.up:
-            self.handle(entry, TargetDown(life))
+        if incarnation.target not in self.up:
+            self.handle(entry, TargetDown(incarnation))
 
-    def take_events(self, call: Call, data: bytes) -> None:
+    def receive_events(self, call: Call, data: bytes) -> None:
         """Let a caller get events: each once, and in order."""
         for index in re.findall(rb"id: (\d+)", data):
             call.events += 1
@@ -243,12 +245,14 @@
         """Let a caller get an answer of the entry's own."""
         self.end(entry, number)
         call = self.calls[entry][number]
-        once = call.route.kind is RouteKind.UNSAFE or call.route is PLAN
-        if once and status in NOT_RUN:
+        runs_once = call.route.kind is RouteKind.UNSAFE or call.route is PLAN
+        if runs_once and status in NOT_RUN_STATUSES:
             assert not any(run.ran for run in call.runs), "said not to have run"
         if code == "crashes_targets":
-            met = self.met.get(call.digest, set())
-            assert len(met & self.ended) >= 2, "refused for less than two crashes"
+            received_by = self.received_by.get(call.digest, set())
+            assert len(received_by & self.ended) >= 2, (
+                "refused for less than two crashes"
+            )
 
     # Callers
 
@@ -268,17 +272,17 @@
         harness.receive_request(f"{prefix}a", prompt, digest=name)
         for effect in harness.effects:
             self.perform(entry, effect)
-        self.settle()
+        self.run_pending()
 
-    @rule(entry=st.integers(0, ENTRIES - 1), events=st.integers(1, EVENTS - 1))
+    @rule(entry=st.integers(0, ENTRIES - 1), events=st.integers(1, STREAM_EVENTS - 1))
     def stream(self, entry: int, events: int) -> None:
         """Let a stream come and begin."""
         number = self.fleet[entry].next_number
         self.receive_request(entry, "/plan/", "")
         for run in list(self.runs.values()):
             if run in self.calls[entry][number].runs:
-                self.go_on(run, events)
-        self.settle()
+                self.advance_run(run, events)
+        self.run_pending()
 
     @rule(data=st.data())
     def leave(self, data: st.DataObject) -> None:
@@ -291,18 +295,18 @@
         entry, number = data.draw(st.sampled_from(waiting))
         self.end(entry, number)
         self.handle(entry, CallerGone(number))
-        self.settle()
+        self.run_pending()
 
     # Targets
 
     @precondition(lambda self: self.runs)
-    @rule(data=st.data(), events=st.integers(1, EVENTS))
+    @rule(data=st.data(), events=st.integers(1, STREAM_EVENTS))
     def answer(self, data: st.DataObject, events: int) -> None:
         """Let a target answer, or send some events."""
-        self.go_on(data.draw(st.sampled_from(list(self.runs.values()))), events)
-        self.settle()
+        self.advance_run(data.draw(st.sampled_from(list(self.runs.values()))), events)
+        self.run_pending()
 
-    def go_on(self, run: Run, events: int) -> None:
+    def advance_run(self, run: Run, events: int) -> None:
         """Let a run send events, and end with its last."""
         entry, attempt = run.entry, run.attempt
         number = self.fleet[entry].state.attempts[attempt].request
@@ -310,13 +314,13 @@
             self.close(run)
             self.handle(entry, AnswerArrived(attempt, 200))
             return
-        last = min(EVENTS, run.index + events)
+        last = min(STREAM_EVENTS, run.index + events)
         indexes = range(run.index + 1, last + 1)
         pieces = [StreamPiece(index, b"id: %d\n\n" % index) for index in indexes]
         run.index = last
         self.handle(entry, StreamOpened(attempt))
         self.handle(entry, PiecesArrived(attempt, pieces))
-        if last == EVENTS and run.open:
+        if last == STREAM_EVENTS and run.open:
             self.close(run)
             self.handle(entry, StreamEnded(attempt))
 
@@ -336,7 +340,7 @@
         self.close(run)
         status = 500 if loss is Loss.FAILED else None
         self.handle(run.entry, AttemptLost(run.attempt, loss, status=status))
-        self.settle()
+        self.run_pending()
 
     def close(self, run: Run) -> None:
         """End a run."""
@@ -349,28 +353,30 @@
         """Let a target crash by itself."""
         info = data.draw(st.sampled_from(list(self.up.values())))
         self.crash(info.target, info.incarnation)
-        self.settle()
+        self.run_pending()
 
-    def crash(self, name: str, life: Incarnation) -> None:
+    def crash(self, name: str, incarnation: Incarnation) -> None:
         """Let a life of a target end, with all that it runs."""
         info = self.up.get(name)
-        if info is None or info.incarnation != life:
+        if info is None or info.incarnation != incarnation:
             return
         del self.up[name]
-        self.ended.add(life)
+        self.ended.add(incarnation)
         self.down[name] = self.clock.now()
-        for run in [run for run in self.runs.values() if run.life == life]:
+        for run in [
+            run for run in self.runs.values() if run.incarnation == incarnation
+        ]:
             if run.open:
                 self.close(run)
                 self.handle(run.entry, AttemptLost(run.attempt, Loss.BROKEN))
 
     @precondition(lambda self: self.up)
     @rule(data=st.data(), entry=st.integers(0, ENTRIES - 1))
-    def say_leaving(self, data: st.DataObject, entry: int) -> None:
+    def announce_leaving(self, data: st.DataObject, entry: int) -> None:
         """Let a target tell an entry that it leaves; it ends some time later."""
         info = data.draw(st.sampled_from(list(self.up.values())))
         self.handle(entry, TargetLeaving(info.incarnation))
-        self.settle()
+        self.run_pending()
 
     def return_targets(self) -> None:
         """Let targets that were down for long start again, as another life."""
@@ -391,18 +397,18 @@
     def fail_copy(self) -> None:
         """Let an ordered copy not be made."""
         entry, order = self.copies.pop(0)
-        told = RunNotCopied(order.number, order.source, order.holder, "no room")
-        self.handle(entry, told)
-        self.settle()
+        outcome = RunNotCopied(order.number, order.source, order.holder, "no room")
+        self.handle(entry, outcome)
+        self.run_pending()
 
     def make_copies(self) -> None:
         """Let ordered copies be made where both engines are up."""
         for entry, order in self.copies:
             number, source, holder = order.number, order.source, order.holder
-            told: Event = RunNotCopied(number, source, holder, "gone")
+            outcome: Event = RunNotCopied(number, source, holder, "gone")
             if source in self.up and holder in self.up:
-                told = RunCopied(number, source, holder, "handle")
-            self.todo.append(partial(self.handle, entry, told))
+                outcome = RunCopied(number, source, holder, "handle")
+            self.pending.append(partial(self.handle, entry, outcome))
         self.copies.clear()
 
     # Entries and what is between them
@@ -423,15 +429,15 @@
         self.handle(entry, EntriesCounted(ENTRIES))
         for info in self.up.values():
             self.handle(entry, TargetRegistered(info))
-        self.settle()
+        self.run_pending()
 
     @rule(entry=st.integers(0, ENTRIES - 1), away=st.booleans())
     def change_store(self, entry: int, away: bool) -> None:
         """Let the store turn an entry away, or answer it again."""
         self.handle(entry, StoreLost() if away else StoreRegained())
-        self.settle()
+        self.run_pending()
 
-    def tell(self) -> None:
+    def send_messages(self) -> None:
         """Let each entry send the others what it knows."""
         now = self.clock.now()
         for sender, harness in enumerate(self.fleet):
@@ -442,16 +448,16 @@
 
     @precondition(lambda self: self.network)
     @rule(data=st.data(), arrives=st.booleans())
-    def pass_message(self, data: st.DataObject, arrives: bool) -> None:
+    def deliver_message(self, data: st.DataObject, arrives: bool) -> None:
         """Let a message arrive, in any order, or be lost."""
         place = data.draw(st.integers(0, len(self.network) - 1))
         receiver, message = self.network.pop(place)
         if arrives:
             self.handle(receiver, message)
-            self.settle()
+            self.run_pending()
 
     @rule(steps=st.integers(1, 30))
-    def pass_time(self, steps: int) -> None:
+    def advance_time(self, steps: int) -> None:
         """Let time pass."""
         for _ in range(steps):
             self.clock.advance(STEP)
@@ -459,9 +465,9 @@
                 self.handle(entry, Ticked())
             self.return_targets()
             self.make_copies()
-            self.settle()
+            self.run_pending()
             self.check_overlaps()
-        self.tell()
+        self.send_messages()
 
     def check_overlaps(self) -> None:
         """Look that no run goes on at two engines for longer than it may."""
@@ -475,7 +481,7 @@
     # What holds at any time
 
     @invariant()
-    def attempts_are_of_requests(self) -> None:
+    def attempts_belong_to_requests(self) -> None:
         """No attempt outlives its request, and each is open at its target."""
         for entry, harness in enumerate(self.fleet):
             for number, attempt in harness.state.attempts.items():
@@ -483,14 +489,14 @@
                 assert (entry, number) in self.runs
 
     @invariant()
-    def loads_are_of_attempts(self) -> None:
+    def loads_match_attempts(self) -> None:
         """What an entry counts at a target is what it has open there."""
         for harness in self.fleet:
-            open_there = Counter(
+            open_calls = Counter(
                 id(attempt.target) for attempt in harness.state.attempts.values()
             )
             for target in harness.state.targets.targets.values():
-                assert target.calls == open_there[id(target)]
+                assert target.calls == open_calls[id(target)]
 
     def teardown(self) -> None:
         """Let all end: nothing is left of any request."""
@@ -498,14 +504,14 @@
             return
         for entry in range(ENTRIES):
             self.handle(entry, StoreRegained())
-        self.settle()
+        self.run_pending()
         for _ in range(12):
             for run in list(self.runs.values()):
                 if run.open:
-                    self.go_on(run, EVENTS)
-                    self.settle()
+                    self.advance_run(run, STREAM_EVENTS)
+                    self.run_pending()
             self.copies.clear()
-            self.pass_time(20)
+            self.advance_time(20)
         for harness in self.fleet:
             assert not harness.state.requests
             assert not harness.state.attempts
