--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -30,17 +30,17 @@
 DOMAINS = ("muc-a", "muc-b", "nue-a", "aug-a", "rgb-a", "wue-a")
 RATE = 1.9
 WINDOW = Millis(4_000)
-MOST_IN_A_WINDOW = 1.5 * RATE * WINDOW / 1_000 + 5
+MAX_IN_WINDOW = 1.5 * RATE * WINDOW / 1_000 + 5
 """What a target bears that names a rate, with the slack that it has."""
 
-LEAST_IN_A_WINDOW = RATE * WINDOW / 1_000 / 2
+MIN_IN_WINDOW = RATE * WINDOW / 1_000 / 2
 """What it should get at least while callers wait for it."""
 
-SETTLED = 3_000
+SETTLING_DURATION = 3_000
 """Milliseconds after which a rate binds that a target has begun to name."""
 
 
-def name_rate(harness: EntryHarness, rate: float | None, target: str = "b-1") -> None:
+def report_rate(harness: EntryHarness, rate: float | None, target: str = "b-1") -> None:
     """Let an answer that was just asked for name a rate."""
     harness.handle(RateNamed(target, rate, harness.clock.now()))
 
@@ -61,26 +61,26 @@
     return fleet
 
 
-def play_fleet(
-    fleet: list[EntryHarness], seconds: int, each: int, rate: float | None
+def run_fleet(
+    fleet: list[EntryHarness], seconds: int, calls_per_second: int, rate: float | None
 ) -> list[Millis]:
     """Let calls come to all entries; returns when they were sent on.
 
     Args:
         fleet: The entries.
         seconds: For how long.
-        each: Calls a second to each entry.
+        calls_per_second: Calls a second to each entry.
         rate: Rate that each answer names.
     """
     sent: list[Millis] = []
     clock = fleet[0].clock
-    for _ in range(seconds * each):
+    for _ in range(seconds * calls_per_second):
         for harness in fleet:
             harness.receive_request("/order/a")
             sent += answer_opened(harness, rate)
             harness.handle(Ticked())
             sent += answer_opened(harness, rate)
-        clock.advance(1_000 // each)
+        clock.advance(1_000 // calls_per_second)
         exchange_messages(fleet)
     return sent
 
@@ -90,7 +90,7 @@
     now = harness.clock.now()
     opened = harness.find_effects(OpenAttempt)
     for attempt in opened:
-        name_rate(harness, rate)
+        report_rate(harness, rate)
         harness.handle(AnswerArrived(attempt.attempt, 200))
     return [now] * len(opened)
 
@@ -113,13 +113,13 @@
 ) -> None:
     """Guards against entries that each send a target in need its whole rate."""
     fleet = build_limited_fleet(size, domains)
-    sent = play_fleet(fleet, 1, 1, None)
+    sent = run_fleet(fleet, 1, 1, None)
     named_at = fleet[0].clock.now()
     for harness in fleet:
-        name_rate(harness, RATE)
-    sent += play_fleet(fleet, 17, 2, RATE)
-    busiest = count_busiest(sent, named_at + SETTLED)
-    assert LEAST_IN_A_WINDOW <= busiest <= MOST_IN_A_WINDOW
+        report_rate(harness, RATE)
+    sent += run_fleet(fleet, 17, 2, RATE)
+    busiest = count_busiest(sent, named_at + SETTLING_DURATION)
+    assert MIN_IN_WINDOW <= busiest <= MAX_IN_WINDOW
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -128,17 +128,17 @@
     fleet = build_limited_fleet(8, DOMAINS[:4])
     for number, harness in enumerate(fleet):
         harness.state.rng.seed(seed * 100 + number)
-    sent = play_fleet(fleet, 12, 1, None)
+    sent = run_fleet(fleet, 12, 1, None)
     named_at = fleet[0].clock.now()
-    sent += play_fleet(fleet, 17, 1, RATE)
-    assert count_busiest(sent, named_at + SETTLED) <= MOST_IN_A_WINDOW
+    sent += run_fleet(fleet, 17, 1, RATE)
+    assert count_busiest(sent, named_at + SETTLING_DURATION) <= MAX_IN_WINDOW
 
 
 @pytest.mark.parametrize("size", [8, 73])
 def test_what_a_target_named_to_one_entry_reaches_the_others(size: int) -> None:
     """Guards against entries that send on until the target has told each of them."""
     fleet = build_limited_fleet(size, DOMAINS[:4])
-    name_rate(fleet[0], RATE)
+    report_rate(fleet[0], RATE)
     exchange_messages(fleet)
     exchange_messages(fleet)
     known = [harness.state.targets.targets["b-1"].limit for harness in fleet]
@@ -148,7 +148,7 @@
 def test_load_goes_to_targets_that_name_no_rate() -> None:
     """Guards against calls that wait for a target in need beside others."""
     harness = build_harness("b-1", "b-2")
-    name_rate(harness, 0.5)
+    report_rate(harness, 0.5)
     chosen = []
     for _ in range(10):
         harness.receive_request("/order/a")
@@ -161,7 +161,7 @@
     harness = build_harness("b-1")
     for _ in range(40):
         harness.receive_request("/order/a")
-    name_rate(harness, RATE)
+    report_rate(harness, RATE)
     harness.clock.advance(10)
     harness.receive_request("/order/a")
     problem = harness.find(Refuse).problem
@@ -172,7 +172,7 @@
 def test_a_target_that_got_no_more_than_it_names_goes_on() -> None:
     """Guards against a service that stands still as all its targets name rates."""
     harness = build_harness("b-1")
-    name_rate(harness, 25.0)
+    report_rate(harness, 25.0)
     harness.receive_request("/order/a")
     assert harness.find(OpenAttempt).target == "b-1"
 
@@ -180,9 +180,9 @@
 def test_the_need_ends_with_an_answer_that_names_no_rate() -> None:
     """Guards against a target that gets little for good after a short need."""
     harness = build_harness("b-1")
-    name_rate(harness, 0.5)
+    report_rate(harness, 0.5)
     harness.clock.advance(1)
-    name_rate(harness, None)
+    report_rate(harness, None)
     assert harness.find(Announce)
     for _ in range(10):
         harness.receive_request("/order/a")
@@ -194,7 +194,7 @@
     harness = build_harness("b-1")
     asked = harness.clock.now()
     harness.clock.advance(30)
-    name_rate(harness, 0.5)
+    report_rate(harness, 0.5)
     harness.clock.advance(1)
     harness.handle(RateNamed("b-1", None, asked))
     limit = harness.state.targets.targets["b-1"].limit
@@ -205,10 +205,10 @@
 def test_an_older_word_of_a_peer_does_not_bring_the_need_back() -> None:
     """Guards against an entry that has not heard yet that a need is over."""
     first, second = build_limited_fleet(2, DOMAINS[:1])
-    name_rate(first, 0.5)
+    report_rate(first, 0.5)
     first.clock.advance(50)
     exchange_messages([first, second])
-    name_rate(second, None)
+    report_rate(second, None)
     first.clock.advance(50)
     exchange_messages([first, second])
     known = [harness.state.targets.targets["b-1"].limit for harness in (first, second)]
@@ -220,7 +220,7 @@
     """Guards against a need that never ends as those who may ask have no callers."""
     fleet = build_limited_fleet(8, DOMAINS[:1])
     for harness in fleet:
-        name_rate(harness, rate)
+        report_rate(harness, rate)
     busy = fleet[3]
     for _ in range(400):
         busy.clock.advance(500)
@@ -236,7 +236,7 @@
     harness = build_harness("b-1")
     for _ in range(60):
         harness.receive_request("/order/a")
-    name_rate(harness, 0.5)
+    report_rate(harness, 0.5)
     told = peers.describe_entry(harness.state, harness.clock.now())
     info = Registration("b-1", BOOKINGS, "b-1:80", "muc-a", 6, born=2)
     harness.handle(TargetRegistered(info))
@@ -255,7 +255,7 @@
     opened = harness.open_plan()
     harness.send_pieces(opened.attempt, 1, 9)
     others = sorted({"e-1", "e-2", "e-3"} - {opened.target})
-    name_rate(harness, 0.0, others[0])
+    report_rate(harness, 0.0, others[0])
     limit = harness.state.targets.targets[others[0]].limit
     assert limit is not None
     limit.opens_at = Millis(harness.clock.now() + 60_000)
@@ -268,7 +268,7 @@
     harness = EntryHarness()
     harness.register("e-1", "e-2")
     opened = harness.open_plan()
-    name_rate(harness, 1.0, opened.target)
+    report_rate(harness, 1.0, opened.target)
     harness.send_pieces(opened.attempt, 1, 9)
     for _ in range(5):
         harness.clock.advance(100)
@@ -285,7 +285,7 @@
     harness.send_pieces(opened.attempt, 1, 9)
     harness.handle(TargetDeparted(opened.target))
     order = harness.find(CopyRun)
-    name_rate(harness, 5.0, order.holder)
+    report_rate(harness, 5.0, order.holder)
     limit = harness.state.targets.targets[order.holder].limit
     assert limit is not None
     limit.opens_at = Millis(harness.clock.now() + 300)
@@ -299,7 +299,7 @@
 def test_a_copy_at_a_holder_that_takes_nothing_is_not_used() -> None:
     """Guards against a broken run that is pressed on a target in need."""
     harness, opened = start_with_backup()
-    name_rate(harness, 0.0, opened.backup)
+    report_rate(harness, 0.0, opened.backup)
     limit = harness.state.targets.targets[opened.backup].limit
     assert limit is not None
     limit.opens_at = Millis(harness.clock.now() + 60_000)
@@ -310,7 +310,7 @@
 def test_ages_alone_are_no_news() -> None:
     """Guards against a message each moment while any target names a rate."""
     harness = build_harness("b-1")
-    name_rate(harness, 1.5)
+    report_rate(harness, 1.5)
     news = LoadUpdates()
     first = peers.describe_entry(harness.state, harness.clock.now())
     news.select(first, harness.clock.now())
@@ -325,7 +325,7 @@
     harness = build_harness("b-1")
     told = []
     for rate in (1.5, 1.5, 2.0, None, None):
-        name_rate(harness, rate)
+        report_rate(harness, rate)
         told += [note.fields["rate"] for note in harness.find_effects(Note)]
     assert told == [1.5, 2.0, None]
 
@@ -344,7 +344,7 @@
     assert requests <= max(1.0, rate * window / 1_000)
 
 
-def refuse(
+def refuse_call(
     harness: EntryHarness, retry_after: Millis | None, loss: Loss = Loss.REFUSED
 ) -> None:
     """Let a call be turned away by the target that it was sent to."""
@@ -357,7 +357,7 @@
 def test_a_target_that_wants_a_pause_gets_nothing_meanwhile(loss: Loss) -> None:
     """Guards against a full target that each call of an entry asks again."""
     harness = build_harness("b-1")
-    refuse(harness, Millis(2_000), loss)
+    refuse_call(harness, Millis(2_000), loss)
     harness.register("b-2", service=BOOKINGS, slots=6)
     for _ in range(8):
         harness.receive_request("/order/a")
@@ -371,7 +371,7 @@
 def test_a_refusal_without_a_pause_asks_for_none() -> None:
     """Guards against targets that are spared though they have room again."""
     harness = build_harness("b-1")
-    refuse(harness, None)
+    refuse_call(harness, None)
     harness.receive_request("/order/a")
     assert harness.find(OpenAttempt).target == "b-1"
 
@@ -393,7 +393,7 @@
 def test_a_call_waits_out_a_short_pause() -> None:
     """Guards against callers refused for a pause that ends before their wait."""
     harness = build_harness("b-1")
-    refuse(harness, Millis(100))
+    refuse_call(harness, Millis(100))
     harness.receive_request("/order/a")
     assert not harness.find_effects(Refuse)
     harness.clock.advance(110)
@@ -404,7 +404,7 @@
 def test_a_target_that_starts_again_wants_no_pause() -> None:
     """Guards against a new process that is spared for the pause of the one before."""
     harness = build_harness("b-1")
-    refuse(harness, Millis(60_000))
+    refuse_call(harness, Millis(60_000))
     info = Registration("b-1", BOOKINGS, "b-1:80", "muc-a", 6, born=2)
     harness.handle(TargetRegistered(info))
     harness.receive_request("/order/a")
