--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -171,7 +171,7 @@
     assert peers.select_changed(told, loads) == loads
 
 
-def hear_unreached(harness: EntryHarness, entry: str, *targets: str) -> None:
+def report_unreachable(harness: EntryHarness, entry: str, *targets: str) -> None:
     """Let a peer tell which targets it could not connect to."""
     harness.handle(PeerHeard(entry, failure_domain="muc-a", unreached=targets))
 
@@ -180,8 +180,8 @@
     """Guards against each entry finding a dead engine by a try of its own."""
     harness = EntryHarness()
     harness.register("e-1", "e-2")
-    hear_unreached(harness, "entry-2", "e-1")
-    hear_unreached(harness, "entry-3", "e-1")
+    report_unreachable(harness, "entry-2", "e-1")
+    report_unreachable(harness, "entry-3", "e-1")
     for _ in range(2):
         assert harness.open_plan().target == "e-2"
 
@@ -192,8 +192,8 @@
     harness.register("e-1")
     opened = harness.open_plan()
     harness.register("e-2", "e-3")
-    hear_unreached(harness, "entry-2", "e-2")
-    hear_unreached(harness, "entry-3", "e-2")
+    report_unreachable(harness, "entry-2", "e-2")
+    report_unreachable(harness, "entry-3", "e-2")
     harness.send_pieces(opened.attempt, 1, 9)
     harness.handle(Ticked())
     assert harness.find(CopyRun).holder == "e-3"
@@ -204,7 +204,7 @@
     harness = EntryHarness()
     harness.register("e-1")
     for _ in range(5):
-        hear_unreached(harness, "entry-2", "e-1")
+        report_unreachable(harness, "entry-2", "e-1")
         harness.clock.advance(100)
     assert harness.open_plan().target == "e-1"
     assert harness.state.targets.targets["e-1"].backoff_until <= harness.clock.now()
@@ -216,8 +216,8 @@
     harness.register("e-1", "e-2")
     opened = harness.open_plan()
     harness.send_pieces(opened.attempt, 1, 1)
-    hear_unreached(harness, "entry-2", opened.target)
-    hear_unreached(harness, "entry-3", opened.target)
+    report_unreachable(harness, "entry-2", opened.target)
+    report_unreachable(harness, "entry-3", opened.target)
     target = harness.state.targets.targets[opened.target]
     assert target.backoff_until <= harness.clock.now()
 
@@ -243,6 +243,6 @@
     """Guards against entries that keep each other from a target that is back."""
     harness = EntryHarness()
     harness.register("e-1", "e-2")
-    hear_unreached(harness, "entry-2", "e-1")
-    hear_unreached(harness, "entry-3", "e-1")
+    report_unreachable(harness, "entry-2", "e-1")
+    report_unreachable(harness, "entry-3", "e-1")
     assert peers.describe_entry(harness.state, harness.clock.now()).unreached == ()
