--- a/tests/gateway/test_sources.py
+++ b/tests/gateway/test_sources.py
@@ -66,11 +66,13 @@
 def test_an_entry_keeps_asking_while_the_readers_are_turned_away_too() -> None:
     harness = build_large_fleet_entry()
     harness.handle(StoreLost())
-    hear_readers(harness, 18, receives_records=False)
+    receive_reader_reports(harness, 18, receives_records=False)
     assert sources.reads_store(harness.state, harness.clock.now())
 
 
-def hear_readers(harness: EntryHarness, count: int, receives_records: bool) -> None:
+def receive_reader_reports(
+    harness: EntryHarness, count: int, receives_records: bool
+) -> None:
     """Let the first entries of the failure domain say that they read the store."""
     for number in range(count):
         name = f"entry-0-{number:02}"
@@ -87,10 +89,14 @@
 def test_few_entries_read_in_vain_while_the_store_is_away() -> None:
     """Guards against a fleet that asks a store that is down all at once."""
     harness = build_large_fleet_entry()
-    hear_readers(harness, sources.MAX_UNHEALTHY_READERS - 1, receives_records=False)
+    receive_reader_reports(
+        harness, sources.MAX_UNHEALTHY_READERS - 1, receives_records=False
+    )
     harness.state.node = "entry-0-05-next"
     assert sources.reads_store(harness.state, harness.clock.now())
-    hear_readers(harness, sources.MAX_UNHEALTHY_READERS, receives_records=False)
+    receive_reader_reports(
+        harness, sources.MAX_UNHEALTHY_READERS, receives_records=False
+    )
     assert not sources.reads_store(harness.state, harness.clock.now())
 
 
@@ -98,11 +104,11 @@
     """Guards against calls in an outage that grow with the failure domains."""
     harness = build_large_fleet_entry()
     for domain in ("muc-b", "nue-a", "aug-a"):
-        hear_domain(harness, domain)
-    hear_readers(harness, 1, receives_records=False)
+        receive_domain_report(harness, domain)
+    receive_reader_reports(harness, 1, receives_records=False)
     harness.state.node = "entry-0-00-next"
     assert sources.reads_store(harness.state, harness.clock.now())
-    hear_readers(harness, 2, receives_records=False)
+    receive_reader_reports(harness, 2, receives_records=False)
     harness.state.node = "entry-0-01-next"
     assert not sources.reads_store(harness.state, harness.clock.now())
 
@@ -111,8 +117,8 @@
     """Guards against a fleet that asks all at once as the store is lost."""
     harness = build_large_fleet_entry()
     for domain in ("muc-b", "nue-a", "aug-a"):
-        hear_domain(harness, domain)
-    hear_readers(harness, 1, receives_records=False)
+        receive_domain_report(harness, domain)
+    receive_reader_reports(harness, 1, receives_records=False)
     harness.handle(
         PeerHeard("entry-0-01", failure_domain="muc-a", receives_records=False)
     )
@@ -120,7 +126,7 @@
     assert not sources.reads_store(harness.state, harness.clock.now())
 
 
-def hear_domain(harness: EntryHarness, name: str, **fields: bool) -> None:
+def receive_domain_report(harness: EntryHarness, name: str, **fields: bool) -> None:
     """Let another failure domain tell its loads."""
     node = f"entry-{name}"
     harness.handle(
@@ -133,26 +139,26 @@
     harness = build_large_fleet_entry()
     harness.state.node = "entry-0-00-next"
     assert sources.reads_store(harness.state, harness.clock.now())
-    hear_domain(harness, "muc-b")
-    hear_domain(harness, "nue-a")
+    receive_domain_report(harness, "muc-b")
+    receive_domain_report(harness, "nue-a")
     assert not sources.reads_store(harness.state, harness.clock.now())
 
 
 def test_an_entry_that_hears_of_no_reader_takes_the_store_for_away() -> None:
     """Guards against registrations that lapse in an outage taken for departures."""
     harness = build_large_fleet_entry()
-    hear_readers(harness, 6, receives_records=True)
+    receive_reader_reports(harness, 6, receives_records=True)
     harness.handle(Ticked())
     assert not harness.state.store_unreachable
-    hear_readers(harness, 6, receives_records=False)
+    receive_reader_reports(harness, 6, receives_records=False)
     harness.handle(Ticked())
     assert harness.state.store_unreachable
-    hear_domain(harness, "muc-b", reading=True)
+    receive_domain_report(harness, "muc-b", reading=True)
     harness.handle(Ticked())
     assert not harness.state.store_unreachable
 
 
-def talk(fleet: list[EntryHarness], millis: int) -> None:
+def run_fleet(fleet: list[EntryHarness], millis: int) -> None:
     """Let time pass, and each entry tell those that hear it."""
     fleet[0].clock.advance(millis)
     now = fleet[0].clock.now()
@@ -176,13 +182,13 @@
     """Guards against readers that each take the store for well as the others do."""
     fleet = build_fleet(24, domains)
     for _ in range(10):
-        talk(fleet, 200)
+        run_fleet(fleet, 200)
     assert not any(harness.state.store_unreachable for harness in fleet)
     for _ in range(10):
         for harness in fleet:
             if sources.reads_store(harness.state, harness.clock.now()):
                 harness.handle(StoreLost())
-        talk(fleet, 200)
+        run_fleet(fleet, 200)
     assert all(harness.state.store_unreachable for harness in fleet)
 
 
@@ -190,19 +196,19 @@
     """Guards against an outage taken for total where some entries are turned away."""
     fleet = build_fleet(24, ("muc-a", "muc-b", "nue-a", "aug-a"))
     for _ in range(10):
-        talk(fleet, 200)
+        run_fleet(fleet, 200)
     for _ in range(10):
         for harness in fleet[1:]:
             if sources.reads_store(harness.state, harness.clock.now()):
                 harness.handle(StoreLost())
-        talk(fleet, 200)
+        run_fleet(fleet, 200)
     assert not any(harness.state.store_unreachable for harness in fleet)
 
 
 def test_an_entry_that_does_not_read_is_no_witness_of_the_store() -> None:
     """Guards against lapsed registrations taken for departures after an outage."""
     harness = build_large_fleet_entry()
-    hear_readers(harness, 1, receives_records=False)
+    receive_reader_reports(harness, 1, receives_records=False)
     harness.handle(PeerHeard("entry-0-09", failure_domain="muc-a"))
     harness.clock.advance(1_000)
     harness.handle(StoreLost())
