--- a/tests/gateway/test_reports.py
+++ b/tests/gateway/test_reports.py
@@ -58,7 +58,7 @@
     assert harness.find_effects(OpenAttempt) == []
 
 
-def ask(harness: EntryHarness) -> None:
+def query_engines(harness: EntryHarness) -> None:
     """Let the time between two questions pass, and the next one be asked."""
     harness.clock.advance(QUERY_INTERVAL)
     harness.handle(Ticked())
@@ -70,18 +70,18 @@
     harness = restart()
     harness.register("e-1")
     engine = harness.state.targets.targets["e-1"]
-    ask(harness)
+    query_engines(harness)
     harness.handle(EngineReported("e-1", leaving=False, memory=8_000))
     assert engine.unclaimed == 8_000
     assert harness.open_plan().target == "e-1"
-    ask(harness)
+    query_engines(harness)
     # As old as the question before: the plan is not in it yet.
     harness.handle(EngineReported("e-1", leaving=False, memory=8_000))
     assert engine.unclaimed == 8_000
-    ask(harness)
+    query_engines(harness)
     harness.handle(EngineReported("e-1", leaving=False, memory=11_000))
     assert engine.unclaimed == 11_000 - engine.claimed_memory
-    ask(harness)
+    query_engines(harness)
     harness.handle(EngineReported("e-1", leaving=False, memory=3_000))
     assert engine.unclaimed == 0
 
@@ -104,7 +104,7 @@
 def test_engines_are_asked_for_memory_only_until_copies_are_dropped() -> None:
     harness = restart()
     harness.register("e-1")
-    ask(harness)
+    query_engines(harness)
     harness.handle(EngineReported("e-1", leaving=False, memory=8_000))
     assert harness.state.targets.targets["e-1"].unclaimed == 8_000
     harness.clock.advance(Millis(5_000 + RESTART_QUERY_MARGIN))
