--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -45,7 +45,9 @@
     assert harness.find(Deliver).data == b"id: 11\n\n"
 
 
-def let_pass(harness: EntryHarness, millis: int, step: int = 30) -> list[OpenAttempt]:
+def advance_time(
+    harness: EntryHarness, millis: int, step: int = 30
+) -> list[OpenAttempt]:
     """Let time pass with looks at the streams; returns what was opened."""
     opened = []
     for _ in range(millis // step):
@@ -55,7 +57,7 @@
     return opened
 
 
-def run_steadily(harness: EntryHarness, attempt: int, pause: int) -> None:
+def send_steadily(harness: EntryHarness, attempt: int, pause: int) -> None:
     """Let twenty events of a stream come, one after each pause."""
     for index in range(11, 31):
         harness.clock.advance(pause)
@@ -71,25 +73,25 @@
     """
     harness, opened = start_with_backup()
     harness.state.requests[1].longest_pause = Millis(0)
-    run_steadily(harness, opened.attempt, 45)
-    assert let_pass(harness, 90) == []
-    assert [one.target for one in let_pass(harness, 30)] == [opened.backup]
+    send_steadily(harness, opened.attempt, 45)
+    assert advance_time(harness, 90) == []
+    assert [one.target for one in advance_time(harness, 30)] == [opened.backup]
 
 
 def test_a_slow_stream_is_not_taken_for_a_stalled_one() -> None:
     harness, opened = start_with_backup()
     harness.state.requests[1].longest_pause = Millis(0)
-    run_steadily(harness, opened.attempt, 110)
-    assert let_pass(harness, 180) == []
-    assert [one.target for one in let_pass(harness, 120)] == [opened.backup]
+    send_steadily(harness, opened.attempt, 110)
+    assert advance_time(harness, 180) == []
+    assert [one.target for one in advance_time(harness, 120)] == [opened.backup]
 
 
 def test_a_stream_that_is_late_already_waits_longer() -> None:
     harness, opened = start_with_backup()
     assert harness.state.requests[1].longest_pause == 500
-    run_steadily(harness, opened.attempt, 45)
-    assert let_pass(harness, 390) == []
-    assert [one.target for one in let_pass(harness, 30)] == [opened.backup]
+    send_steadily(harness, opened.attempt, 45)
+    assert advance_time(harness, 390) == []
+    assert [one.target for one in advance_time(harness, 30)] == [opened.backup]
 
 
 def test_an_entry_that_stood_still_reads_what_came_before_it_judges() -> None:
@@ -100,12 +102,12 @@
     """
     harness, opened = start_with_backup()
     harness.state.requests[1].longest_pause = Millis(0)
-    run_steadily(harness, opened.attempt, 45)
+    send_steadily(harness, opened.attempt, 45)
     harness.clock.advance(2_000)
     harness.handle(Ticked())
     assert harness.find_effects(OpenAttempt) == []
     harness.send_pieces(opened.attempt, 31, 70)
-    assert let_pass(harness, 30) == []
+    assert advance_time(harness, 30) == []
 
 
 def test_a_run_is_never_left_open_at_two_engines() -> None:
