--- a/tests/gateway/test_warmups.py
+++ b/tests/gateway/test_warmups.py
@@ -29,7 +29,7 @@
 DOMAINS = ("muc-a", "muc-b", "nue-a", "aug-a")
 RATE = 25.0
 WARMUP = Millis(1_000)
-MOST_IN_A_SECOND = RATE * 1.5 + 5
+MAX_PER_SECOND = RATE * 1.5 + 5
 """What a cold target bears, with the slack that it has."""
 
 
@@ -68,13 +68,13 @@
     return sent
 
 
-def build_cold_fleet(size: int, hears: bool = True) -> list[EntryHarness]:
+def build_cold_fleet(size: int, connected: bool = True) -> list[EntryHarness]:
     """Return entries that have heard their own failure domain, or nobody."""
     fleet = build_fleet(size, DOMAINS)
     clock = fleet[0].clock
     for harness in fleet:
         harness.handle(ConfigurationRead(build_cold_table()))
-    if not hears:
+    if not connected:
         return fleet
     for harness in fleet:
         message = peers.describe_entry(harness.state, clock.now())
@@ -92,16 +92,16 @@
     for harness in fleet:
         register(harness, "b-1", 1_000)
     sent = sum(count_sends(harness, 20) for harness in fleet)
-    assert RATE / 2 <= sent <= MOST_IN_A_SECOND
+    assert RATE / 2 <= sent <= MAX_PER_SECOND
 
 
 @pytest.mark.parametrize("size", [79, 195])
 def test_entries_that_hear_nobody_spare_a_cold_target(size: int) -> None:
     """Guards against cut entries that each take the whole rate for themselves."""
-    fleet = build_cold_fleet(size, hears=False)
+    fleet = build_cold_fleet(size, connected=False)
     for harness in fleet:
         register(harness, "b-1", 1_000)
-    assert sum(count_sends(harness, 20) for harness in fleet) <= MOST_IN_A_SECOND
+    assert sum(count_sends(harness, 20) for harness in fleet) <= MAX_PER_SECOND
 
 
 def test_restarted_entries_spare_a_cold_target() -> None:
