--- a/tests/core/entries.py
+++ b/tests/core/entries.py
@@ -20,7 +20,7 @@
 from figstep.core.specs import GenerationWork, RequestSpec, ServiceWork
 from figstep.core.state import State
 
-Kind = TypeVar("Kind", bound=Effect)
+EffectType = TypeVar("Kind", bound=Effect)
 
 
 def make_inventory(engines: int = 2, window: Millis | None = None) -> Inventory:
@@ -84,13 +84,13 @@
         frames = [b"%d" % index for index in range(first, first + count)]
         return self.feed(TokensArrived(attempt, generation, first, frames))
 
-    def list_kind(self, kind: type[Kind]) -> list[Kind]:
+    def find_effects(self, kind: type[EffectType]) -> list[EffectType]:
         """Return the last effects of one kind."""
         return [effect for effect in self.effects if isinstance(effect, kind)]
 
-    def take(self, kind: type[Kind]) -> Kind:
+    def take(self, kind: type[EffectType]) -> EffectType:
         """Return the only one of the last effects of one kind."""
-        found = self.list_kind(kind)
+        found = self.find_effects(kind)
         assert len(found) == 1, self.effects
         return found[0]
 
--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -50,7 +50,7 @@
     accept(entry, "r1")
     lose_for_good(entry, "r1")
     assert entry.take(Refuse).problem.code == "request_quarantined"
-    assert entry.list_kind(OpenAttempt) == []
+    assert entry.find_effects(OpenAttempt) == []
     spec = RequestSpec("r2", "demo", GenerationWork("m"), digest="killer")
     entry.feed(RequestArrived(spec))
     problem = entry.take(Refuse).problem
@@ -94,7 +94,7 @@
     spec = RequestSpec("r2", "demo", GenerationWork("m"), digest="b")
     entry.feed(RequestArrived(spec))
     assert blocks_target(entry.state, entry.state.requests["r2"], "e1")
-    assert entry.list_kind(OpenAttempt) == []
+    assert entry.find_effects(OpenAttempt) == []
     entry.deliver(entry.find_attempt("r1"), 1)
     entry.feed(AttemptEnded(entry.find_attempt("r1")))
     entry.feed(TimerFired(QueueTimer()))
--- a/tests/core/test_recovery.py
+++ b/tests/core/test_recovery.py
@@ -63,9 +63,9 @@
     generation = entry.state.requests["r1"].generation
     entry.feed(AttemptLost(attempt, Loss.TRUNCATED))
     entry.feed(TokensArrived(attempt, generation, 2, [b"2"]))
-    assert entry.list_kind(Deliver) == []
+    assert entry.find_effects(Deliver) == []
     entry.feed(AttemptEnded(attempt))
-    assert entry.list_kind(Complete) == []
+    assert entry.find_effects(Complete) == []
 
 
 def test_crossed_events_never_reach_the_caller() -> None:
@@ -73,7 +73,7 @@
     first, second = entry.start("r1"), entry.start("r2")
     other = entry.state.attempts[second].generation
     entry.feed(TokensArrived(first, other, 1, [b"1"]))
-    assert entry.list_kind(Deliver) == []
+    assert entry.find_effects(Deliver) == []
     assert entry.take(ResumeAttempt).request == "r1"
 
 
@@ -82,7 +82,7 @@
     attempt = entry.start()
     entry.deliver(attempt, 1)
     entry.deliver(attempt, 3)
-    assert entry.list_kind(Deliver) == []
+    assert entry.find_effects(Deliver) == []
     assert entry.take(ResumeAttempt).after == 1
 
 
@@ -97,7 +97,7 @@
     lost = entry.state.requests["r1"].target
     lose_for_good(entry, "r1")
     assert entry.take(OpenAttempt).target != lost
-    assert entry.list_kind(DiscardDelivered)
+    assert entry.find_effects(DiscardDelivered)
     entry.deliver(entry.find_attempt("r1"), 1, 2)
     assert entry.take(Deliver).frames == [b"1", b"2"]
 
@@ -135,22 +135,22 @@
     """
     entry = Entry()
     attempt = entry.start()
-    timers = entry.list_kind(WakeAt)
+    timers = entry.find_effects(WakeAt)
     deadline = next(wake for wake in timers if wake.timer == RequestTimer("r1"))
     entry.now = deadline.at
     entry.feed(TimerFired(deadline.timer))
     problem = entry.take(Refuse).problem
     assert (problem.ran, problem.status) == (Ran.UNKNOWN, 504)
     assert entry.take(CloseAttempt).attempt == attempt
-    assert entry.list_kind(CancelGeneration)
+    assert entry.find_effects(CancelGeneration)
 
 
 def test_an_end_marker_without_an_answer_is_a_loss() -> None:
     entry = Entry()
     attempt = entry.start()
     entry.feed(AttemptEnded(attempt))
-    assert entry.list_kind(Complete) == []
-    assert entry.list_kind(OpenAttempt)
+    assert entry.find_effects(Complete) == []
+    assert entry.find_effects(OpenAttempt)
 
 
 def test_a_silent_pool_is_replaced_once_a_probe_delivers() -> None:
@@ -169,11 +169,11 @@
     entry.feed(TimerFired(AttemptTimer(first)), after=FIRST_EVENT_LIMIT)
     probe = entry.take(ResumeAttempt).attempt
     entry.feed(AttemptAnswered(probe))
-    assert entry.list_kind(ReplacePool) == []
+    assert entry.find_effects(ReplacePool) == []
     entry.now += 1
     entry.deliver(probe, 1)
     assert entry.take(ReplacePool).target == target
-    reattached = [effect.request for effect in entry.list_kind(ResumeAttempt)]
+    reattached = [effect.request for effect in entry.find_effects(ResumeAttempt)]
     assert len(reattached) >= 1
     assert other not in entry.state.attempts
 
@@ -192,7 +192,7 @@
     assert first.timer == AttemptTimer(attempt)
     entry.now += 10
     entry.deliver(attempt, 2)
-    assert entry.list_kind(WakeAt) == []
+    assert entry.find_effects(WakeAt) == []
     entry.now = first.at
     entry.feed(TimerFired(first.timer))
     due = entry.take(WakeAt).at
@@ -215,9 +215,9 @@
     entry.feed(AttemptAnswered(probe))
     for _ in range(5):
         entry.feed(TimerFired(AttemptTimer(probe)), after=FIRST_EVENT_LIMIT)
-        assert entry.list_kind(ResumeAttempt) == []
+        assert entry.find_effects(ResumeAttempt) == []
     entry.deliver(probe, 1)
-    assert entry.list_kind(ReplacePool) == []
+    assert entry.find_effects(ReplacePool) == []
 
 
 def test_a_returned_caller_whose_generation_is_gone_is_told_so() -> None:
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -233,7 +233,7 @@
     record_loss(entry.state.targets["e1"], entry.now)
     spec = RequestSpec("r1", "demo", GenerationWork("m"))
     entry.feed(RequestArrived(spec))
-    assert entry.list_kind(OpenAttempt) == []
+    assert entry.find_effects(OpenAttempt) == []
     entry.feed(LoadReported("e1", incarnation=2))
     entry.feed(TimerFired(QueueTimer()))
-    assert len(entry.list_kind(OpenAttempt)) == 1
+    assert len(entry.find_effects(OpenAttempt)) == 1
--- a/tests/core/test_settlement.py
+++ b/tests/core/test_settlement.py
@@ -43,7 +43,7 @@
 
     def take(self, entry: Entry) -> None:
         """Append what the entry's last effects ask for."""
-        for effect in entry.list_kind(AppendRecords):
+        for effect in entry.find_effects(AppendRecords):
             for data in effect.records:
                 self.add(data)
 
@@ -65,7 +65,7 @@
 def test_an_order_goes_out_only_after_its_claim_was_read_back() -> None:
     entry, log = make_ready(), Log()
     entry.order("r1")
-    assert entry.list_kind(OpenAttempt) == []
+    assert entry.find_effects(OpenAttempt) == []
     log.take(entry)
     log.show(entry)
     assert entry.take(OpenAttempt).once
@@ -83,7 +83,7 @@
     second.order("b")
     log.take(second)
     log.show(second)
-    assert second.list_kind(OpenAttempt) == []
+    assert second.find_effects(OpenAttempt) == []
     log.show(first)
     attempt = first.take(OpenAttempt).attempt
     first.feed(ServiceAnswered(attempt, 201, "text/plain", b"booked"))
@@ -100,7 +100,7 @@
     log.show(entry)
     attempt = entry.take(OpenAttempt).attempt
     entry.order("r2")
-    assert entry.effects[-1:] != [] and entry.list_kind(AppendRecords) == []
+    assert entry.effects[-1:] != [] and entry.find_effects(AppendRecords) == []
     entry.feed(ServiceAnswered(attempt, 200, "text/plain", b"done"))
     assert entry.take(ReplayAnswer).request == "r2"
     entry.order("r3")
@@ -157,10 +157,10 @@
     entry.order("r1")
     log.take(entry)
     entry.feed(AppendUncertain(entry.take(AppendRecords).key))
-    assert entry.list_kind(Refuse) == []
-    assert entry.list_kind(AppendRecords) == []
+    assert entry.find_effects(Refuse) == []
+    assert entry.find_effects(AppendRecords) == []
     log.show(entry)
-    assert entry.list_kind(OpenAttempt)
+    assert entry.find_effects(OpenAttempt)
 
 
 def test_a_claim_that_comes_to_light_late_is_released_and_not_dispatched() -> None:
@@ -176,7 +176,7 @@
     entry.feed(TimerFired(ClaimTimer("r1")), after=1_000)
     assert entry.take(Refuse).problem.ran is Ran.NO
     log.show(entry)
-    assert entry.list_kind(OpenAttempt) == []
+    assert entry.find_effects(OpenAttempt) == []
     assert entry.take(AppendRecords).records[0]["kind"] == "release"
     log.take(entry)
     other = make_ready("n2", 2)
@@ -184,7 +184,7 @@
     other.order("r2")
     log.take(other)
     log.show(other, 2)
-    assert other.list_kind(OpenAttempt)
+    assert other.find_effects(OpenAttempt)
 
 
 def test_orders_are_refused_at_once_while_the_log_is_down() -> None:
@@ -215,7 +215,7 @@
     log.take(entry)
     entry.now = Millis(entry.now + MAX_DISPATCH_AGE + 1)
     log.show(entry)
-    assert entry.list_kind(OpenAttempt) == []
+    assert entry.find_effects(OpenAttempt) == []
     assert entry.take(Refuse).problem.ran is Ran.NO
     assert entry.take(AppendRecords).records[0]["kind"] == "release"
 
@@ -227,7 +227,7 @@
     log.take(dead)
     log.show(other)
     other.order("r2")
-    assert other.list_kind(AppendRecords) == []
+    assert other.find_effects(AppendRecords) == []
     other.feed(TimerFired(ClaimTimer("r2")), after=10_000)
     problem = other.take(Refuse).problem
     assert (problem.code, problem.ran) == ("first_still_running", Ran.UNKNOWN)
@@ -262,7 +262,7 @@
     entry.order("r1", key=key)
     log.take(entry)
     log.show(entry)
-    assert entry.list_kind(OpenAttempt) == []
+    assert entry.find_effects(OpenAttempt) == []
     problem = entry.take(Refuse).problem
     assert (problem.code, problem.ran) == ("key_expired", Ran.UNKNOWN)
 
@@ -278,7 +278,7 @@
         read = len(log.records)
         log.take(entry)
         log.show(entry, read)
-        assert len(entry.list_kind(OpenAttempt)) == opened, request
+        assert len(entry.find_effects(OpenAttempt)) == opened, request
 
 
 def test_an_order_without_key_or_window_is_claimed_for_itself() -> None:
@@ -315,14 +315,14 @@
     log.take(entry)
     log.take(entry)
     log.show(entry)
-    assert len(entry.list_kind(OpenAttempt)) == 1
+    assert len(entry.find_effects(OpenAttempt)) == 1
 
 
 def test_a_call_that_no_rule_names_needs_no_claim() -> None:
     entry = make_ready()
     work = ServiceWork("shop", "GET", "/stock")
     entry.feed(RequestArrived(RequestSpec("r1", "demo", work, stream=False)))
-    assert entry.list_kind(OpenAttempt)
+    assert entry.find_effects(OpenAttempt)
 
 
 def test_a_started_generation_is_not_released_when_its_caller_leaves() -> None:
@@ -338,7 +338,7 @@
     entry.feed(RequestArrived(spec))
     log.take(entry)
     log.show(entry)
-    assert entry.list_kind(OpenAttempt)
+    assert entry.find_effects(OpenAttempt)
     entry.feed(CallerGone("r1"))
     record = entry.take(AppendRecords).records[0]
     assert (record["kind"], record["ran"]) == ("outcome", "unknown")
@@ -358,14 +358,14 @@
     entry.feed(ServiceAnswered(attempt, 200, "", b"x"))
     first = entry.take(AppendRecords)
     entry.feed(AppendUncertain(first.key))
-    assert entry.list_kind(AppendRecords) == []
+    assert entry.find_effects(AppendRecords) == []
     entry.feed(TimerFired(OutcomeTimer()), after=1_000)
     again = entry.take(AppendRecords)
     assert again.records == first.records
     entry.feed(AppendConfirmed(again.key, 1))
     assert entry.claims.unconfirmed == {}
     entry.feed(TimerFired(OutcomeTimer()), after=1_000)
-    assert entry.list_kind(AppendRecords) == []
+    assert entry.find_effects(AppendRecords) == []
 
 
 def test_an_outcome_that_the_log_never_takes_is_dropped_at_last() -> None:
@@ -377,7 +377,7 @@
     entry.feed(ServiceAnswered(attempt, 200, "", b"x"))
     entry.feed(AppendUncertain(entry.take(AppendRecords).key))
     entry.feed(TimerFired(OutcomeTimer()), after=60_000)
-    assert entry.list_kind(AppendRecords) == []
+    assert entry.find_effects(AppendRecords) == []
     assert entry.claims.unconfirmed == {}
 
 
@@ -401,4 +401,4 @@
     log.show(entry, 1)
     assert entry.effects == []
     entry.feed(ServiceAnswered(attempt, 200, "", b"x"))
-    assert entry.list_kind(Complete)
+    assert entry.find_effects(Complete)
--- a/tests/core/test_suspects.py
+++ b/tests/core/test_suspects.py
@@ -79,7 +79,7 @@
     probed = []
     for name in lost:
         entry.feed(AttemptLost(entry.find_attempt(name), Loss.BROKEN))
-        probed += entry.list_kind(ProbeTarget)
+        probed += entry.find_effects(ProbeTarget)
     assert len(lost) > 1
     assert probed == [ProbeTarget(target)]
 
