--- a/tests/core/test_queues.py
+++ b/tests/core/test_queues.py
@@ -14,7 +14,7 @@
     return RequestSpec(name, customer, GenerationWork("m"), priority=priority)
 
 
-def take(queue: RequestQueue, cost: float = 1.0, share: float = 1.0) -> str:
+def pop(queue: RequestQueue, cost: float = 1.0, share: float = 1.0) -> str:
     spec = queue.peek("m")
     assert spec is not None
     queue.remove(spec.request)
@@ -26,7 +26,7 @@
     queue = RequestQueue()
     queue.add(make_spec("low", priority=-1), 1, 1, Millis(0))
     queue.add(make_spec("high", priority=5), 9_000, 1, Millis(900))
-    assert [take(queue), take(queue)] == ["high", "low"]
+    assert [pop(queue), pop(queue)] == ["high", "low"]
 
 
 def test_waiting_makes_up_for_length() -> None:
@@ -38,7 +38,7 @@
     queue.add(make_spec("long"), 1_000, 1, Millis(0))
     queue.add(make_spec("soon"), 10, 1, Millis(10_000))
     queue.add(make_spec("late"), 10, 1, Millis(round(AGING_MS_PER_TOKEN * 1_000)))
-    assert [take(queue), take(queue), take(queue)] == ["soon", "long", "late"]
+    assert [pop(queue), pop(queue), pop(queue)] == ["soon", "long", "late"]
 
 
 def test_flooding_customer_does_not_delay_another() -> None:
@@ -46,9 +46,9 @@
     for number in range(100):
         queue.add(make_spec(f"flood{number}", "flooder"), 100, 1, Millis(0))
     for _ in range(10):
-        take(queue, 100)
+        pop(queue, 100)
     queue.add(make_spec("other", "b"), 100, 1, Millis(50))
-    assert "other" in [take(queue, 100), take(queue, 100)]
+    assert "other" in [pop(queue, 100), pop(queue, 100)]
 
 
 def test_shares_divide_the_work() -> None:
@@ -61,7 +61,7 @@
         spec = queue.peek("m")
         assert spec is not None
         share = 3.0 if spec.customer == "big" else 1.0
-        take(queue, 10, share)
+        pop(queue, 10, share)
         served[spec.customer] += 1
     assert 28 <= served["big"] <= 32
 
@@ -71,10 +71,10 @@
     for number in range(40):
         queue.add(make_spec(f"a{number}", "a"), 10, 1, Millis(0))
     for _ in range(20):
-        take(queue, 10)
+        pop(queue, 10)
     for number in range(20):
         queue.add(make_spec(f"b{number}", "b"), 10, 1, Millis(0))
-    first = [take(queue, 10) for _ in range(10)]
+    first = [pop(queue, 10) for _ in range(10)]
     assert 4 <= sum(name.startswith("a") for name in first) <= 6
 
 
@@ -116,9 +116,9 @@
             queue.remove(name)
             waiting.discard(name)
         elif waiting:
-            waiting.remove(take(queue))
+            waiting.remove(pop(queue))
     queue.order_by(fair=True, shortest_first=True)
     while waiting:
-        waiting.remove(take(queue))
+        waiting.remove(pop(queue))
     assert queue.peek("m") is None
     assert len(queue) == 0
