--- a/tests/core/test_settlement.py
+++ b/tests/core/test_settlement.py
@@ -51,7 +51,7 @@
         """Append one record."""
         self.records.append(LogRecord(len(self.records), self.time, data))
 
-    def show(self, entry: Entry, start: int = 0) -> None:
+    def deliver_to(self, entry: Entry, start: int = 0) -> None:
         """Let the entry read from ``start`` on."""
         entry.feed(RecordsRead(CLAIMS, tuple(self.records[start:])))
 
@@ -67,7 +67,7 @@
     entry.order("r1")
     assert entry.find_effects(OpenAttempt) == []
     log.take(entry)
-    log.show(entry)
+    log.deliver_to(entry)
     assert entry.take(OpenAttempt).once
 
 
@@ -82,13 +82,13 @@
     log.take(first)
     second.order("b")
     log.take(second)
-    log.show(second)
+    log.deliver_to(second)
     assert second.find_effects(OpenAttempt) == []
-    log.show(first)
+    log.deliver_to(first)
     attempt = first.take(OpenAttempt).attempt
     first.feed(ServiceAnswered(attempt, 201, "text/plain", b"booked"))
     log.take(first)
-    log.show(second, 2)
+    log.deliver_to(second, 2)
     assert second.take(ReplayAnswer).body == b"booked"
     assert second.state.requests == {}
 
@@ -97,7 +97,7 @@
     entry, log = make_ready(), Log()
     entry.order("r1")
     log.take(entry)
-    log.show(entry)
+    log.deliver_to(entry)
     attempt = entry.take(OpenAttempt).attempt
     entry.order("r2")
     assert entry.effects[-1:] != [] and entry.find_effects(AppendRecords) == []
@@ -120,7 +120,7 @@
     entry, log = make_ready(), Log()
     entry.order("r1")
     log.take(entry)
-    log.show(entry)
+    log.deliver_to(entry)
     opened = entry.take(OpenAttempt)
     entry.feed(AttemptLost(opened.attempt, loss))
     assert entry.take(OpenAttempt).target != opened.target
@@ -136,13 +136,13 @@
     entry, log = make_ready(), Log()
     entry.order("r1")
     log.take(entry)
-    log.show(entry)
+    log.deliver_to(entry)
     entry.feed(AttemptLost(entry.take(OpenAttempt).attempt, loss))
     problem = entry.take(Refuse).problem
     assert problem.code == "outcome_unknown" and problem.ran is not Ran.NO
     log.take(entry)
     other = make_ready("n2", 2)
-    log.show(other)
+    log.deliver_to(other)
     other.order("r2")
     assert other.take(Refuse).problem.code == "outcome_unknown"
 
@@ -159,7 +159,7 @@
     entry.feed(AppendUncertain(entry.take(AppendRecords).key))
     assert entry.find_effects(Refuse) == []
     assert entry.find_effects(AppendRecords) == []
-    log.show(entry)
+    log.deliver_to(entry)
     assert entry.find_effects(OpenAttempt)
 
 
@@ -175,15 +175,15 @@
     entry.feed(AppendUncertain(entry.take(AppendRecords).key))
     entry.feed(TimerFired(ClaimTimer("r1")), after=1_000)
     assert entry.take(Refuse).problem.ran is Ran.NO
-    log.show(entry)
+    log.deliver_to(entry)
     assert entry.find_effects(OpenAttempt) == []
     assert entry.take(AppendRecords).records[0]["kind"] == "release"
     log.take(entry)
     other = make_ready("n2", 2)
-    log.show(other)
+    log.deliver_to(other)
     other.order("r2")
     log.take(other)
-    log.show(other, 2)
+    log.deliver_to(other, 2)
     assert other.find_effects(OpenAttempt)
 
 
@@ -214,7 +214,7 @@
     entry.order("r1")
     log.take(entry)
     entry.now = Millis(entry.now + MAX_DISPATCH_AGE + 1)
-    log.show(entry)
+    log.deliver_to(entry)
     assert entry.find_effects(OpenAttempt) == []
     assert entry.take(Refuse).problem.ran is Ran.NO
     assert entry.take(AppendRecords).records[0]["kind"] == "release"
@@ -225,7 +225,7 @@
     dead, other, log = make_ready("n1", 1), make_ready("n2", 2), Log()
     dead.order("r1")
     log.take(dead)
-    log.show(other)
+    log.deliver_to(other)
     other.order("r2")
     assert other.find_effects(AppendRecords) == []
     other.feed(TimerFired(ClaimTimer("r2")), after=10_000)
@@ -241,7 +241,7 @@
     entry, log = make_ready(), Log()
     entry.order("r1")
     log.take(entry)
-    log.show(entry)
+    log.deliver_to(entry)
     attempt = entry.take(OpenAttempt).attempt
     entry.feed(CallerGone("r1"))
     entry.order("r2")
@@ -261,7 +261,7 @@
     assert read_key_time(key) == time
     entry.order("r1", key=key)
     log.take(entry)
-    log.show(entry)
+    log.deliver_to(entry)
     assert entry.find_effects(OpenAttempt) == []
     problem = entry.take(Refuse).problem
     assert (problem.code, problem.ran) == ("key_expired", Ran.UNKNOWN)
@@ -277,7 +277,7 @@
         entry.order(request, key=None)
         read = len(log.records)
         log.take(entry)
-        log.show(entry, read)
+        log.deliver_to(entry, read)
         assert len(entry.find_effects(OpenAttempt)) == opened, request
 
 
@@ -293,7 +293,7 @@
     entry, log = make_ready(), Log()
     entry.order("r1")
     log.take(entry)
-    log.show(entry)
+    log.deliver_to(entry)
     entry.feed(ServiceAnswered(entry.take(OpenAttempt).attempt, 200, "", None))
     entry.order("r2")
     problem = entry.take(Refuse).problem
@@ -305,7 +305,7 @@
     for data in ({}, {"kind": "claim", "id": 1}, {"kind": "x", "id": "a", "name": "b"}):
         log.add(data)
     log.add({"kind": "claim", "id": "a", "name": "b"})
-    log.show(entry)
+    log.deliver_to(entry)
     assert entry.claims.owners == {}
 
 
@@ -314,7 +314,7 @@
     entry.order("r1")
     log.take(entry)
     log.take(entry)
-    log.show(entry)
+    log.deliver_to(entry)
     assert len(entry.find_effects(OpenAttempt)) == 1
 
 
@@ -337,7 +337,7 @@
     )
     entry.feed(RequestArrived(spec))
     log.take(entry)
-    log.show(entry)
+    log.deliver_to(entry)
     assert entry.find_effects(OpenAttempt)
     entry.feed(CallerGone("r1"))
     record = entry.take(AppendRecords).records[0]
@@ -353,7 +353,7 @@
     entry, log = make_ready(), Log()
     entry.order("r1")
     log.take(entry)
-    log.show(entry)
+    log.deliver_to(entry)
     attempt = entry.take(OpenAttempt).attempt
     entry.feed(ServiceAnswered(attempt, 200, "", b"x"))
     first = entry.take(AppendRecords)
@@ -372,7 +372,7 @@
     entry, log = make_ready(), Log()
     entry.order("r1")
     log.take(entry)
-    log.show(entry)
+    log.deliver_to(entry)
     attempt = entry.take(OpenAttempt).attempt
     entry.feed(ServiceAnswered(attempt, 200, "", b"x"))
     entry.feed(AppendUncertain(entry.take(AppendRecords).key))
@@ -393,12 +393,12 @@
     entry.order("r1", key=None)
     claim = entry.take(AppendRecords).records[0]
     log.take(entry)
-    log.show(entry)
+    log.deliver_to(entry)
     attempt = entry.take(OpenAttempt).attempt
     log.time += 6_000
     log.add({**claim, "id": "another"})
     log.add(claim)
-    log.show(entry, 1)
+    log.deliver_to(entry, 1)
     assert entry.effects == []
     entry.feed(ServiceAnswered(attempt, 200, "", b"x"))
     assert entry.find_effects(Complete)
