--- a/tests/core/test_crashes.py
+++ b/tests/core/test_crashes.py
@@ -13,7 +13,7 @@
 NOW = Millis(2_000_000)
 
 
-def note(table: CrashTable, life: str, *digests: str, at: int = NOW) -> None:
+def record_crash(table: CrashTable, life: str, *digests: str, at: int = NOW) -> None:
     """Let requests be at a target that crashes."""
     for digest in digests:
         table.record_suspicion(Suspicion(digest, life), Millis(at))
@@ -28,14 +28,14 @@
     assert table.record_suspicion(Suspicion("killer", "b-1@1"), NOW)
     assert not table.record_suspicion(Suspicion("killer", "b-1@1", Millis(5)), NOW)
     assert not table.is_refused("killer", NOW)
-    note(table, "b-2@1", "killer")
+    record_crash(table, "b-2@1", "killer")
     assert list_refused(table, "killer", "other") == ["killer"]
 
 
 def test_a_neighbour_at_one_crash_is_not_refused() -> None:
     table = CrashTable()
-    note(table, "b-1@1", "killer", "good")
-    note(table, "b-2@1", "killer")
+    record_crash(table, "b-1@1", "killer", "good")
+    record_crash(table, "b-2@1", "killer")
     assert list_refused(table, "killer", "good") == ["killer"]
 
 
@@ -43,25 +43,25 @@
     """Guards against a read that was sent on to where the same request went."""
     table = CrashTable()
     for number in range(4):
-        note(table, f"b-{number}@1", "killer")
-    note(table, "b-2@1", "good")
-    note(table, "b-3@1", "good")
+        record_crash(table, f"b-{number}@1", "killer")
+    record_crash(table, "b-2@1", "good")
+    record_crash(table, "b-3@1", "good")
     assert list_refused(table, "killer", "good") == ["killer"]
 
 
 def test_two_that_were_at_the_same_crashes_are_told_apart_by_the_next() -> None:
     table = CrashTable()
-    note(table, "b-1@1", "killer", "good")
-    note(table, "b-2@1", "killer", "good")
+    record_crash(table, "b-1@1", "killer", "good")
+    record_crash(table, "b-2@1", "killer", "good")
     assert list_refused(table, "killer", "good") == []
-    note(table, "b-3@1", "killer")
+    record_crash(table, "b-3@1", "killer")
     assert list_refused(table, "killer", "good") == ["killer"]
 
 
 def test_an_answer_tells_two_at_the_same_crashes_apart() -> None:
     table = CrashTable()
-    note(table, "b-1@1", "killer", "good")
-    note(table, "b-2@1", "killer", "good")
+    record_crash(table, "b-1@1", "killer", "good")
+    record_crash(table, "b-2@1", "killer", "good")
     assert table.clear("good", NOW, NOW)
     assert list_refused(table, "killer", "good") == ["killer"]
 
@@ -70,7 +70,9 @@
     """Guards against requests that shield each other."""
     table = CrashTable()
     for number in range(4):
-        note(table, f"b-{number}@1", f"killer {number % 2}", at=NOW + 50 * number)
+        record_crash(
+            table, f"b-{number}@1", f"killer {number % 2}", at=NOW + 50 * number
+        )
     assert list_refused(table, "killer 0", "killer 1", at=NOW + 200) == [
         "killer 0",
         "killer 1",
@@ -81,12 +83,12 @@
     """Guards against a request refused that met two of many targets that flap."""
     table = CrashTable()
     for number in range(6):
-        note(table, f"b-{number}@1", f"beside {number}", at=NOW + 200 * number)
-    note(table, "b-0@1", "good")
-    note(table, "b-4@1", "good")
+        record_crash(table, f"b-{number}@1", f"beside {number}", at=NOW + 200 * number)
+    record_crash(table, "b-0@1", "good")
+    record_crash(table, "b-4@1", "good")
     assert list_refused(table, "good", at=NOW + 2_000) == []
     for number in range(6, 8):
-        note(table, f"b-{number}@1", "good", at=NOW + 200 * number)
+        record_crash(table, f"b-{number}@1", "good", at=NOW + 200 * number)
     assert list_refused(table, "good", at=NOW + 2_000) == ["good"]
 
 
@@ -94,29 +96,29 @@
     """Guards against the last of those at a lost domain that is left suspected."""
     table = CrashTable()
     for number in range(3):
-        note(table, f"b-{number}@1", f"beside {number}")
+        record_crash(table, f"b-{number}@1", f"beside {number}")
         table.clear(f"beside {number}", NOW, NOW)
-    note(table, "b-0@1", "good")
-    note(table, "b-1@1", "good")
+    record_crash(table, "b-0@1", "good")
+    record_crash(table, "b-1@1", "good")
     assert list_refused(table, "good") == []
 
 
 def test_a_run_to_the_end_clears_what_came_before_it() -> None:
     table = CrashTable()
-    note(table, "b-1@1", "good")
+    record_crash(table, "b-1@1", "good")
     assert table.clear("good", Millis(NOW + 10), Millis(NOW + 10))
     assert not table.clear("good", Millis(NOW + 20), Millis(NOW + 20))
     # Told late by an entry that had not heard of the answer.
     late = Suspicion("good", "b-2@1", Millis(30))
     assert not table.record_suspicion(late, Millis(NOW + 40))
-    note(table, "b-3@1", "good", at=NOW + 50)
+    record_crash(table, "b-3@1", "good", at=NOW + 50)
     assert list_refused(table, "good", at=NOW + 50) == []
 
 
 def test_a_target_that_lives_is_no_crash() -> None:
     table = CrashTable()
-    note(table, "b-1@1", "good")
-    note(table, "b-2@1", "good")
+    record_crash(table, "b-1@1", "good")
+    record_crash(table, "b-2@1", "good")
     table.discard_crash("b-2@1")
     assert list_refused(table, "good") == []
     assert table.count("good") == 1
@@ -124,8 +126,8 @@
 
 def test_crashes_are_forgotten() -> None:
     table = CrashTable()
-    note(table, "b-1@1", "killer")
-    note(table, "b-2@1", "killer")
+    record_crash(table, "b-1@1", "killer")
+    record_crash(table, "b-2@1", "killer")
     later = Millis(NOW + CRASH_RETENTION)
     assert not table.is_refused("killer", later)
     table.remove_expired(later)
@@ -136,10 +138,10 @@
 def test_what_proves_a_request_is_told_among_many_crashes() -> None:
     """Guards against crashes that drop out of messages as a domain is lost."""
     table = CrashTable()
-    note(table, "b-1@1", "killer")
-    note(table, "b-2@1", "killer")
+    record_crash(table, "b-1@1", "killer")
+    record_crash(table, "b-2@1", "killer")
     for number in range(2 * MAX_ANNOUNCED_SUSPICIONS):
-        note(table, f"e-{number % 9}@1", f"good {number}", at=NOW + 100)
+        record_crash(table, f"e-{number % 9}@1", f"good {number}", at=NOW + 100)
     told = table.list_suspicions(Millis(NOW + 200))
     assert len(told) == MAX_ANNOUNCED_SUSPICIONS
     lives = {suspicion.life for suspicion in told if suspicion.digest == "killer"}
@@ -148,8 +150,8 @@
 
 def test_a_single_crash_is_told_for_a_while_and_two_for_good() -> None:
     table = CrashTable()
-    note(table, "b-1@1", "killer", "good")
-    note(table, "b-2@1", "killer")
+    record_crash(table, "b-1@1", "killer", "good")
+    record_crash(table, "b-2@1", "killer")
     told = table.list_suspicions(Millis(NOW + SUSPICION_ANNOUNCE_DURATION))
     assert {suspicion.digest for suspicion in told} == {"killer"}
     assert told[0].age == SUSPICION_ANNOUNCE_DURATION
@@ -157,7 +159,7 @@
 
 def test_it_is_told_for_a_while_that_a_request_has_run() -> None:
     table = CrashTable()
-    note(table, "b-1@1", "good")
+    record_crash(table, "b-1@1", "good")
     assert table.list_clearances(NOW) == ()
     table.clear("good", NOW, NOW)
     [told] = table.list_clearances(Millis(NOW + 30))
@@ -167,7 +169,7 @@
 
 def test_suspicions_settle() -> None:
     table = CrashTable()
-    note(table, "b-1@1", "killer")
-    note(table, "b-2@1", "killer", at=NOW + 100)
+    record_crash(table, "b-1@1", "killer")
+    record_crash(table, "b-2@1", "killer", at=NOW + 100)
     assert not table.is_settled("killer", Millis(NOW + SUSPICION_DELAY))
     assert table.is_settled("killer", Millis(NOW + 100 + SUSPICION_DELAY))
