--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -28,12 +28,12 @@
     return set(entry.state.quarantine.crashes.list_suspected())
 
 
-def note_death(entry: Entry, digest: str, death: str) -> None:
+def record_crash(entry: Entry, digest: str, death: str) -> None:
     """Let a request be in flight at a target that died elsewhere."""
     entry.state.quarantine.crashes.record_suspicion(Suspicion(digest, death), entry.now)
 
 
-def accept(entry: Entry, request: str) -> None:
+def answer_attempt(entry: Entry, request: str) -> None:
     entry.feed(AttemptAnswered(entry.find_attempt(request)))
 
 
@@ -45,9 +45,9 @@
     """
     entry = Entry(inventory=make_inventory(engines=3))
     entry.start("r1", digest="killer", stream=False)
-    accept(entry, "r1")
+    answer_attempt(entry, "r1")
     lose_for_good(entry, "r1")
-    accept(entry, "r1")
+    answer_attempt(entry, "r1")
     lose_for_good(entry, "r1")
     assert entry.take(Refuse).problem.code == "request_quarantined"
     assert entry.find_effects(OpenAttempt) == []
@@ -72,13 +72,13 @@
         number += 1
         name = f"good{number}"
         entry.start(name, digest=name, stream=False)
-    accept(entry, "bad")
-    accept(entry, name)
+    answer_attempt(entry, "bad")
+    answer_attempt(entry, name)
     lose_for_good(entry, "bad")
     lose_for_good(entry, name)
     assert list_suspected(entry) == {"killer", name}
     assert entry.state.requests["bad"].target != entry.state.requests[name].target
-    accept(entry, "bad")
+    answer_attempt(entry, "bad")
     lose_for_good(entry, "bad")
     assert list(entry.state.quarantine.until) == ["killer"]
     entry.deliver(entry.find_attempt(name), 1)
@@ -89,7 +89,7 @@
 def test_suspects_keep_away_from_each_other() -> None:
     entry = Entry(inventory=make_inventory(engines=1))
     for digest in ("a", "b"):
-        note_death(entry, digest, "e9#1")
+        record_crash(entry, digest, "e9#1")
     entry.start("r1", digest="a")
     spec = RequestSpec("r2", "demo", GenerationWork("m"), digest="b")
     entry.feed(RequestArrived(spec))
@@ -106,9 +106,9 @@
     entry.start("r1", digest="a", stream=False)
     entry.start("r2", digest="b", stream=False)
     for digest in ("a", "b"):
-        note_death(entry, digest, "e9#1")
-    accept(entry, "r1")
-    accept(entry, "r2")
+        record_crash(entry, digest, "e9#1")
+    answer_attempt(entry, "r1")
+    answer_attempt(entry, "r2")
     lose_for_good(entry, "r1")
     assert entry.state.quarantine.until == {}
 
@@ -121,11 +121,11 @@
     entry = Entry(inventory=make_inventory(engines=1))
     entry.feed(LoadReported("e1", incarnation=1))
     entry.start("r1", digest="a")
-    accept(entry, "r1")
+    answer_attempt(entry, "r1")
     lose_for_good(entry, "r1")
     entry.feed(CallerGone("r1"), after=MAX_AVOIDANCE)
     entry.start("r2", digest="b")
-    accept(entry, "r2")
+    answer_attempt(entry, "r2")
     entry.feed(LoadReported("e1", incarnation=2))
     assert list_suspected(entry) == {"a"}
 
@@ -134,7 +134,7 @@
     entry = Entry(inventory=make_inventory(engines=1))
     entry.feed(LoadReported("e1", incarnation=1))
     entry.start("r1", digest="a")
-    accept(entry, "r1")
+    answer_attempt(entry, "r1")
     entry.feed(LoadReported("e1", incarnation=2))
     assert list_suspected(entry) == {"a"}
 
