--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -83,7 +83,7 @@
     return state
 
 
-def take_lease(state: State, now: int) -> int:
+def acquire_lease(state: State, now: int) -> int:
     """Run rounds until the lease is asked for and read back; return the time."""
     for _ in range(20):
         effects = placement.run_round(state, Millis(now))
@@ -104,7 +104,7 @@
 
 def test_loads_are_staggered_by_the_weight_store_rate() -> None:
     state = make_state()
-    now = take_lease(state, 0)
+    now = acquire_lease(state, 0)
     sent = [list_orders(state, now + step) for step in (0, 500, 1_000, 2_000)]
     assert [len(orders) for orders in sent] == [1, 0, 1, 1]
     targets = {orders[0].target for orders in sent if orders}
@@ -124,7 +124,7 @@
     its own statement comes last.
     """
     state = make_state(checks_fencing=False)
-    now = take_lease(state, 0)
+    now = acquire_lease(state, 0)
     assert list_orders(state, now) == []
     quiet = now + leases.TERM + ORDER_TIMEOUT
     renewal = leases.request_lease(
@@ -142,7 +142,7 @@
     own clock tells.
     """
     state = make_state()
-    now = take_lease(state, 0)
+    now = acquire_lease(state, 0)
     order = list_orders(state, now)[0]
     placement.handle_answer(
         state, OrderAnswered(order.number, OrderOutcome.STALE), Millis(now)
@@ -152,7 +152,7 @@
 
 def test_shutdown_releases_the_lease() -> None:
     state = make_state()
-    now = take_lease(state, 0)
+    now = acquire_lease(state, 0)
     state.shutting_down = True
     effects = placement.run_round(state, Millis(now + 1))
     released = [e.records[0]["release"] for e in effects if not _timer(e)]
