--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -50,11 +50,13 @@
         state.targets[name] = TargetState(EngineInfo(name, "http://h", "d", ("m",)))
     feed(state, PeerListenerOpened("127.0.0.1:1", 10))
     for number in range(members):
-        feed(state, hear(f"n{number}", f"127.0.0.1:{number + 100}"))
+        feed(state, build_gossip_event(f"n{number}", f"127.0.0.1:{number + 100}"))
     return state
 
 
-def hear(sender: str, address: str = "127.0.0.1:2", **members: object) -> object:
+def build_gossip_event(
+    sender: str, address: str = "127.0.0.1:2", **members: object
+) -> object:
     gossip = Gossip(sender, address, 5, 1, wants_answer=False)
     return GossipReceived(replace(gossip, **members))  # type: ignore[arg-type]
 
@@ -80,17 +82,19 @@
         seen.append(state.membership.members["n0"].status)
     assert MemberStatus.SUSPECT in seen
     assert seen[-1] is MemberStatus.GONE
-    effects = feed(state, hear("n0", sequence=2, wants_answer=True), 12_000)
+    effects = feed(
+        state, build_gossip_event("n0", sequence=2, wants_answer=True), 12_000
+    )
     told = list_sent(effects)[0].gossip.members[0]
     assert (told.name, told.status) == ("n0", MemberStatus.GONE)
-    feed(state, hear("n0", incarnation=6), 12_001)
+    feed(state, build_gossip_event("n0", incarnation=6), 12_001)
     assert state.membership.members["n0"].status is MemberStatus.ALIVE
 
 
 def test_suspected_entry_refutes_by_a_newer_incarnation() -> None:
     state = make_state()
     news = MemberNews("a", "127.0.0.1:1", 10, MemberStatus.SUSPECT)
-    effects = feed(state, hear("b", members=(news,)))
+    effects = feed(state, build_gossip_event("b", members=(news,)))
     assert list_sent(effects)[0].gossip.incarnation == 11
 
 
@@ -103,25 +107,31 @@
     """
     state = make_state(members=8)
     mark = LeavingMark("engine-1", 3)
-    effects = feed(state, hear("n0", sequence=2, marks=(mark,)))
+    effects = feed(state, build_gossip_event("n0", sequence=2, marks=(mark,)))
     sent = list_sent(effects)
     assert len(sent) == membership.URGENT_FANOUT
     assert all(mark in s.gossip.marks for s in sent)
     assert state.targets["engine-1"].leaving
-    assert not list_sent(feed(state, hear("n1", sequence=2, marks=(mark,))))
+    assert not list_sent(
+        feed(state, build_gossip_event("n1", sequence=2, marks=(mark,)))
+    )
 
 
 def test_leaving_ends_only_by_a_newer_incarnation() -> None:
     state = make_state(members=1)
     target = state.targets["engine-1"]
-    feed(state, hear("n0", sequence=2, marks=(LeavingMark("engine-1", 3),)))
+    feed(
+        state, build_gossip_event("n0", sequence=2, marks=(LeavingMark("engine-1", 3),))
+    )
     live = InstanceInfo("engine-1", "target", "", "d", incarnation=3)
     feed(state, InstancesListed((live,)))
     feed(state, LoadReported("engine-1", incarnation=3))
     assert target.leaving
     feed(state, LoadReported("engine-1", incarnation=4))
     assert not target.leaving
-    feed(state, hear("n0", sequence=3, marks=(LeavingMark("engine-1", 3),)))
+    feed(
+        state, build_gossip_event("n0", sequence=3, marks=(LeavingMark("engine-1", 3),))
+    )
     assert not target.leaving
 
 
@@ -135,11 +145,11 @@
 def test_counts_of_peers_are_summed_and_scaled_to_the_unheard() -> None:
     state = make_state(members=3)
     counts = (TargetCount(hash_target("engine-0"), 4),)
-    feed(state, hear("n0", sequence=2, counts=counts), 10_000)
-    feed(state, hear("n1", sequence=2, counts=counts), 10_000)
+    feed(state, build_gossip_event("n0", sequence=2, counts=counts), 10_000)
+    feed(state, build_gossip_event("n1", sequence=2, counts=counts), 10_000)
     membership.estimate_peer_counts(state, Millis(10_000))
     assert state.targets["engine-0"].peers_in_flight == 12
-    feed(state, hear("n2", sequence=2, counts=counts), 16_000)
+    feed(state, build_gossip_event("n2", sequence=2, counts=counts), 16_000)
     membership.estimate_peer_counts(state, Millis(16_000))
     assert state.targets["engine-0"].peers_in_flight == 0
     membership.estimate_peer_counts(state, Millis(30_000))
@@ -149,7 +159,7 @@
 def test_quarantine_is_taken_and_given_on() -> None:
     state = make_state(members=1)
     mark = QuarantineMark("ab" * 32, Millis(5_000))
-    feed(state, hear("n0", sequence=2, quarantined=(mark,)), 1_000)
+    feed(state, build_gossip_event("n0", sequence=2, quarantined=(mark,)), 1_000)
     assert state.quarantine.until[mark.digest] == 6_000
     gossip = datagrams.build_gossip(state, None, Millis(2_000), True)
     assert gossip.quarantined == (QuarantineMark(mark.digest, Millis(4_000)),)
@@ -157,7 +167,10 @@
 
 def test_newer_document_is_fetched_from_the_peer_that_holds_it() -> None:
     state = make_state(members=2)
-    feed(state, hear("n0", "127.0.0.1:100", sequence=2, accepted=4, position=4))
+    feed(
+        state,
+        build_gossip_event("n0", "127.0.0.1:100", sequence=2, accepted=4, position=4),
+    )
     effects = feed(state, TimerFired(FetchTimer()))
     assert FetchCheckpoint("127.0.0.1:100") in effects
 
