--- a/tests/core/test_configuration.py
+++ b/tests/core/test_configuration.py
@@ -163,7 +163,7 @@
         self.history: list[int] = [-1]
         self.nodes = [State(f"n{number}") for number in range(self.NODES)]
         self.next = [0] * self.NODES
-        self.seen: list[list[int]] = [[-1] for _ in range(self.NODES)]
+        self.accepted_offsets: list[list[int]] = [[-1] for _ in range(self.NODES)]
 
     def append(self, record: ConfigurationRead | SnapshotRead) -> None:
         self.records.append(record)
@@ -176,8 +176,8 @@
         for effect in reduce(node, event, NOW):
             if isinstance(effect, ReadConfigurationFrom):
                 self.next[number] = effect.offset
-        if node.configuration_offset != self.seen[number][-1]:
-            self.seen[number].append(node.configuration_offset)
+        if node.configuration_offset != self.accepted_offsets[number][-1]:
+            self.accepted_offsets[number].append(node.configuration_offset)
 
     @rule(back=strategies.integers(0, 2), valid=strategies.booleans())
     def publish(self, back: int, valid: bool) -> None:
@@ -194,8 +194,8 @@
         if fold.current is None:
             return
         record = encode_snapshot(fold.current, fold.position)
-        held = replace(fold.current, position=record["position"])
-        self.append(SnapshotRead(len(self.records), held))
+        checkpoint = replace(fold.current, position=record["position"])
+        self.append(SnapshotRead(len(self.records), checkpoint))
 
     @rule(number=strategies.integers(0, NODES - 1), count=strategies.integers(1, 4))
     def read(self, number: int, count: int) -> None:
@@ -217,21 +217,23 @@
         """The log drops its oldest records."""
         self.earliest = max(self.earliest, len(self.records) - keep)
 
-    @rule(giver=strategies.integers(0, NODES - 1), taker=strategies.integers(0, 2))
-    def offer(self, giver: int, taker: int) -> None:
+    @rule(
+        provider=strategies.integers(0, NODES - 1), recipient=strategies.integers(0, 2)
+    )
+    def offer(self, provider: int, recipient: int) -> None:
         """A peer gives its checkpoint, perhaps an old one."""
-        fold = self.nodes[giver].configuration
+        fold = self.nodes[provider].configuration
         if fold.current is None:
             return
-        held = replace(fold.current, position=fold.position)
-        self.deliver(taker, CheckpointOffered(held))
+        checkpoint = replace(fold.current, position=fold.position)
+        self.deliver(recipient, CheckpointOffered(checkpoint))
 
     @rule(number=strategies.integers(0, NODES - 1))
     def restart(self, number: int) -> None:
         """A node is replaced; the new one knows nothing."""
         self.nodes[number] = State(f"n{number}")
         self.next[number] = 0
-        self.seen[number] = [-1]
+        self.accepted_offsets[number] = [-1]
 
     @precondition(lambda self: self.reference.configuration.current is not None)
     @rule(number=strategies.integers(0, NODES - 1))
@@ -239,8 +241,8 @@
         """After a snapshot that joins on, every node reaches the same document."""
         fold = self.reference.configuration
         assert fold.current is not None
-        held = replace(fold.current, position=fold.position)
-        self.append(SnapshotRead(len(self.records), held))
+        checkpoint = replace(fold.current, position=fold.position)
+        self.append(SnapshotRead(len(self.records), checkpoint))
         while max(self.next[number], self.earliest) < len(self.records):
             self.read(number, 1)
         node = self.nodes[number]
@@ -248,9 +250,9 @@
 
     @invariant()
     def accepted_sequence_is_the_same_and_never_goes_back(self) -> None:
-        for seen in self.seen:
-            assert seen == sorted(set(seen))
-            assert set(seen) <= set(self.history)
+        for accepted_offsets in self.accepted_offsets:
+            assert accepted_offsets == sorted(set(accepted_offsets))
+            assert set(accepted_offsets) <= set(self.history)
 
 
 TestFold = FoldMachine.TestCase
