--- a/tests/core/test_claims_properties.py
+++ b/tests/core/test_claims_properties.py
@@ -42,8 +42,8 @@
 
 ENTRIES = 2
 WINDOW = Millis(4_000)
-PROVED = (Loss.CONNECT_FAILED, Loss.REFUSED)
-LOSSES = (*PROVED, Loss.BROKEN, Loss.TRUNCATED, Loss.FAILED)
+PROVEN_NOT_RUN = (Loss.CONNECT_FAILED, Loss.REFUSED)
+LOSSES = (*PROVEN_NOT_RUN, Loss.BROKEN, Loss.TRUNCATED, Loss.FAILED)
 
 BODIES = ["x", "x", "generation", "y"]
 
@@ -88,7 +88,7 @@
         super().__init__()
         self.now = 1_000_000
         self.log: list[LogRecord] = []
-        self.floating: list[dict[str, Any]] = []
+        self.delayed_records: list[dict[str, Any]] = []
         self.next_seed = 1
         self.next_request = 1
         self.bodies: dict[str, str] = {}
@@ -140,7 +140,7 @@
         attempts = list(node.open.values())
         return attempts[pick % len(attempts)]
 
-    def _land(self, records: list[dict[str, Any]]) -> int:
+    def _append_to_log(self, records: list[dict[str, Any]]) -> int:
         first = len(self.log)
         for number, data in enumerate(records):
             self.log.append(LogRecord(first + number, self.now, data))
@@ -154,11 +154,11 @@
         self._feed(self.nodes[number], RequestArrived(make_spec(request, body)))
 
     @rule(number=entries)
-    def append_taken(self, number: int) -> None:
+    def append_confirmed(self, number: int) -> None:
         node = self.nodes[number]
         if node.appends:
             effect = node.appends.pop(0)
-            offset = self._land(effect.records)
+            offset = self._append_to_log(effect.records)
             self._feed(node, AppendConfirmed(effect.key, offset))
 
     @rule(number=entries, fate=st.sampled_from(["taken", "dropped", "late"]))
@@ -168,20 +168,22 @@
             return
         effect = node.appends.pop(0)
         if fate == "taken":
-            self._land(effect.records)
+            self._append_to_log(effect.records)
         if fate == "late":
-            self.floating += effect.records
+            self.delayed_records += effect.records
         self._feed(node, AppendUncertain(effect.key))
 
-    @precondition(lambda self: self.floating)
+    @precondition(lambda self: self.delayed_records)
     @rule(pick=picks)
-    def late_append_lands(self, pick: int) -> None:
-        self._land([self.floating.pop(pick % len(self.floating))])
+    def late_append_stored(self, pick: int) -> None:
+        self._append_to_log(
+            [self.delayed_records.pop(pick % len(self.delayed_records))]
+        )
 
     @precondition(lambda self: self.log)
     @rule(pick=picks)
     def record_is_repeated(self, pick: int) -> None:
-        self._land([self.log[-1 - pick % len(self.log)].data])
+        self._append_to_log([self.log[-1 - pick % len(self.log)].data])
 
     @rule(number=entries, count=st.integers(1, 4))
     def read_some(self, number: int, count: int) -> None:
@@ -199,11 +201,11 @@
     @rule(number=entries)
     def log_works(self, number: int) -> None:
         while self.nodes[number].appends:
-            self.append_taken(number)
+            self.append_confirmed(number)
         self.read_all(number)
 
     @rule(number=entries, body=st.sampled_from(BODIES))
-    def order_goes_out(self, number: int, body: str) -> None:
+    def order_dispatched(self, number: int, body: str) -> None:
         self.read_all(number)
         self.send_order(number, body)
         self.log_works(number)
@@ -213,14 +215,14 @@
         self.read_all(number)
         self.send_order(number, "x")
         while self.nodes[number].appends:
-            self.append_taken(number)
+            self.append_confirmed(number)
         self.now += pause
-        self.order_goes_out((number + 1) % ENTRIES, "x")
+        self.order_dispatched((number + 1) % ENTRIES, "x")
         self.read_all(number)
 
     @rule(number=entries)
     def deadline_passes(self, number: int) -> None:
-        self.order_goes_out(number, "y")
+        self.order_dispatched(number, "y")
         self.now += 60_000
         self.timers_fire(number)
 
@@ -232,7 +234,7 @@
     def crash(self, number: int, late: bool) -> None:
         for effect in self.nodes[number].appends:
             if late:
-                self.floating += effect.records
+                self.delayed_records += effect.records
         self.nodes[number] = self._make_node(number)
 
     @rule(millis=st.sampled_from([1, 200, 1_900, 2_100, 4_100, 70_000]))
@@ -255,7 +257,7 @@
             return
         effect = self._pick_attempt(node, pick)
         del node.open[effect.attempt]
-        if loss in PROVED and isinstance(effect, OpenAttempt):
+        if loss in PROVEN_NOT_RUN and isinstance(effect, OpenAttempt):
             sent = self.dispatched[self.bodies[effect.request]]
             proved = next(d for d in sent if d.request == effect.request)
             sent.remove(proved)
