--- a/tests/core/test_generations_properties.py
+++ b/tests/core/test_generations_properties.py
@@ -40,7 +40,7 @@
     def __init__(self, stream: bool) -> None:
         self.stream = stream
         self.frames: list[bytes] = []
-        self.whole = False
+        self.complete = False
 
 
 class GenerationsMachine(RuleBasedStateMachine):
@@ -64,7 +64,7 @@
                     (effect.attempt, effect.generation, effect.request)
                 )
             case Deliver(request=request, frames=frames):
-                assert not self.callers[request].whole
+                assert not self.callers[request].complete
                 self.callers[request].frames += frames
             case DiscardDelivered(request=request):
                 caller = self.callers[request]
@@ -73,7 +73,7 @@
             case Complete(request=request):
                 caller = self.callers.pop(request)
                 assert len(caller.frames) == LENGTH, "the answer is not whole"
-                caller.whole = True
+                caller.complete = True
             case Refuse(request=request, problem=problem):
                 caller = self.callers.pop(request)
                 assert problem.ran is not Ran.NO or not caller.frames
@@ -93,7 +93,7 @@
         self._feed(RequestArrived(spec))
 
     @rule(pick=picks, first=st.integers(1, LENGTH), count=st.integers(1, 4))
-    def events_come(self, pick: int, first: int, count: int) -> None:
+    def events_arrive(self, pick: int, first: int, count: int) -> None:
         if self.attempts:
             attempt, generation, _ = self._pick(pick)
             self._deliver(attempt, generation, first, count)
@@ -105,7 +105,7 @@
             self._deliver(attempt, generation, 1, count)
 
     @rule(pick=picks, count=st.integers(1, LENGTH))
-    def next_events_come(self, pick: int, count: int) -> None:
+    def next_events_arrive(self, pick: int, count: int) -> None:
         if not self.attempts:
             return
         attempt, generation, name = self._pick(pick)
@@ -121,7 +121,7 @@
         self._feed(TokensArrived(attempt, generation, first, frames))
 
     @rule(pick=picks)
-    def end_marker_comes(self, pick: int) -> None:
+    def end_marker_arrives(self, pick: int) -> None:
         if not self.attempts:
             return
         attempt, generation, name = self._pick(pick)
@@ -141,7 +141,7 @@
         if not self.attempts:
             return
         name = self.attempts[-1][2]
-        self.next_events_come(0, count)
+        self.next_events_arrive(0, count)
         for _ in range(6):
             request = self.entry.state.requests.get(name)
             if request is None:
