--- a/tests/core/test_region_split.py
+++ b/tests/core/test_region_split.py
@@ -25,7 +25,7 @@
 
     def __init__(self) -> None:
         self.now = Millis(0)
-        self.parted = False
+        self.partitioned = False
         self.states: dict[str, State] = {}
         self._waiting: deque[tuple[str, SendGossip]] = deque()
         for number, address in enumerate(REGIONS):
@@ -39,7 +39,7 @@
         for effect in effects:
             if not isinstance(effect, SendGossip):
                 continue
-            if self.parted and REGIONS[address] != REGIONS[effect.address]:
+            if self.partitioned and REGIONS[address] != REGIONS[effect.address]:
                 continue
             self._waiting.append((address, effect))
 
@@ -76,11 +76,11 @@
     members.run(30_000)
     assert members.list_alive("127.0.0.1:1") == {"n1", "n2"}
     assert members.list_alive("127.0.0.1:3") == {"n0", "n1"}
-    members.parted = True
+    members.partitioned = True
     members.run(HOUR)
     assert members.list_alive("127.0.0.1:1") == {"n1"}
     assert members.list_alive("127.0.0.1:3") == set()
-    members.parted = False
+    members.partitioned = False
     members.run(60_000)
     assert members.list_alive("127.0.0.1:1") == {"n1", "n2"}
     assert members.list_alive("127.0.0.1:3") == {"n0", "n1"}
