--- a/tests/core/test_settlement.py
+++ b/tests/core/test_settlement.py
@@ -56,14 +56,14 @@
         entry.feed(RecordsRead(CLAIMS, tuple(self.records[start:])))
 
 
-def make_ready(node: str = "n1", seed: int = 1) -> Entry:
+def build_ready_entry(node: str = "n1", seed: int = 1) -> Entry:
     entry = Entry(node, seed)
     entry.catch_up()
     return entry
 
 
 def test_an_order_goes_out_only_after_its_claim_was_read_back() -> None:
-    entry, log = make_ready(), Log()
+    entry, log = build_ready_entry(), Log()
     entry.order("r1")
     assert entry.find_effects(OpenAttempt) == []
     log.take(entry)
@@ -77,7 +77,7 @@
     Both entries append a claim; the log's order says that the first owns the
     identity. The other waits and gives its caller the recorded answer.
     """
-    first, second, log = make_ready("n1", 1), make_ready("n2", 2), Log()
+    first, second, log = build_ready_entry("n1", 1), build_ready_entry("n2", 2), Log()
     first.order("a")
     log.take(first)
     second.order("b")
@@ -94,7 +94,7 @@
 
 
 def test_a_duplicate_at_the_same_entry_joins_the_running_one() -> None:
-    entry, log = make_ready(), Log()
+    entry, log = build_ready_entry(), Log()
     entry.order("r1")
     log.take(entry)
     log.deliver_to(entry)
@@ -108,7 +108,7 @@
 
 
 def test_another_body_under_the_same_key_is_refused() -> None:
-    entry, log = make_ready(), Log()
+    entry, log = build_ready_entry(), Log()
     entry.order("r1")
     log.take(entry)
     entry.order("r2", digest="other")
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("loss", [Loss.CONNECT_FAILED, Loss.REFUSED])
 def test_an_order_that_did_not_go_out_may_go_elsewhere(loss: Loss) -> None:
-    entry, log = make_ready(), Log()
+    entry, log = build_ready_entry(), Log()
     entry.order("r1")
     log.take(entry)
     log.deliver_to(entry)
@@ -133,7 +133,7 @@
     Whether a pallet is on its way cannot be told; the caller is told so, and a
     duplicate through any entry is told the same.
     """
-    entry, log = make_ready(), Log()
+    entry, log = build_ready_entry(), Log()
     entry.order("r1")
     log.take(entry)
     log.deliver_to(entry)
@@ -141,7 +141,7 @@
     problem = entry.take(Refuse).problem
     assert problem.code == "outcome_unknown" and problem.ran is not Ran.NO
     log.take(entry)
-    other = make_ready("n2", 2)
+    other = build_ready_entry("n2", 2)
     log.deliver_to(other)
     other.order("r2")
     assert other.take(Refuse).problem.code == "outcome_unknown"
@@ -153,7 +153,7 @@
     The entry waits a little for its own record to be read back, and then goes
     on as if nothing had happened; no second record is appended.
     """
-    entry, log = make_ready(), Log()
+    entry, log = build_ready_entry(), Log()
     entry.order("r1")
     log.take(entry)
     entry.feed(AppendUncertain(entry.take(AppendRecords).key))
@@ -169,7 +169,7 @@
     The caller is refused with "not run". When the record shows up after all,
     dispatching would make that a lie, so the claim is given back.
     """
-    entry, log = make_ready(), Log()
+    entry, log = build_ready_entry(), Log()
     entry.order("r1")
     log.take(entry)
     entry.feed(AppendUncertain(entry.take(AppendRecords).key))
@@ -179,7 +179,7 @@
     assert entry.find_effects(OpenAttempt) == []
     assert entry.take(AppendRecords).records[0]["kind"] == "release"
     log.take(entry)
-    other = make_ready("n2", 2)
+    other = build_ready_entry("n2", 2)
     log.deliver_to(other)
     other.order("r2")
     log.take(other)
@@ -188,7 +188,7 @@
 
 
 def test_orders_are_refused_at_once_while_the_log_is_down() -> None:
-    entry, log = make_ready(), Log()
+    entry, log = build_ready_entry(), Log()
     entry.order("r1")
     entry.feed(StreamUnavailable(CLAIMS))
     problem = entry.take(Refuse).problem
@@ -210,7 +210,7 @@
 
     Its identity may have expired and belong to another by then.
     """
-    entry, log = make_ready(), Log()
+    entry, log = build_ready_entry(), Log()
     entry.order("r1")
     log.take(entry)
     entry.now = Millis(entry.now + MAX_DISPATCH_AGE + 1)
@@ -222,7 +222,7 @@
 
 def test_a_dead_owners_claim_stays_unknown() -> None:
     """The owner died after its claim; whether it dispatched nobody knows."""
-    dead, other, log = make_ready("n1", 1), make_ready("n2", 2), Log()
+    dead, other, log = build_ready_entry("n1", 1), build_ready_entry("n2", 2), Log()
     dead.order("r1")
     log.take(dead)
     log.deliver_to(other)
@@ -238,7 +238,7 @@
 
     It then sends the same key again and gets the first one's answer.
     """
-    entry, log = make_ready(), Log()
+    entry, log = build_ready_entry(), Log()
     entry.order("r1")
     log.take(entry)
     log.deliver_to(entry)
@@ -255,7 +255,7 @@
     Whether it ran is no longer known. A key that carries its time shows this;
     the request is refused and not run.
     """
-    entry, log = make_ready(), Log()
+    entry, log = build_ready_entry(), Log()
     time = log.time - CLAIM_WINDOW - 1
     key = str(uuid.UUID(int=(time << 80) | (7 << 76) | (2 << 62)))
     assert read_key_time(key) == time
@@ -282,7 +282,7 @@
 
 
 def test_an_order_without_key_or_window_is_claimed_for_itself() -> None:
-    entry = make_ready()
+    entry = build_ready_entry()
     entry.order("r1", key=None)
     first = entry.take(AppendRecords).records[0]["name"]
     entry.order("r2", key=None)
@@ -290,7 +290,7 @@
 
 
 def test_a_large_answer_is_told_as_run_but_no_longer_held() -> None:
-    entry, log = make_ready(), Log()
+    entry, log = build_ready_entry(), Log()
     entry.order("r1")
     log.take(entry)
     log.deliver_to(entry)
@@ -301,7 +301,7 @@
 
 
 def test_unknown_records_are_passed_over() -> None:
-    entry, log = make_ready(), Log()
+    entry, log = build_ready_entry(), Log()
     for data in ({}, {"kind": "claim", "id": 1}, {"kind": "x", "id": "a", "name": "b"}):
         log.add(data)
     log.add({"kind": "claim", "id": "a", "name": "b"})
@@ -310,7 +310,7 @@
 
 
 def test_a_repeated_record_changes_nothing() -> None:
-    entry, log = make_ready(), Log()
+    entry, log = build_ready_entry(), Log()
     entry.order("r1")
     log.take(entry)
     log.take(entry)
@@ -319,7 +319,7 @@
 
 
 def test_a_call_that_no_rule_names_needs_no_claim() -> None:
-    entry = make_ready()
+    entry = build_ready_entry()
     work = ServiceWork("shop", "GET", "/stock")
     entry.feed(RequestArrived(RequestSpec("r1", "demo", work, stream=False)))
     assert entry.find_effects(OpenAttempt)
@@ -331,7 +331,7 @@
     The request's bytes may have reached the engine, so its identity is not
     free: a duplicate that found it free would run it a second time.
     """
-    entry, log = make_ready(), Log()
+    entry, log = build_ready_entry(), Log()
     spec = RequestSpec(
         "r1", "demo", GenerationWork("m"), idempotency_key="k", non_idempotent=True
     )
@@ -350,7 +350,7 @@
     Duplicates at other entries would be told "unknown" of an order that has an
     answer. The same record is appended again; the fold takes the first.
     """
-    entry, log = make_ready(), Log()
+    entry, log = build_ready_entry(), Log()
     entry.order("r1")
     log.take(entry)
     log.deliver_to(entry)
@@ -369,7 +369,7 @@
 
 
 def test_an_outcome_that_the_log_never_takes_is_dropped_at_last() -> None:
-    entry, log = make_ready(), Log()
+    entry, log = build_ready_entry(), Log()
     entry.order("r1")
     log.take(entry)
     log.deliver_to(entry)
