--- a/tests/core/test_suspects.py
+++ b/tests/core/test_suspects.py
@@ -31,7 +31,7 @@
     return Entry(inventory=Inventory(services=services))
 
 
-def call(entry: Entry, request: str, digest: str) -> None:
+def send_read(entry: Entry, request: str, digest: str) -> None:
     """Send a read to the service."""
     work = ServiceWork("shop", "GET", "/stock")
     spec = RequestSpec(request, "demo", work, stream=False, digest=digest)
@@ -43,12 +43,12 @@
     return entry.state.requests[request].target
 
 
-def call_beside(entry: Entry, target: str) -> str:
+def start_at_target(entry: Entry, target: str) -> str:
     """Send reads until one runs at a target; returns that request, and its digest."""
     number = 0
     while True:
         name = f"beside-{number}"
-        call(entry, name, name)
+        send_read(entry, name, name)
         if find_target(entry, name) == target:
             return name
         number += 1
@@ -73,7 +73,7 @@
 def test_a_target_that_breaks_many_calls_is_probed_once(entry: Entry) -> None:
     """Guards against a probe for each of the calls that a crash cuts."""
     for number in range(2 * SERVICES):
-        call(entry, f"r{number}", f"d{number}")
+        send_read(entry, f"r{number}", f"d{number}")
     target = find_target(entry, "r0")
     lost = [name for name in entry.state.requests if find_target(entry, name) == target]
     probed = []
@@ -86,27 +86,27 @@
 
 def test_a_call_that_crashes_services_is_kept_away_from_the_rest(entry: Entry) -> None:
     """Guards against a read that ends all targets of a service in one attempt."""
-    call(entry, "r1", "killer")
+    send_read(entry, "r1", "killer")
     assert len(crash_all(entry, "r1")) <= 3
-    call(entry, "r2", "killer")
+    send_read(entry, "r2", "killer")
     assert entry.take(Refuse).problem.code == "request_quarantined"
 
 
 def test_a_call_at_services_that_live_is_not_refused(entry: Entry) -> None:
     """Guards against calls refused where connections break and services live."""
-    call(entry, "r1", "good")
+    send_read(entry, "r1", "good")
     for _ in range(4):
         entry.feed(AttemptLost(entry.find_attempt("r1"), Loss.BROKEN))
     assert not entry.state.quarantine.until
     entry.feed(ServiceAnswered(entry.find_attempt("r1"), 200))
-    call(entry, "r2", "good")
+    send_read(entry, "r2", "good")
     assert entry.take(OpenAttempt).request == "r2"
 
 
 def test_a_neighbour_of_a_call_that_crashes_services_is_served(entry: Entry) -> None:
     """Guards against calls refused for what crashed beside them."""
-    call(entry, "bad", "killer")
-    name = call_beside(entry, find_target(entry, "bad"))
+    send_read(entry, "bad", "killer")
+    name = start_at_target(entry, find_target(entry, "bad"))
     entry.feed(AttemptLost(entry.find_attempt(name), Loss.BROKEN))
     crash_all(entry, "bad")
     assert list(entry.state.quarantine.until) == ["killer"]
@@ -116,10 +116,10 @@
 
 def test_a_service_that_answers_clears_what_broke_there_before(entry: Entry) -> None:
     """Guards against a break that is taken for the cause of a later end."""
-    call(entry, "r1", "good")
+    send_read(entry, "r1", "good")
     target = find_target(entry, "r1")
     entry.feed(AttemptLost(entry.find_attempt("r1"), Loss.BROKEN))
-    name = call_beside(entry, target)
+    name = start_at_target(entry, target)
     entry.feed(ServiceAnswered(entry.find_attempt(name), 200))
     entry.feed(TargetDown(target))
     assert not entry.state.quarantine.crashes.is_suspected("good")
@@ -127,7 +127,7 @@
 
 def test_a_break_of_long_ago_is_no_part_of_a_crash(entry: Entry) -> None:
     """Guards against calls suspected for a service that ends much later."""
-    call(entry, "r1", "good")
+    send_read(entry, "r1", "good")
     target = find_target(entry, "r1")
     entry.feed(AttemptLost(entry.find_attempt("r1"), Loss.BROKEN))
     entry.feed(TargetDown(target), after=Millis(LOST_CALL_RETENTION + 1))
@@ -138,8 +138,8 @@
     entry: Entry,
 ) -> None:
     """Guards against the call that is lost first being blamed for the others."""
-    call(entry, "first", "first")
-    name = call_beside(entry, find_target(entry, "first"))
+    send_read(entry, "first", "first")
+    name = start_at_target(entry, find_target(entry, "first"))
     crash(entry, "first")
     entry.feed(AttemptLost(entry.find_attempt(name), Loss.BROKEN), after=10)
     assert entry.state.quarantine.crashes.count(name) == 1
@@ -150,16 +150,16 @@
     services = (ServiceInfo("s1", "shop", "http://x", "muc-a"),)
     entry = Entry(inventory=Inventory(services=services))
     for number in range(2):
-        call(entry, f"r{number}", "killer")
+        send_read(entry, f"r{number}", "killer")
         crash(entry, f"r{number}")
         entry.feed(CallerGone(f"r{number}"), after=MAX_AVOIDANCE)
-    call(entry, "r3", "killer")
+    send_read(entry, "r3", "killer")
     assert entry.take(Refuse).problem.code == "request_quarantined"
 
 
 def test_breaks_of_one_crash_count_once(entry: Entry) -> None:
     """Guards against a call refused after one crash that two probes found."""
-    call(entry, "r1", "good")
+    send_read(entry, "r1", "good")
     target = crash(entry, "r1")
     entry.feed(TargetDown(target))
     assert entry.state.quarantine.crashes.count("good") == 1
