--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -39,7 +39,7 @@
     encode_gossip,
 )
 
-LARGE = 0x7EDC_BA98_7654_3210
+NUMBER_WITHOUT_ZERO_BYTES = 0x7EDC_BA98_7654_3210
 """A number without zero bytes, which the packing could leave out."""
 
 
@@ -181,9 +181,13 @@
         for target in state.targets.values():
             target.in_flight = 9
             target.leaving = True
-            membership.mark_leaving(state, LeavingMark(target.info.name, LARGE))
-        state.membership.incarnation = LARGE
-        state.configuration_offset = state.configuration.position = LARGE
+            membership.mark_leaving(
+                state, LeavingMark(target.info.name, NUMBER_WITHOUT_ZERO_BYTES)
+            )
+        state.membership.incarnation = NUMBER_WITHOUT_ZERO_BYTES
+        state.configuration_offset = state.configuration.position = (
+            NUMBER_WITHOUT_ZERO_BYTES
+        )
         for digest in range(50):
             state.quarantine.until[f"{digest:064x}"] = Millis(60_000)
         keys = Keyring("k" * 32)
