--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -131,7 +131,7 @@
     assert load.started >= 0.9 * possible
 
 
-def test_a_request_waits_no_longer_than_its_caller_can_spare() -> None:
+def test_queueing_time_is_bounded_by_the_callers_patience() -> None:
     """Guards against callers with little time left who are held to its end."""
     harness = EntryHarness()
     harness.register("e-1")
@@ -147,7 +147,7 @@
     assert harness.find(Refuse).problem.retry_after is not None
 
 
-def test_returns_are_told_one_after_another() -> None:
+def test_refused_callers_get_staggered_retry_times() -> None:
     """Guards against callers who all come back to the room of one."""
     harness = EntryHarness()
     harness.register("e-1")
@@ -164,7 +164,7 @@
     assert len(set(pauses)) == 3
 
 
-def test_a_prompt_goes_to_no_engine_that_would_read_it_too_late() -> None:
+def test_a_prompt_is_not_sent_to_an_engine_that_would_miss_its_deadline() -> None:
     """Guards against engines that read prompts whose callers have gone."""
     harness = EntryHarness()
     harness.register("e-1")
