--- a/tests/gateway/test_budgets.py
+++ b/tests/gateway/test_budgets.py
@@ -60,7 +60,7 @@
     assert spend(budget, fleet, urgent=True) > 0
 
 
-def test_repeats_leave_the_window() -> None:
+def test_repeats_expire_with_the_window() -> None:
     budget = RetryBudget(0.2, 10.0, WINDOW)
     fleet = FleetUse(0, 0, 2, complete=True)
     spend(budget, fleet)
