--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -50,7 +50,7 @@
     return called
 
 
-def test_calls_avoid_a_target_that_says_that_it_leaves() -> None:
+def test_calls_avoid_a_target_that_reports_leaving() -> None:
     """Guards against departures that are known from the store alone."""
     harness = build_harness("b-1", "b-2")
     harness.handle(StoreLost())
@@ -58,7 +58,7 @@
     assert list_called_targets(harness) == {"b-2"}
 
 
-def test_streams_move_from_an_engine_that_says_that_it_leaves() -> None:
+def test_streams_move_from_an_engine_that_reports_leaving() -> None:
     """Guards against streams that end with an engine whose answer told its end."""
     harness = EntryHarness()
     harness.register("e-1", "e-2")
@@ -91,7 +91,7 @@
     assert list_called_targets(harness) == {"b-2"}
 
 
-def test_a_target_that_had_left_by_the_store_keeps_to_its_word() -> None:
+def test_a_departed_target_that_registers_again_stays_leaving() -> None:
     """Guards against a registration that lapsed and comes back as the target leaves."""
     harness = build_harness("b-1", "b-2")
     harness.handle(TargetDeparted("b-1"))
@@ -115,7 +115,7 @@
         assert found.standing is Standing.READY
 
 
-def test_a_late_answer_of_an_earlier_life_says_nothing_of_the_next() -> None:
+def test_a_late_leaving_mark_does_not_apply_to_a_newer_incarnation() -> None:
     """Guards against a new process that is shunned for an answer still under way."""
     harness = build_harness("b-1", "b-2")
     info = Registration("b-1", BOOKINGS, "b-1:80", "muc-a", 6, born=2)
@@ -145,7 +145,7 @@
     }
 
 
-def test_a_word_that_comes_before_the_registration_holds() -> None:
+def test_a_leaving_mark_received_before_the_registration_applies() -> None:
     """Guards against an entry that starts and reads the target's record from before."""
     teller = build_harness("b-1")
     teller.handle(build_leaving("b-1"))
@@ -155,7 +155,7 @@
     assert list_called_targets(harness) == {"b-2"}
 
 
-def test_a_word_is_told_for_a_while_and_remembered_for_longer() -> None:
+def test_a_leaving_mark_is_sent_briefly_and_kept_longer() -> None:
     """Guards against messages and a state that grow with every departure."""
     harness = build_harness("b-1", "b-2")
     harness.handle(build_leaving("b-1"))
@@ -168,7 +168,7 @@
     assert not harness.state.departures
 
 
-def test_a_report_says_no_less_than_an_answer() -> None:
+def test_an_engine_report_does_not_undo_a_leaving_mark() -> None:
     """Guards against an engine that comes back after its own notice was told."""
     harness = EntryHarness()
     harness.handle(EntriesCounted(8))
@@ -181,7 +181,7 @@
     assert harness.open_plan().target == "e-2"
 
 
-def test_a_target_that_says_that_it_leaves_is_logged_once() -> None:
+def test_a_target_that_reports_leaving_is_logged_once() -> None:
     """Guards against a departure that no log line shows."""
     harness = build_harness("b-1")
     told = []
@@ -191,7 +191,7 @@
     assert told == ["target says that it leaves"]
 
 
-def test_the_word_of_an_unknown_target_is_passed_over() -> None:
+def test_a_leaving_mark_of_an_unknown_target_is_ignored() -> None:
     """Guards against an answer that comes after its target was forgotten."""
     assert EntryHarness().handle(build_leaving("b-9")) == []
 
@@ -216,7 +216,7 @@
     assert found.accepts_work
 
 
-def test_an_engine_that_says_when_it_ends_is_left_at_once() -> None:
+def test_an_engine_that_reports_its_end_is_evacuated_at_once() -> None:
     """Guards against runs lost with an engine that was only drained at first."""
     harness, opened = start_plan_without_store()
     harness.handle(EngineReported(opened.target, leaving=True, ending=False))
