--- a/tests/gateway/test_eligibility.py
+++ b/tests/gateway/test_eligibility.py
@@ -93,7 +93,7 @@
     assert list_called_targets(harness) == {"b-ie-a"}
 
 
-def test_a_request_without_any_home_is_refused_at_once() -> None:
+def test_a_request_without_an_allowed_region_is_refused_at_once() -> None:
     """Guards against callers held for targets that they may never be sent to."""
     harness = build_harness(frozenset({"berlin"}), frozenset({"eire"}))
     harness.receive_request("/order/a")
@@ -101,7 +101,7 @@
     assert (problem.status, problem.code) == (503, "no_home")
 
 
-def test_a_failure_domain_of_unknown_region_is_nobodys_home() -> None:
+def test_a_failure_domain_of_unknown_region_is_not_eligible() -> None:
     """Guards against a new failure domain that is taken for a home."""
     harness = build_harness(frozenset({"berlin"}))
     register(harness, "b-new", "ham-a")
