--- a/tests/gateway/test_evacuations.py
+++ b/tests/gateway/test_evacuations.py
@@ -150,7 +150,7 @@
     assert not harness.find_effects(OpenAttempt)
 
 
-def test_evacuated_engines_are_asked_nothing() -> None:
+def test_evacuated_engines_are_not_queried() -> None:
     """Guards against questions to engines of an evacuated domain in an outage."""
     harness = EntryHarness()
     register(harness, "e-1", "muc-a")
@@ -175,7 +175,7 @@
     assert targets == {"b-muc-a", "b-muc-b"}
 
 
-def test_an_older_word_does_not_bring_an_evacuation_back() -> None:
+def test_an_older_record_does_not_restore_an_evacuation() -> None:
     """Guards against a late message that undoes what the store said since."""
     harness = build_harness()
     evacuate(harness, "muc-a", position=5)
@@ -211,7 +211,7 @@
     assert harness.state.evacuations.domains == {"muc-a"}
 
 
-def test_a_domain_that_nobody_has_shuts_nothing() -> None:
+def test_an_unknown_domain_evacuates_nothing() -> None:
     """Guards against a record with a wrong name that stops all work."""
     harness = build_harness()
     evacuate(harness, "moon")
@@ -221,7 +221,7 @@
     }
 
 
-def test_a_repeated_evacuation_is_told_once() -> None:
+def test_a_repeated_evacuation_is_logged_once() -> None:
     """Guards against log lines for each message that says the same."""
     harness = build_harness()
     evacuate(harness, "muc-a", position=5)
@@ -236,7 +236,7 @@
         max_size=12,
     )
 )
-def test_the_newest_word_holds_in_any_order(
+def test_the_newest_evacuation_applies_in_any_order(
     records: list[tuple[int, frozenset[str]]],
 ) -> None:
     """Guards against words that come late, twice or crossed."""
