--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -218,7 +218,7 @@
 
 
 @pytest.mark.parametrize("loss", [Loss.REFUSED, Loss.UNREACHED])
-def test_what_did_not_run_is_not_suspected(loss: Loss) -> None:
+def test_a_request_that_did_not_run_is_not_suspected(loss: Loss) -> None:
     """Guards against requests blamed for targets that never began them."""
     replay = Replay(loss=loss)
     retry_repeatedly(replay)
@@ -349,7 +349,7 @@
         assert not rejects_request(harness, f"good-{number}")
 
 
-def test_a_request_that_waits_is_refused_as_its_crashes_are_told() -> None:
+def test_a_queued_request_is_refused_once_its_crashes_are_reported() -> None:
     """Guards against a killer in a queue that is started all the same."""
     harness = EntryHarness()
     harness.register("e-1", slots=1)
@@ -367,7 +367,7 @@
     assert harness.find(Refuse).problem.status == 503
 
 
-def test_a_request_is_not_sent_on_once_others_tell_of_its_crashes() -> None:
+def test_a_request_is_not_retried_once_peers_report_its_crashes() -> None:
     """Guards against a killer at two entries at once that goes on at both."""
     replay = Replay()
     first, second = replay.fleet[:2]
@@ -480,7 +480,7 @@
     assert not harness.state.crashes.is_suspected(digest)
 
 
-def test_what_a_leaving_target_cuts_off_is_not_suspected() -> None:
+def test_a_request_cut_off_by_a_leaving_target_is_not_suspected() -> None:
     """Guards against requests blamed for a target that was told to end."""
     harness = EntryHarness()
     harness.register("b-1", "b-2", service=BOOKINGS)
@@ -492,7 +492,7 @@
     assert not harness.state.crashes.is_suspected("good")
 
 
-def test_a_target_that_turns_connections_away_has_not_crashed() -> None:
+def test_a_target_that_rejects_connections_has_not_crashed() -> None:
     """Guards against reads refused for targets that have too many connections."""
     harness = EntryHarness()
     harness.register("b-1", "b-2", "b-3", service=BOOKINGS)
@@ -552,7 +552,7 @@
     assert runs == 2
 
 
-def test_old_suspicions_are_left_out_of_what_changed() -> None:
+def test_old_suspicions_are_left_out_of_partial_messages() -> None:
     """Guards against messages of a large fleet that all tell of old crashes."""
     replay = Replay(73)
     retry_repeatedly(replay, 2)
