--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -177,7 +177,7 @@
     assert harness.find(OpenAttempt).target == "b-1"
 
 
-def test_the_need_ends_with_an_answer_that_names_no_rate() -> None:
+def test_a_rate_limit_ends_with_an_answer_that_names_no_rate() -> None:
     """Guards against a target that gets little for good after a short need."""
     harness = build_harness("b-1")
     report_rate(harness, 0.5)
@@ -189,7 +189,7 @@
         assert harness.find(OpenAttempt)
 
 
-def test_an_answer_asked_for_before_the_need_does_not_end_it() -> None:
+def test_an_answer_to_an_earlier_request_does_not_end_a_rate_limit() -> None:
     """Guards against answers that overtake each other on their way."""
     harness = build_harness("b-1")
     asked = harness.clock.now()
@@ -202,7 +202,7 @@
     assert limit.rate == 0.5
 
 
-def test_an_older_word_of_a_peer_does_not_bring_the_need_back() -> None:
+def test_an_older_report_of_a_peer_does_not_restore_a_rate_limit() -> None:
     """Guards against an entry that has not heard yet that a need is over."""
     first, second = build_limited_fleet(2, DOMAINS[:1])
     report_rate(first, 0.5)
@@ -248,7 +248,7 @@
         assert one.find(OpenAttempt).target == "b-1"
 
 
-def test_a_run_is_not_copied_to_an_engine_that_takes_none() -> None:
+def test_a_run_is_not_copied_to_an_engine_with_a_rate_of_zero() -> None:
     """Guards against a copy that its holder must not be asked to go on from."""
     harness = EntryHarness()
     harness.register("e-1", "e-2", "e-3")
@@ -263,7 +263,7 @@
     assert harness.find(CopyRun).holder == others[1]
 
 
-def test_an_engine_in_need_copies_no_runs_ahead() -> None:
+def test_a_rate_limited_engine_copies_no_runs_in_advance() -> None:
     """Guards against orders of copies that reach an engine beyond its rate."""
     harness = EntryHarness()
     harness.register("e-1", "e-2")
@@ -307,7 +307,7 @@
     assert not harness.find_effects(OpenAttempt)
 
 
-def test_ages_alone_are_no_news() -> None:
+def test_changed_ages_alone_send_no_message() -> None:
     """Guards against a message each moment while any target names a rate."""
     harness = build_harness("b-1")
     report_rate(harness, 1.5)
@@ -330,7 +330,7 @@
     assert told == [1.5, 2.0, None]
 
 
-def test_a_rate_of_an_unknown_target_is_passed_over() -> None:
+def test_a_rate_of_an_unknown_target_is_ignored() -> None:
     """Guards against an answer that comes after its target was forgotten."""
     harness = EntryHarness()
     assert harness.handle(RateNamed("b-9", 1.5, harness.clock.now())) == []
