--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_loads_told_by_their_differences_are_those_told_whole(seed: int) -> None:
+def test_partial_messages_give_the_same_loads_as_whole_ones(seed: int) -> None:
     """Guards against loads that drift apart as only what changed is told."""
     rng = random.Random(seed)
     news = LoadUpdates()
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_lost_message_is_made_good_by_the_next_one(seed: int) -> None:
+def test_a_lost_message_is_repaired_by_a_later_one(seed: int) -> None:
     """Guards against prompts that stay unknown since one datagram was lost."""
     rng = random.Random(seed)
     news = LoadUpdates()
@@ -80,7 +80,7 @@
     assert read_peer_calls(harness) == {}
 
 
-def test_what_changed_is_told_in_a_small_message() -> None:
+def test_changed_loads_are_sent_in_a_small_message() -> None:
     """Guards against messages that grow with all targets of the fleet."""
     news = LoadUpdates()
     calls = dict.fromkeys(TARGETS, 2)
@@ -91,7 +91,7 @@
     assert len(encode_hello(Hello(part))) < len(encode_hello(Hello(whole))) / 4
 
 
-def test_all_is_told_now_and_then() -> None:
+def test_whole_messages_are_sent_periodically() -> None:
     """Guards against growth of runs that nobody is ever told of."""
     news = LoadUpdates()
     calls = dict.fromkeys(TARGETS, 2)
@@ -100,7 +100,7 @@
     assert not news.select(build_message(calls), FULL_REPORT_INTERVAL).partial
 
 
-def test_nothing_new_is_not_told() -> None:
+def test_unchanged_state_sends_no_message() -> None:
     """Guards against entries that speak though nothing changed."""
     news = LoadUpdates()
     own = replace(
@@ -130,7 +130,7 @@
         {"clearances": (Clearance("digest"),)},
     ],
 )
-def test_what_others_decide_on_is_told_at_once(change: dict[str, object]) -> None:
+def test_changes_that_peers_act_on_are_sent_at_once(change: dict[str, object]) -> None:
     """Guards against news that wait for the next whole message."""
     news = LoadUpdates()
     own = replace(build_message({"e-0": 1}), uses=(UseReport("bookings", 10, 1),))
