--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -36,7 +36,7 @@
     assert engine.peer_reading == 3_000
 
 
-def test_a_silent_peer_counts_for_nothing_but_is_missed() -> None:
+def test_a_silent_peers_loads_expire_but_its_budget_share_stays() -> None:
     """Two halves of a split fleet would each spend the whole retry budget.
 
     A peer falls silent behind a cut. Its loads must not keep engines from
@@ -54,7 +54,7 @@
     assert not peers.sum_uses(harness.state, "engines").complete
 
 
-def test_a_peer_that_says_that_it_ends_is_not_missed() -> None:
+def test_a_peer_that_announces_its_end_frees_its_budget_share() -> None:
     harness = EntryHarness()
     harness.handle(PeerHeard("entry-2"))
     harness.handle(PeerHeard("entry-2", closing=True))
@@ -71,7 +71,7 @@
     assert (fleet.requests, fleet.repeats, fleet.entries) == (20, 4, 3)
 
 
-def test_sums_of_another_failure_domain_count_for_a_while() -> None:
+def test_sums_of_another_failure_domain_expire() -> None:
     harness = EntryHarness()
     harness.register("e-1")
     load = PeerLoad("e-1", 4, 16_000)
@@ -150,14 +150,14 @@
             assert abs(rate - target.read_rate) < 1e-6
 
 
-def test_one_entry_of_a_failure_domain_speaks_for_it() -> None:
+def test_one_entry_represents_its_failure_domain() -> None:
     harness = build_large_fleet_entry()
     assert not peers.is_domain_representative(harness.state, harness.clock.now())
     harness.clock.advance(sources.READER_TIMEOUT)
     assert peers.is_domain_representative(harness.state, harness.clock.now())
 
 
-def test_only_loads_that_changed_are_told_between_whole_messages() -> None:
+def test_only_changed_loads_are_sent_between_whole_messages() -> None:
     """Guards against bytes between failure domains that grow with all targets."""
     told = {name: PeerLoad(name, 2, 8_000, 0) for name in ("e-1", "e-2", "e-3")}
     loads = (PeerLoad("e-1", 2, 8_100, 0), PeerLoad("e-2", 3, 11_000, 3_000))
@@ -165,7 +165,7 @@
     assert changed == (loads[1], PeerLoad("e-3", 0, 0))
 
 
-def test_growth_that_adds_up_is_told() -> None:
+def test_accumulated_growth_is_sent() -> None:
     told = {"e-1": PeerLoad("e-1", 2, 8_000)}
     loads = (PeerLoad("e-1", 2, 8_000 + peers.MEMORY_REPORT_STEP),)
     assert peers.select_changed(told, loads) == loads
@@ -199,7 +199,7 @@
     assert harness.find(CopyRun).holder == "e-3"
 
 
-def test_an_entry_that_is_cut_off_is_not_believed_alone() -> None:
+def test_a_single_partitioned_entry_is_not_believed() -> None:
     """Guards against one entry behind a cut that shuts engines for all others."""
     harness = EntryHarness()
     harness.register("e-1")
@@ -222,7 +222,7 @@
     assert target.backoff_until <= harness.clock.now()
 
 
-def test_what_can_not_be_reached_is_told_at_once_and_not_for_long() -> None:
+def test_unreachable_targets_are_reported_at_once_and_briefly() -> None:
     """Guards against others that go on to a dead engine, or never come back to it."""
     harness = EntryHarness()
     harness.register("b-1", "b-2", service=BOOKINGS)
@@ -239,7 +239,7 @@
     assert peers.describe_entry(harness.state, later).unreached == ()
 
 
-def test_what_was_only_told_is_not_told_on() -> None:
+def test_reports_of_peers_are_not_forwarded() -> None:
     """Guards against entries that keep each other from a target that is back."""
     harness = EntryHarness()
     harness.register("e-1", "e-2")
