--- a/tests/gateway/test_recovery.py
+++ b/tests/gateway/test_recovery.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("loss", [Loss.UNREACHED, Loss.REFUSED, Loss.MISDIRECTED])
-def test_what_did_not_run_is_sent_to_another_target(loss: Loss) -> None:
+def test_a_request_that_did_not_run_is_sent_to_another_target(loss: Loss) -> None:
     harness = build_harness()
     harness.receive_request("/order/a")
     first = harness.find(OpenAttempt)
@@ -83,7 +83,7 @@
     assert harness.find(Answer) == Answer(number, second.attempt)
 
 
-def test_a_failure_that_an_order_got_is_handed_on() -> None:
+def test_a_failure_answer_to_an_order_is_passed_to_the_caller() -> None:
     harness = build_harness()
     number = harness.receive_request("/order/a")
     first = harness.find(OpenAttempt)
@@ -91,7 +91,7 @@
     assert harness.find(Answer) == Answer(number, first.attempt)
 
 
-def test_a_failure_that_would_say_not_run_is_not_handed_on() -> None:
+def test_a_failure_answer_that_means_not_run_is_not_passed_on() -> None:
     harness = build_harness()
     harness.receive_request("/order/a")
     first = harness.find(OpenAttempt)
@@ -162,7 +162,7 @@
     assert again.source is None
 
 
-def test_a_stream_that_the_budget_denies_is_ended_at_once_and_told_in_the_log() -> None:
+def test_a_stream_that_the_budget_denies_is_ended_at_once_and_logged() -> None:
     """The caller would wait for an answer that nobody works on any more.
 
     The engine dies, a backup is there, but the fleet has used up its repeats.
