--- a/tests/gateway/test_reducer.py
+++ b/tests/gateway/test_reducer.py
@@ -97,7 +97,7 @@
     assert ready(harness) == ["e-2"]
 
 
-def test_a_peer_that_lost_the_store_too_proves_nothing() -> None:
+def test_a_peer_that_also_lost_the_store_does_not_confirm_departures() -> None:
     harness = EntryHarness()
     harness.register("e-1", "e-2")
     harness.handle(PeerHeard("entry-2"))
