--- a/tests/gateway/test_refusals.py
+++ b/tests/gateway/test_refusals.py
@@ -11,13 +11,13 @@
 NOW = Millis(100_000)
 
 
-def test_a_return_is_known_with_the_time_of_its_first_try() -> None:
+def test_a_retry_keeps_the_time_of_its_first_try() -> None:
     table = RefusalTable()
     table.record_own("digest", Millis(NOW - 700), NOW)
     assert table.pop_first_arrival("digest") == NOW - 700
 
 
-def test_a_request_sent_anew_after_its_return_is_a_new_one() -> None:
+def test_a_request_sent_after_its_retry_is_a_new_one() -> None:
     """Guards against a caller whose every later request counts as late."""
     table = RefusalTable()
     table.record_own("digest", NOW, NOW)
@@ -25,7 +25,7 @@
     assert table.pop_first_arrival("digest") is None
 
 
-def test_a_return_to_another_entry_is_known_there() -> None:
+def test_a_retry_at_another_entry_is_recognized() -> None:
     """Guards against returns that displace callers who can still be in time."""
     table = RefusalTable()
     table.record_own("digest", Millis(NOW - 700), NOW)
@@ -37,7 +37,7 @@
     assert other.pop_first_arrival("digest") == NOW - 700
 
 
-def test_refusals_are_told_for_a_while_and_forgotten() -> None:
+def test_refusals_are_sent_briefly_and_expire() -> None:
     table = RefusalTable()
     table.record_own("digest", NOW, NOW)
     assert table.list_announced(Millis(NOW + REFUSAL_ANNOUNCE_DURATION)) == ()
