--- a/tests/gateway/test_reports.py
+++ b/tests/gateway/test_reports.py
@@ -121,7 +121,7 @@
     assert harness.find_effects(ReadReport) == []
 
 
-def test_a_system_that_starts_for_the_first_time_asks_nobody() -> None:
+def test_a_system_that_starts_for_the_first_time_queries_no_engine() -> None:
     harness = EntryHarness()
     harness.register("e-1")
     harness.clock.advance(QUERY_INTERVAL)
