--- a/tests/gateway/test_requests.py
+++ b/tests/gateway/test_requests.py
@@ -60,7 +60,7 @@
     assert harness.find(OpenAttempt).customer == ""
 
 
-def test_an_answer_goes_on_as_it_came() -> None:
+def test_an_answer_is_forwarded_unchanged() -> None:
     harness = EntryHarness()
     harness.register("b-1", service=BOOKINGS)
     number = harness.receive_request("/order/a", key=KEY)
@@ -167,7 +167,7 @@
     assert len(harness.find_effects(OpenAttempt)) == 1
 
 
-def test_refused_callers_come_back_spread() -> None:
+def test_retry_times_of_refused_callers_are_spread() -> None:
     harness = EntryHarness()
     pauses = set()
     for _ in range(20):
