--- a/tests/gateway/test_sources.py
+++ b/tests/gateway/test_sources.py
@@ -28,7 +28,7 @@
     assert harness.find(FetchRecords).address == "10.0.0.2:7200"
 
 
-def test_an_entry_that_is_ahead_asks_nobody() -> None:
+def test_an_entry_with_newer_records_queries_no_peer() -> None:
     harness = EntryHarness()
     harness.handle(PeerHeard("entry-2", address="10.0.0.2:7200", configuration=1))
     for _ in range(3):
@@ -86,7 +86,7 @@
         )
 
 
-def test_few_entries_read_in_vain_while_the_store_is_away() -> None:
+def test_few_entries_try_to_read_while_the_store_is_away() -> None:
     """Guards against a fleet that asks a store that is down all at once."""
     harness = build_large_fleet_entry()
     receive_reader_reports(
@@ -100,7 +100,7 @@
     assert not sources.reads_store(harness.state, harness.clock.now())
 
 
-def test_entries_that_read_in_vain_are_shared_among_failure_domains() -> None:
+def test_failed_readers_are_divided_among_failure_domains() -> None:
     """Guards against calls in an outage that grow with the failure domains."""
     harness = build_large_fleet_entry()
     for domain in ("muc-b", "nue-a", "aug-a"):
@@ -113,7 +113,7 @@
     assert not sources.reads_store(harness.state, harness.clock.now())
 
 
-def test_entries_that_are_about_to_read_in_vain_count_as_well() -> None:
+def test_entries_about_to_fail_reading_are_counted() -> None:
     """Guards against a fleet that asks all at once as the store is lost."""
     harness = build_large_fleet_entry()
     for domain in ("muc-b", "nue-a", "aug-a"):
@@ -144,7 +144,7 @@
     assert not sources.reads_store(harness.state, harness.clock.now())
 
 
-def test_an_entry_that_hears_of_no_reader_takes_the_store_for_away() -> None:
+def test_an_entry_that_knows_no_reader_considers_the_store_away() -> None:
     """Guards against registrations that lapse in an outage taken for departures."""
     harness = build_large_fleet_entry()
     receive_reader_reports(harness, 6, receives_records=True)
@@ -205,7 +205,7 @@
     assert not any(harness.state.store_unreachable for harness in fleet)
 
 
-def test_an_entry_that_does_not_read_is_no_witness_of_the_store() -> None:
+def test_an_entry_that_does_not_read_does_not_vouch_for_the_store() -> None:
     """Guards against lapsed registrations taken for departures after an outage."""
     harness = build_large_fleet_entry()
     receive_reader_reports(harness, 1, receives_records=False)
@@ -230,7 +230,7 @@
     assert asked == 1
 
 
-def test_what_an_engine_says_of_its_leaving_reaches_the_others() -> None:
+def test_an_engines_leaving_report_reaches_the_other_entries() -> None:
     """Guards against streams that end with an engine whose notice one entry knew."""
     asker = build_large_fleet_entry()
     asker.register("e-1", "e-2")
