--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -94,7 +94,7 @@
     assert [one.target for one in advance_time(harness, 30)] == [opened.backup]
 
 
-def test_an_entry_that_stood_still_reads_what_came_before_it_judges() -> None:
+def test_a_frozen_entry_reads_buffered_events_before_it_detects_stalls() -> None:
     """All streams of an entry would go on elsewhere at once.
 
     The process was frozen for two seconds; its engines sent on, and the events
