--- a/tests/gateway/test_warmups.py
+++ b/tests/gateway/test_warmups.py
@@ -113,7 +113,7 @@
     assert count_sends(harness) == 0
 
 
-def test_what_a_cold_target_gets_slides_with_time() -> None:
+def test_the_warmup_rate_holds_in_any_sliding_second() -> None:
     """Guards against bursts at the edge of two seconds."""
     harness = build_harness()
     register(harness, "b-1", 5_000)
@@ -182,7 +182,7 @@
     assert count_sends(harness, 3) == 0
 
 
-def test_a_service_without_a_rate_takes_all() -> None:
+def test_a_service_without_a_warmup_rate_is_not_limited() -> None:
     """Guards against a limit where a service names none."""
     harness = build_harness(rate=0.0)
     register(harness, "b-1", 1_000)
