--- a/tests/core/test_crashes.py
+++ b/tests/core/test_crashes.py
@@ -23,7 +23,7 @@
     return [digest for digest in digests if table.is_refused(digest, Millis(at))]
 
 
-def test_refused_after_two_crashes_told_by_whomever() -> None:
+def test_a_request_is_refused_after_two_crashes_from_any_reporter() -> None:
     table = CrashTable()
     assert table.record_suspicion(Suspicion("killer", "b-1@1"), NOW)
     assert not table.record_suspicion(Suspicion("killer", "b-1@1", Millis(5)), NOW)
@@ -115,7 +115,7 @@
     assert list_refused(table, "good", at=NOW + 50) == []
 
 
-def test_a_target_that_lives_is_no_crash() -> None:
+def test_a_live_target_has_not_crashed() -> None:
     table = CrashTable()
     record_crash(table, "b-1@1", "good")
     record_crash(table, "b-2@1", "good")
@@ -135,7 +135,7 @@
     assert table.list_suspicions(later) == ()
 
 
-def test_what_proves_a_request_is_told_among_many_crashes() -> None:
+def test_suspicions_that_prove_a_request_are_sent_first() -> None:
     """Guards against crashes that drop out of messages as a domain is lost."""
     table = CrashTable()
     record_crash(table, "b-1@1", "killer")
@@ -148,7 +148,7 @@
     assert lives == {"b-1@1", "b-2@1"}
 
 
-def test_a_single_crash_is_told_for_a_while_and_two_for_good() -> None:
+def test_a_single_crash_is_sent_briefly_and_two_are_sent_on() -> None:
     table = CrashTable()
     record_crash(table, "b-1@1", "killer", "good")
     record_crash(table, "b-2@1", "killer")
@@ -157,7 +157,7 @@
     assert told[0].age == SUSPICION_ANNOUNCE_DURATION
 
 
-def test_it_is_told_for_a_while_that_a_request_has_run() -> None:
+def test_clearances_are_sent_for_a_limited_time() -> None:
     table = CrashTable()
     record_crash(table, "b-1@1", "good")
     assert table.list_clearances(NOW) == ()
