--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -135,7 +135,7 @@
     assert not target.leaving
 
 
-def test_own_shutdown_is_told_to_peers() -> None:
+def test_own_shutdown_is_announced_to_peers() -> None:
     state = make_state(members=4)
     sent = list_sent(feed(state, ShutdownRequested()))
     assert sent
@@ -156,7 +156,7 @@
     assert state.targets["engine-0"].peers_in_flight == 0
 
 
-def test_quarantine_is_taken_and_given_on() -> None:
+def test_quarantine_is_received_and_forwarded() -> None:
     state = make_state(members=1)
     mark = QuarantineMark("ab" * 32, Millis(5_000))
     feed(state, build_gossip_event("n0", sequence=2, quarantined=(mark,)), 1_000)
