--- a/tests/core/test_budgets.py
+++ b/tests/core/test_budgets.py
@@ -18,7 +18,7 @@
     assert budget.left == MAX_RETRIES
 
 
-def test_sick_pool_is_not_sent_a_multiple_of_its_load() -> None:
+def test_failing_pool_is_not_sent_a_multiple_of_its_load() -> None:
     """Every target breaks each connection before its first token.
 
     The first requests are tried elsewhere from the reserve; then each request
