--- a/tests/core/test_queues.py
+++ b/tests/core/test_queues.py
@@ -66,7 +66,7 @@
     assert 28 <= served["big"] <= 32
 
 
-def test_idle_customer_saves_nothing_up() -> None:
+def test_idle_customer_accumulates_no_credit() -> None:
     queue = RequestQueue()
     for number in range(40):
         queue.add(make_spec(f"a{number}", "a"), 10, 1, Millis(0))
