--- a/tests/core/test_settlement.py
+++ b/tests/core/test_settlement.py
@@ -289,7 +289,7 @@
     assert entry.take(AppendRecords).records[0]["name"] != first
 
 
-def test_a_large_answer_is_told_as_run_but_no_longer_held() -> None:
+def test_a_large_answer_is_reported_as_run_without_its_body() -> None:
     entry, log = build_ready_entry(), Log()
     entry.order("r1")
     log.take(entry)
@@ -300,7 +300,7 @@
     assert (problem.code, problem.ran) == ("already_ran", Ran.YES)
 
 
-def test_unknown_records_are_passed_over() -> None:
+def test_unknown_records_are_ignored() -> None:
     entry, log = build_ready_entry(), Log()
     for data in ({}, {"kind": "claim", "id": 1}, {"kind": "x", "id": "a", "name": "b"}):
         log.add(data)
