--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -135,11 +135,11 @@
     fleet[0].handle(build_leaving("b-1"))
     assert fleet[0].find_effects(Announce)
     now = fleet[0].clock.now()
-    near = peers.describe_entry(fleet[0].state, now)
-    far = peers.describe_domain(fleet[0].state, now)
+    local_message = peers.describe_entry(fleet[0].state, now)
+    remote_message = peers.describe_domain(fleet[0].state, now)
     for harness in fleet[1:]:
         same = harness.state.failure_domain == fleet[0].state.failure_domain
-        harness.handle(near if same or size == 8 else far)
+        harness.handle(local_message if same or size == 8 else remote_message)
     assert {name for harness in fleet for name in list_called_targets(harness)} == {
         "b-2"
     }
@@ -147,10 +147,10 @@
 
 def test_a_leaving_mark_received_before_the_registration_applies() -> None:
     """Guards against an entry that starts and reads the target's record from before."""
-    teller = build_harness("b-1")
-    teller.handle(build_leaving("b-1"))
+    sender = build_harness("b-1")
+    sender.handle(build_leaving("b-1"))
     harness = build_harness("b-2")
-    harness.handle(peers.describe_entry(teller.state, teller.clock.now()))
+    harness.handle(peers.describe_entry(sender.state, sender.clock.now()))
     harness.register("b-1", service=BOOKINGS, slots=6)
     assert list_called_targets(harness) == {"b-2"}
 
