--- a/tests/gateway/test_sources.py
+++ b/tests/gateway/test_sources.py
@@ -232,16 +232,16 @@
 
 def test_an_engines_leaving_report_reaches_the_other_entries() -> None:
     """Guards against streams that end with an engine whose notice one entry knew."""
-    asker = build_large_fleet_entry()
-    asker.register("e-1", "e-2")
-    asker.handle(EngineReported("e-1", leaving=True))
-    assert asker.find_effects(Announce)
-    told = peers.describe_entry(asker.state, asker.clock.now())
+    querying = build_large_fleet_entry()
+    querying.register("e-1", "e-2")
+    querying.handle(EngineReported("e-1", leaving=True))
+    assert querying.find_effects(Announce)
+    message = peers.describe_entry(querying.state, querying.clock.now())
     other = build_large_fleet_entry()
     other.register("e-1", "e-2")
     opened = other.open_plan()
     leaving = (Incarnation(opened.target, 1),)
-    other.handle(replace(told, node="entry-9", leaving=leaving))
+    other.handle(replace(message, node="entry-9", leaving=leaving))
     found = other.state.targets.find(opened.target)
     assert found is not None
     assert found.standing is Standing.LEAVING
@@ -267,13 +267,13 @@
         harness = build_large_fleet_entry()
         harness.state.rng.seed(number)
         harness.state.node = f"entry-1-{number:02}"
-        ahead = PeerHeard(
+        newer_peer = PeerHeard(
             "entry-0-05",
             address="10.0.0.5:7200",
             configuration=2,
             failure_domain="muc-a",
         )
-        harness.handle(ahead)
+        harness.handle(newer_peer)
         harness.handle(Ticked())
         harness.clock.advance(sources.RELAY_DELAY)
         harness.handle(Ticked())
