--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -237,12 +237,12 @@
     for _ in range(60):
         harness.receive_request("/order/a")
     report_rate(harness, 0.5)
-    told = peers.describe_entry(harness.state, harness.clock.now())
+    message = peers.describe_entry(harness.state, harness.clock.now())
     info = Registration("b-1", BOOKINGS, "b-1:80", "muc-a", 6, born=2)
     harness.handle(TargetRegistered(info))
     other = build_harness("b-1")
     other.handle(TargetRegistered(info))
-    other.handle(told)
+    other.handle(message)
     for one in (harness, other):
         one.receive_request("/order/a")
         assert one.find(OpenAttempt).target == "b-1"
@@ -323,11 +323,11 @@
 def test_a_named_rate_is_logged_once_for_each_change() -> None:
     """Guards against a rate that no log line shows, and against one line an answer."""
     harness = build_harness("b-1")
-    told = []
+    message = []
     for rate in (1.5, 1.5, 2.0, None, None):
         report_rate(harness, rate)
-        told += [note.fields["rate"] for note in harness.find_effects(Note)]
-    assert told == [1.5, 2.0, None]
+        message += [note.fields["rate"] for note in harness.find_effects(Note)]
+    assert message == [1.5, 2.0, None]
 
 
 def test_a_rate_of_an_unknown_target_is_ignored() -> None:
