--- a/tests/gateway/test_refusals.py
+++ b/tests/gateway/test_refusals.py
@@ -29,10 +29,10 @@
     """Guards against returns that displace callers who can still be in time."""
     table = RefusalTable()
     table.record_own("digest", Millis(NOW - 700), NOW)
-    told = table.list_announced(Millis(NOW + 100))
-    assert told == (Refusal("digest", Millis(800)),)
+    sent = table.list_announced(Millis(NOW + 100))
+    assert sent == (Refusal("digest", Millis(800)),)
     other = RefusalTable()
-    other.record_announced(told[0], Millis(NOW + 100))
+    other.record_announced(sent[0], Millis(NOW + 100))
     assert other.list_announced(NOW) == ()
     assert other.pop_first_arrival("digest") == NOW - 700
 
