--- a/tests/gateway/test_sources.py
+++ b/tests/gateway/test_sources.py
@@ -217,7 +217,7 @@
 
 def test_one_entry_of_a_failure_domain_asks_an_engine_while_the_store_is_away() -> None:
     """Guards against questions of all entries to all engines."""
-    asked = 0
+    queries = 0
     for number in range(18):
         harness = build_large_fleet_entry()
         harness.state.node = f"entry-0-{number:02}"
@@ -226,8 +226,8 @@
         harness.open_plan()
         harness.handle(StoreLost())
         harness.handle(Ticked())
-        asked += len(harness.find_effects(ReadReport))
-    assert asked == 1
+        queries += len(harness.find_effects(ReadReport))
+    assert queries == 1
 
 
 def test_an_engines_leaving_report_reaches_the_other_entries() -> None:
@@ -262,7 +262,7 @@
     None
 ):
     """Guards against a key that was taken away and works on for seconds."""
-    asked = 0
+    queries = 0
     for number in range(17):
         harness = build_large_fleet_entry()
         harness.state.rng.seed(number)
@@ -277,5 +277,5 @@
         harness.handle(Ticked())
         harness.clock.advance(sources.RELAY_DELAY)
         harness.handle(Ticked())
-        asked += len(harness.find_effects(FetchRecords))
-    assert asked <= 4
+        queries += len(harness.find_effects(FetchRecords))
+    assert queries <= 4
