--- a/tests/core/test_settlement.py
+++ b/tests/core/test_settlement.py
@@ -163,7 +163,7 @@
     assert entry.find_effects(OpenAttempt)
 
 
-def test_a_claim_that_comes_to_light_late_is_released_and_not_dispatched() -> None:
+def test_a_claim_read_back_too_late_is_released_and_not_dispatched() -> None:
     """An append is uncertain and is not read back in time.
 
     The caller is refused with "not run". When the record shows up after all,
@@ -233,7 +233,7 @@
     assert (problem.code, problem.ran) == ("first_still_running", Ran.UNKNOWN)
 
 
-def test_an_order_goes_on_when_its_caller_has_left() -> None:
+def test_an_order_continues_when_its_caller_has_left() -> None:
     """The caller's own time-out ends its connection while the order runs.
 
     It then sends the same key again and gets the first one's answer.
@@ -368,7 +368,7 @@
     assert entry.find_effects(AppendRecords) == []
 
 
-def test_an_outcome_that_the_log_never_takes_is_dropped_at_last() -> None:
+def test_an_outcome_that_cannot_be_appended_is_finally_dropped() -> None:
     entry, log = build_ready_entry(), Log()
     entry.order("r1")
     log.take(entry)
