--- a/tests/core/test_crashes.py
+++ b/tests/core/test_crashes.py
@@ -58,7 +58,7 @@
     assert list_refused(table, "killer", "good") == ["killer"]
 
 
-def test_an_answer_tells_two_at_the_same_crashes_apart() -> None:
+def test_an_answer_distinguishes_two_at_the_same_crashes() -> None:
     table = CrashTable()
     record_crash(table, "b-1@1", "killer", "good")
     record_crash(table, "b-2@1", "killer", "good")
@@ -103,7 +103,7 @@
     assert list_refused(table, "good") == []
 
 
-def test_a_run_to_the_end_clears_what_came_before_it() -> None:
+def test_a_completed_run_clears_earlier_suspicions() -> None:
     table = CrashTable()
     record_crash(table, "b-1@1", "good")
     assert table.clear("good", Millis(NOW + 10), Millis(NOW + 10))
@@ -124,7 +124,7 @@
     assert table.count("good") == 1
 
 
-def test_crashes_are_forgotten() -> None:
+def test_crashes_expire() -> None:
     table = CrashTable()
     record_crash(table, "b-1@1", "killer")
     record_crash(table, "b-2@1", "killer")
