--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -49,7 +49,7 @@
     return plan_orders(make_inventory(model, replicas), "muc-a", views)
 
 
-def test_nothing_is_ordered_where_all_is_as_wanted() -> None:
+def test_no_orders_once_the_desired_state_is_reached() -> None:
     assert plan(ModelInfo("m", "1"), 2, {"m@1"}, {"m@1"}, set()) == []
 
 
@@ -135,7 +135,7 @@
     assert len(list_orders(state, quiet)) == 1
 
 
-def test_a_stale_number_ends_the_hold() -> None:
+def test_a_stale_fencing_number_ends_the_holding() -> None:
     """A holder's lease lapsed while it was paused; another has ordered since.
 
     The engine refuses its number. It must stop at once, not go on until its
