--- a/tests/core/test_lengths.py
+++ b/tests/core/test_lengths.py
@@ -32,7 +32,7 @@
         assert found == pytest.approx(expected, rel=0.25)
 
 
-def test_what_proves_long_is_expected_to_be_longer() -> None:
+def test_a_long_generation_is_expected_to_get_longer() -> None:
     """Most answers are short, a few very long.
 
     A generation that has outlived the short ones is one of the long ones, so
@@ -50,7 +50,7 @@
     assert table.estimate("a", CHAT, 50_000).mean >= 50_000
 
 
-def test_old_answers_fade() -> None:
+def test_old_answers_decay() -> None:
     table = LengthTable()
     for _ in range(500):
         table.record_length("a", CHAT, 2_000)
