--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -142,7 +142,7 @@
     assert all(s.gossip.leaving for s in sent)
 
 
-def test_counts_of_peers_are_summed_and_scaled_to_the_unheard() -> None:
+def test_counts_of_peers_are_summed_and_scaled_to_silent_ones() -> None:
     state = make_state(members=3)
     counts = (TargetCount(hash_target("engine-0"), 4),)
     feed(state, build_gossip_event("n0", sequence=2, counts=counts), 10_000)
