--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -84,7 +84,7 @@
     assert "e2" not in [start(state, f"r{number}") for number in range(9)]
 
 
-def test_full_targets_make_requests_wait_here() -> None:
+def test_requests_are_queued_while_targets_are_full() -> None:
     state = make_state(1.0)
     assert start(state, "first", prompt=900) == "e1"
     assert start(state, "second", prompt=900) == ""
