--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -101,7 +101,7 @@
     assert entry.take(OpenAttempt).request == "r2"
 
 
-def test_two_suspects_that_die_together_are_not_proved() -> None:
+def test_two_suspects_at_the_same_crashes_are_not_proved() -> None:
     entry = Entry(inventory=make_inventory(engines=1))
     entry.start("r1", digest="a", stream=False)
     entry.start("r2", digest="b", stream=False)
