--- a/tests/core/test_queues.py
+++ b/tests/core/test_queues.py
@@ -100,7 +100,7 @@
 
 @given(st.integers(0, 2**32))
 @settings(max_examples=60, derandomize=True, deadline=None)
-def test_nothing_is_lost_or_given_twice(seed: int) -> None:
+def test_each_request_leaves_the_queue_once(seed: int) -> None:
     rng = random.Random(seed)
     queue = RequestQueue(rng.random() < 0.5, rng.random() < 0.5)
     waiting: set[str] = set()
