--- a/tests/core/test_region_split.py
+++ b/tests/core/test_region_split.py
@@ -65,7 +65,7 @@
         return alive
 
 
-def test_regions_forget_and_find_each_other() -> None:
+def test_regions_remove_and_rejoin_each_other() -> None:
     """Two regions lose each other for an hour, then the link is back.
 
     Each side soon takes the other for gone, so nothing waits for it; the
