--- a/tests/core/test_recovery.py
+++ b/tests/core/test_recovery.py
@@ -111,7 +111,7 @@
     assert entry.state.requests == {}
 
 
-def test_not_run_is_told_when_every_target_refuses() -> None:
+def test_not_run_is_reported_when_every_target_refuses() -> None:
     entry = Entry()
     entry.start()
     while "r1" in entry.state.requests:
