--- a/tests/core/test_crashes.py
+++ b/tests/core/test_crashes.py
@@ -142,9 +142,9 @@
     record_crash(table, "b-2@1", "killer")
     for number in range(2 * MAX_ANNOUNCED_SUSPICIONS):
         record_crash(table, f"e-{number % 9}@1", f"good {number}", at=NOW + 100)
-    told = table.list_suspicions(Millis(NOW + 200))
-    assert len(told) == MAX_ANNOUNCED_SUSPICIONS
-    lives = {suspicion.life for suspicion in told if suspicion.digest == "killer"}
+    sent = table.list_suspicions(Millis(NOW + 200))
+    assert len(sent) == MAX_ANNOUNCED_SUSPICIONS
+    lives = {suspicion.life for suspicion in sent if suspicion.digest == "killer"}
     assert lives == {"b-1@1", "b-2@1"}
 
 
@@ -152,9 +152,9 @@
     table = CrashTable()
     record_crash(table, "b-1@1", "killer", "good")
     record_crash(table, "b-2@1", "killer")
-    told = table.list_suspicions(Millis(NOW + SUSPICION_ANNOUNCE_DURATION))
-    assert {suspicion.digest for suspicion in told} == {"killer"}
-    assert told[0].age == SUSPICION_ANNOUNCE_DURATION
+    sent = table.list_suspicions(Millis(NOW + SUSPICION_ANNOUNCE_DURATION))
+    assert {suspicion.digest for suspicion in sent} == {"killer"}
+    assert sent[0].age == SUSPICION_ANNOUNCE_DURATION
 
 
 def test_clearances_are_sent_for_a_limited_time() -> None:
@@ -162,8 +162,8 @@
     record_crash(table, "b-1@1", "good")
     assert table.list_clearances(NOW) == ()
     table.clear("good", NOW, NOW)
-    [told] = table.list_clearances(Millis(NOW + 30))
-    assert (told.digest, told.age) == ("good", 30)
+    [sent] = table.list_clearances(Millis(NOW + 30))
+    assert (sent.digest, sent.age) == ("good", 30)
     assert table.list_clearances(Millis(NOW + SUSPICION_ANNOUNCE_DURATION)) == ()
 
 
