--- a/tests/core/test_budgets.py
+++ b/tests/core/test_budgets.py
@@ -26,8 +26,8 @@
     """
     entry = Entry(inventory=make_inventory(engines=4))
     opened = refused = 0
-    asked = 200
-    for number in range(asked):
+    requested = 200
+    for number in range(requested):
         spec = RequestSpec(f"r{number}", "c", GenerationWork("m"), digest=str(number))
         pending = list(entry.feed(RequestArrived(spec), after=9_000))
         while pending:
@@ -38,5 +38,5 @@
                 continue
             opened += 1
             pending += entry.feed(AttemptLost(effect.attempt, Loss.FAILED))
-    assert opened <= asked + INITIAL_RETRIES
-    assert refused + len(entry.state.queue) == asked
+    assert opened <= requested + INITIAL_RETRIES
+    assert refused + len(entry.state.queue) == requested
