--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -76,12 +76,12 @@
     not revive it; the answer tells it so, and it comes with a newer one.
     """
     state = make_state(members=1)
-    seen = []
+    statuses = []
     for now in range(0, 12_000, 1_000):
         feed(state, TimerFired(GossipTimer()), now)
-        seen.append(state.membership.members["n0"].status)
-    assert MemberStatus.SUSPECT in seen
-    assert seen[-1] is MemberStatus.GONE
+        statuses.append(state.membership.members["n0"].status)
+    assert MemberStatus.SUSPECT in statuses
+    assert statuses[-1] is MemberStatus.GONE
     effects = feed(
         state, build_gossip_event("n0", sequence=2, wants_answer=True), 12_000
     )
