--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -104,12 +104,12 @@
     """Guards against a new process that is shunned for the word of the one before."""
     harness = build_harness("b-1", "b-2")
     harness.handle(build_leaving("b-1"))
-    told = peers.describe_entry(harness.state, harness.clock.now())
+    message = peers.describe_entry(harness.state, harness.clock.now())
     info = Registration("b-1", BOOKINGS, "b-1:80", "muc-a", 6, born=2)
     other = build_harness("b-2")
     for one in (harness, other):
         one.handle(TargetRegistered(info))
-        one.handle(replace(told, node="entry-9"))
+        one.handle(replace(message, node="entry-9"))
         found = one.state.targets.find("b-1")
         assert found is not None
         assert found.standing is Standing.READY
@@ -184,11 +184,11 @@
 def test_a_target_that_reports_leaving_is_logged_once() -> None:
     """Guards against a departure that no log line shows."""
     harness = build_harness("b-1")
-    told = []
+    message = []
     for _ in range(3):
         harness.handle(build_leaving("b-1"))
-        told += [note.message for note in harness.find_effects(Note)]
-    assert told == ["target says that it leaves"]
+        message += [note.message for note in harness.find_effects(Note)]
+    assert message == ["target says that it leaves"]
 
 
 def test_a_leaving_mark_of_an_unknown_target_is_ignored() -> None:
