--- a/tests/gateway/test_budgets.py
+++ b/tests/gateway/test_budgets.py
@@ -15,7 +15,7 @@
     return spent
 
 
-def test_eight_entries_that_hear_each_other_stay_within_the_bound() -> None:
+def test_eight_connected_entries_stay_within_the_bound() -> None:
     budgets = [RetryBudget(0.2, 56.0, WINDOW) for _ in range(8)]
     repeats = [0] * 8
     for number, budget in enumerate(budgets):
@@ -29,7 +29,7 @@
     assert spend(budget, FleetUse(0, 0, 8, complete=True)) > 56 / 8
 
 
-def test_entries_cut_apart_stay_within_the_bound_together() -> None:
+def test_partitioned_entries_stay_within_the_bound_together() -> None:
     """The fleet would send more repeats than a service can bear.
 
     A cut leaves eight entries on their own. None hears what the others use,
@@ -40,7 +40,7 @@
     assert 0 < sum(spend(budget, alone) for budget in budgets) <= 56
 
 
-def test_a_restarted_entry_that_hears_nobody_repeats_nothing_at_first() -> None:
+def test_a_restarted_entry_without_peers_repeats_nothing_at_first() -> None:
     """A restart would give the whole allowance anew.
 
     An entry uses its part, is killed and comes back within the window. It
