--- a/tests/gateway/test_copies.py
+++ b/tests/gateway/test_copies.py
@@ -47,7 +47,7 @@
     return harness, opened
 
 
-def test_a_stream_goes_on_from_its_backup_when_its_engine_leaves() -> None:
+def test_a_stream_resumes_from_its_backup_when_its_engine_leaves() -> None:
     """The caller would lose its plan in mid-answer.
 
     The engine's registration vanishes; it is gone in 1.5 seconds. The backup's
@@ -106,7 +106,7 @@
     assert without.open_plan().backup != ""
 
 
-def test_a_run_without_a_backup_is_copied_in_the_notice() -> None:
+def test_a_run_without_a_backup_is_copied_within_the_notice() -> None:
     harness = EntryHarness()
     harness.register("e-1", "e-2", "e-3")
     opened = harness.open_plan()
@@ -141,7 +141,7 @@
     assert all(t.memory == 0 for t in harness.state.targets.targets.values())
 
 
-def test_a_run_goes_on_once_its_holder_has_read_its_prompts() -> None:
+def test_a_run_is_handed_over_once_its_holder_has_read_its_prompts() -> None:
     """The caller would see a pause of a third of a second.
 
     A slow engine takes three times as long for each event while it reads a
@@ -193,7 +193,7 @@
     assert harness.find(OpenAttempt).target == opened.backup
 
 
-def test_a_long_run_without_a_backup_is_copied_once_there_is_room() -> None:
+def test_a_long_run_without_a_backup_is_copied_once_memory_is_free() -> None:
     """The caller would lose its plan with an engine that holds seven of them.
 
     All engines were full as its run began. Copied in the notice only, the runs
@@ -226,7 +226,7 @@
     assert harness.find(CopyRun).number != first.number
 
 
-def test_a_kept_copy_is_brought_up_to_date_before_it_is_dropped() -> None:
+def test_a_kept_copy_is_refreshed_before_it_is_dropped() -> None:
     harness, opened = start_without_backup()
     harness.handle(Ticked())
     order = harness.find(CopyRun)
@@ -243,7 +243,7 @@
     assert (again.source, again.holder) == (opened.target, order.holder)
 
 
-def test_nothing_is_copied_ahead_over_a_link_in_use() -> None:
+def test_no_advance_copy_is_sent_over_a_link_in_use() -> None:
     """The caller would lose its plan although its engine gave notice.
 
     A new engine has come, and all entries copy runs to it at once. Links carry
@@ -260,7 +260,7 @@
     assert harness.find(CopyRun).source == opened.target
 
 
-def test_a_copy_in_the_notice_goes_over_the_link_that_is_free() -> None:
+def test_a_copy_within_the_notice_uses_the_free_link() -> None:
     """The caller would lose its plan: its copy waits behind those of others.
 
     Both other engines have room, but the emptier one gets three copies already.
@@ -316,7 +316,7 @@
     assert harness.find_effects(CopyRun) == []
 
 
-def test_a_copy_takes_its_memory_once() -> None:
+def test_the_memory_of_a_copy_is_counted_once() -> None:
     harness, opened = start_without_backup()
     harness.handle(Ticked())
     order = harness.find(CopyRun)
@@ -333,7 +333,7 @@
     assert harness.find(DropCopy).copy.handle == "h-1"
 
 
-def test_an_engine_without_room_is_asked_again_a_second_later() -> None:
+def test_a_full_engine_is_tried_again_a_second_later() -> None:
     """The caller would lose its plan although its copy would have found room.
 
     The only other engine is full as the run is copied ahead. Runs end there,
@@ -352,7 +352,7 @@
     assert harness.find(CopyRun).holder == order.holder
 
 
-def test_a_full_engine_is_asked_again_within_the_notice() -> None:
+def test_a_full_engine_is_tried_again_within_the_notice() -> None:
     """Guards against a run lost in its notice though room came in time."""
     harness, opened = start_without_backup()
     harness.depart("e-3")
@@ -366,7 +366,7 @@
     assert harness.find(CopyRun).holder == order.holder
 
 
-def test_copies_made_ahead_yield_where_an_engine_runs_out_of_memory() -> None:
+def test_advance_copies_are_dropped_where_memory_runs_out() -> None:
     """A caller would see a pause of half a second: its run is preempted.
 
     A copy is kept at an engine that other entries have filled meanwhile.
@@ -383,7 +383,7 @@
     assert harness.state.targets.targets[order.holder].memory == 0
 
 
-def test_a_copy_does_not_yield_while_its_run_needs_it() -> None:
+def test_a_copy_is_not_dropped_while_its_run_needs_it() -> None:
     harness, opened = start_without_backup()
     harness.handle(Ticked())
     order = harness.find(CopyRun)
@@ -394,7 +394,7 @@
     assert harness.find_effects(DropCopy) == []
 
 
-def test_copies_ahead_leave_room_for_prompts() -> None:
+def test_advance_copies_leave_free_memory_for_prompts() -> None:
     """A caller would be refused for memory that a copy holds just in case.
 
     The engines are filled to half and more; a copy would bring them over 0.6.
@@ -430,7 +430,7 @@
     assert [one.holder for one in kept if isinstance(one, CopyRun)] == [order.holder]
 
 
-def start_with_old_copy() -> tuple[EntryHarness, CopyRun]:
+def start_with_stale_copy() -> tuple[EntryHarness, CopyRun]:
     """Return a world whose run has a copy that has grown old, as its engine leaves."""
     harness, _ = start_without_backup()
     harness.handle(Ticked())
@@ -441,27 +441,27 @@
     return harness, order
 
 
-def test_an_old_copy_is_brought_up_to_date_before_a_change_over() -> None:
+def test_a_stale_copy_is_refreshed_before_a_handover() -> None:
     """Guards against pauses of a quarter second, of what the copy lacks."""
-    harness, order = start_with_old_copy()
+    harness, order = start_with_stale_copy()
     assert harness.find(CopyRun) == order
     assert harness.find_effects(OpenAttempt) == []
     harness.handle(RunCopied(1, order.source, order.holder, "h-1"))
     assert harness.find(OpenAttempt).target == order.holder
 
 
-def test_a_run_goes_on_from_its_old_copy_where_no_newer_one_can_be_made() -> None:
+def test_a_run_resumes_from_its_stale_copy_if_no_newer_one_can_be_made() -> None:
     """Guards against runs that are lost with a copy at hand."""
-    harness, order = start_with_old_copy()
+    harness, order = start_with_stale_copy()
     harness.handle(RunNotCopied(1, order.source, order.holder, "answered 503"))
     assert harness.find(OpenAttempt).source == RunCopy(
         order.holder, order.source, "h-1"
     )
 
 
-def test_a_run_goes_on_from_its_old_copy_where_the_newer_one_takes_too_long() -> None:
+def test_a_run_resumes_from_its_stale_copy_if_the_newer_one_takes_too_long() -> None:
     """Guards against runs whose engine is gone before their newer copy is made."""
-    harness, order = start_with_old_copy()
+    harness, order = start_with_stale_copy()
     harness.clock.advance(REFRESH_TIMEOUT)
     harness.handle(Ticked())
     assert harness.find(OpenAttempt).source == RunCopy(
@@ -501,7 +501,7 @@
     assert harness.find(OpenAttempt).target == "e-far"
 
 
-def test_in_the_notice_a_copy_goes_where_it_arrives_first() -> None:
+def test_within_the_notice_a_copy_goes_where_it_arrives_first() -> None:
     """Guards against copies that arrive after their engine has gone."""
     harness, opened = start_in_two_domains()
     harness.depart(opened.target)
