--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -393,7 +393,7 @@
     assert was_rejected(first)
 
 
-def test_a_run_is_not_repeated_once_its_crashes_refuse_it() -> None:
+def test_a_run_is_not_repeated_once_its_crashes_are_known() -> None:
     """Guards against a route of many attempts that crashes as many targets."""
     replay = Replay()
     route = replace(LOOKUP, attempts=4)
@@ -442,7 +442,7 @@
     assert len(replay.runs) == 2
 
 
-def test_a_fresh_refusal_is_short() -> None:
+def test_a_new_refusal_has_a_short_retry_time() -> None:
     """Guards against an innocent read sent away before others could clear it."""
     replay = Replay(8)
     replay.send(replay.fleet[0])
