--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -206,7 +206,7 @@
     return harness, opened
 
 
-def test_an_engine_that_is_drained_serves_on_while_nobody_reads_the_store() -> None:
+def test_a_draining_engine_keeps_its_runs_while_no_entry_reads_the_store() -> None:
     """Guards against runs moved, and room lost, though the engine serves on."""
     harness, opened = start_plan_without_store()
     harness.handle(EngineReported(opened.target, leaving=True, ending=False))
