--- a/tests/gateway/test_eligibility.py
+++ b/tests/gateway/test_eligibility.py
@@ -108,7 +108,7 @@
     assert list_called_targets(harness) == {"b-ber-a"}
 
 
-def test_retries_stay_at_home() -> None:
+def test_retries_stay_in_the_regions_of_their_route() -> None:
     """Guards against second tries that leave the regions of their route."""
     harness = build_harness(frozenset({"berlin"}))
     harness.receive_request("/lookup/a")
@@ -146,7 +146,7 @@
     }
 
 
-def test_a_route_that_was_dropped_keeps_its_homes() -> None:
+def test_a_removed_route_keeps_its_regions() -> None:
     """Guards against a request set free as its route leaves the configuration."""
     harness = build_harness(frozenset({"eire"}))
     number = harness.receive_request("/order/a")
