--- a/tests/gateway/test_evacuations.py
+++ b/tests/gateway/test_evacuations.py
@@ -163,7 +163,7 @@
     assert not harness.find_effects(ReadReport)
 
 
-def test_a_domain_that_is_taken_back_gets_work_at_once() -> None:
+def test_a_domain_gets_work_at_once_when_its_evacuation_ends() -> None:
     """Guards against a failure domain that stays shut after its evacuation ended."""
     harness = build_harness()
     evacuate(harness, "muc-a", position=5)
