--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize("size", [8, 73])
-def test_what_a_target_named_to_one_entry_reaches_the_others(size: int) -> None:
+def test_a_rate_reported_to_one_entry_reaches_the_others(size: int) -> None:
     """Guards against entries that send on until the target has told each of them."""
     fleet = build_limited_fleet(size, DOMAINS[:4])
     report_rate(fleet[0], RATE)
@@ -156,7 +156,7 @@
     assert chosen.count("b-1") <= 2
 
 
-def test_a_call_is_refused_at_once_where_no_target_opens_in_time() -> None:
+def test_a_call_is_refused_at_once_if_no_target_accepts_it_in_time() -> None:
     """Guards against callers who wait in vain for targets that all name rates."""
     harness = build_harness("b-1")
     for _ in range(40):
@@ -169,7 +169,7 @@
     assert problem.retry_after is not None
 
 
-def test_a_target_that_got_no_more_than_it_names_goes_on() -> None:
+def test_a_target_below_its_rate_still_gets_calls() -> None:
     """Guards against a service that stands still as all its targets name rates."""
     harness = build_harness("b-1")
     report_rate(harness, 25.0)
@@ -216,7 +216,7 @@
 
 
 @pytest.mark.parametrize("rate", [0.0, 0.05, 0.2, 1.9])
-def test_a_silent_target_passes_to_entries_with_callers(rate: float) -> None:
+def test_an_unused_share_passes_to_entries_with_callers(rate: float) -> None:
     """Guards against a need that never ends as those who may ask have no callers."""
     fleet = build_limited_fleet(8, DOMAINS[:1])
     for harness in fleet:
@@ -231,7 +231,7 @@
     pytest.fail("the busy entry never got a turn")
 
 
-def test_a_target_that_starts_again_has_named_nothing() -> None:
+def test_a_restarted_target_has_no_rate_limit() -> None:
     """Guards against a new process that is spared for the need of the one before."""
     harness = build_harness("b-1")
     for _ in range(60):
@@ -277,7 +277,7 @@
     assert harness.find(CopyRun).source == opened.target
 
 
-def test_a_run_goes_on_at_its_holder_once_that_takes_it() -> None:
+def test_a_run_resumes_at_its_holder_once_that_accepts_it() -> None:
     """Guards against a holder in need that gets all runs of an engine that leaves."""
     harness = EntryHarness()
     harness.register("e-1", "e-2")
@@ -296,7 +296,7 @@
     assert harness.find(OpenAttempt).target == order.holder
 
 
-def test_a_copy_at_a_holder_that_takes_nothing_is_not_used() -> None:
+def test_a_copy_at_a_holder_with_a_rate_of_zero_is_not_used() -> None:
     """Guards against a broken run that is pressed on a target in need."""
     harness, opened = start_with_backup()
     report_rate(harness, 0.0, opened.backup)
@@ -337,7 +337,7 @@
 
 
 @pytest.mark.parametrize("rate", [0.0, 0.1, 0.24, 0.25, 1.0, 1.1, 2.5, 40.0])
-def test_a_rate_is_never_exceeded_by_its_split(rate: float) -> None:
+def test_the_shares_of_a_rate_never_exceed_it(rate: float) -> None:
     """Guards against whole requests that add up to more than a fraction allows."""
     window, requests = limits.split_rate(rate)
     assert requests >= 1
@@ -368,7 +368,7 @@
     assert harness.find(OpenAttempt).target == "b-1"
 
 
-def test_a_refusal_without_a_pause_asks_for_none() -> None:
+def test_a_refusal_without_a_pause_causes_none() -> None:
     """Guards against targets that are spared though they have room again."""
     harness = build_harness("b-1")
     refuse_call(harness, None)
@@ -401,7 +401,7 @@
     assert harness.find(OpenAttempt).target == "b-1"
 
 
-def test_a_target_that_starts_again_wants_no_pause() -> None:
+def test_a_restarted_target_has_no_pause() -> None:
     """Guards against a new process that is spared for the pause of the one before."""
     harness = build_harness("b-1")
     refuse_call(harness, Millis(60_000))
