--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -68,7 +68,7 @@
     assert read_peer_calls(harness) == {t: n for t, n in calls.items() if n}
 
 
-def test_a_peer_that_falls_silent_leaves_no_load_behind() -> None:
+def test_loads_of_a_closing_peer_are_removed() -> None:
     """Guards against engines that look busy with calls of an entry that is gone."""
     news = LoadUpdates()
     harness = EntryHarness()
