--- a/tests/gateway/test_recovery.py
+++ b/tests/gateway/test_recovery.py
@@ -50,7 +50,7 @@
     assert harness.find_effects(OpenAttempt) == []
 
 
-def test_an_order_that_all_refuse_is_told_not_run() -> None:
+def test_an_order_that_all_refuse_is_reported_as_not_run() -> None:
     harness = build_harness()
     harness.receive_request("/order/a")
     while harness.find_effects(OpenAttempt):
@@ -60,7 +60,7 @@
     assert (problem.status, problem.ran) == (503, Ran.NO)
 
 
-def test_an_order_that_may_have_run_at_one_is_never_told_not_run() -> None:
+def test_an_order_that_may_have_run_is_never_reported_as_not_run() -> None:
     harness = build_harness()
     harness.receive_request("/order/a")
     first = harness.find(OpenAttempt)
@@ -99,7 +99,7 @@
     assert harness.find(Refuse).problem.status == 502
 
 
-def test_a_silent_lookup_is_asked_of_another_target() -> None:
+def test_a_silent_lookup_is_retried_at_another_target() -> None:
     harness = build_harness()
     harness.receive_request("/lookup/a")
     first = harness.find(OpenAttempt)
@@ -151,7 +151,7 @@
     assert harness.find(Refuse).problem.code == "crashes_targets"
 
 
-def test_a_resumable_stream_goes_on_anew_where_it_broke() -> None:
+def test_a_resumable_stream_resumes_after_its_last_event() -> None:
     harness = build_harness()
     harness.receive_request("/question/a", Prompt("m", 100, 50, 10))
     first = harness.find(OpenAttempt)
@@ -253,7 +253,7 @@
     assert tries == MAX_SENDS
 
 
-def test_a_read_goes_on_in_another_failure_domain() -> None:
+def test_a_read_is_retried_in_another_failure_domain() -> None:
     """Guards against a read that follows a failure domain as it is lost."""
     harness = EntryHarness()
     harness.register("b-1", "b-2", "b-3", service=BOOKINGS)
