--- a/tests/gateway/test_reports.py
+++ b/tests/gateway/test_reports.py
@@ -7,7 +7,7 @@
 from tests.gateway.worlds import EntryHarness, start_with_backup
 
 
-def test_while_the_store_is_away_engines_are_asked_whether_they_leave() -> None:
+def test_while_the_store_is_away_engines_are_queried_for_departures() -> None:
     """Streams would be lost with engines whose notice nobody could read.
 
     The store is away; an engine is reclaimed. Its registration can't tell, but
@@ -35,7 +35,7 @@
     return harness
 
 
-def test_prompts_keep_off_memory_that_killed_processes_left_behind() -> None:
+def test_prompts_avoid_memory_held_by_copies_of_killed_entries() -> None:
     """The caller would wait four seconds for the first word of its plan.
 
     All entries are killed while they copy runs to a new engine, and it keeps
@@ -101,7 +101,7 @@
     assert engine.unclaimed == 0
 
 
-def test_engines_are_asked_for_memory_only_until_copies_are_dropped() -> None:
+def test_engines_are_queried_for_memory_only_until_copies_are_dropped() -> None:
     harness = restart()
     harness.register("e-1")
     query_engines(harness)
@@ -113,7 +113,7 @@
     assert harness.state.targets.targets["e-1"].unclaimed == 0
 
 
-def test_a_large_fleet_does_not_ask_all_engines() -> None:
+def test_a_large_fleet_does_not_query_all_engines() -> None:
     harness = restart()
     harness.register("e-1")
     harness.handle(EntriesCounted(61))
