--- a/tests/gateway/test_requests.py
+++ b/tests/gateway/test_requests.py
@@ -110,7 +110,7 @@
     assert problem.retry_after is not None
 
 
-def test_a_prompt_that_finds_no_room_waits_and_starts_when_there_is_some() -> None:
+def test_a_prompt_waits_until_an_engine_has_free_memory() -> None:
     harness = EntryHarness()
     harness.register("e-1")
     engine = harness.state.targets.find("e-1")
@@ -123,7 +123,7 @@
     assert len(harness.find_effects(OpenAttempt)) == 1
 
 
-def test_a_prompt_that_waits_in_vain_is_told_that_it_did_not_run() -> None:
+def test_a_prompt_that_never_starts_is_reported_as_not_run() -> None:
     harness = EntryHarness()
     harness.register("e-1")
     engine = harness.state.targets.find("e-1")
