--- a/tests/gateway/test_sources.py
+++ b/tests/gateway/test_sources.py
@@ -17,7 +17,7 @@
 from tests.gateway.worlds import EntryHarness, build_fleet, build_large_fleet_entry
 
 
-def test_records_that_the_store_does_not_tell_are_asked_of_a_peer() -> None:
+def test_records_missing_from_the_store_are_fetched_from_a_peer() -> None:
     """Guards against a key that was taken away and works on at one entry."""
     harness = EntryHarness()
     harness.handle(PeerHeard("entry-2", address="10.0.0.2:7200", configuration=2))
@@ -57,13 +57,13 @@
     assert sources.reads_store(harness.state, harness.clock.now())
 
 
-def test_an_entry_whose_store_is_away_keeps_asking() -> None:
+def test_an_entry_whose_store_is_away_keeps_reading() -> None:
     harness = build_large_fleet_entry()
     harness.handle(StoreLost())
     assert sources.reads_store(harness.state, harness.clock.now())
 
 
-def test_an_entry_keeps_asking_while_the_readers_are_turned_away_too() -> None:
+def test_an_entry_keeps_reading_while_the_readers_are_rejected_too() -> None:
     harness = build_large_fleet_entry()
     harness.handle(StoreLost())
     receive_reader_reports(harness, 18, receives_records=False)
@@ -215,7 +215,7 @@
     assert not sources.was_store_available(harness.state)
 
 
-def test_one_entry_of_a_failure_domain_asks_an_engine_while_the_store_is_away() -> None:
+def test_one_entry_per_domain_queries_an_engine_while_the_store_is_away() -> None:
     """Guards against questions of all entries to all engines."""
     queries = 0
     for number in range(18):
@@ -258,9 +258,7 @@
     assert found.standing is Standing.LEAVING
 
 
-def test_a_new_configuration_is_not_asked_of_one_peer_by_a_whole_failure_domain() -> (
-    None
-):
+def test_a_new_configuration_is_not_fetched_by_all_entries_at_once() -> None:
     """Guards against a key that was taken away and works on for seconds."""
     queries = 0
     for number in range(17):
