--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -36,7 +36,7 @@
     assert opened.backup != opened.target
 
 
-def test_a_stream_whose_engine_dies_goes_on_from_its_backup() -> None:
+def test_a_stream_whose_engine_dies_resumes_from_its_backup() -> None:
     harness, opened = start_with_backup()
     harness.handle(AttemptLost(opened.attempt, Loss.BROKEN))
     resumed = harness.find(OpenAttempt)
@@ -65,7 +65,7 @@
         harness.send_pieces(attempt, index, index)
 
 
-def test_a_stream_that_stalls_goes_on_from_its_backup_in_time() -> None:
+def test_a_stalled_stream_resumes_from_its_backup_before_its_limit() -> None:
     """The caller would see a pause of half a second: its run was preempted.
 
     Its engine sends an event each 45 ms, then nothing. The backup is asked after
@@ -153,7 +153,7 @@
     assert harness.find(Deliver).data == b"id: 0\n\nid: 1\n\nid: 2\n\n"
 
 
-def test_a_run_that_went_on_has_the_backup_of_its_new_engine() -> None:
+def test_a_resumed_run_has_the_backup_of_its_new_engine() -> None:
     """The caller would lose its plan at the second engine that leaves.
 
     The old engine delivers an event while the holder takes the run over. The
