--- a/tests/gateway/test_targets.py
+++ b/tests/gateway/test_targets.py
@@ -58,7 +58,7 @@
     assert table.pop_due_departures(Millis(NOW + 2_000)) == ["i-2"]
 
 
-def test_departed_targets_are_forgotten_once_nothing_is_open() -> None:
+def test_departed_targets_are_removed_once_nothing_is_open() -> None:
     table = TargetTable()
     target = table.record_registration(register(), NOW)
     target.calls = 1
@@ -83,7 +83,7 @@
     assert target.backoff_until <= NOW
 
 
-def test_reading_is_learned_from_prompts_that_were_read() -> None:
+def test_reading_time_is_estimated_from_past_prompts() -> None:
     table = TargetTable()
     slow = table.record_registration(register("i-1"), NOW)
     fast = table.record_registration(register("i-2"), NOW)
