--- a/tests/gateway/test_warmups.py
+++ b/tests/gateway/test_warmups.py
@@ -157,7 +157,7 @@
     assert count_sends(harness, 3) == 0
 
 
-def test_a_domain_that_is_taken_back_is_cold() -> None:
+def test_a_domain_is_cold_when_its_evacuation_ends() -> None:
     """Guards against a herd that meets the cold targets of a returned domain."""
     harness = build_harness(rate=0.5)
     register(harness, "b-1", 0)
