--- a/tests/core/test_recovery.py
+++ b/tests/core/test_recovery.py
@@ -41,7 +41,7 @@
     entry.feed(AttemptLost(entry.find_attempt(request), Loss.CONNECT_FAILED))
 
 
-def test_a_broken_stream_goes_on_after_the_last_event_that_was_delivered() -> None:
+def test_a_broken_stream_resumes_after_the_last_delivered_event() -> None:
     entry = Entry()
     attempt = entry.start()
     entry.deliver(attempt, 1, 3)
@@ -102,7 +102,7 @@
     assert entry.take(Deliver).frames == [b"1", b"2"]
 
 
-def test_a_stream_that_cannot_go_on_ends_with_a_typed_answer() -> None:
+def test_a_stream_that_cannot_be_resumed_ends_with_a_problem() -> None:
     entry = Entry()
     entry.deliver(entry.start(), 1)
     lose_for_good(entry, "r1")
