--- a/tests/core/test_settlement.py
+++ b/tests/core/test_settlement.py
@@ -62,7 +62,7 @@
     return entry
 
 
-def test_an_order_goes_out_only_after_its_claim_was_read_back() -> None:
+def test_an_order_is_dispatched_only_after_its_claim_was_read_back() -> None:
     entry, log = build_ready_entry(), Log()
     entry.order("r1")
     assert entry.find_effects(OpenAttempt) == []
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize("loss", [Loss.CONNECT_FAILED, Loss.REFUSED])
-def test_an_order_that_did_not_go_out_may_go_elsewhere(loss: Loss) -> None:
+def test_an_order_that_did_not_run_is_sent_to_another_target(loss: Loss) -> None:
     entry, log = build_ready_entry(), Log()
     entry.order("r1")
     log.take(entry)
