--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -147,7 +147,7 @@
     assert list_suspected(entry) == set()
 
 
-def test_a_digest_that_a_peer_tells_is_refused_for_a_bounded_time() -> None:
+def test_a_digest_from_a_peer_is_refused_for_a_bounded_time() -> None:
     held = Quarantine({"d": Millis(900)})
     quarantine.quarantine_digest(held, "d", Millis(100), Millis(400))
     assert held.until == {"d": Millis(900)}
