--- a/tests/core/test_suspects.py
+++ b/tests/core/test_suspects.py
@@ -134,7 +134,7 @@
     assert not entry.state.quarantine.crashes.is_suspected("good")
 
 
-def test_a_call_whose_break_is_told_after_its_target_is_down_is_suspected(
+def test_a_call_whose_loss_is_reported_after_its_target_is_down_is_suspected(
     entry: Entry,
 ) -> None:
     """Guards against the call that is lost first being blamed for the others."""
