--- a/tests/core/test_crashes.py
+++ b/tests/core/test_crashes.py
@@ -13,10 +13,12 @@
 NOW = Millis(2_000_000)
 
 
-def record_crash(table: CrashTable, life: str, *digests: str, at: int = NOW) -> None:
+def record_crash(
+    table: CrashTable, incarnation: str, *digests: str, at: int = NOW
+) -> None:
     """Let requests be at a target that crashes."""
     for digest in digests:
-        table.record_suspicion(Suspicion(digest, life), Millis(at))
+        table.record_suspicion(Suspicion(digest, incarnation), Millis(at))
 
 
 def list_refused(table: CrashTable, *digests: str, at: int = NOW) -> list[str]:
@@ -79,7 +81,7 @@
     ]
 
 
-def test_more_crashes_are_asked_for_where_targets_crash_anyway() -> None:
+def test_more_crashes_are_required_where_targets_crash_often() -> None:
     """Guards against a request refused that met two of many targets that flap."""
     table = CrashTable()
     for number in range(6):
