--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -164,9 +164,13 @@
     first, second = Quarantine(), Quarantine()
     quarantine.quarantine_digest(first, "d", Millis(60_000), Millis(0))
     for now in range(0, 60_000, 1_000):
-        for giver, taker in ((first, second), (second, first)):
-            remaining = Millis(giver.until["d"] - now if "d" in giver.until else 0)
+        for provider, recipient in ((first, second), (second, first)):
+            remaining = Millis(
+                provider.until["d"] - now if "d" in provider.until else 0
+            )
             if remaining > 0:
-                quarantine.quarantine_digest(taker, "d", remaining, Millis(now + 500))
+                quarantine.quarantine_digest(
+                    recipient, "d", remaining, Millis(now + 500)
+                )
     assert first.until["d"] == 60_000
     assert second.until["d"] == 60_500
