--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -85,8 +85,8 @@
     effects = feed(
         state, build_gossip_event("n0", sequence=2, wants_answer=True), 12_000
     )
-    told = list_sent(effects)[0].gossip.members[0]
-    assert (told.name, told.status) == ("n0", MemberStatus.GONE)
+    member = list_sent(effects)[0].gossip.members[0]
+    assert (member.name, member.status) == ("n0", MemberStatus.GONE)
     feed(state, build_gossip_event("n0", incarnation=6), 12_001)
     assert state.membership.members["n0"].status is MemberStatus.ALIVE
 
