--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -94,9 +94,9 @@
     harness.handle(PeerHeard("entry-2", (PeerLoad("e-1", 2, 8_000),)))
     far = PeerHeard("x", (PeerLoad("e-1", 9, 9),), far=True, failure_domain="muc-b")
     harness.handle(far)
-    told = peers.describe_domain(harness.state, harness.clock.now())
-    assert told.far
-    assert sum(load.calls for load in told.loads) == 2 + sum(o.calls for o in own)
+    message = peers.describe_domain(harness.state, harness.clock.now())
+    assert message.far
+    assert sum(load.calls for load in message.loads) == 2 + sum(o.calls for o in own)
 
 
 def test_a_failure_domain_shares_its_part_of_the_retry_budget() -> None:
@@ -145,8 +145,12 @@
             kept = (target.peer_calls, target.peer_reading, target.peer_rate_count)
             rate = target.read_rate
             peers.recount_loads(harness.state)
-            anew = (target.peer_calls, target.peer_reading, target.peer_rate_count)
-            assert kept == anew
+            recomputed = (
+                target.peer_calls,
+                target.peer_reading,
+                target.peer_rate_count,
+            )
+            assert kept == recomputed
             assert abs(rate - target.read_rate) < 1e-6
 
 
@@ -159,16 +163,16 @@
 
 def test_only_changed_loads_are_sent_between_whole_messages() -> None:
     """Guards against bytes between failure domains that grow with all targets."""
-    told = {name: PeerLoad(name, 2, 8_000, 0) for name in ("e-1", "e-2", "e-3")}
+    message = {name: PeerLoad(name, 2, 8_000, 0) for name in ("e-1", "e-2", "e-3")}
     loads = (PeerLoad("e-1", 2, 8_100, 0), PeerLoad("e-2", 3, 11_000, 3_000))
-    changed = peers.select_changed(told, loads)
+    changed = peers.select_changed(message, loads)
     assert changed == (loads[1], PeerLoad("e-3", 0, 0))
 
 
 def test_accumulated_growth_is_sent() -> None:
-    told = {"e-1": PeerLoad("e-1", 2, 8_000)}
+    message = {"e-1": PeerLoad("e-1", 2, 8_000)}
     loads = (PeerLoad("e-1", 2, 8_000 + peers.MEMORY_REPORT_STEP),)
-    assert peers.select_changed(told, loads) == loads
+    assert peers.select_changed(message, loads) == loads
 
 
 def report_unreachable(harness: EntryHarness, entry: str, *targets: str) -> None:
@@ -231,10 +235,10 @@
     harness.handle(AttemptLost(lost.attempt, Loss.UNREACHED))
     assert harness.find_effects(Announce)
     now = harness.clock.now()
-    told = peers.describe_entry(harness.state, now)
-    assert told.unreached == (lost.target,)
-    data = encode_hello(Hello(told))
-    assert decode_hello(data, "10.0.0.1:7000").content.unreached == told.unreached
+    message = peers.describe_entry(harness.state, now)
+    assert message.unreached == (lost.target,)
+    data = encode_hello(Hello(message))
+    assert decode_hello(data, "10.0.0.1:7000").content.unreached == message.unreached
     later = Millis(now + UNREACHED_DURATION)
     assert peers.describe_entry(harness.state, later).unreached == ()
 
