--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -192,11 +192,11 @@
 def test_an_answer_to_an_earlier_request_does_not_end_a_rate_limit() -> None:
     """Guards against answers that overtake each other on their way."""
     harness = build_harness("b-1")
-    asked = harness.clock.now()
+    requested_at = harness.clock.now()
     harness.clock.advance(30)
     report_rate(harness, 0.5)
     harness.clock.advance(1)
-    harness.handle(RateNamed("b-1", None, asked))
+    harness.handle(RateNamed("b-1", None, requested_at))
     limit = harness.state.targets.targets["b-1"].limit
     assert limit is not None
     assert limit.rate == 0.5
