--- a/tests/gateway/test_fleet_properties.py
+++ b/tests/gateway/test_fleet_properties.py
@@ -450,8 +450,8 @@
     @rule(data=st.data(), arrives=st.booleans())
     def deliver_message(self, data: st.DataObject, arrives: bool) -> None:
         """Let a message arrive, in any order, or be lost."""
-        place = data.draw(st.integers(0, len(self.network) - 1))
-        receiver, message = self.network.pop(place)
+        position = data.draw(st.integers(0, len(self.network) - 1))
+        receiver, message = self.network.pop(position)
         if arrives:
             self.handle(receiver, message)
             self.run_pending()
