--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -126,13 +126,13 @@
     state = make_state(checks_fencing=False)
     now = acquire_lease(state, 0)
     assert list_orders(state, now) == []
-    quiet = now + leases.TERM + ORDER_TIMEOUT
+    earliest = now + leases.TERM + ORDER_TIMEOUT
     renewal = leases.request_lease(
-        state.leases, "orders.muc-a", "n1", Millis(quiet - 1)
+        state.leases, "orders.muc-a", "n1", Millis(earliest - 1)
     )
     record = LogRecord(1, now + 1, renewal.to_json())
-    leases.apply_record(state.leases, "n1", record, Millis(quiet))
-    assert len(list_orders(state, quiet)) == 1
+    leases.apply_record(state.leases, "n1", record, Millis(earliest))
+    assert len(list_orders(state, earliest)) == 1
 
 
 def test_a_stale_fencing_number_ends_the_holding() -> None:
