--- a/tests/core/test_crashes.py
+++ b/tests/core/test_crashes.py
@@ -146,8 +146,10 @@
         record_crash(table, f"e-{number % 9}@1", f"good {number}", at=NOW + 100)
     sent = table.list_suspicions(Millis(NOW + 200))
     assert len(sent) == MAX_ANNOUNCED_SUSPICIONS
-    lives = {suspicion.life for suspicion in sent if suspicion.digest == "killer"}
-    assert lives == {"b-1@1", "b-2@1"}
+    incarnations = {
+        suspicion.life for suspicion in sent if suspicion.digest == "killer"
+    }
+    assert incarnations == {"b-1@1", "b-2@1"}
 
 
 def test_a_single_crash_is_sent_briefly_and_two_are_sent_on() -> None:
