--- a/figstep/gateway/admission.py
+++ b/figstep/gateway/admission.py
@@ -1,8 +1,8 @@
-"""Who waits for room, who is refused at once, and when refused callers return.
+"""Decides which requests wait for capacity and when refused callers retry.
 
-The load that this answers is a pool that stays full: more callers come than
-engines end runs. There each place in the queue is worth a wait that can be told
-ahead, and a caller who can't get one in time is better off to know it at once.
+These rules are meant for a pool that stays full: more callers arrive than engines
+finish runs. Each position in the queue then has a predictable wait, and a caller that
+can't be served within it is better off learning so at once.
 """
 
 from figstep.core.clock import Millis
@@ -10,40 +10,60 @@
 from figstep.gateway.state import Request, State
 
 WAIT_OBJECTIVE_FRACTION = 1.5
-"""Part of a request's objective that it may wait for room. One that starts late
-is still worth something to its caller, who would come back no sooner."""
+"""Longest wait for capacity, as a fraction of the request's objective.
+
+A late answer is still of use to its caller, who would not be served earlier by
+retrying.
+"""
 
 WAIT_DEADLINE_FRACTION = 0.4
-"""Part of the time that its caller has left that a request may wait for room: one
-that is held longer can't be answered in what remains, here or elsewhere."""
+"""Longest wait for capacity, as a fraction of the time from arrival to the deadline.
+
+A request that is queued for longer can't be answered in the remaining time, here or
+at another entry.
+"""
 
 MIN_QUEUE_LIMIT = 2
-"""Requests that may wait at an entry whatever it has started of late: room comes
-for many at once when an engine comes."""
+"""Requests that may always wait at an entry, however few it has started recently.
+
+A new engine brings capacity for many requests at once.
+"""
 
 RETURNED_WAIT_OBJECTIVE_FRACTION = 0.25
-"""The same of one that was refused before and has used up its wait."""
+"""Wait always granted to a request, as a fraction of its objective, from this arrival.
+
+It matters for a request that was refused before and has used up its wait.
+"""
 
 START_RATE_WINDOW = Millis(4_000)
-"""Time over which the starts of generations are counted, and for which a refusal
-tells that the pool is full."""
+"""Milliseconds over which starts of requests are counted.
+
+It is also the time for which a refusal marks the service as overloaded.
+"""
 
 MIN_RETRY_AFTER = Millis(300)
-"""A refused caller's pause: engines free memory a few times a second."""
+"""Shortest Retry-After of a refusal in milliseconds, before a random part is added.
+
+Engines free memory a few times a second.
+"""
 
 MAX_RETRY_AFTER = Millis(8_000)
-"""Longest pause; what is told farther ahead is a guess."""
+"""Longest Retry-After of a refusal in milliseconds, before a random part is added.
+
+Predictions further ahead are guesses.
+"""
 
 RETRY_AFTER_DIVISOR = 3
-"""Callers come back within this part of the time that they have left."""
+"""Divisor of the time to the deadline that gives the upper bound of Retry-After."""
 
 
 def find_wait_limit(state: State, request: Request, now: Millis) -> Millis:
-    """Return until when a request may wait for room."""
+    """Return the time until which a request may wait for capacity."""
     objective = request.route.objective
     share = WAIT_OBJECTIVE_FRACTION
     if _is_overloaded(state, request.service, now):
-        # Room goes to those who can be in time; the others wait in vain.
+        # Capacity goes to requests that can still meet their objective; late ones would
+        # wait in vain.
         share = placement.LATE_OBJECTIVE_FRACTION
     wait = max(
         request.first_arrived + round(objective * share),
@@ -59,7 +79,7 @@
 
 
 def can_wait(state: State, request: Request, now: Millis) -> bool:
-    """Tell whether a request that finds no room may expect some in time."""
+    """Return whether a request without a target may expect capacity within its wait."""
     limit = find_wait_limit(state, request, now)
     if now >= limit or not placement.can_send_before(state, request, now, limit):
         return False
@@ -77,7 +97,7 @@
 
 
 def record_start(state: State, request: Request, now: Millis) -> None:
-    """Count that a generation was started."""
+    """Record the start of a request."""
     starts = state.start_times.setdefault(request.service, [])
     starts[:] = [at for at in starts if now - at < START_RATE_WINDOW]
     starts.append(now)
@@ -88,11 +108,11 @@
 
 
 def choose_retry_after(state: State, request: Request, now: Millis) -> Millis:
-    """Return when a refused caller should come back.
+    """Return the Retry-After of a refused request in milliseconds.
 
-    Returns are told one after another, behind what waits already and no more of
-    them than room is expected for, so that a caller who keeps to its time isn't
-    refused again. The part drawn at random keeps the entries apart.
+    Returns are scheduled one after another, behind the queued requests, and no faster
+    than capacity is expected, so that a caller that keeps to its time isn't refused
+    again. A random part keeps callers of different entries apart.
     """
     started = _count_starts(state, request.service, now, START_RATE_WINDOW)
     interval = START_RATE_WINDOW // max(1, started)
--- a/figstep/gateway/attempts.py
+++ b/figstep/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: opening, closing and what they take at their targets."""
+"""Opens and closes attempts, and accounts for their load at targets."""
 
 from figstep.core.clock import Millis
 from figstep.gateway import crashes, limits, placement, warmups
@@ -16,13 +16,17 @@
 from figstep.gateway.targets import Target
 
 BASE_PRIORITY = 4
-"""Urgency at an engine of the most urgent route, of 0 to 9. Runs that go on
-elsewhere get a better one, less urgent routes a worse one."""
+"""Engine priority of a run of the most urgent route, from 0 to 9; 0 is the most urgent.
+
+Runs that resume on another engine get a more urgent one, less urgent routes a less
+urgent one.
+"""
 
 RESUMED_PRIORITY = 1
-"""Urgency of a run that goes on: its caller is waiting in mid-answer."""
+"""Engine priority of a run that resumes from a copy: its caller waits in mid-answer."""
 
 LOWEST_PRIORITY = 9
+"""Least urgent engine priority."""
 
 
 def start_attempt(
@@ -31,7 +35,7 @@
     """Send a request to a target as a run from its start."""
     choice_fields: dict[str, str | int | float | None] = {}
     if request.spec.prompt is not None:
-        # As it was when the choice was made.
+        # The fields describe the engine as it was when it was chosen.
         choice_fields = placement.describe_choice(state, request, target, now)
     attempt = _add_attempt(state, request, target, None, now)
     request.current = attempt
@@ -46,10 +50,10 @@
 
 
 def _is_remote_in_large_fleet(state: State, target: Target) -> bool:
-    """Tell whether other failure domains choose a target without knowing of this.
+    """Return whether peers must learn at once of an attempt at a target.
 
-    Those that have few engines of their own use those of others. Told a moment
-    later, all of them would pick the same engine meanwhile.
+    In a large fleet, failure domains with few engines of their own use those of others.
+    Told a moment later, all of them would choose the same engine meanwhile.
     """
     if not state.is_large:
         return False
@@ -59,7 +63,10 @@
 def start_standby(
     state: State, request: Request, copy: RunCopy, now: Millis
 ) -> list[Effect]:
-    """Go on with a run from its copy, beside the attempt that has it now."""
+    """Resume a run from its copy, beside the attempt that runs it now.
+
+    Returns no effects if the copy's holder is unknown.
+    """
     target = state.targets.find(copy.holder)
     if target is None:
         return []
@@ -74,7 +81,7 @@
 
 
 def end_attempt(state: State, attempt: Attempt) -> None:
-    """Forget an attempt and what it took at its targets."""
+    """Remove an attempt, and its load from its targets."""
     if state.attempts.pop(attempt.number, None) is None:
         return
     request = state.requests.get(attempt.request)
@@ -94,7 +101,7 @@
 def reserve_copy(
     state: State, request: Request, source: Target, holder: Target
 ) -> None:
-    """Count what a copy on order takes of its holder's memory and of both links."""
+    """Count a copy on order in its holder's memory and on the links of both engines."""
     copied = request.copied_tokens if request.copy_destination is holder else 0
     release_copy(request)
     memory = placement.estimate_memory(state, request)
@@ -109,7 +116,7 @@
 
 
 def end_copying(request: Request) -> None:
-    """Stop counting a copy on its links: it is made, or never will be."""
+    """Stop counting a copy on its links: it is complete, or will never be."""
     if request.copy_source is not None and request.copy_destination is not None:
         request.copy_source.outgoing -= request.copying_tokens
         request.copy_destination.incoming -= request.copying_tokens
@@ -129,7 +136,7 @@
 
 
 def record_prompt_read(attempt: Attempt, now: Millis) -> None:
-    """Note that an attempt's first event came: its prompt has been read."""
+    """Record that an attempt's first event arrived: its prompt has been read."""
     if not attempt.reading:
         return
     elapsed = now - attempt.opened
@@ -139,7 +146,7 @@
 
 
 def update_memory(state: State, request: Request, attempt: Attempt) -> None:
-    """Count what a run has come to need, at its engine and in its copy."""
+    """Update the expected memory of a run, at its engine and in its backup."""
     memory = placement.estimate_memory(state, request)
     grown = memory - attempt.memory
     attempt.memory = memory
@@ -161,7 +168,7 @@
 
 
 def close_request(state: State, request: Request, now: Millis) -> list[Effect]:
-    """Forget a request; what still runs for it is ended."""
+    """Remove a request and end everything that still runs for it."""
     effects = close_attempt(state, request.current, now)
     effects += close_attempt(state, request.standby, now)
     state.requests.pop(request.spec.number, None)
@@ -171,8 +178,8 @@
         request.queued = False
     copy = request.copy
     if copy is not None and copy.owner != copy.holder:
-        # A copy made on order would hold its memory for seconds; a running
-        # backup ends with its run.
+        # A copy made on order would hold its memory for seconds; a running backup ends
+        # with its run.
         effects.append(DropCopy(copy))
     return effects
 
@@ -182,12 +189,12 @@
 ) -> Target | None:
     pool = placement.find_engine_pool(state, request.service)
     if pool is None or not pool.backups or request.route.idempotent:
-        # A stream that may start anew elsewhere needs no copy.
+        # A stream that may restart on another engine needs no copy.
         return None
     if pool.moves:
-        # Copies on order protect a run as well, and only while there is room: a
-        # running backup takes memory from the first token on, prompts wait for
-        # it, and other runs are preempted.
+        # Copies on order protect a run as well, and only while there is free memory. A
+        # running backup takes memory from the first token on: prompts wait for it, and
+        # other runs are preempted.
         return None
     if request.route.kind is not RouteKind.STREAM:
         return None
--- a/figstep/gateway/budgets.py
+++ b/figstep/gateway/budgets.py
@@ -1,9 +1,9 @@
-"""Retry budget of the fleet, held by all entries together.
+"""Retry budget of the fleet, shared by all entries.
 
 In any window a service may get repeats up to a ratio of its requests plus an
-allowance, summed over all entries. Entries tell each other what they used, so
-that one that has many streams on an engine that leaves may use what the others
-don't need. An entry that misses some of the others keeps to an equal part.
+allowance, summed over all entries. Entries report their use to each other, so that
+one that has many streams on a leaving engine may use what the others don't need. An
+entry that does not receive the reports of some others keeps to an equal share.
 """
 
 from collections import deque
@@ -12,28 +12,43 @@
 from figstep.core.clock import Millis
 
 SHARED_FRACTION = 0.6
-"""Part of the fleet's bound that is used while all entries hear each other. A
-message takes up to 0.1 s; what all of them start meanwhile fits the rest."""
+"""Fraction of the fleet's bound that is used while all entries report to each other.
+
+A message takes up to 0.1 s; the rest of the bound covers the repeats that all entries
+start meanwhile.
+"""
 
 URGENT_FRACTION = 0.8
-"""The same for streams whose engine leaves: denied, they would be lost. The rest
-holds what all entries start within one message's time."""
+"""Fraction of the fleet's bound that is used for streams whose engine leaves.
+
+A stream that is denied a repeat would be lost. The rest of the bound covers what all
+entries start within the time of one message.
+"""
 
 ISOLATED_FRACTION = 0.7
-"""Part of an entry's own share that is used while others are not heard: windows
-slide, and a target counts a repeat some milliseconds after it was sent."""
+"""Fraction of an entry's own share that is used while reports of others are missing.
+
+Windows slide, and a target counts a repeat some milliseconds after it was sent.
+"""
 
 UNKNOWN_ENTRIES = 4
-"""Entries that may exist without having been heard of: added or restarting."""
+"""Entries that may exist without having reported: new or restarting ones."""
 
 URGENT_RESERVE_FRACTION = 0.3
-"""Part of the bound that is kept for streams whose engine leaves. One of these
-is worth tens of short requests that could be tried again instead."""
+"""Fraction of the bound that is reserved for streams whose engine leaves.
+
+One of these is worth tens of short requests that could be retried instead.
+"""
 
 
 @dataclass(slots=True)
 class ServiceUse:
-    """Times of what was sent to one service, oldest first."""
+    """Requests and repeats sent to one service.
+
+    Attributes:
+        requests: Monotonic times of requests in milliseconds, oldest first.
+        repeats: Monotonic times of repeats in milliseconds, oldest first.
+    """
 
     requests: deque[Millis] = field(default_factory=deque)
     repeats: deque[Millis] = field(default_factory=deque)
@@ -41,12 +56,12 @@
 
 @dataclass(frozen=True, slots=True)
 class UseReport:
-    """What one entry sent to a service within a window.
+    """Requests and repeats that one entry sent to a service within a window.
 
     Attributes:
-        service: The service.
-        requests: Requests of its callers.
-        repeats: Arrivals beyond the first of each request.
+        service: Name of the service.
+        requests: Number of its callers' requests.
+        repeats: Number of arrivals beyond the first of each request.
     """
 
     service: str
@@ -56,14 +71,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetUse:
-    """What the entries that share with this one sent to a service.
+    """Requests and repeats of the other entries that share the budget, at a service.
 
     Attributes:
-        requests: Requests of their callers.
-        repeats: Their arrivals beyond the first of each request.
-        entries: Entries that share, this one included.
-        complete: Whether all of them are heard now.
-        fleet_fraction: Their part of all entries of the fleet.
+        requests: Number of their callers' requests.
+        repeats: Number of their arrivals beyond the first of each request.
+        entries: Number of entries that share the budget, this one included.
+        complete: Whether all of these entries report now.
+        fleet_fraction: These entries as a fraction of the whole fleet, 0 to 1.
     """
 
     requests: int
@@ -75,16 +90,16 @@
 
 @dataclass(slots=True)
 class RetryBudget:
-    """What this entry may send beyond the first arrival of each request.
+    """Repeats that this entry may send beyond the first arrival of each request.
 
     Attributes:
-        ratio: Repeats for each request.
-        allowance: Repeats of the whole fleet beyond the ratio, in a window.
-        window: Length of the sliding window.
-        started: When this entry started; before a window has passed, repeats
-            of its earlier process may still count.
+        ratio: Repeats per request.
+        allowance: Repeats of the whole fleet beyond the ratio, per window.
+        window: Length of the sliding window in milliseconds.
+        started: When this entry started; until a window has passed, repeats of its
+            earlier process may still count.
         first_start: Whether no earlier process of this entry can have sent anything.
-        uses: What was sent, by service.
+        uses: Requests and repeats sent, by service.
     """
 
     ratio: float
@@ -95,23 +110,23 @@
     uses: dict[str, ServiceUse] = field(default_factory=dict)
 
     def record_request(self, service: str, now: Millis) -> None:
-        """Count a caller's request for a service."""
+        """Record a caller's request for a service."""
         self._trim(service, now).requests.append(now)
 
     def count_requests(self, service: str, now: Millis) -> int:
-        """Return this entry's requests for a service within the window."""
+        """Return this entry's number of requests for a service in the window."""
         return len(self._trim(service, now).requests)
 
     def can_repeat(
         self, service: str, fleet: FleetUse, now: Millis, urgent: bool = False
     ) -> bool:
-        """Tell whether one more repeat keeps the fleet within its bound.
+        """Return whether one more repeat keeps the fleet within its bound.
 
         Args:
-            service: Service that it goes to.
-            fleet: What the other entries sent there.
-            now: Monotonic time.
-            urgent: Whether it may use what is kept for streams in danger.
+            service: Service that the repeat goes to.
+            fleet: Requests and repeats of the other entries for this service.
+            now: Monotonic time in milliseconds.
+            urgent: Whether the repeat may use the reserve for urgent streams.
         """
         use = self._trim(service, now)
         usable_fraction = 1.0 if urgent else 1.0 - URGENT_RESERVE_FRACTION
@@ -129,15 +144,15 @@
         return len(use.repeats) + 1 <= usable_fraction * bound
 
     def record_repeat(self, service: str, now: Millis) -> None:
-        """Count an arrival beyond the first of a request."""
+        """Record an arrival beyond the first of a request."""
         self._trim(service, now).repeats.append(now)
 
     def count_repeats(self, service: str, now: Millis) -> int:
-        """Return this entry's repeats at a service within the window."""
+        """Return this entry's number of repeats at a service in the window."""
         return len(self._trim(service, now).repeats)
 
     def report(self, now: Millis) -> tuple[UseReport, ...]:
-        """Return what was sent to each service within the window."""
+        """Return the requests and repeats sent to each service within the window."""
         reports = []
         for service in list(self.uses):
             use = self._trim(service, now)
--- a/figstep/gateway/copies.py
+++ b/figstep/gateway/copies.py
@@ -1,4 +1,4 @@
-"""Copies of running generations, and going on from them when an engine leaves."""
+"""Copies running generations and resumes them on another engine when theirs leaves."""
 
 from figstep.core.clock import Millis
 from figstep.gateway import attempts, eligibility, limits, peers, placement
@@ -15,41 +15,57 @@
 from figstep.gateway.targets import Standing, Target
 
 SWITCH_WAIT_TIMEOUT = Millis(800)
-"""How long after the notice a run waits for its holder to have read all prompts:
-its events take three times as long while it reads one, and the change-over costs
-two of them. The notice leaves 0.7 s for what fails then."""
+"""Milliseconds after the notice for which a switch waits for its holder.
+
+The holder is to have read all its prompts first: while it reads one, the run's events
+take three times as long, and the switch costs two of them. The notice then leaves
+0.7 s for a switch that fails.
+"""
 
 BACKUP_ARRIVAL_DELAY = Millis(400)
-"""How long after a run's first event its running backup may not be there yet. One
-tried too early is spoiled, and a whole copy has to be made in its place."""
+"""Milliseconds after a run's first event in which its running backup may be missing.
+
+A backup that is tried too early becomes unusable, and a whole copy has to be made in
+its place.
+"""
 
 REFRESH_AGE_FRACTION = 0.6
-"""Part of the time that a copy on order is kept after which it is brought up to
-date: a second try still comes before it is dropped."""
+"""Fraction of a copy's retention after which a copy on order is refreshed.
+
+If the refresh fails, a second one still comes before the copy is dropped.
+"""
 
 MIN_REMAINING_TOKENS = 250
-"""Expected tokens still to come below which a run gets no copy on order: it ends
-in a second and a half, and engines leave every few seconds."""
+"""Expected remaining tokens below which a run gets no proactive copy.
+
+Such a run ends within 1.5 s, and engines leave every few seconds.
+"""
 
 STALE_COPY_AGE = Millis(300)
-"""Age of a copy from which it is brought up to date before a change-over."""
+"""Age of a copy, in milliseconds, from which it is refreshed before a switch."""
 
 REFRESH_TIMEOUT = Millis(400)
-"""How long that may take: links carry the copies of all runs one after another,
-and a run of which there is a copy must not be lost for a newer one."""
+"""Milliseconds that a refresh may take before the switch uses the older copy.
+
+Links carry the copies of all runs one after another, and a run that has a copy must
+not be lost while it waits for a newer one.
+"""
 
 LAST_COPY_ORDER_DELAY = Millis(900)
-"""How long after the notice a copy that is ordered still arrives in time: it takes
-up to half a second, and engines are gone 1.5 s after their notice at the earliest."""
+"""Milliseconds after the notice until which an ordered copy still arrives in time.
+
+A copy takes up to half a second, and engines end 1.5 s after their notice at the
+earliest.
+"""
 
 
 def handle_copy_made(state: State, event: RunCopied, now: Millis) -> list[Effect]:
-    """A copy is complete: go on there if the run's engine leaves."""
+    """Record a complete copy, and switch to it if the run's engine leaves."""
     copy = RunCopy(event.holder, event.source, event.handle)
     request = state.requests.get(event.number)
     current = None if request is None else request.current
     if request is None or current is None or current.target.name != event.source:
-        # Its run ended or went on elsewhere meanwhile.
+        # The run has ended or has resumed on another engine meanwhile.
         return [DropCopy(copy)]
     request.copied_tokens = request.copy_memory
     attempts.end_copying(request)
@@ -68,7 +84,7 @@
 
 
 def handle_copy_failed(state: State, event: RunNotCopied, now: Millis) -> list[Effect]:
-    """A copy could not be made: try another engine."""
+    """Record that a holder could not take a copy, and try another engine."""
     request = state.requests.get(event.number)
     if request is None:
         return []
@@ -87,7 +103,7 @@
 
 
 def migrate_streams(state: State, now: Millis) -> list[Effect]:
-    """Move streams away from engines that leave, the most valuable first."""
+    """Move streams away from engines that leave, the longest remaining ones first."""
     affected = []
     for request in state.requests.values():
         current = request.current
@@ -96,7 +112,7 @@
         if current.target.standing is Standing.READY:
             continue
         affected.append(request)
-    # What has most left to come loses most if it is cut.
+    # The run with the most remaining tokens loses most if it is cut.
     affected.sort(
         key=lambda request: count_remaining_tokens(state, request), reverse=True
     )
@@ -107,7 +123,10 @@
 
 
 def count_remaining_tokens(state: State, request: Request) -> int:
-    """Return how many tokens a run is expected to generate yet."""
+    """Return how many tokens a run is expected to generate still; 0 without a prompt.
+
+    The number is negative for a run that has exceeded its expected length.
+    """
     prompt = request.spec.prompt
     if prompt is None:
         return 0
@@ -117,7 +136,10 @@
 
 
 def migrate_request(state: State, request: Request, now: Millis) -> list[Effect]:
-    """Go on elsewhere with a run whose engine leaves."""
+    """Move a run off an engine that leaves: refresh or order its copy, or switch to it.
+
+    Returns no effects if there is nothing to do now.
+    """
     current = request.current
     if current is None or request.standby is not None:
         return []
@@ -126,7 +148,7 @@
     if current.target.standing is Standing.READY or not request.stream_begun:
         return []
     if request.route.resumable:
-        # Short ones end before their engine does; the rest go on anew.
+        # Short streams end before their engine does; the others restart elsewhere.
         return []
     discard_unusable_copy(state, request)
     if request.copy is not None:
@@ -140,10 +162,11 @@
 
 
 def _should_refresh_copy(request: Request, current: Attempt, now: Millis) -> bool:
-    """Tell whether a copy is brought up to date before the run goes on from it.
+    """Return whether a copy is refreshed before the run resumes from it.
 
-    What it lacks has to be read at its holder while the other engine goes on, and
-    then generated again: the caller sees a pause of both. It is tried once.
+    Tokens that the copy lacks have to be read at its holder while the other engine
+    continues, and are then generated again: the caller sees a pause of both. A refresh
+    is tried once in a notice.
     """
     copy = request.copy
     left_at = current.target.left_at
@@ -157,14 +180,14 @@
 
 
 def _has_refresh_timed_out(request: Request, now: Millis) -> bool:
-    """Tell whether a run goes on from an older copy: the newer one takes too long."""
+    """Return whether a refresh takes too long: the run resumes from an older copy."""
     if request.copy is None:
         return False
     return now - request.copy_ordered_at >= REFRESH_TIMEOUT
 
 
 def _should_delay_switch(state: State, request: Request, now: Millis) -> bool:
-    """Tell whether a change-over goes better a little later in the notice."""
+    """Return whether a switch is cheaper a little later in the notice."""
     current = request.current
     copy = request.copy
     if current is None or copy is None or current.target.left_at is None:
@@ -183,11 +206,11 @@
 
 
 def is_too_late_to_copy(source: Target, now: Millis) -> bool:
-    """Tell whether an engine is gone before one more copy of a run could be made.
+    """Return whether an engine ends before one more copy of a run could be made.
 
-    A copy is used up as a holder is asked to go on from it. One that is busy may
-    take longer than a run may be open at both; to give up on it then would lose
-    the stream with its engine.
+    A copy is used up once its holder is asked to resume from it. A busy holder may take
+    longer to start than `streams.MAX_OVERLAP`; abandoning it when no other copy can be
+    made would lose the stream with its engine.
     """
     if source.left_at is None:
         return False
@@ -195,7 +218,7 @@
 
 
 def discard_unusable_copy(state: State, request: Request) -> None:
-    """Drop what is known of a copy whose holder takes no more work of its run."""
+    """Discard the record of a copy whose holder accepts no more work of the run."""
     if request.copy is None:
         return
     holder = state.targets.find(request.copy.holder)
@@ -204,7 +227,10 @@
 
 
 def switch_to_copy(state: State, request: Request, now: Millis) -> list[Effect]:
-    """Open the run's copy beside its present engine, within the retry budget."""
+    """Open the run's copy beside its present engine, within the retry budget.
+
+    Does nothing if the holder's rate or pause permits no request now.
+    """
     copy = request.copy
     if copy is None:
         return []
@@ -256,12 +282,12 @@
 
 
 def order_proactive_copies(state: State, now: Millis) -> list[Effect]:
-    """Have copies made of long runs whose engine stays, while there is room.
+    """Order copies of long runs whose engine stays, while there is free memory.
 
-    In the notice all runs of an engine are copied at once: copies queue on its
-    link, and the last of six or seven are not made before it is gone. Without a
-    copy made ahead a run is also lost with an engine that leaves without notice.
-    One run of each engine is copied at a time, so that none of a notice waits.
+    In a notice all runs of an engine are copied at once: copies queue on its link, and
+    the last of six or seven are not made before it ends. A run without a proactive copy
+    is also lost with an engine that leaves without notice. One run of each engine is
+    copied at a time, so that no copy of a notice has to wait.
     """
     effects: list[Effect] = []
     copy_sources = _list_copy_sources(state)
@@ -284,12 +310,12 @@
 
 
 def drop_copies_for_memory(state: State, now: Millis) -> list[Effect]:
-    """Drop copies made ahead at engines that are expected to run out of memory.
+    """Drop proactive copies at engines that are expected to run out of memory.
 
-    An engine that does so preempts a run, whose caller then sees a pause of the
-    half second that its prompt takes to be read again. A copy dropped costs
-    something only if its run's engine leaves before the next one is made. One
-    of each engine goes at a time, as other entries drop theirs as well.
+    An engine that runs out of memory preempts a run, whose caller sees a pause of the
+    half second in which its prompt is read again. A dropped copy costs something only
+    if its run's engine leaves before the next one is made. One copy per holder is
+    dropped at a time, as other entries drop theirs as well.
     """
     effects: list[Effect] = []
     relieved_holders: set[str] = set()
@@ -347,7 +373,7 @@
     if request.route.kind is not RouteKind.STREAM:
         return False
     if not current.target.accepts_work or limits.is_limited(current.target):
-        # One in need is spared the copies that its runs may never use.
+        # A rate-limited target is not loaded with copies that may never be used.
         return False
     pool = placement.find_engine_pool(state, request.service)
     if pool is None or not pool.moves:
@@ -378,10 +404,10 @@
 ) -> list[Effect]:
     holder = None
     if request.copy is not None:
-        # Only what is new is copied to where the rest is already.
+        # The holder already has the rest of the run: only new tokens are copied.
         holder = state.targets.find(request.copy.holder)
     elif not state.queue:
-        # A prompt that waits is worth more than a copy that may not be needed.
+        # A queued prompt matters more than a copy that may not be needed.
         holder = placement.choose_copy_holder(
             state,
             request,
@@ -396,10 +422,10 @@
 
 
 def _is_link_busy(source: Target, holder: Target) -> bool:
-    """Tell whether a link that a copy made ahead would take is in use.
+    """Return whether a link that a proactive copy would use carries another copy.
 
-    Links carry copies one after another. As a new engine comes, all entries have
-    runs to copy to it; those of an engine whose notice comes then would wait
-    behind them for longer than the notice lasts, and be lost.
+    Links carry copies one after another. When a new engine joins, all entries have
+    runs to copy to it; if another engine's notice came then, its runs would queue
+    behind those for longer than the notice lasts, and be lost.
     """
     return bool(source.outgoing_load or holder.incoming_load)
--- a/figstep/gateway/effects.py
+++ b/figstep/gateway/effects.py
@@ -1,4 +1,4 @@
-"""Effects: everything the gateway's reducer asks the edges to do."""
+"""Effects that the gateway's reducer requests from the edges."""
 
 from dataclasses import dataclass, field
 
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RunCopy:
-    """Memory of a run that is kept away from the engine that runs it.
+    """Copy of a run's memory at an engine other than the one that runs it.
 
     Attributes:
-        holder: Target that holds it.
-        owner: Target whose address names it: the holder for a running backup,
-            the source for a copy made on order.
-        handle: Its name there.
+        holder: Target that holds the copy.
+        owner: Target whose address identifies the copy: the holder for a running
+            backup, the source for a copy made on order.
+        handle: Name of the copy at that address.
     """
 
     holder: str
@@ -27,16 +27,16 @@
     """Send a request to a target.
 
     Attributes:
-        number: The request.
+        number: Number of the request.
         attempt: Number of the attempt, unique in this process.
-        target: Target to send it to.
-        customer: Name of its customer, or "".
-        deadline: When the target may stop work (monotonic).
-        priority: Urgency for the engine; 0 is first. None for plain services.
-        backup: Target that gets a running copy, or "".
-        source: Copy of the run to go on from, or None.
-        after: Id of the last event that is not wanted again, or None.
-        stream: Whether its answer is a stream of events.
+        target: Target to send the request to.
+        customer: Name of the request's customer, or "".
+        deadline: Monotonic time at which the target may stop work.
+        priority: Urgency for the engine; 0 is the most urgent. None for plain services.
+        backup: Target that gets a running backup, or "".
+        source: Copy of the run to resume from, or None.
+        after: Id of the last event that is not needed again, or None.
+        stream: Whether the answer is a stream of events.
     """
 
     number: int
@@ -53,14 +53,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseAttempt:
-    """Drop an attempt's connection, which ends its run."""
+    """Close an attempt's connection, which ends its run."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class CopyRun:
-    """Order the engine that runs a request to copy it to another engine."""
+    """Order the engine that runs a request to copy the run to another engine.
+
+    Attributes:
+        number: Number of the request.
+        source: Target that runs it.
+        holder: Target that is to hold the copy.
+    """
 
     number: int
     source: str
@@ -69,47 +75,47 @@
 
 @dataclass(frozen=True, slots=True)
 class DropCopy:
-    """Free a copy that is of no use any more."""
+    """Free a copy that is no longer needed."""
 
     copy: RunCopy
 
 
 @dataclass(frozen=True, slots=True)
 class ReadReport:
-    """Ask an engine for its state."""
+    """Query an engine for its state."""
 
     target: str
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeTarget:
-    """Look whether a target still listens at its address."""
+    """Probe whether a target still listens at its address."""
 
     target: str
 
 
 @dataclass(frozen=True, slots=True)
 class FetchRecords:
-    """Ask a peer at "ip:port" for the configuration and the registrations."""
+    """Fetch the configuration and the registrations from a peer at "ip:port"."""
 
     address: str
 
 
 @dataclass(frozen=True, slots=True)
 class Announce:
-    """Tell the other entries at once what this one knows and has open."""
+    """Report to the other entries at once what this one knows and has open."""
 
 
 @dataclass(frozen=True, slots=True)
 class AnnounceTarget:
-    """Tell other failure domains at once what this one has open at a target."""
+    """Report to other failure domains at once what this one has open at a target."""
 
     target: str
 
 
 @dataclass(frozen=True, slots=True)
 class BeginStream:
-    """Start the caller's answer with the headers that an attempt got."""
+    """Start the caller's answer with the headers that an attempt received."""
 
     number: int
     attempt: int
@@ -117,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deliver:
-    """Hand bytes of a stream to the caller."""
+    """Send bytes of a stream to the caller."""
 
     number: int
     data: bytes
@@ -125,21 +131,21 @@
 
 @dataclass(frozen=True, slots=True)
 class FinishStream:
-    """The stream is whole: end the caller's answer."""
+    """End the caller's answer: the stream is complete."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class BreakStream:
-    """The stream can't go on: cut the caller's connection."""
+    """Cut the caller's connection: the stream can't continue."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Give the caller the whole answer that an attempt got."""
+    """Send the caller the whole answer that an attempt received."""
 
     number: int
     attempt: int
@@ -147,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Give the caller a final answer of our own."""
+    """Send the caller a problem of this entry as its final answer."""
 
     number: int
     problem: Problem
@@ -155,7 +161,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Count:
-    """Add to a counter."""
+    """Increment a counter by one.
+
+    Attributes:
+        name: Name of the counter.
+        labels: Values of its labels.
+    """
 
     name: str
     labels: tuple[str, ...] = ()
@@ -163,7 +174,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Observe:
-    """Add a duration to a histogram."""
+    """Add a duration to a histogram.
+
+    Attributes:
+        name: Name of the histogram.
+        millis: Duration in milliseconds.
+        label: Value of its label.
+    """
 
     name: str
     millis: int
@@ -175,8 +192,8 @@
     """Write one line to the structured log.
 
     Attributes:
-        message: What was decided.
-        fields: The request's id, the inputs, their age or version, the outcome.
+        message: Text of the line: the decision or event.
+        fields: Id of the request, the inputs with their age or version, the outcome.
     """
 
     message: str
--- a/figstep/gateway/placement.py
+++ b/figstep/gateway/placement.py
@@ -1,4 +1,4 @@
-"""Choice of targets: for calls, for generations and for copies of their runs."""
+"""Chooses targets for calls, generations and copies of running generations."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -10,106 +10,159 @@
 from figstep.gateway.targets import TYPICAL_READ_RATE, Target
 
 MAX_MEMORY_FRACTION = 0.95
-"""Part of an engine's memory that expected work may fill. Lengths are known at
-the median only; what is left takes the answers that outgrow their hint."""
+"""Largest fraction of an engine's memory that expected work may fill.
+
+Lengths are known at the median only; the rest takes answers that exceed their hint.
+"""
 
 LATE_MAX_MEMORY_FRACTION = 0.7
-"""The same for requests that will be late in any case. They yield to those that
-can be in time, also where these wait at other entries."""
+"""Largest fraction of an engine's memory for a request that is late in any case.
+
+Late requests yield memory to those that can still meet their objective, also to
+those that wait at other entries.
+"""
 
 LATE_OBJECTIVE_FRACTION = 0.5
-"""Part of its objective after which a waiting request will be late: reading its
-prompt takes most of the rest."""
+"""Fraction of its objective after which a waiting request counts as late.
+
+Reading its prompt takes most of the remaining time.
+"""
 
 BACKUP_MAX_MEMORY_FRACTION = 0.7
-"""The same for running backups. Under load a prompt that finds no room costs more
-than a run that is lost only if its engine leaves."""
+"""Largest fraction of an engine's memory that may be filled with a running backup.
+
+Under load, a prompt that finds no memory costs more than a run that is lost only if
+its engine leaves.
+"""
 
 PROACTIVE_MAX_MEMORY_FRACTION = 0.6
-"""The same for copies made ahead on order, which most runs can still be given in
-the notice: prompts need room for all that one engine held when it leaves."""
+"""Largest fraction of an engine's memory that may be filled with a proactive copy.
+
+A proactive copy is ordered while the run's engine stays. Most runs can still be
+copied within the notice, and prompts need memory for everything that one engine held
+when it leaves.
+"""
 
 COPY_RETRY_DELAY = Millis(1_000)
-"""How long an engine that had no room for a copy is not asked for the same run."""
+"""Milliseconds before an engine without memory for a run's copy is asked again.
+
+It applies while the run's engine stays.
+"""
 
 NOTICE_COPY_RETRY_DELAY = Millis(250)
-"""The same once the run's engine leaves: runs end at the others several times a
-second, and a notice is 1.5 s long."""
+"""Milliseconds before an engine is asked again once the run's engine leaves.
+
+It is shorter than `COPY_RETRY_DELAY`: runs at the other engines end several times a
+second, and a notice lasts 1.5 s.
+"""
 
 MIGRATION_MAX_MEMORY_FRACTION = 1.1
-"""The same for a run whose engine leaves: it is lost otherwise. Expected memory
-holds two seconds of growth, so an engine at 1.0 has some room yet."""
+"""Largest fraction of an engine's memory filled with a run whose engine leaves.
+
+Without a copy the run is lost. Expected memory includes two seconds of growth, so an
+engine at 1.0 still has some free memory.
+"""
 
 FAILURE_COST = 8.0
-"""Open calls that a target failing everything is worth in a comparison."""
+"""Cost of a target that fails everything, in open calls per slot of that target.
+
+It is scaled by the failed fraction above `TOLERATED_FAILURE_FRACTION`.
+"""
 
 TOLERATED_FAILURE_FRACTION = 0.25
-"""Failed part that is no reason to avoid a target: services answer some calls
-with errors of their own while they are well."""
+"""Failed fraction of a target's attempts, 0 to 1, that adds no cost.
+
+Healthy services also answer some calls with errors of their own.
+"""
 
 REMOTE_CALL_COST = 0.5
-"""Open calls that the caller's own failure domain is worth in a comparison.
-Bytes between failure domains cost; half a call never outweighs real load."""
+"""Cost of a plain service's target in another failure domain, in open calls.
+
+Traffic between failure domains has a price; half a call never outweighs real load.
+"""
 
 REMOTE_COPY_COST = 0.15
-"""Part of its memory that a holder in the run's own failure domain is worth in
-a comparison: copies between failure domains take twice as long."""
+"""Cost of a holder in another failure domain, as a fraction of its memory.
+
+It applies to copies of runs whose engine leaves, in a small fleet: copies between
+failure domains take twice as long.
+"""
 
 LARGE_FLEET_REMOTE_COPY_COST = 0.6
-"""The same in a large fleet, where far loads are known a little later."""
+"""Cost of a holder in another failure domain in a large fleet, as a fraction of memory.
+
+It is higher than `REMOTE_COPY_COST` because loads of other failure domains become
+known a little later.
+"""
 
 LOCAL_PROACTIVE_COPY_COST = 0.6
-"""The same for a holder elsewhere of a copy made ahead: a failure domain that is
-lost as a whole takes its runs and the copies that lie there."""
+"""Cost of a proactive copy's holder in the run's own domain, in fractions of memory.
+
+A failure domain that is lost as a whole takes its runs and the copies held there.
+"""
 
 COPY_QUEUE_COST = 3.0
-"""The same for each part of its memory that is being copied there already: links
-carry copies one after another, and a notice has time for a few."""
+"""Cost of copies under way to a holder, for each fraction of its memory in transfer.
+
+Links carry copies one after another, and a notice leaves time for only a few.
+"""
 
 SLOW_HOLDER_COST = 0.2
-"""The same for a holder that reads half as fast as the usual: the caller sees a
-pause of some of its events when the run goes on there."""
+"""Cost of a holder that reads at half the typical rate, as a fraction of its memory.
+
+When the run resumes there, the caller sees a pause of several events.
+"""
 
 READING_OBJECTIVE_FRACTION = 0.9
-"""Part of a stream's objective by which its prompt has to be read."""
+"""Fraction of a stream's objective by which its prompt has to be read."""
 
 FULL_MEMORY_COST_MS = 400.0
-"""Milliseconds of reading that a full engine is worth in a comparison: it will
-preempt runs, which pause for about as long as a prompt takes to read."""
+"""Cost of an engine whose memory is full, in milliseconds of prompt reading.
+
+It will preempt runs, which pause for about as long as a prompt takes to read.
+"""
 
 OUTPUT_TOKEN_COST_MS = 0.2
-"""Milliseconds a token of expected output that an engine of the usual speed is
-worth in a comparison; a slow one holds a long run's memory for longer."""
+"""Cost of a token of expected output at an engine of typical speed, in milliseconds.
+
+A slow engine holds a long run's memory for longer.
+"""
 
 FAILURE_COST_MS = 2_000.0
-"""The same for an engine that fails everything."""
+"""Cost of an engine that fails everything, in milliseconds of prompt reading."""
 
 REMOTE_COST_MS = 20.0
-"""The same for an engine in another failure domain."""
+"""Cost of an engine in another failure domain, in milliseconds of prompt reading."""
 
 LARGE_FLEET_REMOTE_COST_MS = 800.0
-"""The same in a large fleet, where prompts that others send to their own engines
-are known a little later: meanwhile one more may have gone there unseen."""
+"""Cost of an engine in another failure domain in a large fleet, in milliseconds.
+
+Prompts that other entries send to their local engines become known a little later,
+so one more may already have gone there.
+"""
 
 MAX_DESCRIBED_ENGINES = 8
-"""Engines named in the log line of a refusal; a large fleet has dozens."""
+"""Most engines named in the log line of a refusal; a large fleet has dozens."""
 
 TIE_BREAK_SPREAD_MS = 20.0
-"""Random milliseconds that keep entries from choosing alike between messages."""
+"""Range of the random cost added to an engine, in milliseconds.
+
+It keeps entries from all choosing the same engine between two messages.
+"""
 
 
 def choose_target(state: State, request: Request, now: Millis) -> Target | None:
-    """Return the target that a request is sent to, or None for no room."""
+    """Return the target that a request is sent to; None without free capacity."""
     if request.spec.prompt is None:
         return choose_call_target(state, request, now)
     return choose_engine(state, request, now)
 
 
 def choose_call_target(state: State, request: Request, now: Millis) -> Target | None:
-    """Return the least loaded target of a plain service.
+    """Return the least loaded target of a plain service, or None if there is none.
 
-    Among equals the draw is random, so that entries which read the same loads
-    don't all pick the same target.
+    Ties are broken at random, so that entries with the same view of the loads don't all
+    pick the same target.
     """
     best = None
     best_cost = 0.0
@@ -127,8 +180,8 @@
 def choose_engine(state: State, request: Request, now: Millis) -> Target | None:
     """Return the engine that is expected to begin a request's answer first.
 
-    Returns None where no engine has room, or none would begin in time: prompts
-    sent all the same would only delay those that are being read already.
+    Returns None if no engine has free memory, or none would begin within the objective:
+    sending the prompt anyway would only delay those that are being read already.
     """
     prompt = request.spec.prompt
     output = 0 if prompt is None else prompt.expected_output
@@ -150,22 +203,22 @@
 
 
 class Obstacle(Enum):
-    """Why an engine can't take a prompt now."""
+    """Reason for which an engine can't accept a prompt now."""
 
-    SLOTS = "slots"  # it runs as many requests as it batches
+    SLOTS = "slots"  # all batch slots are in use
     MEMORY = "memory"  # expected work fills its memory
-    READING = "reading"  # prompts that wait there would make this one late
-    DEADLINE = "deadline"  # its caller would be gone before the first event
+    READING = "reading"  # queued prompts would make it late
+    DEADLINE = "deadline"  # no event before the deadline
 
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """How a prompt would fare at an engine.
+    """Predicted effect of sending a prompt to an engine.
 
     Attributes:
-        filled: Part of the engine's memory that would be in use.
-        reading: Time until the prompt is read, in milliseconds.
-        obstacle: Why it can't go there; None if it can.
+        filled: Fraction of the engine's memory that would be in use.
+        reading: Milliseconds until the prompt is read.
+        obstacle: Why the prompt can't be sent there; None if it can.
     """
 
     filled: float
@@ -198,7 +251,7 @@
 
 
 def describe_obstacles(state: State, request: Request, now: Millis) -> str:
-    """Return, for the log, why each engine can't take a prompt now."""
+    """Describe, for the log, why each engine can't accept a prompt now."""
     found = []
     for target in eligibility.list_eligible(state, request):
         fit = _fit_engine(state, request, target, now)
@@ -219,7 +272,7 @@
 def describe_choice(
     state: State, request: Request, target: Target, now: Millis
 ) -> dict[str, str | int | float | None]:
-    """Return, for the log, what an engine is chosen on."""
+    """Return the log fields on which an engine was chosen."""
     fit = _fit_engine(state, request, target, now)
     return {
         "expected_ms": round(fit.reading),
@@ -231,7 +284,7 @@
 
 
 def is_late(request: Request, now: Millis) -> bool:
-    """Tell whether a request that has not started will miss its objective."""
+    """Return whether a request that has not started will miss its objective."""
     return (
         now - request.first_arrived > LATE_OBJECTIVE_FRACTION * request.route.objective
     )
@@ -245,14 +298,14 @@
     max_fraction: float,
     proactive: bool = False,
 ) -> Target | None:
-    """Return the engine that a run's copy goes to, or None for no room.
+    """Return the engine that a run is copied to, or None if none has free memory.
 
     Args:
         state: The gateway's state.
-        request: Request whose run it is.
-        source: Target that runs it.
-        now: Monotonic time.
-        max_fraction: Part of an engine's memory that may be filled with it.
+        request: Request whose run is copied.
+        source: Name of the target that runs it.
+        now: Monotonic time in milliseconds.
+        max_fraction: Largest fraction of an engine's memory that may be filled with it.
         proactive: Whether the run's engine stays, as far as is known.
     """
     memory = find_engine_memory(state, request.service)
@@ -287,12 +340,12 @@
 
 
 def was_refused_copy(request: Request, name: str, now: Millis, proactive: bool) -> bool:
-    """Tell whether an engine has just had no room for a copy of a run.
+    """Return whether an engine recently had no memory for a copy of a run.
 
     Args:
-        request: Request whose run it is.
-        name: The engine.
-        now: Monotonic time.
+        request: Request whose run is copied.
+        name: Name of the engine.
+        now: Monotonic time in milliseconds.
         proactive: Whether the run's engine stays, as far as is known.
     """
     refused = request.copy_refused_at.get(name)
@@ -301,7 +354,7 @@
 
 
 def estimate_memory(state: State, request: Request) -> int:
-    """Return the tokens that a request needs at an engine within seconds."""
+    """Return the tokens of memory that a request needs at an engine within seconds."""
     prompt = request.spec.prompt
     if prompt is None:
         return 0
@@ -311,21 +364,21 @@
 
 
 def find_engine_pool(state: State, service: str) -> EnginePool | None:
-    """Return what the engines of a service have in common, or None."""
+    """Return the common properties of a service's engines; None for a plain service."""
     found = None if state.table is None else state.table.services.get(service)
     return None if found is None else found.engine
 
 
 def find_engine_memory(state: State, service: str) -> int:
-    """Return the memory of one engine of a service, in tokens."""
+    """Return the memory of one engine of a service, in tokens; 2**30 if unknown."""
     pool = find_engine_pool(state, service)
     return 1 << 30 if pool is None else pool.memory
 
 
 def has_untried_target(state: State, request: Request) -> bool:
-    """Tell whether a target is left that has not lost or refused a request.
+    """Return whether an eligible target is left that the request was not sent to.
 
-    Without one, waiting would only hold its caller.
+    Without one, queueing the request would only keep its caller waiting.
     """
     for target in eligibility.list_eligible(state, request):
         if target.name not in request.tried_targets:
@@ -334,9 +387,10 @@
 
 
 def can_send_before(state: State, request: Request, now: Millis, until: Millis) -> bool:
-    """Tell whether an untried target will take one more request by some time.
+    """Return whether an untried target can be sent one more request by ``until``.
 
-    Those that name a rate may be known to take none before.
+    A target that names a rate or asks for a pause may be known to accept none
+    earlier.
     """
     for target in eligibility.list_eligible(state, request):
         if target.name in request.tried_targets:
@@ -358,12 +412,12 @@
     trusted = [target for target in accepting if target.backoff_until <= now]
     silent = state.targets.find_unreachable_domains(request.service, now)
     reachable = [t for t in trusted if t.info.failure_domain not in silent]
-    # A failure domain that is being lost may take the next target as well.
+    # A failure domain that is failing may lose the next target as well.
     lost = request.lost_domains
     elsewhere = [t for t in reachable if t.info.failure_domain not in lost]
     if elsewhere or reachable:
         return elsewhere or reachable
-    # Where all are avoided, asking one is better than turning callers away for
+    # If every target is avoided, trying one is better than rejecting callers for
     # losses that may be over.
     return trusted or accepting
 
--- a/figstep/gateway/places.py
+++ b/figstep/gateway/places.py
@@ -5,12 +5,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Evacuations:
-    """Failure domains whose targets are to get no more work.
+    """Failure domains whose targets get no more work.
 
     Attributes:
-        domains: Their names.
+        domains: Names of the evacuated failure domains.
         position: Offset in the store up to which the operator's records were read;
-            -1 for nothing. Of two, the one with the higher offset holds.
+            -1 for none. Of two versions, the one with the higher offset applies.
     """
 
     domains: frozenset[str] = frozenset()
@@ -18,4 +18,4 @@
 
 
 NO_EVACUATIONS = Evacuations()
-"""What is known before anything was read."""
+"""Evacuations before any record was read."""
--- a/figstep/gateway/prompts.py
+++ b/figstep/gateway/prompts.py
@@ -1,29 +1,34 @@
-"""What a generation is known to need before it runs."""
+"""Estimates of a generation's size before it runs."""
 
 from dataclasses import dataclass
 
 DEFAULT_OUTPUT_TOKENS = 256
-"""Tokens expected of an answer whose caller gives neither hint nor maximum."""
+"""Expected tokens of an answer whose caller gives neither hint nor maximum."""
 
 MIN_RESERVED_GROWTH = 128
-"""Tokens that a run is expected to grow by at least: half of all runs outgrow
-their hint, and a run that has done so tells nothing of its end."""
+"""Least tokens of growth that are reserved for a run.
+
+Half of all runs exceed their hint, and a run that has done so gives no indication of
+its end.
+"""
 
 MAX_RESERVED_GROWTH = 320
-"""Tokens of growth that are reserved for a run: about two seconds of it. What
-comes later finds room that other runs have left by then."""
+"""Most tokens of growth that are reserved for a run: about two seconds of generation.
+
+Later growth uses memory that other runs have freed by then.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """Size of a generation.
+    """Size of a generation's prompt and answer.
 
     Attributes:
-        model: Model that it asks for.
+        model: Model that is requested.
         tokens: Tokens of the prompt.
-        max_output: Most tokens that it may generate.
-        hint: The caller's estimate of its output, in tokens; None if not given.
-        parts: Ids and tokens of the parts of its prompt, in order.
+        max_output: Most tokens that may be generated; 0 if the caller gives no maximum.
+        hint: The caller's estimate of the output, in tokens; None if not given.
+        parts: Ids and token counts of the parts of the prompt, in order.
     """
 
     model: str
@@ -34,13 +39,13 @@
 
     @property
     def expected_output(self) -> int:
-        """Tokens that the answer is expected to have."""
+        """Expected tokens of the answer."""
         if self.hint is None:
             return min(self.max_output or DEFAULT_OUTPUT_TOKENS, DEFAULT_OUTPUT_TOKENS)
         return max(1, min(self.hint, self.max_output or self.hint))
 
     def estimate_run_memory(self, generated: int) -> int:
-        """Return the memory that its run needs within the next seconds.
+        """Return the tokens of memory that the run needs within the next seconds.
 
         Args:
             generated: Tokens that it has generated so far.
--- a/figstep/gateway/recovery.py
+++ b/figstep/gateway/recovery.py
@@ -1,4 +1,4 @@
-"""What follows a lost attempt."""
+"""Recovers requests whose attempt was lost: switch, resume, retry or refuse."""
 
 from figstep.core.clock import Millis
 from figstep.gateway import (
@@ -18,15 +18,27 @@
 from figstep.gateway.targets import Target
 
 MAX_SENDS = 4
-"""Targets that one request reaches, refusals included. Under overload each
-further one would refuse as well, at the price of its caller's time."""
+"""Most targets that one request reaches, refusals included.
+
+Under overload each further target would refuse as well, at the cost of the caller's
+time.
+"""
 
 NOT_RUN = frozenset({Loss.UNREACHED, Loss.REFUSED, Loss.MISDIRECTED})
-"""Losses that prove that the target ran nothing."""
+"""Losses that prove that the target did not run the request."""
 
 
 def recover_attempt(state: State, event: AttemptLost, now: Millis) -> list[Effect]:
-    """Decide how a request goes on whose attempt was lost."""
+    """Decide how a request continues after it lost an attempt.
+
+    Args:
+        state: The gateway's state.
+        event: The loss; ignored if its attempt is no longer open.
+        now: Monotonic time in milliseconds.
+
+    Returns:
+        Effects that record the loss and continue or end the request.
+    """
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
         return []
@@ -50,10 +62,10 @@
         *target_effects,
     ]
     if event.loss is Loss.UNREACHED and not was_unreached:
-        # Until the others know, they try it as well, or copy runs to it.
+        # Until peers know, they also try this target, or copy runs to it.
         effects.append(Announce())
     if not was_current and request.current is not None:
-        # The run goes on where it was; its copy was used up or never there.
+        # The run continues where it was; its copy was used up or never arrived.
         request.current.backup_unusable = True
         return effects
     if request.standby is not None:
@@ -78,7 +90,7 @@
             target.record_failure()
             crashes.record_answer(state, target, attempt.opened)
         case Loss.MISDIRECTED:
-            # Another target has its address: this one is gone for good.
+            # Another target has its address: this one has ended for good.
             target_effects = crashes.record_end(state, target, now)
             state.targets.record_departure(target.name, now)
             return target_effects
@@ -93,17 +105,20 @@
     state: State, target: Target, down: bool, now: Millis
 ) -> list[Effect]:
     target.record_loss(now, False)
-    # It may start again under its old registration, and be cold then.
+    # It may restart under its old registration, and be cold then.
     warmups.assume_cold(state, target, target.backoff_until)
     return crashes.record_end(state, target, now) if down else []
 
 
 def handle_target_down(state: State, event: TargetDown, now: Millis) -> list[Effect]:
-    """Take in that a probe found nobody at a target's address."""
+    """Record that a probe found no listener at a target's address, and tell peers.
+
+    A probe of an earlier incarnation is ignored.
+    """
     target = state.targets.find(event.incarnation.target)
     if target is None or target.info.incarnation != event.incarnation:
         return []
-    # Until the others know, they try it as well.
+    # Until peers know, they also try this target.
     return [Announce(), *_record_unreached(state, target, True, now)]
 
 
@@ -155,8 +170,8 @@
 def _try_elsewhere(
     state: State, request: Request, event: AttemptLost, now: Millis
 ) -> list[Effect]:
-    """Send a request that did not run to another target."""
-    # One that was not reached took no time of anybody's but the caller's.
+    """Send a request that did not run to another target, within the retry budget."""
+    # A target without a connection cost only the caller's time, so it doesn't count.
     if (
         request.attempts_sent - request.unreached >= MAX_SENDS
         or now >= request.deadline
@@ -169,14 +184,17 @@
 
 
 def _may_run_again(request: Request) -> bool:
-    # Runs count against the route's attempts, refusals don't.
+    # Runs count against the route's attempts; refusals don't.
     return request.lost_runs < request.route.attempts
 
 
 def _run_again(
     state: State, request: Request, event: AttemptLost, now: Millis
 ) -> list[Effect]:
-    """Run an idempotent request again, if budget, time and room allow."""
+    """Run an idempotent request again, if budget, deadline and free capacity permit.
+
+    Returns no effects if it can't be run again.
+    """
     if now >= request.deadline:
         return []
     if state.crashes.is_refused(request.spec.digest, now):
@@ -190,7 +208,11 @@
 
 
 def abandon_silent_attempts(state: State, now: Millis) -> list[Effect]:
-    """Give up on attempts of idempotent requests whose target keeps silent."""
+    """Abandon attempts of idempotent requests whose target is silent for too long.
+
+    An attempt is kept if it is the last that the route allows, if its stream has begun,
+    or if the retry budget has no repeat left.
+    """
     effects: list[Effect] = []
     for attempt in list(state.attempts.values()):
         request = state.requests[attempt.request]
@@ -210,12 +232,12 @@
 
 
 def choose_silence_timeout(request: Request) -> Millis:
-    """Return how long an attempt may stay silent before another is made.
+    """Return how long an attempt may be silent before another is made, in milliseconds.
 
-    Half of the deadline leaves the second attempt as long as the first, and a
-    target's usual answer takes a small part of it. A prompt that is being read
-    slowly gets all of that: read elsewhere it would be late as well, and what
-    was read of it lost.
+    Half of the time to the deadline leaves the second attempt as long as the first, and
+    a target's usual answer takes a small part of it. A stream gets all of that half
+    while its prompt is read slowly: reading it on another engine would be late as well,
+    and lose what was read. Other requests wait for three objectives at most.
     """
     total = request.deadline - request.arrived
     if request.route.kind is RouteKind.STREAM:
--- a/figstep/gateway/requests.py
+++ b/figstep/gateway/requests.py
@@ -1,4 +1,4 @@
-"""Life of a request: arrival, wait for room, answer, refusal, end."""
+"""Handles a request from its arrival to its end: queue, answer, refusal, deadline."""
 
 from figstep.core.clock import Millis
 from figstep.core.problems import Problem, Ran
@@ -17,10 +17,16 @@
 from figstep.gateway.state import Request, State
 
 SHUTDOWN_RETRY_AFTER = Millis(50)
-"""A leaving entry's refusals: another entry can take the request at once."""
+"""Retry-After in milliseconds of a refusal by an entry that shuts down.
+
+It is short because another entry can accept the request at once.
+"""
 
 UNCONFIGURED_RETRY_AFTER = Millis(500)
-"""Reading the configuration after a start takes a few hundred milliseconds."""
+"""Retry-After in milliseconds of a refusal by an entry without a configuration.
+
+Reading the configuration after a start takes a few hundred milliseconds.
+"""
 
 _DETAILS = {
     "no_configuration": "no configuration is in force yet; come back soon",
@@ -36,13 +42,13 @@
     "retry_budget": "targets refused it; come back after Retry-After",
     "deadline": "no answer came in time; it may have run if it was sent",
 }
-"""What a caller can do, by the reason of its refusal."""
+"""Detail of a problem by reason: what the caller can do."""
 
 _LOST_DETAIL = "its target was lost; where it may have run, ask before sending again"
 
 
 def admit_request(state: State, event: RequestArrived, now: Millis) -> list[Effect]:
-    """Find the route and customer of a request and start, queue or refuse it."""
+    """Find the route and customer of a request, then start, queue or refuse it."""
     spec = event.request
     table = state.table
     if table is None:
@@ -111,18 +117,18 @@
 
 
 def _find_first_arrival(state: State, digest: str, now: Millis) -> Millis:
-    # A caller counts its wait from its first try, wherever that was refused.
+    # A caller counts its wait from its first try, whichever entry refused it.
     refused = state.refused.pop_first_arrival(digest)
     return now if refused is None else refused
 
 
 def _must_finish_here(route: Route) -> bool:
-    # A stream that can't go on elsewhere would be cut when the process ends.
+    # A stream that can't resume on another engine is cut when the process ends.
     return route.kind is RouteKind.STREAM and not route.resumable
 
 
 def place_request(state: State, request: Request, now: Millis) -> list[Effect]:
-    """Start a request where there is room, else queue or refuse it."""
+    """Start a request if a target has free capacity, else queue or refuse it."""
     if state.crashes.is_refused(request.spec.digest, now):
         return refuse_request(state, request, "crashes_targets", now)
     target = placement.choose_target(state, request, now)
@@ -144,11 +150,12 @@
 
 
 def start_queued(state: State, now: Millis) -> list[Effect]:
-    """Start what has room by now, the most urgent and oldest first.
+    """Start queued requests that now fit, the most urgent and oldest first.
 
-    At most one request of a service starts in a call, so that the others learn
-    of it before theirs do: when an engine comes, all entries have requests
-    that waited for it, and together they would fill it at once.
+    At most one request of a service starts in a call, so that other entries learn of
+    it before they start theirs: when an engine joins, all entries have requests that
+    waited for it, and together they would fill it at once. Requests that have waited
+    for too long, or have no eligible target left, are refused.
     """
     if not state.queue:
         return []
@@ -165,8 +172,8 @@
         considered_services.add(request.service)
         target = placement.choose_target(state, request, now)
         if target is None:
-            # It holds up those behind it: were smaller ones to go ahead, a
-            # large one would never find room under load.
+            # It blocks the requests behind it: if smaller ones overtook it, a large
+            # request would never find free memory under load.
             continue
         _leave_queue(state, request)
         admission.record_start(state, request, now)
@@ -192,7 +199,7 @@
 
 
 def finish_answer(state: State, event: AnswerArrived, now: Millis) -> list[Effect]:
-    """A target gave a whole answer: it goes to the caller as it came."""
+    """Pass a target's whole answer to the caller unchanged."""
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
         return []
@@ -209,9 +216,12 @@
 def deliver_answer(
     state: State, request: Request, attempt: int, status: int, now: Millis
 ) -> list[Effect]:
-    """Hand on the whole answer that an attempt got."""
+    """Deliver the whole answer that an attempt received, and end the request.
+
+    A stream that has begun is cut instead.
+    """
     if request.stream_begun:
-        # A stream that has begun can't become another answer.
+        # A stream that has begun can't be replaced by another answer.
         return break_stream(state, request, "answered_in_mid_stream", now)
     effects = attempts.close_request(state, request, now)
     duration = now - request.arrived
@@ -227,10 +237,10 @@
 def refuse_request(
     state: State, request: Request, reason: str, now: Millis
 ) -> list[Effect]:
-    """Give a request its final answer of our own.
+    """End a request with a problem answer of this entry.
 
-    "Not run" is said only where no target can have begun to run it; what may
-    be repeated is refused in the same way where it has begun nowhere.
+    "Not run" is reported only if no target can have begun to run the request. A
+    stream that has begun is cut instead.
     """
     effects = attempts.close_request(state, request, now)
     if request.stream_begun:
@@ -278,7 +288,7 @@
 def break_stream(
     state: State, request: Request, reason: str, now: Millis
 ) -> list[Effect]:
-    """Cut the caller's stream: it can't go on and must not look whole."""
+    """Cut the caller's connection: the stream can't go on and must not look whole."""
     effects = attempts.close_request(state, request, now)
     return [
         *effects,
@@ -289,7 +299,7 @@
 
 
 def drop_caller(state: State, event: CallerGone, now: Millis) -> list[Effect]:
-    """The caller is gone: end what runs for it."""
+    """End all work for a caller that has closed its connection."""
     request = state.requests.get(event.number)
     if request is None:
         return []
@@ -301,7 +311,7 @@
 
 
 def expire_requests(state: State, now: Millis) -> list[Effect]:
-    """End at once what has outlived its deadline."""
+    """End the requests whose deadline has passed."""
     effects: list[Effect] = []
     for request in list(state.requests.values()):
         if now < request.deadline:
@@ -338,7 +348,7 @@
 
 
 def describe_end(request: Request, outcome: str, reason: str, now: Millis) -> Note:
-    """Return the log line of a request's final answer."""
+    """Return the log line of a request's end."""
     return Note(
         "request ended",
         {
--- a/figstep/gateway/routes.py
+++ b/figstep/gateway/routes.py
@@ -1,4 +1,4 @@
-"""Routes, services, customers and limits of one configuration version."""
+"""Routes, services, customers and caller limits of one configuration version."""
 
 import random
 from dataclasses import dataclass, field
@@ -8,30 +8,31 @@
 
 
 class RouteKind(Enum):
-    """What may be repeated of a request."""
+    """Whether a route's requests may be repeated."""
 
     SAFE = "safe"  # may run more than once
-    UNSAFE = "unsafe"  # runs at most once for each attempt of a caller
+    UNSAFE = "unsafe"  # runs at most once per attempt of a caller
     STREAM = "stream"  # a series of events; runs at most once unless resumable
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of one host and path prefix go, and under which bounds.
+    """Destination and bounds of requests for one host and path prefix.
 
     Attributes:
-        name: Its name.
+        name: Name of the route.
         host: Host that it belongs to, in lower case.
-        prefix: Start of the paths that it takes; begins and ends with a slash.
-        kind: What may be repeated.
-        shares: Services and their weights.
+        prefix: Start of the paths that it matches; begins and ends with a slash.
+        kind: Whether its requests may be repeated.
+        shares: Names of services and their weights.
         attempts: Most targets that may run one request.
-        timeout: Longest that a caller may be kept waiting.
-        objective: Time to the answer, or to a stream's first event.
-        longest_pause: Longest pause between events of a stream on time.
-        priority: Rank; 0 is the most urgent.
-        public: Whether it is open to callers without a key.
-        resumable: Whether a stream may go on as a new run elsewhere.
+        timeout: Longest time in milliseconds that a caller may be kept waiting.
+        objective: Intended time in milliseconds to the answer, or to the first event
+            of a stream.
+        longest_pause: Longest pause in milliseconds between events of a stream on time.
+        priority: Urgency of its requests; 0 is the most urgent.
+        public: Whether callers without a key may use it.
+        resumable: Whether a stream may continue as a new run on another engine.
         allowed_regions: Regions that its requests may be sent to; None for any.
     """
 
@@ -57,7 +58,7 @@
         return self.kind is RouteKind.SAFE
 
     def choose_service(self, rng: random.Random) -> str:
-        """Return one of its services, drawn by weight."""
+        """Return the name of one of its services, drawn by weight."""
         if len(self.shares) == 1:
             return self.shares[0][0]
         names = [name for name, _ in self.shares]
@@ -67,15 +68,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EnginePool:
-    """What all engines of a service have in common.
+    """Common properties of all engines of a service.
 
     Attributes:
         slots: Requests that one engine batches.
-        memory: Its cache memory, in tokens.
-        backups: Whether it keeps running copies of other engines' runs.
-        moves: Whether it copies a run to another engine on order.
-        event_tokens: Tokens that one event of a stream holds.
-        copy_retention: How long a copy made on order is kept for certain.
+        memory: Cache memory of one engine, in tokens.
+        backups: Whether an engine keeps running copies of other engines' runs.
+        moves: Whether an engine copies a run to another engine on order.
+        event_tokens: Tokens in one event of a stream.
+        copy_retention: Least time in milliseconds that a copy made on order is kept.
     """
 
     slots: int
@@ -91,11 +92,11 @@
     """Targets that answer the same requests.
 
     Attributes:
-        name: Its name.
+        name: Name of the service.
         connections: Connections that one target accepts from all callers.
-        engine: What its engines have in common; None for a plain service.
-        warmup: How long a target is cold after its start.
-        warmup_rate: Requests a second that a cold target bears; 0 for any.
+        engine: Common properties of its engines; None for a plain service.
+        warmup: Milliseconds that a target is cold after its start.
+        warmup_rate: Requests a second that a cold target can handle; 0 for no limit.
     """
 
     name: str
@@ -107,13 +108,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what a caller may send.
+    """Limits on a caller's connections and requests.
 
     Attributes:
-        header_bytes: Size of all headers.
-        body_bytes: Size of a body.
-        header_timeout: How long its headers may take.
-        idle_timeout: How long its connection may stay without a request.
+        header_bytes: Largest size of all headers.
+        body_bytes: Largest size of a body.
+        header_timeout: Milliseconds that a request's headers may take.
+        idle_timeout: Milliseconds that a connection may stay without a request.
     """
 
     header_bytes: int = 16_384
@@ -124,12 +125,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """Who a key belongs to.
+    """Customer that a key belongs to.
 
     Attributes:
-        name: Its name, which targets are told.
-        priority: Its rank, before the route's; None if the route's holds.
-        allowed_regions: Regions that its requests may be sent to; None for any.
+        name: Name of the customer, which targets are told.
+        priority: Urgency that replaces the route's; None if the route's applies.
+        allowed_regions: Regions that the customer's requests may be sent to; None for
+            any.
     """
 
     name: str
@@ -142,11 +144,11 @@
     """One version of the operator's configuration.
 
     Attributes:
-        version: Its number; a higher one replaces a lower one.
+        version: Version number; a higher one replaces a lower one.
         routes: Routes by host, the longest prefix first.
         services: Services by name.
         customers: Customers by key; None if callers need no key.
-        limits: Bounds on what callers may send.
+        limits: Limits on what callers may send.
     """
 
     version: int
@@ -156,7 +158,7 @@
     limits: CallerLimits = CallerLimits()
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of ``path``, or None."""
+        """Return the route of a host with the longest prefix of ``path``, or None."""
         for route in self.routes.get(host.lower(), ()):
             if path.startswith(route.prefix):
                 return route
--- a/figstep/gateway/state.py
+++ b/figstep/gateway/state.py
@@ -14,30 +14,37 @@
 from figstep.gateway.targets import Incarnation, Target, TargetTable
 
 LEAVING_ANNOUNCE_DURATION = Millis(10_000)
-"""How long others are told that a target has said that it leaves."""
+"""Milliseconds for which peers are told that a target has announced that it leaves."""
 
 LEAVING_RETENTION = Millis(600_000)
-"""How long that is remembered: the target's registration from before may be read
-until long after an outage of the store."""
+"""Milliseconds for which a target's announcement that it leaves is remembered.
+
+The target's earlier registration may be read until long after an outage of the store.
+"""
 
 
 FULL_MESH_MAX_ENTRIES = 16
-"""Entries up to which all tell all: messages grow with the square of the fleet.
-Above it, entries tell those of their own failure domain, and sums go to the
-others."""
+"""Largest number of entries in which every entry sends its loads to every other.
+
+Messages grow with the square of the fleet. In a larger fleet, entries report to those
+of their own failure domain, and sums go to the other failure domains.
+"""
 
 
 RATE_ANNOUNCE_DURATION = Millis(3_000)
-"""How long others are told what an answer named: several times, as a datagram may
-be lost. Each further answer of the target begins it anew."""
+"""Milliseconds for which peers are told the rate that a target's answer named.
+
+It is sent several times, as a datagram may be lost. Each further answer of the target
+restarts the duration.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class Departure:
-    """A target's word that it leaves.
+    """A target's announcement that it leaves.
 
     Attributes:
-        at: When this entry learned of it.
+        at: Monotonic time at which this entry learned of it.
         own: Whether the target told this entry itself.
     """
 
@@ -50,18 +57,20 @@
     """One connection to a target for a request.
 
     Attributes:
-        number: Its number.
+        number: Number of the attempt, unique in this process.
         request: Number of its request.
         target: Target that it was sent to.
-        opened: When it was sent.
-        memory: Tokens that it is expected to take there.
+        opened: Monotonic time at which it was sent.
+        memory: Tokens of memory that it is expected to need at its target.
         reading: Prompt tokens that its target has still to read for it.
-        reading_ahead: Those of others that were there before it.
-        holder: Target that its run is copied to as it grows, or None.
-        backup_unusable: Whether that copy was used up or refused.
-        source: Copy that it goes on from, or None for a run from the start.
-        answered: Whether its headers came.
-        first_delivery_at: When its first event went to the caller, or None.
+        reading_ahead: Prompt tokens of other attempts that its target had to read
+            when it was sent.
+        holder: Target of its running backup, or None.
+        backup_unusable: Whether that backup was used up or refused.
+        source: Copy that it resumes from, or None for a run from the start.
+        answered: Whether its headers have arrived.
+        first_delivery_at: Monotonic time at which its first event went to the caller,
+            or None.
     """
 
     number: int
@@ -82,41 +91,43 @@
 class Request:
     """A request without its final answer.
 
+    All times are monotonic, and all durations are in milliseconds.
+
     Attributes:
-        spec: What was asked for.
-        route: Its route, as it was when it came.
-        service: Service that it goes to.
+        spec: The request as it arrived.
+        route: Its route, as configured when it arrived.
+        service: Name of the service that it goes to.
         customer: Name of its customer, or "".
-        priority: Its rank; 0 is the most urgent.
-        arrived: When it came.
-        first_arrived: When its caller first came with it, to any entry.
-        deadline: When its caller, or the operator, wants no more of it.
+        priority: Its urgency; 0 is the most urgent.
+        arrived: When it arrived at this entry.
+        first_arrived: When its caller first sent it, to any entry.
+        deadline: When the caller's or the operator's time limit ends.
         current: Attempt whose events go to the caller, or None.
-        standby: Attempt that is to take over from it, or None.
-        copy: Copy of its run elsewhere, or None.
+        standby: Attempt that is to replace the current one, or None.
+        copy: Copy of its run at another engine, or None.
         copy_ordered_at: When a copy was last ordered.
-        copied_at: When that copy was made or last brought up to date on order.
-        copying: Whether a copy is being made on order.
-        copy_destination: Target that a copy on order was made at, or is, or None.
-        copy_memory: Tokens that it takes there.
-        copy_source: Target that it is being copied from, or None.
+        copied_at: When its copy on order was made or last refreshed.
+        copying: Whether a copy on order is being made.
+        copy_destination: Target that holds a copy on order or is to hold it, or None.
+        copy_memory: Tokens of memory that this copy takes there.
+        copy_source: Target that is being copied from, or None.
         copying_tokens: Tokens that are being copied.
         copied_tokens: Tokens that its copy on order had when it was made.
         stream_begun: Whether the caller's stream has begun.
-        delivered: Id of the last event handed to the caller.
-        delivered_at: When that was.
-        pieces: Events handed to the caller.
+        delivered: Id of the last event delivered to the caller.
+        delivered_at: When that event was delivered.
+        pieces: Number of events delivered to the caller.
         time_to_first_event: Time from its arrival to its first event.
         longest_pause: Longest time between two deliveries.
         smoothed_pause: Smoothed time between two deliveries.
-        attempts_sent: Attempts so far.
-        unreached: Those that found no connection.
-        lost_runs: Lost attempts that may have run.
+        attempts_sent: Number of attempts so far.
+        unreached: Number of attempts that found no connection.
+        lost_runs: Number of lost attempts that may have run.
         may_have_run: Whether a target may have begun to run it.
-        tried_targets: Targets that lost or refused it.
+        tried_targets: Names of the targets that it was sent to.
         lost_domains: Failure domains of targets that were lost while they had it.
-        copy_refused_at: Targets that could not take a copy of its run, and when.
-        queued: Whether it waits for room.
+        copy_refused_at: When targets could not hold a copy of its run, by name.
+        queued: Whether it waits for free capacity.
         retry_denied: Whether the retry budget has denied it a repeat.
         allowed_regions: Regions whose targets it may be sent to; None for any.
     """
@@ -161,24 +172,25 @@
 
 @dataclass(slots=True)
 class Peer:
-    """Another entry, as its messages tell.
+    """Another entry, as described by its messages.
 
     Attributes:
-        last_received_at: When its last message came.
-        loads: What it has open, by target.
-        full_loads: The same as it was last told whole.
-        changed_targets: Targets of which other loads were told since.
-        uses: What it sent to each service of late.
-        address: Where it listens for peers.
-        configuration: Version that it has in force; -1 for none.
-        position: How far it has read the registrations; -1 for nothing.
-        healthy_since: Since when it has said without a break that it reads the
-            store and is answered; None if it last said otherwise.
-        receives_records: Whether records of the store reach it, from whomever.
+        last_received_at: Monotonic time of its last message.
+        loads: Its open work, by target.
+        full_loads: Its open work as last sent in full, by target.
+        changed_targets: Targets whose loads it has sent as changed since then.
+        uses: Requests and repeats that it recently sent to each service.
+        address: Address at which it listens for peers, as "ip:port".
+        configuration: Version of its configuration in force; -1 for none.
+        position: Offset up to which it has read the registrations; -1 for none.
+        healthy_since: Since when it has reported, without a break, that it reads the
+            store and is answered; None if its last message differs.
+        receives_records: Whether records of the store reach it, directly or through peers.
         answered: Whether the store answers it, as far as it reads the store.
         far: Whether it belongs to another failure domain.
-        reading: Whether it reads the store's records as they come.
+        reading: Whether it reads the store's records as they are written.
         leaving: Targets that told it, or its failure domain, that they leave.
+        rates: Rates that targets have named in answers to it.
     """
 
     last_received_at: Millis
@@ -200,11 +212,11 @@
 
 @dataclass(slots=True)
 class DomainLoads:
-    """What the entries of another failure domain have open at all targets.
+    """Open work of all entries of another failure domain.
 
     Attributes:
-        last_received_at: When one of them told it.
-        loads: Their sums, by target.
+        last_received_at: Monotonic time of the last message with these loads.
+        loads: Sums of their open work, by target.
     """
 
     last_received_at: Millis
@@ -213,41 +225,41 @@
 
 @dataclass(slots=True)
 class State:
-    """Everything one gateway knows.
+    """State of one gateway.
 
     Attributes:
         node: Name of this entry instance.
-        failure_domain: Its failure domain.
+        failure_domain: Failure domain of this entry.
         rng: The only source of randomness.
+        budget: Repeats that this entry may still make.
         table: Configuration in force, or None before the first.
-        targets: Targets that registered themselves.
-        evacuations: Failure domains that are to get no more work.
+        targets: Targets that have registered.
+        evacuations: Failure domains that get no more work.
         regions: Region of each failure domain.
         requests: Requests without a final answer, by number.
-        attempts: Open attempts by number.
-        queue: Numbers of requests that wait for room, in order of arrival.
-        start_times: When requests that had waited for room were started, by service.
-        refused_at: When a caller was last refused for want of room, by service.
-        scheduled_returns: When refused callers were told to come back, by service.
-        refused: Requests that were refused for want of room, by digest.
-        peers: Other entries by name.
-        remote_peers: Entries of other failure domains that were heard of late.
-        remote_loads: Loads of other failure domains' entries, by domain.
-        entries: Entries of the fleet, this one included.
-        silent_peers: Peers that fell silent without saying that they end, and when.
-        budget: Repeats that this entry may still make.
-        crashes: Crashes of targets, and the requests that were there.
+        attempts: Open attempts, by number.
+        queue: Numbers of requests that wait for free capacity, in order of arrival.
+        start_times: Monotonic times of recent starts of requests, by service.
+        refused_at: When a caller was last refused for lack of capacity, by service.
+        scheduled_returns: When refused callers were told to retry, by service.
+        refused: Requests that were refused for lack of capacity, by digest.
+        peers: Other entries, by name; in a large fleet those of this failure domain.
+        remote_peers: Entries of other failure domains that recently sent a message.
+        remote_loads: Loads of other failure domains' entries, by failure domain.
+        entries: Number of entries in the fleet, this one included.
+        silent_peers: Peers that fell silent without announcing their end, and when.
+        crashes: Crashes of targets, and the requests that ran there.
         next_attempt: Number of the next attempt.
-        position: How far the registrations were read; -1 for nothing.
+        position: Offset up to which the registrations were read; -1 for none.
         behind_since: Since when a peer has known newer records, or None.
         read_failed: Whether the store does not answer this entry.
         store_unreachable: Whether no record of the store reaches this entry, from the
-            store or from others that read it.
-        store_lost_at: When that began.
-        store_regained_at: When it ended.
-        departures: Targets that have said that they leave.
+            store or from peers that read it.
+        store_lost_at: When the store last became unreachable.
+        store_regained_at: When the store last became reachable again.
         closes_at: When the process ends, or None.
-        streams_checked_at: When its streams were last looked at.
+        streams_checked_at: When its streams were last checked for stalls.
+        departures: Targets that have announced that they leave.
     """
 
     node: str
@@ -284,11 +296,11 @@
 
     @property
     def is_large(self) -> bool:
-        """Whether the fleet is too large for all to hear all."""
+        """Whether the fleet is too large for every entry to report to every other."""
         return self.entries > FULL_MESH_MAX_ENTRIES
 
     def list_leaving(self, now: Millis) -> list[Incarnation]:
-        """Return the targets that told this entry of late that they leave."""
+        """Return the targets that recently told this entry that they leave."""
         return [
             incarnation
             for incarnation, departure in self.departures.items()
@@ -296,7 +308,7 @@
         ]
 
     def list_rates(self, now: Millis) -> list[RateReport]:
-        """Return what targets have named in answers to this entry of late."""
+        """Return the rates that targets recently named in answers to this entry."""
         reports = []
         for target in self.targets.targets.values():
             limit = target.limit
@@ -308,7 +320,7 @@
         return reports
 
     def list_unreached(self, now: Millis) -> list[str]:
-        """Return the targets that this entry could not connect to of late."""
+        """Return the names of targets that this entry recently could not connect to."""
         return [
             target.name
             for target in self.targets.targets.values()
--- a/figstep/gateway/streams.py
+++ b/figstep/gateway/streams.py
@@ -1,4 +1,4 @@
-"""Streams: delivery in order, each event once."""
+"""Delivers streams in order, each event once, and detects stalls."""
 
 from figstep.core.clock import Millis
 from figstep.gateway import attempts, copies, crashes, requests
@@ -17,36 +17,50 @@
 from figstep.gateway.state import Attempt, Request, State
 
 STALL_TIMEOUT = Millis(400)
-"""Silence after which a stream that is late in any case goes on from its copy
-although its engine has not been found dead. Engines of a full batch pause up to
-200 ms between events; a caller gives up after two seconds."""
+"""Silence in milliseconds after which any stream switches to its copy.
+
+A stream that is on time may switch earlier, so that it stays so. The engine need not
+have been found dead. Engines with a full batch pause up to 200 ms between events;
+callers abandon a stream after two seconds.
+"""
 
 STALL_PAUSE_FRACTION = 0.6
-"""Part of a route's longest pause after which a stream goes on from its copy so
-that it stays in time: the rest is for going on."""
+"""Fraction of a route's longest pause after which a stream on time switches.
+
+The remaining time is for the switch.
+"""
 
 STALL_SMOOTHED_PAUSES = 2.5
-"""The same in usual pauses of the stream: a slow engine is no stalled one."""
+"""Least silence, in smoothed pauses, at which a stream switches to stay on time.
+
+A slow engine is not a stalled one.
+"""
 
 PAUSE_SMOOTHING = 0.2
-"""Weight of the newest pause in a stream's usual one."""
+"""Weight of the newest pause in a stream's smoothed pause, from 0 to 1."""
 
 LATE_TICK_INTERVAL = Millis(150)
-"""Time between two looks at the streams after which this entry itself stood
-still. What came meanwhile is read first: all its streams would else go on
-elsewhere at once, for events that wait in its sockets."""
+"""Milliseconds between two checks from which this entry itself was stalled.
+
+Events that arrived meanwhile are read first. Otherwise all its streams would switch
+at once, for events that wait in its sockets.
+"""
 
 MEMORY_UPDATE_EVENTS = 8
-"""Events after which a run's memory is counted anew; the others are told of it
-as of any change of loads, so that each event would cost a message."""
+"""Events after which a run's expected memory is updated.
+
+Peers are told of any change of loads, so an update per event would cost a message each.
+"""
 
 MAX_OVERLAP = Millis(300)
-"""Longest that a run may be open at two engines while it changes over. Both
-generate meanwhile; after it the one that has not delivered is closed."""
+"""Longest time in milliseconds that a run is open at two engines during a switch.
+
+Both generate meanwhile; afterwards the one that has not delivered is closed.
+"""
 
 
 def handle_stream_opened(state: State, event: StreamOpened) -> list[Effect]:
-    """Note that a target accepted a stream."""
+    """Record that a target accepted a stream."""
     attempt = state.attempts.get(event.attempt)
     if attempt is not None:
         attempt.answered = True
@@ -54,7 +68,11 @@
 
 
 def deliver_pieces(state: State, event: PiecesArrived, now: Millis) -> list[Effect]:
-    """Hand events on, each once and in order."""
+    """Deliver events to the caller, each once and in order.
+
+    The first events of a standby attempt complete the switch to it. A gap between
+    events breaks the stream.
+    """
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
         return []
@@ -67,7 +85,7 @@
     last = request.delivered
     for piece in event.pieces:
         if piece.index <= last and request.pieces + request.delivered:
-            # The engine that went on repeats what the other had sent meanwhile.
+            # The resumed run repeats events that the other engine had sent meanwhile.
             continue
         if request.stream_begun and piece.index != last + 1:
             return effects + _break_out_of_order(state, request, piece.index, now)
@@ -130,8 +148,8 @@
     effects = attempts.close_attempt(state, previous, now)
     request.current = standby
     request.standby = None
-    # Whatever was kept was of the run that has ended: left in place it would
-    # hide the backup of the one that goes on.
+    # The recorded copy belongs to the run that has ended: left in place it would hide
+    # the backup of the one that continues.
     request.copy = None
     standby.target.record_success(now)
     crashes.record_answer(state, standby.target, standby.opened)
@@ -169,7 +187,7 @@
 
 
 def finish_stream(state: State, event: StreamEnded, now: Millis) -> list[Effect]:
-    """The target ended its stream as whole: so does the caller's."""
+    """End the caller's stream as complete, as its target has done."""
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
         return []
@@ -193,7 +211,7 @@
 
 
 def check_streams(state: State, now: Millis) -> list[Effect]:
-    """Look after streams that stall or are in the middle of a change."""
+    """Switch stalled streams to their copies, and end overlaps that last too long."""
     effects: list[Effect] = []
     entry_stalled = now - state.streams_checked_at >= LATE_TICK_INTERVAL
     state.streams_checked_at = now
@@ -228,8 +246,8 @@
     if now - standby.opened < MAX_OVERLAP or request.current is None:
         return []
     if standby.answered or copies.is_too_late_to_copy(request.current.target, now):
-        # It was accepted and will deliver, or there is no time for another copy:
-        # the run must not go on at both.
+        # The standby was accepted and will deliver, or no other copy could be made in
+        # time: the run must not continue at both engines.
         return attempts.close_attempt(state, request.current, now)
     request.current.backup_unusable = True
     return attempts.close_attempt(state, standby, now)
