--- a/figstep/gateway/__init__.py
+++ b/figstep/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Routed requests before targets that come and go: pure decisions and state."""
+"""Gateway of routed requests to changing targets: pure decisions and state."""
--- a/figstep/gateway/application.py
+++ b/figstep/gateway/application.py
@@ -1,4 +1,4 @@
-"""The gateway: owns the state, reduces events and runs effects."""
+"""The gateway: owns the state, reduces events and performs effects."""
 
 import asyncio
 from collections import deque
@@ -38,11 +38,12 @@
 _log = logbook.Logger("figstep.gateway")
 
 BUSY_TICK_SECONDS = 0.03
-"""Period of looking at waits while requests are open: a sixth of the longest
-pause that a stream may have, as one that stalls has to go on within the rest."""
+"""Time between two checks of waits while requests are open. It is a sixth of the
+longest pause that a stream may have, as a stream that stalls has to resume within the
+rest."""
 
 IDLE_TICK_SECONDS = 0.5
-"""The same while nothing is open."""
+"""Time between two checks of waits while no request is open."""
 
 _INTERNAL = Problem(
     500,
@@ -53,14 +54,14 @@
 
 
 class Gateway(Service):
-    """One gateway; its edges are set before it starts.
+    """A gateway; its ports are set before it starts.
 
     Attributes:
-        known: What it knows; changed by its reducer only.
+        known: State of the gateway; changed by its reducer only.
         measures: Counters and histograms.
-        targets: Edge towards targets.
-        callers: Edge towards callers.
-        peers: Edge towards other entries.
+        targets: Port to the targets.
+        callers: Port to the callers.
+        peers: Port to the other entries.
     """
 
     targets: TargetPort
@@ -76,10 +77,9 @@
         self._reducing = False
 
     def dispatch(self, event: Event) -> None:
-        """Reduce an event and run its effects.
+        """Reduce an event and perform its effects.
 
-        Events that effects cause wait their turn, so that none is reduced
-        inside another.
+        Events that effects cause are queued, so that none is reduced inside another.
         """
         self._events.append(event)
         if self._reducing:
@@ -96,8 +96,8 @@
             for effect in reduce(self.known, event, self._clock.now()):
                 self._perform(effect)
         except Exception:
-            # One event that nobody thought of must not end the timer or a
-            # reader of the store: all other callers depend on them.
+            # An event that fails unexpectedly must not end the timer or a reader
+            # of the store: all other callers depend on them.
             kind = type(event).__name__
             _log.exception("event failed", extra={"event": kind})
             self.measures.count("failed_events", (kind,))
@@ -111,7 +111,7 @@
             case OpenAttempt():
                 self.targets.open_attempt(effect)
                 if effect.priority is not None:
-                    # Until the others know, they choose the same engine.
+                    # Until the other entries know, they choose the same engine.
                     self.peers.announce()
             case CloseAttempt(attempt=attempt):
                 self.targets.close_attempt(attempt)
@@ -127,7 +127,7 @@
                 self.callers.refuse(number, problem)
             case CopyRun():
                 self.targets.copy_run(effect)
-                # Until the others know, they copy over the same links.
+                # Until the other entries know, they copy over the same links.
                 self.peers.announce()
             case DropCopy(copy=copy):
                 self.targets.drop_copy(copy)
--- a/figstep/gateway/crashes.py
+++ b/figstep/gateway/crashes.py
@@ -1,9 +1,10 @@
-"""Crashes of targets as this entry and the others see them, and what was there.
+"""Crashes of targets that this entry and its peers know, and the requests involved.
 
-The load that this answers is a request that crashes each target that runs it, and
-comes again and again, to any entry, among requests that do no harm. A lost attempt
-alone proves no crash: targets also fail, reset and garble while they live on. So what
-was lost at a target is kept until the target answers, or is found to have ended.
+The case handled here is a request that crashes every target that runs it and is sent
+again and again, to any entry, among harmless requests. A lost attempt alone proves no
+crash: targets also fail, reset connections and send garbled answers while they keep
+running. What was lost at a target is therefore kept until the target answers or is
+found to have ended.
 """
 
 from collections.abc import Iterable
@@ -16,33 +17,37 @@
 from figstep.gateway.targets import Registration, Standing, Target
 
 LOST_RETENTION = Millis(6_000)
-"""How long a target may take to be found to have ended: its registration lapses
-after three heartbeats, and it is back after some seconds."""
+"""How long, in milliseconds, lost attempts at a target are kept for its end to be
+found. Its registration lapses after three heartbeats, and it is back after some
+seconds."""
 
 MIN_RESTART_TIME = Millis(1_000)
-"""A target that answers sooner than this after nobody listened at its address has
-not started again: it had turned connections away."""
+"""Shortest time, in milliseconds, in which a target restarts. A target that answers
+sooner after nothing listened at its address has not restarted: it had rejected
+connections."""
 
 PROBE_INTERVAL = Millis(200)
-"""Time between two probes of a target."""
+"""Least time, in milliseconds, between two probes of a target."""
 
 SETTLING_RETRY_AFTER = Millis(400)
-"""Pause of a request that is refused while others may still tell who else was there."""
+"""Retry delay, in milliseconds, of a request that is refused while other entries may
+still report which other requests were at the crashed targets."""
 
 REFUSED_RETRY_AFTER = Millis(60_000)
-"""A request that crashes targets is refused for minutes."""
+"""Retry delay, in milliseconds, of a request known to crash targets. Such a request is
+refused for minutes."""
 
 _CRASH_LOSSES = frozenset({Loss.BROKEN, Loss.GARBLED})
-"""Losses that a target's end may cause, and that come as it ends."""
+"""Losses that the end of a target may cause, and that arrive as it ends."""
 
 
 def record_lost(
     state: State, request: Request, attempt: Attempt, now: Millis
 ) -> list[Effect]:
-    """Take in that an attempt which may have run ended without an answer.
+    """Record that an attempt which may have run ended without an answer.
 
     A request crashes its target as it begins to run; one whose answer had begun was
-    only there. A target that leaves ends all that is left.
+    only present. A target that leaves ends everything that is still there.
     """
     target = attempt.target
     if request.stream_begun or target.standing is not Standing.READY:
@@ -55,7 +60,7 @@
 
 
 def probe_target(target: Target, loss: Loss, now: Millis) -> list[Effect]:
-    """Find out at once whether a target has ended that broke a connection."""
+    """Return a probe that finds whether a target ended as it broke a connection."""
     if loss not in _CRASH_LOSSES or not target.lost or target.ended_at is not None:
         return []
     if now - target.probed_at < PROBE_INTERVAL:
@@ -65,7 +70,13 @@
 
 
 def record_answer(state: State, target: Target, asked: Millis) -> None:
-    """Take in that a target answered what it was asked at some time: it lived then."""
+    """Record that a target answered a request, so it was running when asked.
+
+    Args:
+        state: The gateway's state.
+        target: The target.
+        asked: When the answered request was sent.
+    """
     if target.lost:
         for digest, lost_at in list(target.lost.items()):
             if lost_at <= asked:
@@ -79,7 +90,7 @@
 
 
 def record_end(state: State, target: Target, now: Millis) -> list[Effect]:
-    """Take in that a target's life has ended: what was lost there is suspected."""
+    """Record that an incarnation of a target has ended; suspect what was lost there."""
     if target.standing is not Standing.READY or target.ended_at is not None:
         return []
     target.ended_at = now
@@ -88,10 +99,10 @@
 
 
 def record_departure(state: State, target: Target, now: Millis) -> list[Effect]:
-    """Take in that a target's registration has gone.
+    """Record that a target's registration is gone.
 
-    One that goes without a word may serve on for a while, so what is open there may
-    yet be answered.
+    A target whose registration goes without an announcement may keep serving for some
+    time, so its open attempts may still be answered.
     """
     if target.standing is not Standing.READY:
         return []
@@ -99,7 +110,7 @@
 
 
 def record_successor(state: State, info: Registration, now: Millis) -> list[Effect]:
-    """Take in that a target starts: another had its id or its address before."""
+    """Record that a target starts whose id or address another one had before."""
     effects: list[Effect] = []
     for target in state.targets.targets.values():
         known = target.info
@@ -113,7 +124,7 @@
 def apply_suspicions(
     state: State, suspicions: Iterable[Suspicion], source: str, now: Millis
 ) -> list[Effect]:
-    """Take in what another entry tells of crashes."""
+    """Apply the suspicions that another entry reports."""
     effects: list[Effect] = []
     for suspicion in suspicions:
         if _has_answered_since(state, suspicion, now):
@@ -126,13 +137,13 @@
 def apply_clearances(
     state: State, clearances: Iterable[Clearance], now: Millis
 ) -> None:
-    """Take in which suspected requests have run at other entries."""
+    """Apply the clearances of suspected requests that ran at other entries."""
     for clearance in clearances:
         state.crashes.clear(clearance.digest, Millis(now - clearance.age), now)
 
 
 def clear_request(state: State, request: Request, now: Millis) -> list[Effect]:
-    """Take in that a request has run to an answer, or into a stream."""
+    """Clear a request that has run to an answer, or into a stream."""
     if not state.crashes.clear(request.spec.digest, now, now):
         return []
     fields: dict[str, str | int | float | None] = {
@@ -143,7 +154,7 @@
 
 
 def choose_retry_after(state: State, digest: str, now: Millis) -> Millis:
-    """Return when a request that was refused for its crashes may come again."""
+    """Return the retry delay of a request that is refused for its crashes."""
     if state.crashes.is_settled(digest, now):
         return REFUSED_RETRY_AFTER
     return SETTLING_RETRY_AFTER
@@ -173,9 +184,10 @@
 
 
 def _has_answered_since(state: State, suspicion: Suspicion, now: Millis) -> bool:
-    """Tell whether a target that is said to have crashed has answered since.
+    """Return whether a target that is said to have crashed has answered since.
 
-    Later answers may be those of a target that has started again under its id.
+    A crash that is at least MIN_RESTART_TIME old is not checked: later answers may come
+    from a target that has restarted under the same id.
     """
     if suspicion.age >= MIN_RESTART_TIME:
         return False
--- a/figstep/gateway/departures.py
+++ b/figstep/gateway/departures.py
@@ -1,9 +1,10 @@
-"""Targets that have said that they leave.
+"""Targets that have announced that they leave.
 
-The load that this answers is a fleet that can't read the store while targets leave:
-their registrations stay as they were, and only the targets themselves know. What one
-has told any entry holds for all of them, and for good: registrations from before are
-read again and again, from the store as it comes back and from copies of other entries.
+The case handled here is a fleet that cannot read the store while targets leave: their
+registrations stay as they were, and only the targets themselves know. What a target has
+announced to any entry holds for all entries, and permanently: earlier registrations are
+read again and again, from the store as it comes back and from copies that other entries
+hold.
 """
 
 from collections.abc import Iterable
@@ -16,7 +17,7 @@
 
 
 def handle_leaving(state: State, incarnation: Incarnation, now: Millis) -> list[Effect]:
-    """Take in that a target has told this entry that it leaves."""
+    """Handle a target's announcement to this entry that it leaves."""
     state.departures[incarnation] = Departure(now, own=True)
     target = state.targets.find(incarnation.target)
     if target is None or target.info.incarnation != incarnation:
@@ -31,7 +32,7 @@
 def apply_leaving_reports(
     state: State, leaving: Iterable[Incarnation], source: str, now: Millis
 ) -> list[Effect]:
-    """Take in which targets have told another entry that they leave."""
+    """Apply another entry's report of targets that leave."""
     effects: list[Effect] = []
     for incarnation in leaving:
         state.departures.setdefault(incarnation, Departure(now, own=False))
@@ -56,12 +57,12 @@
 
 
 def has_announced_leaving(state: State, info: Registration) -> bool:
-    """Tell whether a registration is of a target that has said that it leaves."""
+    """Return whether a registration's incarnation has announced that it leaves."""
     return info.incarnation in state.departures
 
 
 def remove_expired(state: State, now: Millis) -> None:
-    """Drop words of which no record can be read any more."""
+    """Remove announcements of which no earlier registration can be read any more."""
     for incarnation, departure in list(state.departures.items()):
         if now - departure.at >= LEAVING_RETENTION:
             del state.departures[incarnation]
--- a/figstep/gateway/edges.py
+++ b/figstep/gateway/edges.py
@@ -1,4 +1,4 @@
-"""What the gateway asks of its edges, and the answers that pass through it."""
+"""Ports through which the gateway uses its edges, and the answers that pass them."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """Status and headers of a target's answer, as they go to the caller."""
+    """Status and headers of a target's answer, as they are sent to the caller."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WholeAnswer:
-    """A target's whole answer."""
+    """Complete answer of a target."""
 
     head: AnswerHead
     body: bytes
 
 
 class TargetPort(ABC):
-    """Edge towards targets; answers come back as events."""
+    """Port to the targets; their answers come back as events."""
 
     @abstractmethod
     def open_attempt(self, effect: OpenAttempt) -> None:
@@ -32,11 +32,11 @@
 
     @abstractmethod
     def close_attempt(self, attempt: int) -> None:
-        """Drop an attempt's connection."""
+        """Close an attempt's connection."""
 
     @abstractmethod
     def copy_run(self, effect: CopyRun) -> None:
-        """Order an engine to copy a run to another."""
+        """Order an engine to copy a run to another engine."""
 
     @abstractmethod
     def drop_copy(self, copy: RunCopy) -> None:
@@ -44,11 +44,11 @@
 
     @abstractmethod
     def read_report(self, target: str) -> None:
-        """Ask an engine for its state."""
+        """Query an engine for its state."""
 
     @abstractmethod
     def probe_target(self, target: str) -> None:
-        """Look whether a target still listens at its address."""
+        """Probe whether a target still listens at its address."""
 
     @abstractmethod
     def find_head(self, attempt: int) -> AnswerHead:
@@ -56,48 +56,48 @@
 
     @abstractmethod
     def find_answer(self, attempt: int) -> WholeAnswer:
-        """Return the whole answer of an attempt while its event is handled."""
+        """Return the complete answer of an attempt while its event is handled."""
 
 
 class CallerPort(ABC):
-    """Edge towards callers; requests come in as events."""
+    """Port to the callers; their requests come in as events."""
 
     @abstractmethod
     def begin_stream(self, number: int, head: AnswerHead) -> None:
-        """Start a stream."""
+        """Start a stream to a caller."""
 
     @abstractmethod
     def deliver(self, number: int, data: bytes) -> None:
-        """Hand on bytes of a stream."""
+        """Send bytes of a stream to a caller."""
 
     @abstractmethod
     def finish_stream(self, number: int) -> None:
-        """End a stream as whole."""
+        """End a stream as complete."""
 
     @abstractmethod
     def break_stream(self, number: int) -> None:
-        """Cut a stream so that it can't look whole."""
+        """Cut a stream off so that it cannot look complete."""
 
     @abstractmethod
     def answer(self, number: int, answer: WholeAnswer) -> None:
-        """Give a caller a target's whole answer."""
+        """Send a caller a target's complete answer."""
 
     @abstractmethod
     def refuse(self, number: int, problem: Problem) -> None:
-        """Give a caller an answer of our own."""
+        """Send a caller an answer of the gateway's own."""
 
 
 class PeerPort(ABC):
-    """Edge towards the other entries."""
+    """Port to the other entries."""
 
     @abstractmethod
     def fetch_records(self, address: str) -> None:
-        """Ask a peer for what it has read of the store."""
+        """Request from a peer the records that it has read from the store."""
 
     @abstractmethod
     def announce(self) -> None:
-        """Tell the others of this entry's loads at once."""
+        """Send this entry's loads to its peers at once."""
 
     @abstractmethod
     def announce_target(self, target: str) -> None:
-        """Tell other failure domains what this one has open at a target."""
+        """Report to other failure domains what this one has open at a target."""
--- a/figstep/gateway/eligibility.py
+++ b/figstep/gateway/eligibility.py
@@ -1,4 +1,4 @@
-"""Which targets a request may be sent to, whatever their load."""
+"""Selection of the targets that a request may be sent to, whatever their load."""
 
 from figstep.gateway.routes import Customer, Route, RoutingTable
 from figstep.gateway.state import Request, State
@@ -8,9 +8,9 @@
 def find_allowed_regions(
     route: Route, customer: Customer | None
 ) -> frozenset[str] | None:
-    """Return the regions that a request is bound to; None for any.
+    """Return the regions that a request is bound to; None for any region.
 
-    Where both its route and its customer are bound to regions, both hold.
+    Where both its route and its customer are bound to regions, both bounds hold.
     """
     if customer is None or customer.allowed_regions is None:
         return route.allowed_regions
@@ -20,9 +20,9 @@
 
 
 def update_allowed_regions(table: RoutingTable, request: Request) -> None:
-    """Bind a request that waits or runs to the regions of a newer configuration.
+    """Bind a waiting or running request to the regions of a newer configuration.
 
-    One whose route or key was dropped meanwhile keeps what it was bound to.
+    A request whose route or key has been dropped keeps its earlier regions.
     """
     spec = request.spec
     route = table.find_route(spec.host, spec.path)
@@ -37,12 +37,12 @@
 
 
 def is_eligible(state: State, request: Request, target: Target) -> bool:
-    """Tell whether anything of a request may be sent to a target now."""
+    """Return whether anything of a request may be sent to a target now."""
     return target.accepts_work and _is_in_allowed_region(state, request, target)
 
 
 def list_eligible(state: State, request: Request) -> list[Target]:
-    """Return the targets of a request's service that may get it now."""
+    """Return the targets of a request's service that it may be sent to now."""
     ready = state.targets.list_ready(request.service)
     if request.allowed_regions is None:
         return ready
@@ -63,6 +63,6 @@
 def _is_in_allowed_region(state: State, request: Request, target: Target) -> bool:
     if request.allowed_regions is None:
         return True
-    # A failure domain of unknown region is nobody's home.
+    # A failure domain of unknown region is in no allowed region.
     region = state.regions.get(target.info.failure_domain)
     return region is not None and region in request.allowed_regions
--- a/figstep/gateway/evacuations.py
+++ b/figstep/gateway/evacuations.py
@@ -1,7 +1,8 @@
-"""What follows when a failure domain is evacuated, and when it is taken back.
+"""Start and end of the evacuation of failure domains.
 
-Runs and calls that are at its targets end there: both sides live, and the other
-engines have to take all new work as it is. Nothing else is sent there.
+Runs and calls that are at targets of an evacuated failure domain end there: targets and
+entries are both running, and the other engines have to accept all new work anyway.
+Nothing else is sent there.
 """
 
 from figstep.core.clock import Millis
@@ -14,13 +15,13 @@
 def apply_evacuations(
     state: State, received: Evacuations, source: str, now: Millis
 ) -> list[Effect]:
-    """Take in which failure domains are evacuated.
+    """Apply a newer set of evacuated failure domains.
 
     Args:
         state: The gateway's state.
         received: The evacuated failure domains.
-        source: Who told of them, for the log.
-        now: Monotonic time.
+        source: Sender of that set, for the log.
+        now: Monotonic time, in milliseconds.
     """
     known = state.evacuations
     if received.position <= known.position:
@@ -32,8 +33,8 @@
         domain = target.info.failure_domain
         target.evacuated = domain in received.domains
         if domain in ended:
-            # Its targets are mostly cold when they come back, and their own word
-            # of it may come later than the first requests.
+            # Targets of the failure domain are mostly cold when they come back, and
+            # their own reports of that may arrive after the first requests.
             warmups.assume_cold(state, target, now)
     return [
         *_list_notes("failure domain evacuated", begun, received, source),
--- a/figstep/gateway/events.py
+++ b/figstep/gateway/events.py
@@ -1,4 +1,4 @@
-"""Events: everything the gateway's reducer reacts to."""
+"""Events that the gateway's reducer handles."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -15,20 +15,20 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedRequest:
-    """One attempt of a caller, as far as decisions need it.
+    """One attempt of a caller, with the fields that decisions depend on.
 
     Attributes:
-        number: Unique in this process.
+        number: Number of the request, unique in this process.
         id: The caller's own id of this attempt.
         method: HTTP method.
-        host: Host that it names.
-        path: Path, without its query.
-        key: Key of its customer, or None.
-        max_wait: How long the caller waits, or None if it didn't say.
-        prompt: What its generation needs; None for other calls.
-        after: Id of the last event that a returning caller saw, or None.
-        digest: Hash of path, body and caller; the same when it is sent again.
-        body_bytes: Size of its body.
+        host: Host that the request names.
+        path: Path of the request, without its query.
+        key: Key of the customer, or None.
+        max_wait: How long the caller waits, in milliseconds, or None if it did not say.
+        prompt: What the generation needs; None for other calls.
+        after: Id of the last event that a returning caller received, or None.
+        digest: Hash of path, body and caller; equal when the request is sent again.
+        body_bytes: Size of the body.
     """
 
     number: int
@@ -47,13 +47,13 @@
 class Loss(Enum):
     """How an attempt was lost, as far as its edge can tell."""
 
-    UNREACHED = "unreached"  # no connection: no byte was sent
-    REFUSED = "refused"  # the target says that it did not run
-    MISDIRECTED = "misdirected"  # another target has the address: did not run
+    UNREACHED = "unreached"  # no connection was made: no byte was sent
+    REFUSED = "refused"  # the target states that it did not run the request
+    MISDIRECTED = "misdirected"  # another target has the address: "not run"
     BROKEN = "broken"  # the connection broke after bytes went out
-    GARBLED = "garbled"  # what came is no answer to this request
+    GARBLED = "garbled"  # the received bytes are no answer to this request
     FAILED = "failed"  # the target answered with a failure of its own
-    SILENT = "silent"  # given up on: nothing came for too long
+    SILENT = "silent"  # timed out: nothing arrived for too long
     CUT = "cut"  # this entry closed it
 
 
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A request was read to its end."""
+    """A request was read completely."""
 
     request: RoutedRequest
 
@@ -79,18 +79,18 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamOpened:
-    """A target accepted an attempt of a stream: its headers came."""
+    """A target accepted the attempt of a stream: the headers of its answer arrived."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class StreamPiece:
-    """One event of a stream, as it came.
+    """One event of a stream, as it was received.
 
     Attributes:
-        index: Its id; they grow by one.
-        data: Its bytes, with the closing blank line.
+        index: Id of the event; ids grow by one.
+        data: Bytes of the event, with the closing blank line.
     """
 
     index: int
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PiecesArrived:
-    """Events of a stream, read in one go."""
+    """Events of a stream that were read at once."""
 
     attempt: int
     pieces: list[StreamPiece]
@@ -107,10 +107,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEnded:
-    """The target ended its stream as whole.
+    """The target ended its stream as complete.
 
     Attributes:
-        attempt: The attempt.
+        attempt: Number of the attempt.
         tail: Bytes after the last event.
     """
 
@@ -120,11 +120,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerArrived:
-    """A target gave a whole answer; the edge holds it until it is delivered.
+    """A target gave a complete answer; the edge holds it until it is delivered.
 
     Attributes:
-        attempt: The attempt.
-        status: Its HTTP status.
+        attempt: Number of the attempt.
+        status: HTTP status of the answer.
     """
 
     attempt: int
@@ -136,13 +136,13 @@
     """An attempt ended without an answer.
 
     Attributes:
-        attempt: The attempt.
+        attempt: Number of the attempt.
         loss: How it was lost.
-        retry_after: When the target wants to be asked again, or None.
-        detail: For the log.
-        status: HTTP status of the whole answer that tells the failure and can be
-            handed on; None if there is none.
-        down: Whether nobody listens at the target's address.
+        retry_after: Delay that the target asks for before the next request, or None.
+        detail: Text for the log.
+        status: HTTP status of the complete answer that reports the failure and can be
+            passed on to the caller; None if there is none.
+        down: Whether nothing listens at the target's address.
     """
 
     attempt: int
@@ -155,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetDown:
-    """A probe found that nobody listens at a target's address."""
+    """A probe found that nothing listens at a target's address."""
 
     incarnation: Incarnation
 
@@ -165,10 +165,10 @@
     """A copy of a run is complete at another engine.
 
     Attributes:
-        number: Request whose run it is.
-        source: Target that made it.
-        holder: Target that holds it.
-        handle: Its name at the source.
+        number: Number of the request that the run belongs to.
+        source: Target that made the copy.
+        holder: Target that holds the copy.
+        handle: Name of the copy at the source.
     """
 
     number: int
@@ -182,10 +182,10 @@
     """An order to copy a run failed.
 
     Attributes:
-        number: Request whose run it is.
+        number: Number of the request that the run belongs to.
         source: Target that runs it.
-        holder: Target that should have got the copy.
-        detail: For the log.
+        holder: Target that should have received the copy.
+        detail: Text for the log.
     """
 
     number: int
@@ -196,14 +196,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReported:
-    """An engine was asked for its state.
+    """An engine answered a query for its state.
 
     Attributes:
-        target: The engine.
-        leaving: Whether it says that it takes no new work.
-        ending: Whether it says as well when it ends.
-        memory: Tokens of its memory in use half a second ago that can't yield;
-            None if it doesn't say.
+        target: Id of the engine.
+        leaving: Whether it reports that it accepts no new work.
+        memory: Tokens of its memory that were in use half a second ago and cannot be
+            freed on demand; None if it does not report them.
+        ending: Whether it also reports when it ends.
     """
 
     target: str
@@ -214,10 +214,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetLeaving:
-    """A target's answer said that the target leaves.
+    """A target's answer stated that the target leaves.
 
     Attributes:
-        incarnation: The life of the target that the request was sent to.
+        incarnation: Incarnation of the target that the request was sent to.
     """
 
     incarnation: Incarnation
@@ -225,12 +225,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RateNamed:
-    """A target's answer named the rate that it takes, or no longer names one.
+    """A target's answer named the rate that it accepts, or named none any more.
 
     Attributes:
-        target: The target.
-        rate: Requests a second that it takes from all entries together; None if
-            it takes any.
+        target: Id of the target.
+        rate: Requests per second that it accepts from all entries together; None if it
+            accepts any rate.
         asked: When the answered request was sent.
     """
 
@@ -265,7 +265,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetsListed:
-    """All registrations were read at once; what is not among them is gone.
+    """All registrations were read at once; a target that is not listed is gone.
 
     Attributes:
         registrations: The registrations.
@@ -278,26 +278,26 @@
 
 @dataclass(frozen=True, slots=True)
 class PositionRead:
-    """Registrations were read on, up to an offset in the store."""
+    """Registrations were read up to a further offset in the store."""
 
     position: int
 
 
 @dataclass(frozen=True, slots=True)
 class EvacuationsRead:
-    """The operator's evacuations were read in the store."""
+    """The operator's evacuations were read from the store."""
 
     evacuations: Evacuations
 
 
 @dataclass(frozen=True, slots=True)
 class StoreLost:
-    """The store stopped answering: registrations may lapse unseen."""
+    """The store stopped answering: registrations may lapse unnoticed."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreRegained:
-    """The store answers again; lapsed registrations come back by themselves."""
+    """The store answers again; targets renew lapsed registrations by themselves."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -305,14 +305,14 @@
     """What another entry has open at one target.
 
     Attributes:
-        target: The target.
+        target: Id of the target.
         calls: Open attempts.
-        memory: Tokens that they are expected to take.
-        reading: Prompt tokens that are still to be read for them.
-        read_rate: Prompt tokens that the target reads in a millisecond, as the
-            entry saw it; None if it didn't.
-        incoming: Tokens of runs that are being copied to it.
-        outgoing: Tokens of runs that are being copied from it.
+        memory: Tokens of engine memory that they are expected to use.
+        reading: Prompt tokens of theirs that the target has still to read (prefill).
+        read_rate: Prompt tokens that the target reads per millisecond, as the entry
+            measured it; None without a measurement.
+        incoming: Tokens of runs that are being copied to the target.
+        outgoing: Tokens of runs that are being copied from the target.
     """
 
     target: str
@@ -326,14 +326,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RateReport:
-    """What a target's newest answer to an entry named.
+    """The rate named in the newest answer of a target to an entry.
 
     Attributes:
-        incarnation: The life of the target that gave it.
-        rate: Requests a second that it takes from all entries together; None if
-            it takes any.
-        age: Time since that answer.
-        turn: How often its rate had passed to other entries.
+        incarnation: Incarnation of the target that answered.
+        rate: Requests per second that it accepts from all entries together; None if it
+            accepts any rate.
+        age: Time since that answer, in milliseconds.
+        turn: How often the rate had passed to other entries because no answer of the
+            target came.
     """
 
     incarnation: Incarnation
@@ -344,33 +345,34 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerHeard:
-    """A message of another entry came.
+    """A message of another entry arrived.
 
     Attributes:
-        node: Its name.
-        loads: What it has open, by target; all that it has.
-        uses: What it sent to each service of late.
+        node: Name of the peer.
+        loads: What the peer has open, by target; all of it unless `partial` is set.
+        uses: What it recently sent to each service.
         suspicions: Requests that were at targets which crashed.
-        clearances: Suspected requests that have run to an answer of late.
+        clearances: Suspected requests that recently ran to an answer.
         closing: Whether the peer is shutting down.
         address: Where it listens for peers, as "ip:port".
-        configuration: Version that it has in force; -1 for none.
-        position: How far it has read the registrations; -1 for nothing.
-        failure_domain: Its failure domain.
-        entries: Entries that it knows of, itself included.
-        far: Whether the loads are those of all entries of its failure domain,
-            told to another one.
-        refused: Requests that it refused of late for want of room.
-        partial: Whether the loads are only those that changed since it last told
-            all.
-        receives_records: Whether records of the store reach it, from whomever.
+        configuration: Version of the configuration that it has in force; -1 for none.
+        position: Offset up to which it has read the registrations; -1 for nothing.
+        failure_domain: Failure domain of the peer.
+        entries: Number of entries that it knows, itself included.
+        far: Whether the loads are the sums of all entries of its failure domain, sent
+            to another failure domain.
+        receives_records: Whether records of the store reach it, directly or through
+            other entries.
         answered: Whether the store answers it, as far as it reads the store.
-        reading: Whether it reads the store's records as they come.
-        leaving: Targets that said of late that they leave, or that others told
-            it of.
-        evacuations: Failure domains that it takes to be evacuated.
-        unreached: Targets that it could not connect to of late.
-        rates: What targets have named in answers to it of late.
+        reading: Whether it reads the store's records as they are written.
+        leaving: Targets that recently announced to it that they leave, or of which
+            other entries reported that.
+        partial: Whether the loads are only those that differ from its last full
+            message.
+        refused: Requests that it recently refused for lack of free capacity.
+        evacuations: Failure domains that it knows as evacuated.
+        unreached: Targets that it recently could not connect to.
+        rates: Rates that targets recently named in answers to it.
     """
 
     node: str
@@ -408,17 +410,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticked:
-    """Time has passed: bounds on waits are looked at."""
+    """Time has passed: timeouts and limits of waiting are checked."""
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsRead:
-    """The settings were read again: what they say may differ.
+    """The settings were read again and may have changed.
 
     Attributes:
-        retry_ratio: Repeats for each request.
-        retry_allowance: Repeats of the fleet beyond the ratio, in a window.
-        retry_window: Length of that window.
+        retry_ratio: Repeats allowed for each request.
+        retry_allowance: Repeats of the whole fleet allowed within a window in addition
+            to the ratio.
+        retry_window: Length of that window, in milliseconds.
         regions: Region of each failure domain.
     """
 
@@ -430,7 +433,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownRequested:
-    """The process was asked to end by ``until``; open requests go on."""
+    """The process was asked to end by `until`; open requests continue until then."""
 
     until: Millis
 
--- a/figstep/gateway/limits.py
+++ b/figstep/gateway/limits.py
@@ -1,12 +1,14 @@
-"""What targets ask for in their answers: a rate, or a pause.
+"""Rates and pauses that targets ask for in their answers.
 
-A pause is for the entry that was turned away; a rate is for all entries together.
+A pause holds for the entry whose request was rejected; a rate holds for all entries
+together.
 
-The load that this answers is a target in need before a fleet of entries. It names its
-rate to those that it answers only, and each of them sees no more than its own requests:
-entries that keep to the rate one by one send it many times over. So entries tell each
-other what a target has named, and split it. A rate may be lower than one request a
-second for each entry, so that whole requests are split over some seconds.
+The case handled here is an overloaded target that serves a fleet of entries. It names
+its rate only to the entries that it answers, and each of them knows no more than its
+own requests: entries that kept to the rate one by one would send it many times over.
+Entries therefore report to each other what a target has named, and split it. A rate may
+be lower than one request per second for each entry, so whole requests are split over
+some seconds.
 """
 
 from figstep.core.clock import Millis
@@ -17,26 +19,27 @@
 from figstep.gateway.targets import RateLimit, Target
 
 RATE_SPLIT_WINDOW = Millis(4_100)
-"""Time over which a rate is split into whole requests. What was sent four seconds
-apart may arrive a little closer."""
+"""Time, in milliseconds, over which a rate is split into whole requests. It exceeds
+four seconds, as requests sent four seconds apart may arrive a little closer."""
 
 MAX_RATE_SPLIT_WINDOW = Millis(10_000)
-"""The same for the lowest rates, also for none at all: only an answer tells that a
-target takes more again."""
+"""Window, in milliseconds, for the lowest rates. At a rate of zero, too, one request is
+allowed in it, as only an answer shows that a target accepts more again."""
 
 TURN_DURATION = Millis(10_000)
-"""Time without any answer of a target after which its rate passes to other entries:
-those that had it may have no callers, and nobody would learn that the need is over."""
+"""Time, in milliseconds, without any answer of a target after which its rate passes to
+other entries. Those that had it may have no callers, and no entry would learn that the
+target accepts more again."""
 
 
 def handle_rate(state: State, event: RateNamed, now: Millis) -> list[Effect]:
-    """Take in the rate that a target's answer named, or that it named none."""
+    """Handle the rate that a target's answer named, or that it named none."""
     target = state.targets.find(event.target)
     if target is None:
         return []
     limit = target.limit
     if event.rate is None and (limit is None or event.asked < limit.stated_at):
-        # An answer that was under way as the target began to name a rate.
+        # The answered request was sent before the target began to name a rate.
         return []
     if limit is None:
         limit = target.limit = RateLimit()
@@ -48,7 +51,7 @@
 def apply_rate_reports(
     state: State, reports: tuple[RateReport, ...], source: str, now: Millis
 ) -> list[Effect]:
-    """Take in what targets have named to another entry."""
+    """Apply the rates that targets have named to another entry."""
     effects: list[Effect] = []
     for report in reports:
         target = state.targets.find(report.incarnation.target)
@@ -86,8 +89,9 @@
         limit.sends.clear()
         limit.opens_at = now
         if _estimate_request_rate(state, target, now) > rate:
-            # What it got before it named the rate has used up the first window. At
-            # its end the entries must not all begin at once, and go on so.
+            # Requests from before the target named the rate have used up the first
+            # window. The entries must not all begin at once when it ends, as they
+            # would then send in step in every later window.
             delay = RATE_SPLIT_WINDOW * (0.5 + state.rng.random())
             limit.opens_at = Millis(round(now + delay))
     message = "target takes any rate" if rate is None else "target names a rate"
@@ -96,7 +100,7 @@
 
 
 def _estimate_request_rate(state: State, target: Target, now: Millis) -> float:
-    """Return the requests a second that a target has got, if all got alike."""
+    """Return the requests per second that a target got, if all targets got alike."""
     service = target.info.service
     fleet = peers.sum_uses(state, service)
     requests = state.budget.count_requests(service, now) + fleet.requests
@@ -105,22 +109,22 @@
 
 
 def record_pause(target: Target, pause: Millis, now: Millis) -> None:
-    """Take in that a target turned this entry away and wants a pause."""
+    """Record that a target rejected a request of this entry and asked for a pause."""
     target.paused_until = Millis(max(target.paused_until, now + pause))
 
 
 def is_limited(target: Target) -> bool:
-    """Tell whether a target names a rate now."""
+    """Return whether a target currently names a rate."""
     return target.limit is not None and target.limit.rate is not None
 
 
 def may_send(state: State, target: Target, now: Millis) -> bool:
-    """Tell whether a target may be sent one more request now."""
+    """Return whether a target may be sent one more request now."""
     return find_send_time(state, target, now) <= now
 
 
 def find_send_time(state: State, target: Target, now: Millis) -> Millis:
-    """Return when this entry may send a target a request at the earliest."""
+    """Return the earliest time at which this entry may send a target a request."""
     send_time = _find_rate_send_time(state, target, now)
     return Millis(max(send_time, target.paused_until))
 
@@ -157,7 +161,7 @@
 
 
 def split_rate(rate: float) -> tuple[Millis, int]:
-    """Return a time, and the whole requests that a rate allows within it."""
+    """Return a window and the whole requests that a rate allows within it."""
     if rate * RATE_SPLIT_WINDOW >= 1_000:
         return RATE_SPLIT_WINDOW, int(rate * RATE_SPLIT_WINDOW / 1_000)
     if rate * MAX_RATE_SPLIT_WINDOW <= 1_000:
--- a/figstep/gateway/measures.py
+++ b/figstep/gateway/measures.py
@@ -1,9 +1,10 @@
-"""Counters and histograms of a gateway, served as text."""
+"""Counters and histograms of a gateway, in the text format of Prometheus."""
 
 from prometheus_client import CollectorRegistry, Counter, Histogram, generate_latest
 
 BUCKETS = (0.01, 0.03, 0.06, 0.12, 0.18, 0.25, 0.5, 1.0, 1.8, 3.0, 6.0, 15.0, 40.0)
-"""Seconds; the objectives of first tokens, pauses and calls lie among them."""
+"""Upper bounds of the histograms' buckets, in seconds. The objectives for first tokens,
+pauses and calls are among them."""
 
 _LABELS = {
     "answered": ("route", "status"),
@@ -15,7 +16,7 @@
 
 
 class GatewayMeasures:
-    """Metrics by name; made when first used."""
+    """Metrics by name; each is created at its first use."""
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
@@ -37,7 +38,13 @@
         (counter.labels(*labels) if labels else counter).inc()
 
     def observe(self, name: str, millis: int, label: str) -> None:
-        """Add a duration to a histogram."""
+        """Add a duration to a histogram of seconds.
+
+        Args:
+            name: Name of the histogram, without prefix and unit.
+            millis: The duration, in milliseconds.
+            label: Name of the route.
+        """
         histogram = self._histograms.get(name)
         if histogram is None:
             histogram = Histogram(
@@ -51,5 +58,5 @@
         histogram.labels(label).observe(millis / 1000)
 
     def render(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in the text format of Prometheus."""
         return generate_latest(self._registry)
--- a/figstep/gateway/news.py
+++ b/figstep/gateway/news.py
@@ -1,9 +1,9 @@
-"""What an entry of a large fleet tells the others of its failure domain, and when.
+"""Content and timing of an entry's messages to its failure domain in a large fleet.
 
-The load that this answers is the fleet's own size: each entry hears all others of
-its failure domain, so that what each of them says, and how often, is what control
-costs. Loads are told whole every two seconds and between as what differs from that.
-A message that is lost is made good by the next one.
+What limits the design is the size of the fleet: each entry receives the messages of all
+others in its failure domain, so the size and frequency of messages determine the cost
+of control traffic. All loads are sent every two seconds, and in between the loads that
+differ from these. A lost message is made good by the next one.
 """
 
 from collections.abc import Hashable
@@ -14,19 +14,19 @@
 from figstep.gateway.peers import select_changed
 
 FULL_REPORT_INTERVAL = Millis(2_000)
-"""How often all loads are told: it bounds how long the growth of runs, and what a
-lost message told, stay unknown."""
+"""Time, in milliseconds, between two messages with all loads. It bounds how long the
+growth of runs, and the content of a lost message, stay unknown to other entries."""
 
 
 @dataclass(slots=True)
 class LoadUpdates:
-    """What was told last.
+    """What was last sent to the other entries, to select what they must learn next.
 
     Attributes:
-        full_report_at: When all loads were told; None for never.
-        full_report: Those loads, by target.
-        last: The loads as the others know them now.
-        urgent_fields: What else they were told.
+        full_report_at: When all loads were last sent; None for never.
+        full_report: The loads that were sent then, by target.
+        last: Loads as the other entries know them now, by target.
+        urgent_fields: Urgent fields of the last message.
     """
 
     full_report_at: Millis | None = None
@@ -35,13 +35,13 @@
     urgent_fields: Hashable = None
 
     def has_urgent_changes(self, own: PeerHeard) -> bool:
-        """Tell whether the others have to hear of something before all is told."""
+        """Return whether a change cannot wait for the next full message."""
         if self.urgent_fields != _read_urgent_fields(own):
             return True
         return bool(select_changed(self.last, own.loads))
 
     def select(self, own: PeerHeard, now: Millis) -> PeerHeard:
-        """Return the message that is sent now, and note it as told."""
+        """Return the message to send now, and record it as sent."""
         self.urgent_fields = _read_urgent_fields(own)
         if (
             self.full_report_at is None
@@ -62,7 +62,7 @@
 
 
 def strip_ages(own: PeerHeard) -> PeerHeard:
-    """Return a message without the ages of what it tells, which alone are no news."""
+    """Return a message with all ages set to zero, as a new age alone is no change."""
     if not (own.rates or own.suspicions or own.clearances):
         return own
     ageless = Millis(0)
@@ -75,10 +75,10 @@
 
 
 def _read_urgent_fields(own: PeerHeard) -> Hashable:
-    """Return what can't wait of a message, apart from its loads.
+    """Return the fields of a message that cannot wait, apart from its loads.
 
-    Requests that were sent raise the retry budget, so that hearing of them late is
-    safe; repeats use it up.
+    Of the requests and repeats of each service, only the repeats are urgent: requests
+    raise the retry budget, so that a late report of them is safe; repeats use it up.
     """
     return (
         own.closing,
--- a/figstep/gateway/peers.py
+++ b/figstep/gateway/peers.py
@@ -1,4 +1,4 @@
-"""What entries tell each other: open work by target, crashes, leaving."""
+"""Messages between entries: open work by target, crashes and leaving targets."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
@@ -11,23 +11,25 @@
 from figstep.gateway.state import DomainLoads, Peer, Request, State
 
 PEER_TIMEOUT = Millis(3_000)
-"""Silence after which a peer's work no longer counts. Messages come at least
-once a second, and one in a hundred datagrams is lost."""
+"""Silence, in milliseconds, after which a peer's loads no longer count. Peers send a
+message at least once a second, and one in a hundred datagrams is lost."""
 
 MISSING_PEER_DURATION = Millis(20_000)
-"""How long a peer that fell silent may still be at work behind a cut, spending
-from the budget of the fleet; two windows of that budget."""
+"""How long, in milliseconds, a peer that fell silent is assumed to be running behind a
+network partition and spending from the fleet's retry budget. It is two windows of that
+budget."""
 
 REMOTE_LOADS_TIMEOUT = Millis(4_000)
-"""How long the sums of another failure domain count; they are told whole
-every two seconds, and some messages are lost."""
+"""How long, in milliseconds, the load sums of another failure domain count without a
+new message. They are sent in full every two seconds, and some messages are lost."""
 
 MEMORY_REPORT_STEP = 1_000
-"""Tokens by which the runs at an engine grow before others are told of it."""
+"""Growth of the runs at an engine, in tokens, that is reported to other entries before
+the next full message."""
 
 
 def handle_message(state: State, event: PeerHeard, now: Millis) -> list[Effect]:
-    """Take in a peer's message; returns what is to be logged of it."""
+    """Apply a peer's message; return the log lines on suspected requests."""
     _record_peer(state, event, now)
     notes = crashes.apply_suspicions(state, event.suspicions, event.node, now)
     crashes.apply_clearances(state, event.clearances, now)
@@ -52,8 +54,8 @@
         rates=event.rates,
     )
     if event.far and event.failure_domain == state.failure_domain:
-        # It asked for this entry's failure domain before it knew that it shares
-        # it; its own loads come with its next message.
+        # The peer did not yet know that it is in this entry's failure domain when
+        # it sent these sums; its own loads come with its next message.
         return
     if event.far:
         state.remote_peers[event.node] = peer
@@ -73,10 +75,10 @@
 
 
 def _apply_loads(state: State, peer: Peer, event: PeerHeard) -> None:
-    """Take in loads of an entry of this failure domain.
+    """Apply the loads of an entry of this failure domain.
 
-    Those that are not told whole differ from what was last told whole; a load that
-    is as it was then is not told any more.
+    A partial message holds the loads that differ from those of the last full message; a
+    load that is again as it was then is no longer sent.
     """
     known = state.peers.get(event.node)
     before = {} if known is None else known.loads
@@ -114,9 +116,9 @@
 def _replace_loads(
     state: State, before: Iterable[PeerLoad], loads: Iterable[PeerLoad]
 ) -> None:
-    """Count loads in place of those that the same peer told before.
+    """Count some loads in place of those that the same peer reported before.
 
-    Summing up all peers anew for each message would cost several times as much.
+    Summing up the loads of all peers for each message would cost several times as much.
     """
     for load in before:
         _add_load(state, load, -1)
@@ -125,7 +127,7 @@
 
 
 def expire_peers(state: State, now: Millis) -> None:
-    """Drop peers that have not been heard for long."""
+    """Remove peers whose messages stopped, and loads that are too old."""
     for name in _list_expired(state.peers, now):
         _replace_loads(state, state.peers.pop(name).loads.values(), ())
         state.silent_peers[name] = now
@@ -148,7 +150,7 @@
 
 
 def recount_loads(state: State) -> None:
-    """Sum up anew what the others have open: a target is new here."""
+    """Sum up the loads of all other entries again, after a target was added."""
     for target in state.targets.targets.values():
         target.peer_calls = 0
         target.peer_memory = 0
@@ -213,7 +215,7 @@
 
 
 def spend_repeat(state: State, service: str, now: Millis, urgent: bool = False) -> bool:
-    """Take one repeat from the fleet's budget; False if none is left."""
+    """Take one repeat from the fleet's retry budget; return False if none is left."""
     if not state.budget.can_repeat(service, sum_uses(state, service), now, urgent):
         return False
     state.budget.record_repeat(service, now)
@@ -221,7 +223,7 @@
 
 
 def record_denied(state: State, request: Request, now: Millis) -> list[Effect]:
-    """Return the count of a denied repeat; the first of a request is logged."""
+    """Return the count of a denied repeat, and a log line for a request's first."""
     counted: list[Effect] = [Count("repeats_denied", (request.route.name,))]
     if request.retry_denied:
         return counted
@@ -243,7 +245,7 @@
 
 
 def describe_entry(state: State, now: Millis) -> PeerHeard:
-    """Return what this entry tells the others."""
+    """Return the message in which this entry describes itself to the others."""
     return PeerHeard(
         state.node,
         list_loads(state),
@@ -267,7 +269,7 @@
 
 
 def describe_domain(state: State, now: Millis) -> PeerHeard:
-    """Return what the entries of this failure domain have open, in sums."""
+    """Return a message with the summed loads of this failure domain's entries."""
     reported = [*list_loads(state)]
     for peer in state.peers.values():
         reported += peer.loads.values()
@@ -275,7 +277,7 @@
 
 
 def describe_domain_at(state: State, target: str, now: Millis) -> PeerHeard:
-    """Return what the entries of this failure domain have open at one target."""
+    """Return a partial message with this failure domain's summed load at one target."""
     reported = [load for load in list_loads(state) if load.target == target]
     for peer in state.peers.values():
         load = peer.loads.get(target)
@@ -305,7 +307,7 @@
 
 
 def _list_domain_rates(state: State, now: Millis) -> tuple[RateReport, ...]:
-    """Return the newest that targets have named to any entry of this domain."""
+    """Return the newest rates that targets named to any entry of this domain."""
     newest = {report.incarnation: report for report in state.list_rates(now)}
     for peer in state.peers.values():
         for reported in peer.rates:
@@ -321,14 +323,14 @@
 def select_changed(
     reported: Mapping[str, PeerLoad], loads: Iterable[PeerLoad]
 ) -> tuple[PeerLoad, ...]:
-    """Return the loads that others have to hear of before they are told all again.
+    """Return the loads that others must learn of before the next full message.
 
-    Runs grow with every event; what decides where prompts go are prompts that
-    came, were read or ended, and growth that adds up.
+    Runs grow with every event. What matters to the placement of prompts is prompts that
+    arrived, were read or ended, and growth that adds up.
 
     Args:
-        reported: What was told last, by target.
-        loads: What is so now.
+        reported: Loads as they were last reported, by target.
+        loads: Loads as they are now.
     """
     changed = []
     remaining = dict(reported)
@@ -350,7 +352,7 @@
 
 
 def is_domain_representative(state: State, now: Millis) -> bool:
-    """Tell whether this entry tells other failure domains of its own."""
+    """Return whether this entry reports its domain's loads to other domains."""
     return not any(name < state.node for name in sources.list_live_peers(state, now))
 
 
@@ -366,7 +368,7 @@
 
 @dataclass(slots=True)
 class _Sum:
-    """What several entries have open at a target."""
+    """Sum of what several entries have open at a target."""
 
     calls: int = 0
     memory: int = 0
--- a/figstep/gateway/reducer.py
+++ b/figstep/gateway/reducer.py
@@ -1,4 +1,4 @@
-"""The gateway's reducer: one match over all events."""
+"""Reducer of the gateway: applies each event to the state."""
 
 from figstep.core.clock import Millis
 from figstep.gateway import (
@@ -49,30 +49,32 @@
 from figstep.gateway.targets import Registration, Standing, is_new_incarnation
 
 DEPARTED_RETENTION = Millis(30_000)
-"""How long a departed target is remembered: a lapsed registration comes back
-within seconds, and a log line may still name it."""
+"""How long, in milliseconds, a departed target is kept. A lapsed registration comes
+back within seconds, and a log line may still name the target."""
 
 LAPSE_GRACE = Millis(2_300)
-"""How long a registration that is missing after the store was away is not
-taken for gone: live targets are back within two seconds of its return, and
-dropping them would leave callers without any target meanwhile."""
+"""How long, in milliseconds, a registration may be missing after an outage of the store
+before its target is treated as departed. Running targets are back within two seconds of
+the store's return, and dropping them would leave callers without any target
+meanwhile."""
 
 MASS_LAPSE_GRACE = Millis(1_700)
-"""The same where most targets depart at once without an outage that was noticed.
-Should they be gone all the same, work must stop going there two seconds after
-the store took note, less what the record needed to get here."""
+"""How long, in milliseconds, registrations may be missing if most targets of a service
+depart at once without a known outage of the store. If the targets are really gone, work
+must stop going there two seconds after the store recorded it, less the time that the
+record took to arrive here."""
 
 
 def reduce(state: State, event: Event, now: Millis) -> list[Effect]:
-    """Apply one event.
+    """Apply one event to the state.
 
     Args:
-        state: State of this gateway; changed in place, here only.
+        state: State of this gateway; changed in place, and only by the reducer.
         event: What happened.
         now: Monotonic time, in milliseconds.
 
     Returns:
-        What the edges have to do, in order.
+        Effects that the edges have to perform, in order.
     """
     match event:
         case PiecesArrived():
@@ -155,8 +157,8 @@
 def _apply_configuration(state: State, event: ConfigurationRead) -> list[Effect]:
     table = event.table
     if state.table is not None and table.version <= state.table.version:
-        # A read may bring what a peer had brought before; going back would let
-        # a route or key that was dropped work again.
+        # A read may return a version that a peer has sent before; going back to an
+        # older one would let a dropped route or key work again.
         return []
     state.table = table
     for request in state.requests.values():
@@ -197,9 +199,9 @@
 def _handle_departure(state: State, event: TargetDeparted, now: Millis) -> list[Effect]:
     target = state.targets.find(event.target)
     if target is None or target.standing is not Standing.READY:
-        # Each list of a peer's lacks it anew; counted again, it would make the
-        # next departure look like a lapse of all registrations, and prompts go
-        # to an engine that leaves.
+        # The target is missing from each further list that a peer sends. Counted
+        # again, it would make the next departure look like a lapse of all
+        # registrations, and prompts would go to an engine that leaves.
         return []
     if target.appears_unreachable:
         return _apply_departure(state, event.target, now)
@@ -230,7 +232,7 @@
 
 def _apply_target_list(state: State, event: TargetsListed, now: Millis) -> list[Effect]:
     if state.position >= 0 and event.position < state.position:
-        # A peer's copy that the store has overtaken meanwhile.
+        # A peer's copy that is older than what was read from the store meanwhile.
         return []
     state.position = event.position
     listed = {info.target for info in event.registrations}
--- a/figstep/gateway/reports.py
+++ b/figstep/gateway/reports.py
@@ -1,4 +1,4 @@
-"""What engines say of themselves when they are asked."""
+"""Queries of engines for their state, and the engines' reports."""
 
 from figstep.core.clock import Millis
 from figstep.gateway import crashes, departures, placement, shares, sources
@@ -8,24 +8,25 @@
 from figstep.gateway.targets import Target
 
 QUERY_INTERVAL = Millis(400)
-"""How often an engine is asked: its state is half a second old, and it is gone
-1.5 s after its notice."""
+"""Least time, in milliseconds, between two queries of an engine. The reported state is
+half a second old, and an engine is gone 1.5 s after its notice."""
 
 UNCLAIMED_TIMEOUT = Millis(1_200)
-"""How long an answer counts: three questions, of which two may stay unanswered."""
+"""How long, in milliseconds, a report counts: three queries, two of which may stay
+unanswered."""
 
 RESTART_QUERY_MARGIN = Millis(1_000)
-"""How much longer than copies are kept a process asks after its start: one that
-was ordered just before the kill is kept from when it arrives."""
+"""How much longer than copies are kept, in milliseconds, a process queries engines
+after a restart. A copy ordered just before the kill is kept from when it arrives."""
 
 
 def query_engines(state: State, now: Millis) -> list[Effect]:
-    """Ask engines for their state where nobody else tells it.
+    """Query engines for their state where no other source reports it.
 
-    Without the store an engine's notice reaches nobody, and its streams are lost
-    with it; the engine itself knows. After a restart nobody knows what copies the
-    killed processes left: prompts sent on the belief that an engine is empty
-    waited there for four seconds.
+    Without the store an engine's notice reaches no entry, and its streams are lost with
+    it; only the engine itself knows that it leaves. After a restart no entry knows
+    which copies the killed processes left: prompts sent on the assumption that an
+    engine is empty waited there for four seconds.
     """
     effects: list[Effect] = []
     live_entries = [state.node, *sources.list_live_peers(state, now)]
@@ -47,8 +48,8 @@
 
 
 def _record_query(target: Target, now: Millis) -> None:
-    # An answer is as old as the time between two questions: it is compared with
-    # what was counted at the one before, or now if that was long ago.
+    # A report is as old as the time between two queries: it is compared with the
+    # memory claimed at the previous query, or now if that was long ago.
     recent = now - target.queried_at < UNCLAIMED_TIMEOUT
     claimed = target.claimed_memory
     target.claimed_baseline = target.claimed_at_query if recent else claimed
@@ -59,10 +60,10 @@
 def _is_querier(
     state: State, target: Target, live_entries: list[str], now: Millis
 ) -> bool:
-    """Tell whether this entry asks an engine whether it leaves.
+    """Return whether this entry queries an engine on whether it leaves.
 
-    In a large fleet one entry asks for its whole failure domain: were each to
-    ask, questions would grow with the square of the fleet.
+    In a large fleet one entry queries for its whole failure domain: if every entry did,
+    the number of queries would grow with the square of the fleet.
     """
     if not target.load:
         return False
@@ -94,14 +95,14 @@
     if pool is None or state.budget.first_start:
         return False
     if state.is_large:
-        # Questions of all entries to all engines would grow with the square of
-        # the fleet, and there a few engines of dozens hold such copies.
+        # Queries of all entries to all engines would grow with the square of the
+        # fleet, and there a few engines of dozens hold such copies.
         return False
     return now - state.budget.started < pool.copy_retention + RESTART_QUERY_MARGIN
 
 
 def handle_report(state: State, event: EngineReported, now: Millis) -> list[Effect]:
-    """Take in how full an engine is, and its own word that it leaves."""
+    """Handle an engine's report of its memory in use and of whether it leaves."""
     target = state.targets.find(event.target)
     if target is None:
         return []
@@ -111,8 +112,8 @@
     if not event.leaving:
         return []
     if not event.ending and sources.is_store_unread(state, now):
-        # One that is drained serves on until the store has taken its word, and no
-        # other can be known to take its place.
+        # A drained engine keeps serving until the store has recorded that it
+        # leaves, and without the store no replacement for it can be known.
         return []
     return departures.handle_leaving(state, target.info.incarnation, now)
 
--- a/figstep/gateway/shares.py
+++ b/figstep/gateway/shares.py
@@ -1,8 +1,8 @@
-"""Split of what a target takes into whole requests of each entry.
+"""Split of the requests that a target accepts into whole requests of each entry.
 
-Targets bear a few requests a second from a fleet of entries that all see the same
-target and don't ask each other before they send. Each entry works out its own share
-from the entries that it hears, so that no message has to arrive first.
+Some targets accept only a few requests per second from a fleet of entries that all know
+the same target and do not coordinate before they send. Each entry computes its own
+share from the entries that it has contact with, so no message has to arrive first.
 """
 
 import zlib
@@ -11,22 +11,22 @@
 from figstep.gateway.state import State
 
 RESTART_SHARE_DELAY = Millis(1_500)
-"""How long a process that starts again has no share: it has to hear the others
-first, and what its earlier process sent still counts."""
+"""How long, in milliseconds, a restarted process has no share. It has to receive
+messages of the other entries first, and what its earlier process sent still counts."""
 
 
 def share_requests(state: State, key: str, requests: float, now: Millis) -> int:
     """Return how many of some requests this entry may send.
 
-    They are split over all entries of the fleet into whole requests. Where that
-    gives less than one to each, entries are drawn: all of them draw alike, so that
-    no two take the same request.
+    The requests are split over all entries of the fleet into whole requests. Where that
+    gives less than one request to each entry, entries are selected by a hash: all
+    entries compute the same selection, so no two take the same request.
 
     Args:
         state: The gateway's state.
-        key: What is drawn by; another one draws other entries.
+        key: Key of the hash; another key selects other entries.
         requests: Requests of the whole fleet.
-        now: Monotonic time.
+        now: Monotonic time, in milliseconds.
     """
     budget = state.budget
     if not budget.first_start and now < budget.started + RESTART_SHARE_DELAY:
@@ -45,8 +45,14 @@
 def _share_domain(state: State, key: str, part: float) -> int:
     """Return the whole requests of this failure domain.
 
-    In a large fleet the entries of other ones aren't heard. What the domains'
-    equal parts leave over is rounded up in some of them, which all draw alike.
+    A large fleet's entries in other failure domains send no messages to this entry.
+    What equal parts of the domains leave over is rounded up in some domains, and all
+    entries select the same ones.
+
+    Args:
+        state: The gateway's state.
+        key: Key of the hash; another key selects other failure domains.
+        part: Requests of each failure domain, before rounding.
     """
     own = hash_rank(state.failure_domain, key)
     before = sum(1 for name in state.remote_loads if hash_rank(name, key) < own)
@@ -54,5 +60,5 @@
 
 
 def hash_rank(name: str, key: str) -> tuple[int, str]:
-    """Return what orders names by chance, in the same way at all entries."""
+    """Return a sort key that orders names pseudorandomly, alike at all entries."""
     return zlib.crc32(f"{name} {key}".encode()), name
--- a/figstep/gateway/sources.py
+++ b/figstep/gateway/sources.py
@@ -1,4 +1,4 @@
-"""Who reads the platform's store, and what is known while nobody can."""
+"""Selection of the entries that read the store, and the state known in an outage."""
 
 import zlib
 
@@ -8,30 +8,33 @@
 from figstep.gateway.state import Peer, State
 
 MIN_READERS = 3
-"""Entries of a large fleet that read the store, in as many failure domains as
-there are: any two of them may die in the same moment."""
+"""Entries of a large fleet that read the store, split over its failure domains. There
+are three, as any two of them may fail in the same moment."""
 
 MAX_UNHEALTHY_READERS = 6
-"""Entries of the fleet that go without the store's answers before the others don't ask
-it. Where the store turns a third of the entries away, one of these gets through."""
+"""Entries of the fleet that try to read the store without getting its records, from
+which on no others try. Where the store rejects a third of the entries, one of this many
+gets through."""
 
 READER_TIMEOUT = Millis(1_500)
-"""Silence after which another entry reads in a reader's place."""
+"""Silence of a reader, in milliseconds, after which another entry reads in its
+place."""
 
 RELAY_DELAY = Millis(150)
-"""How long an entry that doesn't read the store waits to be told a record."""
+"""How long, in milliseconds, an entry that does not read the store waits for a record
+to be relayed to it before it fetches the record from a peer."""
 
 CATCH_UP_DELAY = Millis(400)
-"""How long a peer may know newer records before they are asked of it. Entries
-that read the store themselves learn of a record within some milliseconds of
-each other; a store that turns this entry away may never tell it."""
+"""How long, in milliseconds, a peer may know newer records before a reader fetches them
+from it. Entries that read the store themselves receive a record within some
+milliseconds of each other; a store that rejects this entry may never send it."""
 
 MAX_CONCURRENT_FETCHES = 2
-"""Entries that ask one peer for its records at the same time."""
+"""Entries that fetch records from one peer at the same time."""
 
 
 def list_live_peers(state: State, now: Millis) -> dict[str, Peer]:
-    """Return the entries of this failure domain that were heard of late."""
+    """Return the entries of this failure domain that recently sent a message."""
     live = {}
     for name, peer in state.peers.items():
         if now - peer.last_received_at < READER_TIMEOUT:
@@ -40,11 +43,11 @@
 
 
 def reads_store(state: State, now: Millis) -> bool:
-    """Tell whether this entry reads the store's records as they come.
+    """Return whether this entry reads the store's records as they are written.
 
-    Calls to the store are dear in a large fleet: there a few entries read them
-    and tell the others. One that began and fails goes on, so that it learns when
-    the store is back.
+    Calls to the store are expensive in a large fleet: there a few entries read the
+    records and relay them to the others. An entry that began to read and fails keeps
+    trying, so that it learns when the store is back.
     """
     if not state.is_large or state.read_failed:
         return True
@@ -55,8 +58,9 @@
         if peer.receives_records:
             healthy += 1
         else:
-            # It reads too, or is about to. Were its word of that awaited, all would
-            # begin to read in vain as the store is lost.
+            # The peer also tries to read, or is about to. If this entry waited for
+            # the peer to report that, all entries would begin to read in vain when
+            # the store is lost.
             unhealthy += 1
     max_unhealthy = _share_readers(state, MAX_UNHEALTHY_READERS)
     return healthy < _share_readers(state, MIN_READERS) and unhealthy < max_unhealthy
@@ -69,10 +73,11 @@
 
 
 def update_store_state(state: State, now: Millis) -> None:
-    """Note whether records of the store reach this entry in any way.
+    """Update whether records of the store reach this entry, directly or relayed.
 
-    One that doesn't read them itself would else take registrations that lapsed
-    in an outage for departures, and never ask engines whether they leave.
+    An entry that does not read the store itself would otherwise treat registrations
+    that lapsed in an outage as departures, and never query engines on whether they
+    leave.
     """
     away = state.read_failed
     if state.is_large and (away or not reads_store(state, now)):
@@ -85,8 +90,8 @@
 
 
 def _has_live_reader(state: State, now: Millis) -> bool:
-    # Readers that fail together must not take each other's word that records reach
-    # them: only one that is answered itself has any.
+    # Readers that fail together must not rely on each other's reports that records
+    # reach them: only a reader that the store answers has any.
     for peer in [*state.peers.values(), *state.remote_peers.values()]:
         if now - peer.last_received_at >= READER_TIMEOUT:
             continue
@@ -96,7 +101,7 @@
 
 
 def is_store_unread(state: State, now: Millis) -> bool:
-    """Tell whether no entry that is heard is answered by the store."""
+    """Return whether the store answers no entry that this one has contact with."""
     return state.store_unreachable and not _has_live_reader(state, now)
 
 
@@ -111,7 +116,7 @@
 
 
 def was_store_available(state: State) -> bool:
-    """Tell whether a peer read the store all the while that this entry could not."""
+    """Return whether a peer read the store throughout this entry's outage."""
     for peer in [*state.peers.values(), *state.remote_peers.values()]:
         if peer.healthy_since is not None and peer.healthy_since < state.store_lost_at:
             return True
@@ -119,7 +124,7 @@
 
 
 def catch_up(state: State, now: Millis) -> list[Effect]:
-    """Ask a peer for records that the store has not told this entry."""
+    """Fetch from a peer the records that the store has not sent to this entry."""
     known = [*state.peers.values(), *state.remote_peers.values()]
     ahead = [peer for peer in known if _is_ahead(state, peer)]
     if not ahead:
@@ -159,10 +164,10 @@
 
 
 def _may_fetch(state: State, ahead: list[Peer], waited: Millis) -> bool:
-    """Tell whether this entry may ask now for records that only some peers have.
+    """Return whether this entry may now fetch records that only some peers have.
 
-    Were a whole failure domain to ask the few that know them at once, all would
-    get them late over a slow link. Each entry that has them serves the next ones.
+    If a whole failure domain fetched from the few peers that have them at once, all
+    would get them late over a slow link. Each entry that has them serves the next ones.
     """
     newest = max((peer.configuration, peer.position) for peer in ahead)
     behind = [name for name, peer in state.peers.items() if not _is_ahead(state, peer)]
--- a/figstep/gateway/targets.py
+++ b/figstep/gateway/targets.py
@@ -9,11 +9,11 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Incarnation:
-    """One life of a target: one that starts again may keep its id.
+    """One incarnation of a target; a target that restarts may keep its id.
 
     Attributes:
-        target: Its id.
-        born: Unix millisecond of its start.
+        target: Id of the target.
+        born: Start of the incarnation, as a Unix time in milliseconds.
     """
 
     target: str
@@ -22,17 +22,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Registration:
-    """What a target says of itself.
+    """A target's description of itself.
 
     Attributes:
-        target: Its id, which names one incarnation for most targets.
-        service: Service that it belongs to.
+        target: Id of the target; for most targets it identifies one incarnation.
+        service: Service that the target belongs to.
         address: Where it listens, as "ip:port".
-        failure_domain: Its failure domain.
+        failure_domain: Failure domain of the target.
         slots: Requests that it runs at once.
-        draining: Whether it takes no new work.
-        warmup: How much longer it is slow, when it said so.
-        born: Unix millisecond of its start; tells incarnations of one id apart.
+        draining: Whether it accepts no new work.
+        warmup: How much longer it is slow, in milliseconds; 0 if it does not warm up.
+        born: Start of the target, as a Unix time in milliseconds; distinguishes
+            incarnations of one id.
     """
 
     target: str
@@ -46,62 +47,71 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """The life of the target that it is of."""
+        """Incarnation of the target that registered."""
         return Incarnation(self.target, self.born)
 
 
 FAILURE_SMOOTHING = 0.2
-"""Weight of the newest attempt in a target's failed part: about ten attempts
-tell a target that fails two in five from one that fails now and then."""
+"""Weight of the newest attempt in a target's smoothed failure share, from 0 to 1. With
+this weight, about ten attempts distinguish a target that fails two in five from one
+that fails occasionally."""
 
 TYPICAL_READ_RATE = 7.0
-"""Prompt tokens that an engine of the usual speed reads in a millisecond."""
+"""Prompt tokens per millisecond that an engine of typical speed reads (prefill)."""
 
 DEFAULT_READ_RATE = 4.5
-"""The same of an engine that nothing is known of: prompts sent to a slow one on
-the hope that it isn't are late."""
+"""Prompt tokens per millisecond assumed for an engine without a measurement. It is less
+than the typical rate, as prompts sent to an engine that turns out to be slow miss their
+objective."""
 
 MAX_READ_RATE = 14.0
-"""Engines read no faster; a cached prompt would else pass for a fast engine."""
+"""Upper bound of a measured read rate, in prompt tokens per millisecond. No engine
+reads faster; without the bound, a cached prompt would look like a fast engine."""
 
 COLD_READ_RATE_FACTOR = 0.5
-"""Part of its rate that an engine has while it says that it warms up."""
+"""Fraction of its read rate that an engine reaches while it is cold."""
 
 READ_RATE_SMOOTHING = 0.3
-"""Weight of the newest reading: a handful tells a slow engine from a fast one."""
+"""Weight of the newest sample in the smoothed read rate, from 0 to 1. With this weight,
+a handful of samples distinguishes a slow engine from a fast one."""
 
 MASS_DEPARTURE_WINDOW = Millis(1_000)
-"""Departures within this time are taken together."""
+"""Time, in milliseconds, within which departures of a service's targets are counted
+together."""
 
 MIN_MASS_DEPARTURES = 3
-"""Departures at once, of more than half of a service's targets, that are taken
-for lapses. Reclaims and releases take one or two at a time."""
+"""Fewest departures within the window that are taken for a lapse of registrations, if
+they are also more than half of a service's targets. Reclaims and releases remove one or
+two targets at a time."""
 
 INITIAL_TARGET_BACKOFF = Millis(500)
-"""How long a target is avoided after two losses in a row; doubled with each
-more, as a target that is down needs seconds and one that hiccups does not."""
+"""How long, in milliseconds, a target is avoided after two losses in a row. The time
+doubles with each further loss, as a target that is down needs seconds to return and one
+with a passing fault does not."""
 
 MAX_TARGET_BACKOFF = Millis(4_000)
-"""Most that a target is avoided before it is tried again."""
+"""Longest time, in milliseconds, that a target is avoided before it is tried again."""
 
 
 MIN_UNREACHABLE_TARGETS = 2
-"""Unreached targets of a failure domain from which on its others are spared."""
+"""Unreachable targets of one failure domain from which on the whole failure domain is
+considered unreachable for their service."""
 
 UNREACHED_DURATION = Millis(1_000)
-"""How long a target that could not be connected to counts as that: the next
-requests find out whether it is back."""
+"""How long, in milliseconds, a failed connection counts against a target. Requests
+after that find out whether it is back."""
 
 MIN_UNREACHED_REPORTS = 2
-"""Other entries that have to tell so before their word is taken."""
+"""Other entries that have to report a target unreached, within the duration above,
+before this entry presumes that it is down."""
 
 
 class Standing(Enum):
     """Whether a target gets work."""
 
     READY = "ready"
-    LEAVING = "leaving"  # no new work; what runs there goes on for a little
-    GONE = "gone"  # nothing reaches it any more
+    LEAVING = "leaving"  # no new work; runs there continue for a short time
+    GONE = "gone"  # no request reaches it any more
 
 
 @dataclass(slots=True)
@@ -109,14 +119,14 @@
     """A rate that a target has named in its answers.
 
     Attributes:
-        rate: Requests a second that it takes from all entries together; None if
-            its last answer named none any more.
-        opens_at: From when on it may be sent requests within the rate.
-        stated_at: When an answer last told so, to any entry.
-        received_at: When an answer to this entry last did.
-        turn: How often it was silent for so long that its rate passed to other
-            entries.
-        sends: When this entry sent it requests since, oldest first.
+        rate: Requests per second that it accepts from all entries together; None if its
+            last answer named none.
+        opens_at: Time from which on it may be sent requests within the rate.
+        stated_at: When an answer to any entry last stated the rate.
+        received_at: When this entry last received an answer that stated it.
+        turn: How often the rate passed to other entries because no answer of the target
+            came; part of the key that selects the entries that may use it.
+        sends: Times of the requests that this entry sent since, oldest first.
     """
 
     rate: float | None = None
@@ -129,50 +139,59 @@
 
 @dataclass(slots=True)
 class Target:
-    """A target and what this entry has seen of it.
+    """A target and what this entry knows of it.
 
     Attributes:
-        info: Its newest registration.
+        info: Newest registration of the target.
         standing: Whether it gets work.
         left_at: When it was found to be leaving, or None.
-        calls: Attempts of this entry that are open there, streams included.
-        memory: Tokens that this entry's runs and copies are expected to take.
+        calls: Open attempts of this entry at the target, streams included.
+        memory: Tokens of its memory that runs and copies of this entry are expected to
+            use.
         reading: Prompt tokens of this entry that it has still to read.
-        incoming: Tokens of runs that are being copied to it on this entry's order.
-        outgoing: Those that are being copied from it.
+        incoming: Tokens of runs that are being copied to it on this entry's orders.
+        outgoing: Tokens of runs that are being copied from it on this entry's orders.
         peer_calls: Open attempts of all other entries.
-        peer_memory: What their runs and copies are expected to take.
-        peer_reading: Prompt tokens of theirs that it has still to read.
-        peer_incoming: Tokens of runs that are being copied to it on their order.
-        peer_outgoing: Those that are being copied from it.
-        own_read_rate: Prompt tokens that it reads in a millisecond, smoothed, as
-            seen by this entry; None before any was seen.
-        peer_rate_sum: Sum of the same as seen by other entries.
-        peer_rate_count: Entries and failure domains that have seen it.
-        failures: Smoothed part of its attempts that failed, 0 to 1.
-        queried_at: When it was last asked for its state.
-        querier_drawn_at: When it was last drawn who asks it for a failure domain.
-        reported_at: When it last told it.
-        claimed_at_query: What was known to take its memory at the last question.
-        claimed_baseline: What its next answer is compared with.
-        unclaimed: Tokens of its memory that no known run or copy takes.
-        consecutive_losses: Losses in a row without an answer.
+        peer_memory: Tokens of its memory that runs and copies of all other entries are
+            expected to use.
+        peer_reading: Prompt tokens of all other entries that it has still to read.
+        peer_incoming: Tokens of runs that are being copied to it on other entries'
+            orders.
+        peer_outgoing: Tokens of runs that are being copied from it on other entries'
+            orders.
+        own_read_rate: Prompt tokens that it reads per millisecond, smoothed, as
+            measured by this entry; None without a measurement.
+        peer_rate_sum: Sum of the read rates that other entries measured.
+        peer_rate_count: Number of entries and failure domains in that sum.
+        failures: Smoothed share of its attempts that failed, from 0 to 1.
+        queried_at: When this entry last queried its state.
+        querier_drawn_at: When the entry that queries it for the whole failure domain
+            was last selected.
+        reported_at: When it last reported the memory in use.
+        claimed_at_query: Tokens of its memory that known runs and copies claimed at the
+            last query.
+        claimed_baseline: Claimed tokens that its next report is compared with.
+        unclaimed: Tokens of its memory in use that no known run or copy claims.
+        consecutive_losses: Attempts in a row that were lost without an answer; a loss
+            without a connection counts as two.
         backoff_until: When it is tried again after losses.
         warm_at: When it will have warmed up.
-        cold_sends: When this entry last sent it requests while it was cold.
-        evacuated: Whether its failure domain is to get no more work.
-        unreached_at: When this entry last could not connect to it.
-        presumed_down_at: When it was last found, or told, to be unreachable.
+        cold_sends: Times at which this entry recently sent it requests while it was
+            cold.
+        evacuated: Whether its failure domain is evacuated, so that it gets no new work.
+        unreached_at: When this entry last failed to connect to it.
+        presumed_down_at: When this entry last failed to connect to it, or enough other
+            entries reported that they did.
         answered_at: When it last answered.
-        unreached_reports: When other entries last told that they could not connect
+        unreached_reports: When other entries last reported that they could not connect
             to it, by entry.
-        limit: Rate that it has named in its answers; None if it never did.
-        paused_until: Until when it wants nothing from this entry.
-        announced_leaving: Whether it has told this entry that it leaves.
+        limit: Rate that it has named in its answers; None if it never named one.
+        paused_until: End of the pause that it asked this entry for.
+        announced_leaving: Whether it has announced to this entry that it leaves.
         lost: Digests of requests whose attempts there ended without an answer, and
-            when; an answer to anything asked later ends that.
-        ended_at: When its life was found to have ended, or None.
-        probed_at: When this entry last looked whether it listens.
+            when. An answer to a later request removes them.
+        ended_at: When its incarnation was found to have ended, or None.
+        probed_at: When this entry last probed whether it listens at its address.
     """
 
     info: Registration
@@ -216,45 +235,45 @@
 
     @property
     def name(self) -> str:
-        """Its id."""
+        """Id of the target."""
         return self.info.target
 
     @property
     def accepts_work(self) -> bool:
-        """Whether new work may be sent to it."""
+        """Whether new work may be sent to the target."""
         return self.standing is Standing.READY and not self.evacuated
 
     @property
     def appears_unreachable(self) -> bool:
-        """Whether this entry could not reach it when it last tried.
+        """Whether this entry's last try to reach the target failed.
 
-        Its registration has then not only lapsed with the store.
+        A missing registration of such a target is then more than a lapse in the store.
         """
         return self.ended_at is not None or self.unreached_at > self.answered_at
 
     @property
     def load(self) -> int:
-        """Open attempts of all entries."""
+        """Open attempts of all entries at the target."""
         return self.calls + self.peer_calls
 
     @property
     def reading_load(self) -> int:
-        """Prompt tokens of all entries that it has still to read."""
+        """Prompt tokens of all entries that the target has still to read."""
         return self.reading + self.peer_reading
 
     @property
     def incoming_load(self) -> int:
-        """Tokens that are being copied to it on the order of all entries."""
+        """Tokens that are being copied to the target on the orders of all entries."""
         return self.incoming + self.peer_incoming
 
     @property
     def outgoing_load(self) -> int:
-        """Tokens that are being copied from it on the order of all entries."""
+        """Tokens that are being copied from the target on the orders of all entries."""
         return self.outgoing + self.peer_outgoing
 
     @property
     def read_rate(self) -> float:
-        """Prompt tokens that it reads in a millisecond, as all entries saw it."""
+        """Prompt tokens read per millisecond: mean of the entries' measurements."""
         total, count = self.peer_rate_sum, self.peer_rate_count
         if self.own_read_rate is not None:
             total += self.own_read_rate
@@ -262,14 +281,19 @@
         return total / count if count else DEFAULT_READ_RATE
 
     def predict_read_time(self, tokens: int, now: Millis) -> float:
-        """Return how long it takes until a prompt is read, in milliseconds."""
+        """Return the milliseconds until the target has read a prompt of some tokens."""
         rate = self.read_rate
         if now < self.warm_at:
             rate *= COLD_READ_RATE_FACTOR
         return (self.reading_load + tokens) / rate
 
     def update_read_rate(self, tokens: int, elapsed: int) -> None:
-        """Learn from the time that a prompt and those ahead of it took."""
+        """Update the measured read rate from the time that some prompts took.
+
+        Args:
+            tokens: Tokens of a prompt and of those ahead of it.
+            elapsed: Milliseconds in which they were read.
+        """
         if elapsed <= 0:
             return
         observed = min(MAX_READ_RATE, tokens / elapsed)
@@ -277,24 +301,24 @@
         self.own_read_rate = known + READ_RATE_SMOOTHING * (observed - known)
 
     def record_success(self, now: Millis) -> None:
-        """Count an answer."""
+        """Record an answer of the target."""
         self.answered_at = now
         self.failures *= 1.0 - FAILURE_SMOOTHING
         self.consecutive_losses = 0
         self.backoff_until = Millis(0)
 
     def record_failure(self) -> None:
-        """Count a failure that the target itself answered."""
+        """Record a failure that the target itself answered."""
         self.failures += FAILURE_SMOOTHING * (1.0 - self.failures)
         self.consecutive_losses = 0
 
     def record_loss(self, now: Millis, reached: bool) -> None:
-        """Count an attempt without an answer.
+        """Record an attempt that ended without an answer.
 
         Args:
-            now: Monotonic time.
-            reached: Whether there was a connection; without one the target is
-                avoided from the first loss on.
+            now: Monotonic time, in milliseconds.
+            reached: Whether there was a connection; without one the target is avoided
+                from the first loss on.
         """
         self.failures += FAILURE_SMOOTHING * (1.0 - self.failures)
         self.consecutive_losses += 1 if reached else 2
@@ -306,16 +330,16 @@
             self.backoff_until = Millis(now + min(pause, MAX_TARGET_BACKOFF))
 
     def is_unreached(self, now: Millis) -> bool:
-        """Tell whether this entry could not connect to it of late."""
+        """Return whether this entry recently failed to connect to the target."""
         if now - self.unreached_at >= UNREACHED_DURATION:
             return False
         return self.answered_at < self.unreached_at
 
     def record_unreached_report(self, entry: str, now: Millis) -> None:
-        """Take in that another entry could not connect to it.
+        """Record that another entry could not connect to the target.
 
-        One entry alone may be cut off itself, and one that answers this entry is
-        not down.
+        A single report is not enough, as its sender may be cut off itself. A report is
+        ignored if the target has answered this entry recently, as it is then not down.
         """
         if now - self.answered_at < UNREACHED_DURATION:
             return
@@ -325,7 +349,8 @@
             sum(1 for at in report_times if now - at < UNREACHED_DURATION)
             >= MIN_UNREACHED_REPORTS
         ):
-            # What was only told is not told on, or it would never end.
+            # `unreached_at` is left alone: reports of other entries are not passed
+            # on, or entries would keep each other's reports alive for ever.
             self.presumed_down_at = now
             self.backoff_until = Millis(
                 max(self.backoff_until, now + INITIAL_TARGET_BACKOFF)
@@ -333,12 +358,12 @@
 
     @property
     def claimed_memory(self) -> int:
-        """Expected memory of all entries' runs and copies, in tokens."""
+        """Tokens that runs and copies of all entries are expected to use."""
         return self.memory + self.peer_memory
 
     @property
     def memory_load(self) -> int:
-        """Expected memory in use, in tokens."""
+        """Tokens of the target's memory that are expected to be in use."""
         return self.claimed_memory + self.unclaimed
 
 
@@ -348,9 +373,9 @@
 
     Attributes:
         targets: The targets that may still be in use.
-        departures: When targets of each service departed of late.
-        pending_departures: Targets whose registration lapsed while the store was away,
-            and until when it may come back.
+        departures: Times of recent departures, by service.
+        pending_departures: Targets whose registration is missing but may only have
+            lapsed, and until when it may come back.
     """
 
     targets: dict[str, Target] = field(default_factory=dict)
@@ -358,11 +383,11 @@
     pending_departures: dict[str, Millis] = field(default_factory=dict)
 
     def find(self, name: str) -> Target | None:
-        """Return a target, or None."""
+        """Return a target by its id, or None."""
         return self.targets.get(name)
 
     def list_ready(self, service: str) -> list[Target]:
-        """Return the targets of a service that take new work."""
+        """Return the targets of a service that accept new work."""
         found = []
         for target in self.targets.values():
             if target.info.service == service and target.accepts_work:
@@ -370,7 +395,7 @@
         return found
 
     def has_evacuated(self, service: str) -> bool:
-        """Tell whether a service has targets that would work if they were sent any."""
+        """Return whether a service has targets that would work but are evacuated."""
         for target in self.targets.values():
             if target.info.service != service or not target.evacuated:
                 continue
@@ -381,8 +406,8 @@
     def find_unreachable_domains(self, service: str, now: Millis) -> set[str]:
         """Return the failure domains of a service that look unreachable as a whole.
 
-        Where all targets of one go down together, trying them one after another
-        would use up a caller's time, or all tries that it has.
+        Where all targets of a failure domain go down together, trying them one after
+        another would use up the caller's time, or all attempts that it has.
         """
         unreached: dict[str, list[Millis]] = {}
         for target in self.targets.values():
@@ -407,10 +432,10 @@
         return False
 
     def record_registration(self, info: Registration, now: Millis) -> Target:
-        """Take in what a target says of itself; returns the target.
+        """Record a registration and return its target.
 
-        A target that starts again under its old id holds nothing of before, so
-        everything known of the earlier incarnation is dropped with it.
+        A target that restarts under its old id keeps nothing of the earlier
+        incarnation, so everything known of that is dropped.
         """
         self.pending_departures.pop(info.target, None)
         target = self.targets.get(info.target)
@@ -419,21 +444,22 @@
             self.targets[info.target] = target
         target.info = info
         if info.warmup:
-            # One that runs on may become cold again at any moment.
+            # A target that keeps running may become cold again at any moment.
             target.warm_at = Millis(now + info.warmup)
         if info.draining:
             self._mark_leaving(target, now)
         elif target.standing is Standing.LEAVING:
-            # Its entry had lapsed, as it may while the store is away.
+            # Its registration had lapsed, as it may during an outage of the store.
             target.standing = Standing.READY
             target.left_at = None
         return target
 
     def is_mass_departure(self, name: str, now: Millis) -> bool:
-        """Tell whether a departure is one of too many at once to be believed.
+        """Count a departure and return whether there are too many for real departures.
 
-        An outage that this entry did not notice lets all registrations lapse;
-        dropping their targets would leave callers without any for seconds.
+        An outage of the store that this entry did not notice lets all registrations
+        lapse; dropping their targets would leave callers without any target for
+        seconds.
         """
         target = self.targets.get(name)
         if target is None:
@@ -446,12 +472,12 @@
         return len(recent) >= MIN_MASS_DEPARTURES and len(recent) * 2 > before
 
     def defer_departure(self, name: str, until: Millis) -> None:
-        """Keep a target whose registration may only have lapsed."""
+        """Keep a target whose registration may only have lapsed, until some time."""
         if name in self.targets:
             self.pending_departures.setdefault(name, until)
 
     def pop_due_departures(self, now: Millis) -> list[str]:
-        """Return and forget the doubted targets that did not come back."""
+        """Remove and return the pending departures whose deadline has passed."""
         lapsed = [
             name for name, until in self.pending_departures.items() if until <= now
         ]
@@ -460,14 +486,14 @@
         return lapsed
 
     def record_departure(self, name: str, now: Millis) -> Target | None:
-        """Take in that a registration has gone; returns the target if known."""
+        """Record that a registration is gone; return its target, or None if unknown."""
         target = self.targets.get(name)
         if target is not None:
             self._mark_leaving(target, now)
         return target
 
     def remove_departed(self, now: Millis, after: Millis) -> None:
-        """Drop targets that left ``after`` milliseconds ago and serve nothing."""
+        """Remove targets without open attempts that left `after` ms ago or earlier."""
         for name, target in list(self.targets.items()):
             if target.left_at is None or target.calls:
                 continue
@@ -481,7 +507,7 @@
 
 
 def is_new_incarnation(known: Registration, info: Registration) -> bool:
-    """Tell whether a target has started again since an earlier registration."""
+    """Return whether a target has restarted since an earlier registration."""
     if info.born and known.born:
         return info.born != known.born
     return info.address != known.address or info.service != known.service
--- a/figstep/gateway/warmups.py
+++ b/figstep/gateway/warmups.py
@@ -1,9 +1,9 @@
-"""What a target that warms up may be sent, by all entries together.
+"""Limit on what all entries together send to a target that warms up.
 
-The load that this answers is a failure domain whose targets all come back cold
-while callers wait: each entry sees them idle, and what all of them send within
-a moment crashes them. Each entry may send a whole number of requests a second,
-which it works out from the entries that it hears; no message has to arrive first.
+The case handled here is a failure domain whose targets all come back cold while callers
+wait: each entry knows them as idle, and what all entries send within a moment crashes
+them. Each entry may send a whole number of requests per second, which it computes from
+the entries that it has contact with; no message has to arrive first.
 """
 
 from figstep.core.clock import Millis
@@ -13,12 +13,12 @@
 from figstep.gateway.targets import Target
 
 RATE_WINDOW = Millis(1_100)
-"""Time in which a target gets one second's requests: what was sent a second apart
-may arrive a little closer."""
+"""Time, in milliseconds, in which a target gets one second's requests. It exceeds a
+second, as requests sent a second apart may arrive a little closer."""
 
 
 def may_send(state: State, target: Target, now: Millis) -> bool:
-    """Tell whether one more request keeps a target within what it bears."""
+    """Return whether one more request stays within a target's warm-up rate."""
     if now >= target.warm_at:
         return True
     rate = _find_rate(state, target)
@@ -30,7 +30,7 @@
 
 
 def record_send(target: Target, now: Millis) -> None:
-    """Count a request that is sent to a target."""
+    """Count a request that is sent to a target while it is cold."""
     if now >= target.warm_at:
         return
     _drop_old_sends(target, now)
@@ -38,7 +38,7 @@
 
 
 def assume_cold(state: State, target: Target, since: Millis) -> None:
-    """Take a target as cold from a time on, for the whole warm-up of its service."""
+    """Treat a target as cold for its service's whole warm-up time from some time on."""
     service = _find_service(state, target)
     if service is not None and service.warmup:
         target.warm_at = Millis(max(target.warm_at, since + service.warmup))
