--- a/figstep/core/admission.py
+++ b/figstep/core/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request starts now, waits or is turned away."""
+"""Admission control: whether a request starts now, waits or is rejected."""
 
 from dataclasses import dataclass
 
@@ -12,26 +12,36 @@
 from figstep.core.state import RequestState, State, TargetState
 
 MIN_RETRY_AFTER = Millis(1_000)
+"""Shortest Retry-After of a rejected request, in milliseconds."""
+
 MAX_RETRY_AFTER = Millis(120_000)
+"""Longest Retry-After of a rejected request before jitter, in milliseconds."""
+
 RETRY_AFTER_JITTER = 0.5
+"""Largest random addition to Retry-After, as a share of it."""
+
 PRIORITY_STEP = 2 * BIN_COUNT
+"""Distance between two request priorities in the priorities sent to engines.
+
+It exceeds ``BIN_COUNT``, so the expected length orders only requests of one priority.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """Start on this target."""
+    """Decision to start the request on a target."""
 
     target: TargetState
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """No target has room; stay in the queue."""
+    """Decision to queue the request, as no target has free capacity."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Waiting would not help: answer at once."""
+    """Decision to refuse the request at once, as waiting would not help."""
 
     problem: Problem
 
@@ -42,7 +52,7 @@
 def decide_admission(
     state: State, request: RequestState, now: Millis
 ) -> AdmissionDecision:
-    """Decide what happens to a request that has just come in or come back."""
+    """Decide whether a new or restarted request starts, waits or is rejected."""
     if state.queue.has_waiting(request.spec):
         return queue_or_reject(state, request, now)
     target = routing.choose_target(state, request, now)
@@ -54,7 +64,11 @@
 def queue_or_reject(
     state: State, request: RequestState, now: Millis
 ) -> AdmissionDecision:
-    """Queue a request, or turn it away if it could not start in time."""
+    """Decide to queue a request, or to reject it.
+
+    Under a ``Figstep`` policy with ``refuse_early``, a request is rejected if its
+    predicted wait exceeds the time left to its deadline.
+    """
     match state.policy:
         case Figstep(refuse_early=True):
             pass
@@ -72,29 +86,30 @@
 def choose_for_queued(
     state: State, request: RequestState, now: Millis
 ) -> TargetState | None:
-    """Return the target for the request whose turn it is, or None for no room."""
+    """Return the target for the next queued request, or None if none has capacity."""
     return routing.choose_target(state, request, now)
 
 
 def queue_request(state: State, request: RequestState) -> None:
-    """Put a request in the queue, by its expected work."""
+    """Add a request to the queue, ordered by its expected work."""
     spec = request.spec
     cost, share = estimate_cost(state, spec), find_share(state, spec)
     state.queue.add(spec, cost, share, request.arrived)
 
 
 def charge_request(state: State, request: RequestState, now: Millis) -> None:
-    """Count a request that starts against its customer's share."""
+    """Charge the expected work of a request that starts to its customer's share."""
     spec = request.spec
     cost, share = estimate_cost(state, spec), find_share(state, spec)
     state.queue.charge(spec, cost, share, now)
 
 
 def choose_priority(state: State, request: RequestState) -> int:
-    """Return the priority for the engine: who gives way when memory fills.
+    """Return the priority that the engine uses to choose what it preempts.
 
-    Among equals the shorter expected goes on: it frees its memory soonest, and
-    a long one loses the smaller part of its time by being recomputed.
+    Among requests of one priority, those with a shorter expected length get the
+    higher value and are kept: they free their memory soonest, and a long request
+    loses a smaller part of its time by being recomputed.
     """
     spec = request.spec
     match state.policy:
@@ -106,19 +121,26 @@
 
 
 def estimate_cost(state: State, spec: RequestSpec) -> float:
-    """Return the expected work of a request, in tokens."""
+    """Return the expected work of a request: tokens, or a constant for a service."""
     if not isinstance(spec.work, GenerationWork):
         return SERVICE_COST
     return state.lengths.estimate(spec.customer, spec.work).mean
 
 
 def find_share(state: State, spec: RequestSpec) -> float:
-    """Return the share that the inventory gives a request's customer."""
+    """Return the share of a request's customer in the inventory; 1.0 by default."""
     return state.shares.get(spec.customer, 1.0)
 
 
 def jitter_retry_after(state: State, wait: Millis) -> Millis:
-    """Return when to come back, spread so that callers don't come all at once."""
+    """Return a Retry-After in milliseconds, with jitter.
+
+    The jitter keeps callers that were rejected together from returning at once.
+
+    Args:
+        state: The entry's state, for its random numbers.
+        wait: Time until the request could start, in milliseconds.
+    """
     base = min(MAX_RETRY_AFTER, max(wait, MIN_RETRY_AFTER))
     return Millis(round(base * (1.0 + RETRY_AFTER_JITTER * state.rng.random())))
 
--- a/figstep/core/attempts.py
+++ b/figstep/core/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: connections to targets on behalf of requests."""
+"""Attempts: opening, resuming and closing connections to targets."""
 
 from figstep.core import admission, generations, silence, targets
 from figstep.core.clock import Millis
@@ -25,7 +25,11 @@
 def open_attempt(
     state: State, request: RequestState, target: TargetState, now: Millis
 ) -> list[Effect]:
-    """Send the request to a target, under a new generation id."""
+    """Open an attempt that sends the request to a target under a new generation id.
+
+    The id is made of the target's name, a digest of the customer and a nonce, so
+    any entry can resume the generation.
+    """
     nonce = f"{state.node}.{state.next_attempt}.{state.rng.getrandbits(64):016x}"
     owner = generations.digest_owner(request.spec.customer)
     generation = str(generations.GenerationId(target.info.name, owner, nonce))
@@ -48,7 +52,7 @@
 def resume_attempt(
     state: State, request: RequestState, target: TargetState, now: Millis
 ) -> list[Effect]:
-    """Reattach the request to its generation over a new connection."""
+    """Open an attempt that resumes the request's generation after its last event."""
     attempt = _add_attempt(state, request, target, request.generation, now)
     attempt.resuming = True
     effects: list[Effect] = [
@@ -108,7 +112,11 @@
 
 
 def remove_attempt(state: State, number: int | None) -> AttemptState | None:
-    """Take an attempt out of the state; None if it is already gone."""
+    """Remove an attempt from the state and from the counts of its target.
+
+    Returns:
+        The attempt, or None if there is none with this number.
+    """
     if number is None:
         return None
     attempt = state.attempts.pop(number, None)
@@ -126,10 +134,11 @@
 def abandon_attempt(
     state: State, request: RequestState, cancel: bool = True
 ) -> list[Effect]:
-    """Stop what runs for a request that gets no more of its answer.
+    """Close the request's connection and, if wanted, cancel its generation.
 
-    Between two attempts no connection is open but the target may still be
-    generating, so the cancel is sent wherever a generation was ever named.
+    Between two attempts no connection is open, but the target may still be
+    generating. The cancel is therefore sent whenever the request has had a
+    generation, other than for a plain service.
     """
     effects: list[Effect] = []
     attempt = remove_attempt(state, request.attempt)
--- a/figstep/core/crashes.py
+++ b/figstep/core/crashes.py
@@ -1,7 +1,7 @@
-"""Requests that crash the targets that run them, told from those beside them.
+"""Detection of requests that crash the targets that run them.
 
-A target that crashes ends all that it ran. Each request that was there is suspected;
-it is refused once its crashes can't be laid on another request, or on chance.
+A crash ends all requests on the target, so each of them becomes a suspect. A suspect is
+refused once neither another request nor chance explains the crashes that it was at.
 """
 
 from dataclasses import dataclass, field
@@ -9,43 +9,47 @@
 from figstep.core.clock import MINUTE, Millis
 
 CRASHES_BEFORE_REFUSAL = 2
-"""Crashes after which a request is refused. One may be chance; after two the same
-request was there both times."""
+"""Number of crashes after which a request is refused. One crash may be chance; at two,
+the same request was there both times."""
 
 MAX_UNRELATED_CRASHES = 2
-"""Where targets crash without a request as well, it is refused after one more crash
-for each of theirs, up to this."""
+"""Largest increase of ``CRASHES_BEFORE_REFUSAL``. If targets also crash without the
+request, each of those crashes raises the number by one, up to this."""
 
 COMMON_CAUSE_WINDOW = Millis(1_000)
-"""Crashes within this time may have one cause, such as a lost failure domain."""
+"""Time in milliseconds within which crashes may have one cause, such as the loss of a
+failure domain."""
 
 SUSPICION_DELAY = Millis(1_000)
-"""How long after a crash other entries may still tell who else was there."""
+"""Time after a crash in which other entries may still report which other requests were
+there, in milliseconds."""
 
 CRASH_RETENTION = Millis(15 * MINUTE)
-"""Long enough for a caller that sends the same request again and again, and
-short enough that a target mended meanwhile is tried again."""
+"""Time for which crashes are kept, in milliseconds. It is long enough to cover a caller
+that repeats the same request, and short enough that the request is tried again once the
+target has been fixed."""
 
 SUSPICION_ANNOUNCE_DURATION = Millis(5_000)
-"""How long others are told of a request's only crash: several times, as a message
-may be lost. Those of a request that was at more of them are told all the while, for
-entries that start again."""
+"""Time for which the only suspicion of a request, or a clearance, is announced, in
+milliseconds. It covers several messages, as one may be lost. The suspicions of a
+request that was at several crashes are always announced, for entries that restart."""
 
 MAX_ANNOUNCED_SUSPICIONS = 32
-"""Suspicions in a message."""
+"""Largest number of suspicions, and of clearances, in a message."""
 
 MAX_ANNOUNCED_PER_REQUEST = CRASHES_BEFORE_REFUSAL + MAX_UNRELATED_CRASHES
-"""Suspicions of one request in a message; no more are needed to refuse it."""
+"""Largest number of suspicions of one request in a message; no more are needed to
+refuse it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Suspicion:
-    """A request was at a target that crashed.
+    """Report that a request was on a target when the target crashed.
 
     Attributes:
-        digest: Digest of the request; the same when it comes again.
-        life: Name that all entries give the life of the target that ended.
-        age: Time since the crash.
+        digest: Digest of the request, which is the same when it is sent again.
+        life: Name of the target's life that the crash ended; the same at all entries.
+        age: Time since the crash, in milliseconds.
     """
 
     digest: str
@@ -55,11 +59,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Clearance:
-    """A suspected request has run, and its target lives.
+    """Report that a suspected request was answered and its target did not crash.
 
     Attributes:
         digest: Digest of the request.
-        age: Time since its answer.
+        age: Time since the answer, in milliseconds.
     """
 
     digest: str
@@ -68,11 +72,12 @@
 
 @dataclass(slots=True)
 class _Crash:
-    """The end of a target's life.
+    """A crash of a target.
 
     Attributes:
-        at: When it was.
-        suspects: Digests of what was there, and when each became known.
+        at: Time of the crash (monotonic), in milliseconds.
+        suspects: Digests of the requests that were there, with the time (monotonic) at
+            which each became known.
     """
 
     at: Millis
@@ -81,11 +86,13 @@
 
 @dataclass(slots=True)
 class _Cleared:
-    """A request that was suspected and has run since.
+    """A suspected request that has been answered since.
 
     Attributes:
-        at: When it last ran to an answer; crashes before that don't count.
-        dropped_at: When suspicions were last dropped for it.
+        at: Time of its last answer (monotonic), in milliseconds; earlier crashes do
+            not count.
+        dropped_at: Time at which suspicions were last dropped for it (monotonic), in
+            milliseconds.
     """
 
     at: Millis
@@ -94,14 +101,14 @@
 
 @dataclass(slots=True)
 class CrashTable:
-    """Crashes of targets, and the requests that were there."""
+    """Crashes of targets, and the requests that were on those targets."""
 
     _crashes: dict[str, _Crash] = field(default_factory=dict)
     _lives: dict[str, set[str]] = field(default_factory=dict)
     _cleared: dict[str, _Cleared] = field(default_factory=dict)
 
     def record_suspicion(self, suspicion: Suspicion, now: Millis) -> bool:
-        """Take in a suspicion; returns whether it is new."""
+        """Record a suspicion, and return whether it is new."""
         digest, life = suspicion.digest, suspicion.life
         at = Millis(now - suspicion.age)
         if life in self._lives.get(digest, ()):
@@ -115,11 +122,16 @@
         return True
 
     def record_crash(self, life: str, at: Millis) -> None:
-        """Take in that a target's life ended, whatever was there."""
+        """Record a crash of a target, with or without requests on it.
+
+        Args:
+            life: Name of the target's life that ended.
+            at: Time of the crash (monotonic), in milliseconds.
+        """
         self._crashes.setdefault(life, _Crash(at))
 
     def is_suspected(self, digest: str) -> bool:
-        """Tell whether a request was at a target that crashed."""
+        """Return whether a request was on a target that crashed."""
         return digest in self._lives
 
     def list_suspected(self) -> list[str]:
@@ -127,19 +139,19 @@
         return list(self._lives)
 
     def count(self, digest: str) -> int:
-        """Return at how many crashes a request was."""
+        """Return the number of crashes at which a request was on the target."""
         return len(self._lives.get(digest, ()))
 
     def clear(self, digest: str, at: Millis, now: Millis) -> bool:
-        """Drop the suspicions of a request that ran to an answer.
+        """Drop the suspicions of a request that was answered.
 
         Args:
             digest: Digest of the request.
-            at: When its answer came.
-            now: Monotonic time.
+            at: Time of the answer (monotonic), in milliseconds.
+            now: Monotonic time, in milliseconds.
 
         Returns:
-            Whether it was suspected.
+            Whether any suspicion was dropped.
         """
         cleared = self._cleared.get(digest)
         if cleared is not None:
@@ -157,7 +169,7 @@
         return True
 
     def discard_crash(self, life: str) -> None:
-        """Drop a crash that was none, or is long past."""
+        """Remove a crash that did not happen or is too old, with its suspicions."""
         crash = self._crashes.get(life)
         if crash is None:
             return
@@ -166,7 +178,11 @@
         del self._crashes[life]
 
     def is_refused(self, digest: str, now: Millis) -> bool:
-        """Tell whether a request is kept away from targets."""
+        """Return whether a request is refused because of its crashes.
+
+        Counted are the crashes of the last ``CRASH_RETENTION`` that no other request
+        explains.
+        """
         lives = self._lives.get(digest, ())
         if len(lives) < CRASHES_BEFORE_REFUSAL:
             return False
@@ -181,14 +197,17 @@
         )
 
     def is_settled(self, digest: str, now: Millis) -> bool:
-        """Tell whether all entries have told of a request's crashes by now."""
+        """Return whether all entries have had time to report a request's crashes."""
         lives = self._lives.get(digest, ())
         return all(
             now - self._get_crash_time(life) >= SUSPICION_DELAY for life in lives
         )
 
     def _is_explained(self, digest: str, crash: _Crash) -> bool:
-        """Tell whether another request is as likely to have caused a crash."""
+        """Return whether another request is as likely to have caused a crash.
+
+        That is one that was there and was at as many crashes or more.
+        """
         count = len(self._lives[digest])
         for other in crash.suspects:
             if other != digest and len(self._lives[other]) >= count:
@@ -196,9 +215,14 @@
         return False
 
     def _count_unrelated(self, digest: str, own: list[_Crash]) -> int:
-        """Count the crashes between the first and last of a request's that had others.
+        """Count the crashes without a request in the time span of its own crashes.
+
+        Crashes with a request that was at several are left out: that request may have
+        caused them, so they do not show that targets crash without a cause.
 
-        Those that another request causes are no sign that targets crash by themselves.
+        Args:
+            digest: Digest of the request.
+            own: Crashes at which the request was on the target.
         """
         first = min(crash.at for crash in own) - COMMON_CAUSE_WINDOW
         last = max(crash.at for crash in own) + COMMON_CAUSE_WINDOW
@@ -211,7 +235,10 @@
         return count
 
     def list_suspicions(self, now: Millis) -> tuple[Suspicion, ...]:
-        """Return what others are told: first of those at several crashes, then new."""
+        """Return the suspicions to announce.
+
+        Those of requests that were at several crashes come first, then the newest.
+        """
         found = []
         for digest, lives in self._lives.items():
             newest = sorted(lives, key=self._get_crash_time, reverse=True)
@@ -228,7 +255,7 @@
         )
 
     def list_clearances(self, now: Millis) -> tuple[Clearance, ...]:
-        """Return the suspected requests that have run of late."""
+        """Return the clearances to announce, the newest first."""
         recent = []
         for digest, cleared in self._cleared.items():
             if now - cleared.dropped_at < SUSPICION_ANNOUNCE_DURATION:
@@ -240,7 +267,7 @@
         )
 
     def remove_expired(self, now: Millis) -> None:
-        """Drop what no longer counts."""
+        """Remove crashes and clearances that are older than ``CRASH_RETENTION``."""
         for life, crash in list(self._crashes.items()):
             if now - crash.at >= CRASH_RETENTION:
                 self.discard_crash(life)
--- a/figstep/core/effects.py
+++ b/figstep/core/effects.py
@@ -1,4 +1,4 @@
-"""Effects: everything the reducer asks the edges to do."""
+"""Effects: the outputs of the reducer, carried out by the edges."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -12,15 +12,15 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenAttempt:
-    """Send the request's body to a target.
+    """Send a request's body to a target.
 
     Attributes:
-        request: The request.
+        request: Id of the request.
         attempt: Number of the attempt, unique in this process.
-        target: Target name.
-        generation: Generation id for the target to use.
-        priority: Priority for the target.
-        once: Whether the bytes may go out only once.
+        target: Name of the target.
+        generation: Generation id that the target is to use.
+        priority: Priority that the target is to use; higher goes first.
+        once: Whether the bytes may be sent only once.
     """
 
     request: str
@@ -33,7 +33,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumeAttempt:
-    """Reattach to a generation over a new connection, after ``after``."""
+    """Resume a generation over a new connection.
+
+    Attributes:
+        request: Id of the request.
+        attempt: Number of the attempt, unique in this process.
+        target: Name of the target.
+        generation: Id of the generation to resume.
+        after: Index of the last event that was delivered; later ones are wanted.
+    """
 
     request: str
     attempt: int
@@ -44,28 +52,28 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseAttempt:
-    """Drop the attempt's connection; the generation may go on."""
+    """Close an attempt's connection; the generation may continue at the target."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class ReplacePool:
-    """Open new connections to a target from now on; idle ones are dropped."""
+    """Close the idle connections to a target and open new ones from now on."""
 
     target: str
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeTarget:
-    """Look whether a target still listens at its address."""
+    """Check whether a target still listens at its address."""
 
     target: str
 
 
 @dataclass(frozen=True, slots=True)
 class CancelGeneration:
-    """Tell a target to stop a generation that nobody wants."""
+    """Request that a target stop a generation that is no longer needed."""
 
     target: str
     generation: str
@@ -73,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deliver:
-    """Hand events to the caller, in order."""
+    """Send events to the caller, in order."""
 
     request: str
     frames: list[bytes]
@@ -81,18 +89,19 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscardDelivered:
-    """Forget what was gathered for a caller that has seen none of it."""
+    """Discard the events gathered for a caller that has received none of them."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Complete:
-    """The answer is whole: end the caller's response.
+    """End the caller's response, as the answer is whole.
 
     Attributes:
-        request: The request.
-        attempt: Attempt whose gathered service answer is delivered, if any.
+        request: Id of the request.
+        attempt: Number of the attempt whose gathered service answer is delivered,
+            if any.
     """
 
     request: str
@@ -101,13 +110,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplayAnswer:
-    """Give a duplicate the answer that the first request got.
+    """Answer a duplicate request with the recorded answer of the first one.
 
     Attributes:
-        request: The duplicate.
+        request: Id of the duplicate request.
         status: HTTP status of the recorded answer.
-        content_type: Its content type.
-        body: Its body.
+        content_type: Content type of the recorded answer.
+        body: Body of the recorded answer.
     """
 
     request: str
@@ -118,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Give the caller its final answer: a problem."""
+    """End a request with a problem as its final answer."""
 
     request: str
     problem: Problem
@@ -126,12 +135,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendRecords:
-    """Append to a stream; answered by the same key.
+    """Append records to a stream of the log.
+
+    Answered by ``AppendConfirmed`` or ``AppendUncertain`` with the same key.
 
     Attributes:
         stream: Name of the stream.
-        key: Unique in this process.
-        records: JSON objects.
+        key: Key that the answer carries; appends whose answer is not used share one.
+        records: Records to append, as JSON objects.
     """
 
     stream: str
@@ -149,28 +160,29 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchCheckpoint:
-    """Ask the peer at "host:port" for its checkpoint."""
+    """Request the checkpoint of the peer at "host:port"."""
 
     address: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReadConfigurationFrom:
-    """Read the configuration stream on from ``offset``."""
+    """Continue to read the configuration stream from ``offset``."""
 
     offset: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendOrder:
-    """Give an engine an order.
+    """Send an order to an engine.
 
     Attributes:
         number: Number of the order, unique in this process.
-        target: Target name.
-        order: The wanted state.
-        fencing: Fencing number of the lease that covers it.
-        until: When the lease ends (monotonic); nothing is sent from then on.
+        target: Name of the target.
+        order: State that the engine is to reach.
+        fencing: Fencing number of the lease that covers the order.
+        until: End of the lease (monotonic), in milliseconds; the order is not sent
+            after that.
     """
 
     number: int
@@ -182,7 +194,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WakeAt:
-    """Fire ``timer`` at ``at`` (monotonic); an earlier one is replaced."""
+    """Set a timer, in place of an equal one that is set already.
+
+    Attributes:
+        timer: Timer to fire.
+        at: Time at which it fires (monotonic), in milliseconds.
+    """
 
     timer: Timer
     at: Millis
@@ -190,7 +207,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Count:
-    """Add to a statsd counter."""
+    """Add ``value`` to the statsd counter ``name``."""
 
     name: str
     value: int = 1
@@ -201,8 +218,8 @@
     """Write one line to the structured log.
 
     Attributes:
-        message: What happened.
-        fields: Request, generation, attempt, target, customer and the like.
+        message: Message of the line.
+        fields: Fields such as the request, generation, attempt, target and customer.
     """
 
     message: str
--- a/figstep/core/events.py
+++ b/figstep/core/events.py
@@ -1,4 +1,4 @@
-"""Events: everything the reducer reacts to."""
+"""Events: the inputs of the reducer."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -14,18 +14,18 @@
 
 
 class Loss(Enum):
-    """How an attempt was lost, as far as its edge can tell."""
+    """Way in which an attempt was lost, as its edge observed it."""
 
     CONNECT_FAILED = "connect_failed"  # no byte was handed to a connection
     REFUSED = "refused"  # the target refused before running
-    NOT_FOUND = "not_found"  # a resume named a generation the target lacks
-    BROKEN = "broken"  # the connection broke after bytes went out
-    TRUNCATED = "truncated"  # closed cleanly without the end marker
+    NOT_FOUND = "not_found"  # the target does not have the generation to resume
+    BROKEN = "broken"  # the connection broke after bytes were sent
+    TRUNCATED = "truncated"  # the stream was closed cleanly without the end marker
     WRONG_GENERATION = "crossed"  # the answer belongs to another generation
     FAILED = "failed"  # the target answered with a server error
-    SILENT = "silent"  # nothing came for longer than the idle limit
-    EMPTY = "empty"  # an end marker without any answer before it
-    SHUTDOWN = "shutdown"  # this process ended it
+    SILENT = "silent"  # no data arrived for longer than the silence limit
+    EMPTY = "empty"  # an end marker arrived without an event before it
+    SHUTDOWN = "shutdown"  # this process closed the connection on shutdown
 
 
 # Callers
@@ -33,19 +33,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A validated request came in."""
+    """A validated request arrived from a caller."""
 
     spec: RequestSpec
 
 
 @dataclass(frozen=True, slots=True)
 class CallerReturned:
-    """A caller whose connection broke wants the rest of a generation.
+    """A caller whose connection broke requests the rest of a generation.
 
     Attributes:
         spec: The returning request, under a new request id.
-        generation: Generation of the last event that it saw.
-        index: Index of the last event that it saw.
+        generation: Id of the generation of the last event that it received.
+        index: Index of the last event that it received, from 1.
     """
 
     spec: RequestSpec
@@ -58,8 +58,8 @@
     """The caller closed its connection before the answer ended.
 
     Attributes:
-        request: The request.
-        cancel: Whether nobody wants its generation any more.
+        request: Id of the request.
+        cancel: Whether the generation is to be cancelled at its target.
     """
 
     request: str
@@ -71,20 +71,20 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptAnswered:
-    """The target accepted an attempt: its response headers came."""
+    """The target accepted an attempt: its response headers arrived."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class TokensArrived:
-    """Consecutive token events of one generation, read in one go.
+    """Consecutive token events of one generation, from one read of a connection.
 
     Attributes:
-        attempt: Attempt whose connection carried them.
-        generation: Generation that the events name.
+        attempt: Number of the attempt whose connection carried the events.
+        generation: Id of the generation that the events name.
         first: Index of the first event, from 1.
-        frames: The events as they go to the caller, one per index.
+        frames: The events as they are sent to the caller, one per index.
     """
 
     attempt: int
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The target sent the end marker: the answer is whole."""
+    """The target sent the end marker of an answer."""
 
     attempt: int
 
@@ -105,10 +105,10 @@
     """An attempt ended without a whole answer.
 
     Attributes:
-        attempt: The attempt.
+        attempt: Number of the attempt.
         loss: How it was lost.
-        retry_after: What the target asked for, in milliseconds, or None.
-        detail: For the log.
+        retry_after: Pause that the target requested, in milliseconds, or None.
+        detail: Description for the log.
     """
 
     attempt: int
@@ -119,14 +119,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetDown:
-    """A probe found that nobody listens at a target's address."""
+    """A probe found that no process listens at a target's address."""
 
     target: str
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptRejected:
-    """The target answered that the request itself is wrong (4xx)."""
+    """The target answered that the request itself is invalid (4xx)."""
 
     attempt: int
     problem: Problem
@@ -137,10 +137,10 @@
     """A plain service answered; the edge holds the body until delivery.
 
     Attributes:
-        attempt: The attempt.
+        attempt: Number of the attempt.
         status: HTTP status of the answer.
-        content_type: Its content type.
-        body: Its body where it is small enough to be recorded, else None.
+        content_type: Content type of the answer.
+        body: Body of the answer if it is small enough to be recorded, else None.
     """
 
     attempt: int
@@ -151,17 +151,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReported:
-    """A target reported its load; reports lag.
+    """A target reported its load, as it was some time ago.
 
     Attributes:
-        target: Target name.
-        incarnation: Grows each time the target starts anew.
-        leaving: Whether it takes no new work.
-        running: Generations decoding.
-        waiting: Generations queued at the engine.
+        target: Name of the target.
+        incarnation: Number that grows each time the target starts.
+        leaving: Whether the target takes no new work.
+        running: Number of generations that are decoding.
+        waiting: Number of generations in the engine's queue.
         memory_used: Cache memory in use, in tokens.
         memory_total: Cache memory, in tokens.
-        models: Models loaded, as "name@version".
+        models: Loaded models, each as "name@version".
         age: Age of the report, in milliseconds.
     """
 
@@ -185,16 +185,16 @@
 
     Attributes:
         offset: Offset of the record.
-        edit: Unique id of the edit.
-        base: Accepted offset that the author started from; -1 for none.
-        author: Who published.
-        reason: Why.
-        validation: Version of the validation rules it was made for.
-        document: The document as published.
+        base: Accepted offset that the edit was based on; -1 for none.
+        author: Author who published the edit.
+        reason: Reason that the author gave.
         inventory: The validated document, or None if it is not valid or its
             validation version is not known here.
+        problems: Reasons why the document is not valid.
+        edit: Unique id of the edit.
+        validation: Version of the validation rules that the edit was made for.
+        document: The document as published.
         known: Whether this program knows the validation version.
-        problems: Why it is not valid.
     """
 
     offset: int
@@ -215,11 +215,11 @@
 
     Attributes:
         accepted: Offset of the edit in force.
-        position: Last offset that was folded.
-        edit: Id of the edit in force.
-        author: Who published it.
-        reason: Why.
-        validation: Version of the validation rules it was made for.
+        position: Offset of the last record that was folded.
+        edit: Unique id of the edit in force.
+        author: Author who published the edit.
+        reason: Reason that the author gave.
+        validation: Version of the validation rules that the edit was made for.
         document: The document as published.
         inventory: The validated document, or None if this program cannot read it.
     """
@@ -236,12 +236,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotRead:
-    """A checkpoint in the configuration stream.
+    """A snapshot record in the configuration stream.
 
     Attributes:
         offset: Offset of the record.
-        checkpoint: What it holds.
-        age: Time since the log took it, in milliseconds.
+        checkpoint: The checkpoint in the record.
+        age: Time since the log stored the record, in milliseconds.
     """
 
     offset: int
@@ -251,7 +251,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckpointOffered:
-    """A peer sent its checkpoint."""
+    """A peer sent its checkpoint of the configuration."""
 
     checkpoint: Checkpoint
 
@@ -261,13 +261,13 @@
     """An entry of the platform's instance list.
 
     Attributes:
-        name: Its name.
-        kind: "entry" for the system's own, "target" for the rest.
-        address: Base URL.
-        failure_domain: Its failure domain.
-        leaving: Whether the platform takes it away.
-        incarnation: Grows each time it starts anew.
-        peers: Where an entry listens for peers, as "host:port", or "".
+        name: Name of the instance.
+        kind: "entry" for entries of this system, "target" for all others.
+        address: Base URL of the instance.
+        failure_domain: Name of the instance's failure domain.
+        leaving: Whether the platform is about to stop the instance.
+        incarnation: Number that grows each time the instance starts.
+        peers: Address at which an entry listens for peers, as "host:port", or "".
     """
 
     name: str
@@ -281,19 +281,19 @@
 
 @dataclass(frozen=True, slots=True)
 class InstancesListed:
-    """The platform's instance list was read; it lags."""
+    """The platform's instance list was read; it may be out of date."""
 
     instances: tuple[InstanceInfo, ...] = field(default_factory=tuple)
 
 
 @dataclass(frozen=True, slots=True)
 class PeerListenerOpened:
-    """This entry listens for peers.
+    """This entry started to listen for peers.
 
     Attributes:
-        address: Where, as "host:port".
-        incarnation: Greater than that of any earlier process of this name.
-        start: Addresses of other entries to try first.
+        address: Address of the listener, as "host:port".
+        incarnation: Number greater than that of any earlier process of this name.
+        start: Addresses of other entries to contact first, as "host:port".
     """
 
     address: str
@@ -303,14 +303,14 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """An authenticated message of a peer came."""
+    """An authenticated message of a peer arrived."""
 
     gossip: Gossip
 
 
 @dataclass(frozen=True, slots=True)
 class RecordsRead:
-    """New records of a stream other than the configuration's, in order."""
+    """New records were read, in order, from a stream other than the configuration."""
 
     stream: str
     records: tuple[LogRecord, ...]
@@ -318,11 +318,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendConfirmed:
-    """The log took an append.
+    """The log confirmed an append.
 
     Attributes:
         key: Key of the ``AppendRecords`` effect.
-        offset: Offset of its first record.
+        offset: Offset of the first appended record.
     """
 
     key: int
@@ -331,14 +331,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendUncertain:
-    """No answer to an append: it may or may not have taken effect."""
+    """An append got no answer: it may or may not have taken effect."""
 
     key: int
 
 
 @dataclass(frozen=True, slots=True)
 class StreamCaughtUp:
-    """A follower has read its stream to the end as of now."""
+    """A follower has read its stream up to the current end."""
 
     stream: str
 
@@ -352,11 +352,11 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderAnswered:
-    """An order to an engine was answered, or given up on.
+    """An order to an engine was answered, or abandoned.
 
     Attributes:
         order: Number of the ``SendOrder`` effect.
-        outcome: What came of it.
+        outcome: Result of the order.
     """
 
     order: int
@@ -368,60 +368,60 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestTimer:
-    """Marks the deadline of a request's first byte."""
+    """Timer for the deadline of a request's first byte."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class RetryTimer:
-    """Ends the pause before a request's next attempt."""
+    """Timer for the end of the backoff before a request's next attempt."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimTimer:
-    """Ends the wait for a claim to be settled, or for another's outcome."""
+    """Timer for the wait for a claim, or for the outcome of another request."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeTimer:
-    """Appends outcomes again that the log may not have taken."""
+    """Timer to append outcomes again that the log has not confirmed."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptTimer:
-    """Checks that an attempt still makes progress."""
+    """Timer to check that an attempt still makes progress."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class QueueTimer:
-    """Tries to start queued requests."""
+    """Timer to try to start queued requests."""
 
 
 @dataclass(frozen=True, slots=True)
 class GossipTimer:
-    """Starts the next period of gossip."""
+    """Timer for the next periodic round of gossip."""
 
 
 @dataclass(frozen=True, slots=True)
 class FetchTimer:
-    """Fetches a peer's document unless the log was quicker."""
+    """Timer to fetch a peer's document, unless the log has delivered it by then."""
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotTimer:
-    """Checks whether the configuration needs a fresh snapshot."""
+    """Timer to check whether the configuration needs a new snapshot."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementTimer:
-    """Starts the next round of leases and orders."""
+    """Timer for the next round of leases and orders."""
 
 
 Timer = (
@@ -440,24 +440,24 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set by a ``WakeAt`` effect came due."""
+    """A timer that a ``WakeAt`` effect set has fired."""
 
     timer: Timer
 
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The process started: the periodic timers begin."""
+    """The process started, so its periodic timers are to be set."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownRequested:
-    """The process was asked to end; running requests go on."""
+    """The process was asked to end; running requests continue."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownForced:
-    """The process ends now: every caller gets its final answer."""
+    """The process ends now, and every open request is refused."""
 
 
 Event = (
--- a/figstep/core/finishes.py
+++ b/figstep/core/finishes.py
@@ -1,4 +1,4 @@
-"""Whether an event is the one that a whole answer ends with."""
+"""Check whether an event can be the last one of a whole answer."""
 
 import orjson
 
@@ -6,10 +6,10 @@
 
 
 def is_unfinished(frame: bytes) -> bool:
-    """Tell whether an event says that more tokens follow.
+    """Return whether an event is a token event without a finish reason.
 
-    Looked at once for each answer, on its last event. An event that is not
-    the JSON of a token says nothing either way.
+    It is called once for each answer, on its last event. An event whose data is not
+    the JSON of a token event shows nothing, so False is returned for it.
 
     Args:
         frame: A server-sent event with its ``id`` and ``data`` lines.
--- a/figstep/core/lengths.py
+++ b/figstep/core/lengths.py
@@ -1,4 +1,4 @@
-"""Estimates of how long answers become, learnt from whole answers."""
+"""Estimates of the lengths of answers, from those of completed answers."""
 
 import math
 from dataclasses import dataclass, field
@@ -6,27 +6,46 @@
 from figstep.core.specs import GenerationWork
 
 BINS_PER_DOUBLING = 2
+"""Number of bins between a length and twice that length."""
+
 BIN_COUNT = 40
+"""Number of bins of a histogram; the last one holds all longer answers too."""
+
 DECAY = 0.995
+"""Factor on the weight of all earlier answers with each new answer."""
+
 MIN_ANSWERS = 8.0
+"""Decayed number of answers that a histogram needs before it is used."""
+
 BINS_PER_PROMPT_CLASS = 2
+"""Number of bins of prompt lengths that share a histogram."""
+
 DEFAULT_MEAN = 256.0
+"""Expected length where too few answers are known, in tokens."""
+
 DEFAULT_DEVIATION = 512.0
+"""Least standard deviation where too few answers are known, in tokens."""
 
 
 @dataclass(frozen=True, slots=True)
 class Remaining:
-    """What is expected to come after the tokens so far, in tokens."""
+    """Estimate of the tokens still to come in an answer.
+
+    Attributes:
+        mean: Expected number of tokens.
+        variance: Variance of that number, in tokens squared.
+    """
 
     mean: float
     variance: float
 
 
 UNKNOWN_REMAINING = Remaining(DEFAULT_MEAN, DEFAULT_DEVIATION**2)
+"""Estimate where no answer is known."""
 
 
 def find_bin(tokens: int) -> int:
-    """Return the logarithmic bin of a length."""
+    """Return the logarithmic bin of a length in tokens, from 0 to BIN_COUNT - 1."""
     if tokens <= 1:
         return 0
     return min(BIN_COUNT - 1, int(BINS_PER_DOUBLING * math.log2(tokens)))
@@ -42,10 +61,15 @@
 
 @dataclass(slots=True)
 class Histogram:
-    """Decayed counts of lengths in logarithmic bins.
+    """Decayed counts of answer lengths in logarithmic bins.
+
+    Instead of scaling down all bins, the weight of each new answer grows, so that
+    recording an answer costs the same for any number of bins.
 
-    Old answers fade by growing the weight of new ones, so that learning costs
-    the same however many bins there are.
+    Attributes:
+        weights: Weight of the answers of each bin.
+        total: Sum of the weights.
+        next_weight: Weight of the next answer.
     """
 
     weights: list[float] = field(default_factory=lambda: [0.0] * BIN_COUNT)
@@ -53,7 +77,7 @@
     next_weight: float = 1.0
 
     def record_length(self, tokens: int) -> None:
-        """Take in one length."""
+        """Record the length of one answer, in tokens."""
         self.weights[find_bin(tokens)] += self.next_weight
         self.total += self.next_weight
         self.next_weight /= DECAY
@@ -66,13 +90,16 @@
 
     @property
     def decayed_count(self) -> float:
-        """Decayed number of answers."""
+        """Number of recorded answers, where older ones count less."""
         return self.total / self.next_weight
 
     def estimate(self, produced: int) -> Remaining | None:
-        """Return what remains after ``produced`` tokens; None if not known.
+        """Return the estimate of the tokens that follow ``produced`` tokens.
 
-        Only answers at least as long as ``produced`` tell something.
+        Only the answers in the bin of ``produced`` and in longer ones are used.
+
+        Returns:
+            The estimate, or None if these weigh less than one new answer.
         """
         first = find_bin(produced) if produced else 0
         weight = mass = square = 0.0
@@ -94,13 +121,17 @@
 
 
 class LengthTable:
-    """Histograms by customer, model, kind and size of prompt, with fallback."""
+    """Histograms of lengths by customer, model, kind and prompt length.
+
+    Each answer is recorded under keys from narrow to wide; an estimate uses the
+    narrowest key with enough answers.
+    """
 
     def __init__(self) -> None:
         self._histograms: dict[Key, Histogram] = {}
 
     def record_length(self, customer: str, work: GenerationWork, tokens: int) -> None:
-        """Take in the length of a whole answer, in tokens."""
+        """Record the length of a completed answer, in tokens."""
         for key in list_keys(customer, work):
             histogram = self._histograms.get(key)
             if histogram is None:
@@ -110,10 +141,12 @@
     def estimate(
         self, customer: str, work: GenerationWork, produced: int = 0
     ) -> Remaining:
-        """Return what is expected after ``produced`` tokens.
+        """Return the estimate of the tokens that follow ``produced`` tokens.
 
-        The narrowest key with enough answers is used; past everything that
-        was ever seen, as much again is expected as there is already.
+        The narrowest key with enough answers is used. If no key has an estimate, as
+        for an answer longer than all recorded ones, the expected rest is as long as
+        ``produced``, and at least ``DEFAULT_MEAN``. The estimate is limited by the
+        caller's ``max_tokens``.
         """
         for key in list_keys(customer, work):
             histogram = self._histograms.get(key)
@@ -129,12 +162,12 @@
     def estimate_remaining(
         self, customer: str, work: GenerationWork, produced: int
     ) -> float:
-        """Return the expected tokens still to come after ``produced``."""
+        """Return the expected number of tokens that follow ``produced`` tokens."""
         return self.estimate(customer, work, produced).mean
 
 
 def list_keys(customer: str, work: GenerationWork) -> list[Key]:
-    """Return the keys that a length counts for, the narrowest first."""
+    """Return the keys under which an answer is recorded, the narrowest first."""
     size = find_bin(work.prompt_tokens) // BINS_PER_PROMPT_CLASS
     return [
         (customer, work.model, work.kind, size),
--- a/figstep/core/pacing.py
+++ b/figstep/core/pacing.py
@@ -1,4 +1,4 @@
-"""What this entry knows of a target's pace, memory and room."""
+"""Speed, memory and limit of a target, from the generations of this entry."""
 
 import math
 from collections import deque
@@ -7,29 +7,48 @@
 from figstep.core.clock import Millis
 
 GAP_DECAY = 0.98
+"""Factor on the weight of earlier gaps with each new gap."""
+
 MIN_LIMIT = 2.0
+"""Lowest limit on the generations of a target."""
+
 MAX_LIMIT = 512.0
+"""Highest limit on the generations of a target, and its initial value."""
+
 DECREASE_FACTOR = 0.85
+"""Factor on the limit when the gap exceeds its goal."""
+
 DECREASE_INTERVAL = Millis(1_000)
+"""Shortest time between two decreases of a limit, in milliseconds."""
+
 PRIOR_BASE_GAP = 25.0
+"""Part of the assumed gap at speed 1 that does not depend on load, in milliseconds."""
+
 PRIOR_GAP_PER_RUNNING = 1.0
+"""Increase of the assumed gap at speed 1 per running generation, in milliseconds."""
+
 PRIOR_WEIGHT = 4.0
+"""Weight of each of the two assumed gaps; an observed gap has weight 1."""
+
 HISTORY_INTERVAL = Millis(100)
+"""Shortest time between two samples of the running count, in milliseconds."""
+
 MAX_HISTORY = 64
+"""Largest number of samples of the running count that are kept."""
 
 
 @dataclass(slots=True)
 class Footprint:
-    """What one running generation holds and is expected to need, in tokens.
+    """Memory that one running generation holds and is expected to need, in tokens.
 
     Attributes:
-        held: Prompt and tokens produced at the last review.
-        mean: Expected tokens still to come.
-        variance: Their variance.
-        review_at: Index of the event at which it is looked at again.
-        reviewed: When it was last looked at.
-        produced: Tokens produced by then.
-        next_estimate: Index from which the estimate is renewed.
+        held: Tokens of the prompt and of the answer at the last review.
+        mean: Expected number of tokens still to come.
+        variance: Variance of that number, in tokens squared.
+        review_at: Index of the event at which the footprint is next updated.
+        reviewed: Time of the last update (monotonic), in milliseconds.
+        produced: Tokens of the answer at the last update.
+        next_estimate: Index of the event from which the estimate is renewed.
     """
 
     held: int
@@ -43,9 +62,17 @@
 
 @dataclass(slots=True)
 class GapRegression:
-    """Gap between tokens as a line over the number running, decayed.
+    """Linear regression of the gap between tokens over the running count.
 
-    Least squares over a few sums; starts from the speed in the inventory.
+    Weighted least squares, kept as a few sums that decay with each sample. It starts
+    with assumed samples computed from the speed in the inventory.
+
+    Attributes:
+        weight: Sum of the weights.
+        x: Weighted sum of the running counts.
+        y: Weighted sum of the gaps, in milliseconds.
+        xx: Weighted sum of the squared running counts.
+        xy: Weighted sum of the products of running count and gap.
     """
 
     weight: float = 0.0
@@ -55,7 +82,7 @@
     xy: float = 0.0
 
     def start(self, speed: float) -> None:
-        """Begin with what the inventory's speed lets expect."""
+        """Add the assumed gaps of a target with this speed in the inventory."""
         for running in (1.0, 32.0):
             gap = (PRIOR_BASE_GAP + PRIOR_GAP_PER_RUNNING * running) / speed
             self.add_sample(running, gap, PRIOR_WEIGHT, 1.0)
@@ -63,7 +90,14 @@
     def add_sample(
         self, running: float, gap: float, weight: float = 1.0, keep: float = GAP_DECAY
     ) -> None:
-        """Take in one observed gap, in milliseconds, at ``running``."""
+        """Add one observed gap.
+
+        Args:
+            running: Number of generations that were running.
+            gap: Gap between tokens, in milliseconds.
+            weight: Weight of the sample.
+            keep: Factor on the weight of the earlier samples.
+        """
         self.weight = self.weight * keep + weight
         self.x = self.x * keep + weight * running
         self.y = self.y * keep + weight * gap
@@ -71,7 +105,11 @@
         self.xy = self.xy * keep + weight * running * gap
 
     def predict(self, running: float) -> float:
-        """Return the expected gap at ``running``, in milliseconds."""
+        """Return the expected gap with ``running`` generations, in milliseconds.
+
+        The slope is at least a quarter of the one of the assumed line, and the result
+        at least a tenth of the mean gap. There must be a sample.
+        """
         mean_x = self.x / self.weight
         mean_y = self.y / self.weight
         spread = self.xx / self.weight - mean_x * mean_x
@@ -85,22 +123,25 @@
 
 @dataclass(slots=True)
 class Pace:
-    """The ledger of one target, kept in step with every attempt.
+    """Running generations of this entry on one target, and the target's speed.
+
+    The sums are updated with every attempt that starts, is reviewed or ends.
 
     Attributes:
-        running: Generations of this entry.
-        held: Tokens that they hold.
-        mean: Tokens that they are expected to add.
-        variance: Variance of those.
-        limit: Most generations that it is given.
-        limit_lowered_at: When the limit was last lowered.
-        gaps: Observed gaps.
-        gap: Recent gap, in milliseconds.
-        avoid_until: No new work before this; set by lost attempts.
-        losses: Lost attempts in a row.
-        prefixes: Prefixes that were sent there, and when.
-        running_history: How many ran at some times of the last seconds.
-        own_at_report: How many ran at the time that the last report shows.
+        running: Number of running generations of this entry.
+        held: Sum of the tokens that they hold.
+        mean: Sum of the tokens that they are expected to add.
+        variance: Sum of the variances of those, in tokens squared.
+        limit: Largest number of generations on the target, of all entries.
+        limit_lowered_at: Time of the last decrease (monotonic), in milliseconds.
+        gaps: Regression of the gap between tokens over the running count.
+        gap: Smoothed gap between tokens, in milliseconds; 0 before the first.
+        avoid_until: Time before which the target gets no new generation (monotonic),
+            in milliseconds; set by lost attempts.
+        losses: Number of lost attempts in a row.
+        prefixes: Prompt prefixes that were sent to the target, with the time of each.
+        running_history: Samples of ``running`` as (time, count), oldest first.
+        own_at_report: Value of ``running`` at the time that the last report shows.
     """
 
     running: int = 0
@@ -118,7 +159,7 @@
     own_at_report: int = 0
 
     def record_running(self, now: Millis) -> None:
-        """Remember how many ran, to compare with reports, which come late."""
+        """Record the running count, to compare it with load reports, which lag."""
         if (
             self.running_history
             and now < self.running_history[-1][0] + HISTORY_INTERVAL
@@ -130,7 +171,7 @@
             self.running_history.popleft()
 
     def count_running_at(self, then: Millis) -> int:
-        """Return how many ran at an earlier time."""
+        """Return the running count at an earlier time (monotonic, in milliseconds)."""
         running = self.running
         for at, count in reversed(self.running_history):
             if at <= then:
@@ -139,17 +180,17 @@
         return running
 
     def add(self, footprint: Footprint) -> None:
-        """Count a generation that starts."""
+        """Add a generation that starts to the sums."""
         self.running += 1
         self.held += footprint.held
         self.mean += footprint.mean
         self.variance += footprint.variance
 
     def remove(self, footprint: Footprint) -> None:
-        """Forget a generation that ended."""
+        """Remove a generation that ended from the sums."""
         self.running -= 1
         if self.running == 0:
-            # Sums of floats drift; an empty target is exactly empty.
+            # Sums of floats accumulate rounding errors, so they are reset to zero.
             self.held, self.mean, self.variance = 0, 0.0, 0.0
             return
         self.held -= footprint.held
@@ -159,19 +200,28 @@
     def predict_memory(
         self, added: Footprint, growth: float, deviations: float
     ) -> float:
-        """Return the tokens that it will hold at its fullest with ``added``."""
+        """Return the largest memory use to expect with ``added``, in tokens.
+
+        Args:
+            added: Footprint of the generation that may be added.
+            growth: Share of the expected remaining tokens that is counted.
+            deviations: Reserve, in standard deviations of the remaining tokens.
+        """
         mean = self.mean + added.mean
         spread = math.sqrt(max(0.0, self.variance + added.variance))
         return self.held + added.held + growth * mean + deviations * spread
 
     def adapt_limit(self, gap: float, goal: float, running: float, now: Millis) -> None:
-        """Move the limit by one observed gap: up by little, down by a share.
+        """Adapt the limit to an observed gap: small increases, decreases by a factor.
+
+        The limit rises only while it is nearly used up, and falls at most once per
+        ``DECREASE_INTERVAL``.
 
         Args:
-            gap: Observed gap, in milliseconds.
+            gap: Observed gap between tokens, in milliseconds.
             goal: Gap above which the limit falls, in milliseconds.
-            running: All generations on the target, other entries' included.
-            now: Monotonic time.
+            running: Number of generations on the target, of all entries.
+            now: Monotonic time, in milliseconds.
         """
         if gap <= goal:
             if running >= self.limit - 1:
--- a/figstep/core/policies.py
+++ b/figstep/core/policies.py
@@ -1,43 +1,47 @@
-"""Routing policies as data; ``routing`` and ``admission`` match on them."""
+"""Routing policies as data, matched by the modules ``routing`` and ``admission``."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class RoundRobin:
-    """Each target in turn, whatever it carries."""
+    """Policy that uses each target in turn, whatever its load."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeastInFlight:
-    """The target with the fewest attempts of this entry."""
+    """Policy that uses the target with the fewest attempts of this entry."""
 
 
 @dataclass(frozen=True, slots=True)
 class TwoChoices:
-    """The less loaded of two random targets, by their last reports."""
+    """Policy that uses the less loaded of two random targets, by their last reports."""
 
 
 @dataclass(frozen=True, slots=True)
 class Figstep:
-    """Predicted memory and pace decide; what can't start waits here.
+    """Policy by predicted memory and speed; other requests are queued here.
 
     Attributes:
-        memory: Whether predicted memory bounds what a target is given.
-        growth: Share of the expected remaining tokens that is counted; running
-            generations don't all reach their end at the same time.
-        deviations: Reserve, in standard deviations of the remaining tokens.
-        others: Whether the work of other entries is counted.
-        reported_queue: Whether a target that reports a queue is given nothing.
-        limit: Whether observed gaps bound what a target is given.
-        gap_goal: Gap between tokens above which a target is given less, in ms.
-        pace: Whether targets are compared by predicted time, not by count.
-        affinity: Whether a cached prefix counts in a target's favour.
-        fair: Whether customers take turns in the queue.
-        shortest_first: Whether a customer's shortest expected goes first.
-        engine_priority: Whether engines are told who gives way first.
-        refuse_early: Whether what can't start in time is refused on arrival.
-        choices: Most targets compared for a request.
+        memory: Whether predicted memory limits the generations of a target.
+        growth: Share of the expected remaining tokens that counts as memory; it is
+            below 1 as running generations do not all end at the same time.
+        deviations: Reserve of memory, in standard deviations of the remaining tokens.
+        others: Whether the generations of other entries are counted.
+        reported_queue: Whether a target that reports a queue gets no generation.
+        limit: Whether observed gaps between tokens limit the generations of a target.
+        gap_goal: Gap between tokens above which that limit falls, in milliseconds.
+        pace: Whether targets are compared by predicted time, instead of by the number
+            of running generations.
+        affinity: Whether a cached prefix lowers the predicted time of a target.
+        fair: Whether customers take turns in the queue by their shares.
+        shortest_first: Whether a customer's request with the shortest expected answer
+            goes first.
+        engine_priority: Whether engines get priorities by expected length, which
+            decide what they preempt first.
+        refuse_early: Whether a request that is predicted to start after its deadline
+            is refused on arrival.
+        choices: Largest number of targets compared for a request.
     """
 
     memory: bool = True
@@ -67,5 +71,9 @@
 
 
 def find_policy(name: str) -> Policy:
-    """Return the policy that the rules name."""
+    """Return the policy that the rules of the inventory name.
+
+    Raises:
+        KeyError: If there is no policy of this name.
+    """
     return POLICIES[name]
--- a/figstep/core/quarantine.py
+++ b/figstep/core/quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that are kept away from targets, and for how long."""
+"""Quarantine of requests that crash targets."""
 
 from dataclasses import dataclass, field
 
@@ -8,16 +8,20 @@
 from figstep.core.specs import RequestSpec
 
 QUARANTINE_DURATION = CRASH_RETENTION
+"""Time for which a digest is refused, in milliseconds."""
+
 ECHO_TOLERANCE = Millis(10_000)
+"""Increase of a digest's end of quarantine that is ignored, in milliseconds."""
 
 
 @dataclass(slots=True)
 class Quarantine:
-    """Digests that are refused, and those that may come to be.
+    """Digests of refused requests, and the crashes that lead to refusals.
 
     Attributes:
-        until: When each refused digest is let in again (monotonic).
-        crashes: Deaths of targets, and the requests that were there.
+        until: Refused digests, each with the end of its quarantine (monotonic), in
+            milliseconds.
+        crashes: Crashes of targets, and the requests that were on those targets.
     """
 
     until: dict[str, Millis] = field(default_factory=dict)
@@ -27,7 +31,7 @@
 def check_digest(
     quarantine: Quarantine, spec: RequestSpec, now: Millis
 ) -> Problem | None:
-    """Return the refusal of a quarantined request, or None."""
+    """Return the problem for a quarantined request, or None if it may run."""
     until = quarantine.until.get(spec.digest)
     if until is None:
         return None
@@ -46,12 +50,12 @@
 def quarantine_digest(
     quarantine: Quarantine, digest: str, remaining: Millis, now: Millis
 ) -> None:
-    """Refuse a digest for ``remaining`` more milliseconds, or for longer if it is.
+    """Quarantine a digest for ``remaining`` milliseconds, or keep a later end.
 
-    Only remaining times travel between entries. What a message spent on its
-    way is added at each hop, so entries that repeat a digest to each other
-    would prolong it with every message; a little more than what is known is
-    therefore taken for such an echo.
+    Entries exchange remaining times, to which the transit time of a message is added
+    at each hop. Entries that repeat a digest to each other would therefore prolong its
+    quarantine with every message, so an increase of up to ``ECHO_TOLERANCE`` is treated
+    as such an echo and ignored. The time is at most ``QUARANTINE_DURATION``.
     """
     until = Millis(now + min(remaining, QUARANTINE_DURATION))
     known = quarantine.until.get(digest)
--- a/figstep/core/queues.py
+++ b/figstep/core/queues.py
@@ -1,9 +1,10 @@
-"""Order in which queued requests are tried: fair, then shortest first.
+"""Queue of requests: fair between customers, then shortest expected answer first.
 
-One queue per pool (a model or a plain service), so that one without room holds
-up no other. In a pool: priority, then the customer that had the least work for
-its share (start-time fair queueing), then the shortest expected answer, where
-waiting makes up for length, so that nothing starves.
+There is one queue per pool (a model or a plain service), so that a pool without free
+capacity does not block the others. Within a pool, requests are ordered by priority,
+then by customer (start-time fair queueing: the customer with the least work for its
+share goes first), then by expected length. Waiting time offsets length, so that no
+request starves.
 """
 
 import heapq
@@ -13,18 +14,20 @@
 from figstep.core.specs import GenerationWork, RequestSpec
 
 AGING_MS_PER_TOKEN = 20.0
-"""Milliseconds of waiting that make up for one more expected token."""
+"""Waiting time that offsets one more expected token, in milliseconds."""
 
 RATE_AVERAGING_TIME = 20_000.0
-"""Time over which the rate of starts is averaged, in milliseconds."""
+"""Time over which the rate of started work is averaged, in milliseconds."""
 
 MAX_PREDICTED_WAIT = 3_600_000.0
+"""Upper bound of a predicted wait, in milliseconds; needed where the rate is near 0."""
 
 SERVICE_COST = 1.0
+"""Expected work of a plain service request, on the scale of tokens."""
 
 
 def name_pool(spec: RequestSpec) -> str:
-    """Return the pool of targets that a request needs."""
+    """Return the name of the pool of targets that can run a request."""
     match spec.work:
         case GenerationWork(model=model):
             return model
@@ -34,13 +37,13 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedRequest:
-    """A queued request.
+    """A request in the queue.
 
     Attributes:
-        spec: What was asked for.
+        spec: The request.
         cost: Expected work, in tokens.
-        share: Share of its customer.
-        since: When it came in.
+        share: Share of the request's customer.
+        since: Time of arrival (monotonic), in milliseconds.
     """
 
     spec: RequestSpec
@@ -51,7 +54,18 @@
 
 @dataclass(slots=True)
 class CustomerQueue:
-    """What one customer waits for at one priority of a pool."""
+    """Queued requests of one customer at one priority of a pool.
+
+    Attributes:
+        finish_tag: Virtual time at which the last started work of the customer ends:
+            tokens divided by the share.
+        share: Share of the customer.
+        cost: Expected work of the queued requests, in tokens.
+        count: Number of queued requests.
+        in_heap: Whether the customer is in the heap of its priority level.
+        heap: Requests as (sort key, sequence number, request id); it may still hold
+            requests that were removed.
+    """
 
     finish_tag: float = 0.0
     share: float = 1.0
@@ -63,7 +77,15 @@
 
 @dataclass(slots=True)
 class PriorityLevel:
-    """One priority of a pool: customers by the work they had for their share."""
+    """Customers with requests of one priority of a pool.
+
+    Attributes:
+        clock: Virtual time of the level: the highest start tag of started work.
+        shares: Sum of the shares of the customers with queued requests.
+        customers: Queues by customer; a single one under "" if not fair.
+        customer_heap: Customers as (finish tag, key), the smallest tag first; a tag
+            may be out of date.
+    """
 
     clock: float = 0.0
     shares: float = 0.0
@@ -73,19 +95,25 @@
 
 @dataclass(slots=True)
 class Rate:
-    """Decayed rate of work started, in tokens per millisecond."""
+    """Decaying average of the rate of started work, in tokens per millisecond.
+
+    Attributes:
+        work: Decayed sum of the work that started, in tokens.
+        weight: Decayed sum of the time that passed, in milliseconds.
+        at: Time of the last decay (monotonic), in milliseconds.
+    """
 
     work: float = 0.0
     weight: float = 0.0
     at: Millis = Millis(0)
 
     def add(self, work: float, now: Millis) -> None:
-        """Count work that started."""
+        """Add ``work`` tokens that start at ``now``."""
         self._decay(now)
         self.work += work
 
     def read(self, now: Millis) -> float | None:
-        """Return the rate; None before there is anything to tell."""
+        """Return the rate; None if no work started or too little time has passed."""
         self._decay(now)
         if self.weight < RATE_AVERAGING_TIME / 8 or self.work <= 0:
             return None
@@ -101,7 +129,14 @@
 
 @dataclass(slots=True)
 class Pool:
-    """Requests that wait for the same targets."""
+    """Queued requests that the same targets can run.
+
+    Attributes:
+        levels: Levels by priority.
+        count: Number of queued requests.
+        cost: Expected work of the queued requests, in tokens.
+        rate: Rate of started work.
+    """
 
     levels: dict[int, PriorityLevel] = field(default_factory=dict)
     count: int = 0
@@ -110,7 +145,16 @@
 
 
 class RequestQueue:
-    """Queued requests; every operation is logarithmic in their number."""
+    """Queued requests of all pools.
+
+    Adding, removing and finding the next request take time logarithmic in their
+    number.
+
+    Args:
+        fair: Whether customers take turns by their shares.
+        shortest_first: Whether a customer's requests are ordered by expected length
+            and waiting time, instead of by arrival.
+    """
 
     def __init__(self, fair: bool = True, shortest_first: bool = True) -> None:
         self.fair = fair
@@ -123,7 +167,7 @@
         return len(self._queued)
 
     def order_by(self, fair: bool, shortest_first: bool) -> None:
-        """Change the order; what already waits is put in again."""
+        """Change the order of the queue and add the queued requests anew."""
         if (fair, shortest_first) == (self.fair, self.shortest_first):
             return
         waiting = list(self._queued.values())
@@ -134,11 +178,11 @@
             self.add(queued.spec, queued.cost, queued.share, queued.since)
 
     def list_pools(self) -> list[str]:
-        """Return the pools in which something waits."""
+        """Return the names of the pools that have queued requests."""
         return [name for name, pool in self._pools.items() if pool.count]
 
     def has_waiting(self, spec: RequestSpec) -> bool:
-        """Tell whether anything waits for the targets of ``spec``."""
+        """Return whether the pool of ``spec`` has queued requests."""
         pool = self._pools.get(name_pool(spec))
         return pool is not None and pool.count > 0
 
@@ -149,7 +193,14 @@
         share: float = 1.0,
         since: Millis = Millis(0),
     ) -> None:
-        """Queue a request of ``cost`` expected tokens."""
+        """Add a request to the queue.
+
+        Args:
+            spec: The request.
+            cost: Expected work, in tokens.
+            share: Share of the request's customer.
+            since: Time of arrival (monotonic), in milliseconds.
+        """
         queued = QueuedRequest(spec, cost, share, since)
         self._queued[spec.request] = queued
         pool = self._find_pool(spec)
@@ -168,8 +219,8 @@
         customer.cost += cost
         if customer.count > 1:
             return
-        # A customer that was idle comes back at the present, or it could take
-        # the whole pool for as long as it was away.
+        # A customer that was idle continues at the current virtual time. With its
+        # old tag it could use the whole pool for as long as it was idle.
         customer.finish_tag = max(customer.finish_tag, level.clock)
         level.shares += share
         if customer.in_heap:
@@ -180,7 +231,7 @@
         )
 
     def remove(self, request: str) -> None:
-        """Forget a request, queued or not."""
+        """Remove a request from the queue, if it is there."""
         queued = self._queued.pop(request, None)
         if queued is None:
             return
@@ -197,7 +248,7 @@
             level.shares -= customer.share
 
     def peek(self, pool_name: str) -> RequestSpec | None:
-        """Return the request that is next in a pool."""
+        """Return the next request of a pool, or None if it has none."""
         pool = self._pools.get(pool_name)
         if pool is None or pool.count == 0:
             return None
@@ -208,7 +259,7 @@
         return None
 
     def charge(self, spec: RequestSpec, cost: float, share: float, now: Millis) -> None:
-        """Count work that starts, against its customer's share."""
+        """Charge work that starts to its customer; ``cost`` is in tokens."""
         pool = self._find_pool(spec)
         pool.rate.add(cost, now)
         level = pool.levels.setdefault(spec.priority, PriorityLevel())
@@ -219,11 +270,11 @@
     def predict_wait(
         self, spec: RequestSpec, cost: float, share: float, now: Millis
     ) -> Millis:
-        """Return how long a request would wait, in milliseconds; 0 if unknown.
+        """Return the predicted wait of a request, in milliseconds; 0 if unknown.
 
-        Its own customer's work goes ahead of it at that customer's share of
-        the rate at which work has been starting; more work than all that waits
-        is never ahead of it.
+        The queued work of the same customer goes first, at that customer's share of
+        the rate at which work has been starting. The work ahead is at most all the
+        queued work of the pool.
         """
         pool = self._pools.get(name_pool(spec))
         if pool is None or pool.count == 0:
@@ -243,15 +294,15 @@
         wait = ahead / rate
         if self.shortest_first and level is not None:
             wait = max(wait, self._predict_turn(level, spec, cost, now))
-        # Where nothing has started for long the rate fades to nothing.
+        # The rate approaches zero if no work has started for a long time.
         return Millis(round(min(wait, MAX_PREDICTED_WAIT)))
 
     def _predict_turn(
         self, level: PriorityLevel, spec: RequestSpec, cost: float, now: Millis
     ) -> float:
-        # Shorter ones that are yet to come go ahead of a long one. In a steady
-        # queue the key at its head moves on with the clock, so the distance
-        # to the head is the wait.
+        # Shorter requests that arrive later go ahead of a long one. In a steady queue
+        # the key at the head advances with the time, so the distance from this
+        # request's key to the one at the head is its wait.
         customer = level.customers.get(self._get_customer_key(spec))
         if customer is None or self._peek_customer(customer) is None:
             return 0.0
@@ -297,6 +348,6 @@
             queued = self._queued.get(customer.heap[0][2])
             if queued is not None:
                 return queued.spec
-            # Removed while it waited; the heap still names it.
+            # The request was removed from the queue but not from the heap.
             heapq.heappop(customer.heap)
         return None
--- a/figstep/core/recovery.py
+++ b/figstep/core/recovery.py
@@ -1,4 +1,4 @@
-"""Tokens on their way to the caller, and what follows when they stop."""
+"""Forwarding of tokens to callers, and recovery of lost attempts."""
 
 from figstep.core import (
     attempts,
@@ -45,15 +45,19 @@
 
 
 def forward_tokens(state: State, event: TokensArrived, now: Millis) -> list[Effect]:
-    """Hand the caller the events that come next for it, and no others."""
+    """Deliver the events that the caller has not received yet, in order.
+
+    Events that were delivered before are dropped. A gap before the first event, or
+    events of another generation, count as a lost attempt.
+    """
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
         return [Count("tokens.late", len(event.frames))]
     request = state.requests[attempt.request]
     if event.generation != attempt.generation:
-        # Two answers crossed on their way: another caller's text would be
-        # shown here. Dropping the connection and reattaching by generation
-        # brings the right events.
+        # The connection carries the answer to another request, so another caller's
+        # text would be delivered. Closing the connection and reattaching by
+        # generation id brings the right events.
         lost = AttemptLost(
             event.attempt, Loss.WRONG_GENERATION, detail=event.generation
         )
@@ -96,8 +100,8 @@
     attempt.tokens += 1
     attempt.last_progress = now
     if attempt.tokens == 1:
-        # The timer was set with the patience for a first token; left so, a
-        # stream that went silent early would be found only seconds later.
+        # The timer still has the limit for the first event. Without a reset
+        # a stream that goes silent early would be detected seconds later.
         limit = silence.compute_silence_limit(target, attempt)
         effects.append(WakeAt(AttemptTimer(attempt.attempt), Millis(now + limit)))
     return effects
@@ -106,10 +110,10 @@
 def _replace_pool(
     state: State, probe: AttemptState, target: TargetState, now: Millis
 ) -> list[Effect]:
-    # Something between the two ends has lost track of the old connections:
-    # they stay open and bring nothing, while a new one works. All that were
-    # silent since before the probe are as dead as the one that it replaced;
-    # what has delivered since then is sound and stays.
+    # A device between entry and target has lost the state of the old connections:
+    # they stay open and bring nothing, while a new one works. Connections that
+    # were silent since before the probe was opened are treated as lost, like the
+    # one that the probe replaced; those that have delivered since then are kept.
     probe.probing = False
     effects: list[Effect] = [
         ReplacePool(probe.target),
@@ -132,7 +136,7 @@
 def handle_attempt_answered(
     state: State, event: AttemptAnswered, now: Millis
 ) -> list[Effect]:
-    """The target accepted the attempt: it lives, though it may be slow."""
+    """Handle response headers: the target accepted the attempt and is alive."""
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
         return [Count("attempts.late")]
@@ -148,9 +152,11 @@
 
 
 def check_attempt(state: State, timer: AttemptTimer, now: Millis) -> list[Effect]:
-    """Probe an attempt that went silent; the timer is re-armed only here.
+    """Recover an attempt that was silent for longer than its limit.
 
-    A timer for each token would cost more than the token.
+    Events only update the time of the last progress; after the first event the
+    timer is set again only here, since setting a timer for each token would cost
+    more than handling the token.
     """
     attempt = state.attempts.get(timer.attempt)
     if attempt is None:
@@ -161,8 +167,8 @@
     if now < due:
         return [WakeAt(timer, due)]
     if attempt.resuming and attempt.answered and attempt.tokens == 0:
-        # The target answered on a new connection and still has nothing: it is
-        # slow, not silent. Probing again would only add load to it.
+        # The target answered on a new connection and has sent no event yet: it is
+        # slow, not silent. Another probe would only add load.
         attempt.probing = False
         attempt.last_progress = now
         return [Count("attempts.slow"), WakeAt(timer, Millis(now + limit))]
@@ -171,10 +177,11 @@
 
 
 def finish_attempt(state: State, event: AttemptEnded, now: Millis) -> list[Effect]:
-    """The end marker came; the answer is whole only if its last event says so.
+    """Handle the end marker; the answer is whole only with a finish reason.
 
-    An engine that fails may close its stream with the marker all the same; its
-    caller would take the first part of a plan for all of it.
+    An engine that fails may still close its stream with the end marker, and the
+    caller would take a truncated answer for a whole one. So a stream whose last
+    event has no finish reason counts as truncated, and one without events as empty.
     """
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
@@ -189,7 +196,11 @@
 
 
 def recover_attempt(state: State, event: AttemptLost, now: Millis) -> list[Effect]:
-    """Resume, restart or give up after a lost attempt."""
+    """Handle a lost attempt: resume, restart or refuse its request.
+
+    The target also gets no new generations for a growing time. The loss may count
+    as the death of the target, or as a broken call of a plain service.
+    """
     attempt = attempts.remove_attempt(state, event.attempt)
     if attempt is None:
         return [Count("attempts.late")]
@@ -264,8 +275,9 @@
     event: AttemptLost,
     recovery: retries.Recovery,
 ) -> bool:
-    # A returned caller's generation may have left the target's memory, and one
-    # that no target took may never have reached it: neither is a death.
+    # The generation of a returned caller may have left the target's memory, and
+    # one that no target accepted may never have reached a target. Neither shows
+    # that the target died.
     if recovery is retries.Recovery.RESUME or not request.accepted:
         return False
     if attempt.resuming:
@@ -295,7 +307,7 @@
 
 
 def retry_request(state: State, timer: RetryTimer, now: Millis) -> list[Effect]:
-    """Resume a request whose pause is over."""
+    """Resume a request when the backoff before its next attempt is over."""
     request = state.requests.get(timer.request)
     if request is None or request.phase is not Phase.WAITING:
         return []
@@ -319,8 +331,8 @@
         effects += _cancel_generation(request, attempt)
     effects.append(DiscardDelivered(attempt.request))
     if request.delivered:
-        # Its deadline was for a first byte that did come; the new start gets
-        # as long as the first one had.
+        # The deadline was for a first byte, which arrived. The restart gets as much
+        # time as the first start had.
         request.deadline = Millis(now + request.deadline - request.arrived)
         effects.append(WakeAt(RequestTimer(attempt.request), request.deadline))
     request.delivered = 0
@@ -328,7 +340,8 @@
     request.accepted = False
     if request.caller_gone or suspects.reached_death_limit(state, request):
         return effects + _give_up(state, request, now)
-    # What did not run cost the target nothing and is free to try elsewhere.
+    # An attempt that did not run cost no target anything, so a restart after it is
+    # not charged to the retry budget.
     if (
         retries.classify_ran(event.loss) is not Ran.NO
         and not state.retry_budget.spend()
--- a/figstep/core/reducer.py
+++ b/figstep/core/reducer.py
@@ -1,4 +1,4 @@
-"""The reducer: one match over all events, each arm one call."""
+"""The reducer: dispatches each event to its handler."""
 
 from figstep.core import (
     configuration,
@@ -61,12 +61,12 @@
     """Apply one event.
 
     Args:
-        state: State of this entry; changed in place, here only.
-        event: What happened.
+        state: State of this entry. It is changed in place, and only here.
+        event: The event.
         now: Monotonic time, in milliseconds.
 
     Returns:
-        What the edges have to do, in order.
+        Effects for the edges to carry out, in order.
     """
     match event:
         case TokensArrived():
--- a/figstep/core/requests.py
+++ b/figstep/core/requests.py
@@ -1,4 +1,4 @@
-"""Life cycle of a request: arrival, start, end."""
+"""Life cycle of a request: arrival, queueing, start, completion and failure."""
 
 from dataclasses import replace
 
@@ -34,10 +34,21 @@
 from figstep.core.state import Phase, RequestState, State, TargetState
 
 QUEUE_RETRY_INTERVAL = Millis(100)
+"""Time between two attempts to start queued requests, in milliseconds."""
 
 
 def admit_request(state: State, event: RequestArrived, now: Millis) -> list[Effect]:
-    """Take a request in and start, claim or queue it."""
+    """Handle the arrival of a request: reject, claim, start or queue it.
+
+    Args:
+        state: The entry's state.
+        event: The request that arrived.
+        now: Monotonic time, in milliseconds.
+
+    Returns:
+        The effects; a ``Refuse`` where the entry is shutting down, has no
+        configuration, or has quarantined the request's digest.
+    """
     spec = event.spec
     if state.shutting_down:
         return [Refuse(spec.request, _leaving_problem())]
@@ -59,7 +70,7 @@
 
 
 def start_request(state: State, request: RequestState, now: Millis) -> list[Effect]:
-    """Open an attempt on the best target, or queue the request."""
+    """Open an attempt on the chosen target, or queue or reject the request."""
     _expire_failed_targets(request, now)
     quarantined = quarantine.check_digest(state.quarantine, request.spec, now)
     if quarantined is not None:
@@ -92,14 +103,14 @@
     request.phase = Phase.QUEUED
     admission.queue_request(state, request)
     if len(state.queue) > 1:
-        # The timer runs already; setting it again with each arrival would put
-        # it off for as long as requests come faster than the pause.
+        # The queue timer is running already. Resetting it with each arrival would
+        # postpone it for as long as requests arrive faster than the interval.
         return []
     return [WakeAt(QueueTimer(), Millis(now + QUEUE_RETRY_INTERVAL))]
 
 
 def start_queued(state: State, now: Millis) -> list[Effect]:
-    """Start queued requests, pool by pool, until the next one finds no room."""
+    """Start queued requests of each pool until the next one finds no target."""
     effects: list[Effect] = []
     for pool in state.queue.list_pools():
         effects += _start_pool(state, pool, now)
@@ -126,8 +137,8 @@
             break
         state.queue.remove(spec.request)
         if target is None:
-            # It has targets of its own to avoid; were it to stay at the head,
-            # all behind it would wait for those as well.
+            # This request avoids certain targets. If it stayed at the head of
+            # the queue, the requests behind it would wait for its targets too.
             skipped.append(request)
             continue
         effects += _dispatch_request(state, request, target, now)
@@ -142,10 +153,10 @@
 
 
 def determine_ran(state: State, request: RequestState) -> Ran:
-    """Return what may be said of whether the request ran.
+    """Return whether the request ran, as far as this entry can know.
 
-    While an attempt is open its bytes may be on their way, so "no" would be a
-    guess until the attempt ends with a loss that proves it.
+    While an attempt is open its bytes may be in transit, so ``Ran.NO`` is returned
+    only once the attempt has ended with a loss that proves it.
     """
     if request.ran is Ran.NO and request.attempt in state.attempts:
         return Ran.UNKNOWN
@@ -155,13 +166,13 @@
 def end_request(
     state: State, request: RequestState, problem: Problem, cancel: bool = True
 ) -> list[Effect]:
-    """Give a request its final answer and stop whatever runs for it.
+    """Refuse a request with a problem and stop whatever runs for it.
 
     Args:
         state: The entry's state.
         request: The request.
-        problem: Its final answer.
-        cancel: Whether its generation is cancelled at the target.
+        problem: Final answer to the caller; whether the request ran is added.
+        cancel: Whether the generation is cancelled at the target.
     """
     name = request.spec.request
     ran = retries.combine_ran(problem.ran, determine_ran(state, request))
@@ -175,7 +186,7 @@
 
 
 def complete_attempt(state: State, event: AttemptEnded, now: Millis) -> list[Effect]:
-    """The end marker came: the caller has its whole answer."""
+    """Complete the request of an attempt that delivered a whole generation."""
     request = _complete_request(state, event.attempt, now)
     if request is None:
         return [Count("attempts.late")]
@@ -193,7 +204,7 @@
 def complete_service_call(
     state: State, event: ServiceAnswered, now: Millis
 ) -> list[Effect]:
-    """A plain service answered: hand the answer over and record it."""
+    """Complete a plain service request: deliver its answer and record it."""
     request = _complete_request(state, event.attempt, now)
     if request is None:
         return [Count("attempts.late")]
@@ -206,7 +217,11 @@
 
 
 def _complete_request(state: State, number: int, now: Millis) -> RequestState | None:
-    """Forget an attempt that ended whole, and its request; returns the request."""
+    """Remove a completed attempt and its request from the state.
+
+    Returns:
+        The request, or None if the attempt was removed earlier.
+    """
     attempt = attempts.remove_attempt(state, number)
     if attempt is None:
         return None
@@ -219,7 +234,7 @@
 
 
 def reject_attempt(state: State, event: AttemptRejected, now: Millis) -> list[Effect]:
-    """The target found the request itself wrong: the caller must mend it."""
+    """Pass on the target's answer that the request itself is invalid (4xx)."""
     attempt = attempts.remove_attempt(state, event.attempt)
     if attempt is None:
         return [Count("attempts.late")]
@@ -229,7 +244,13 @@
 
 
 def reattach_caller(state: State, event: CallerReturned, now: Millis) -> list[Effect]:
-    """Reattach a caller to its generation, whichever entry started it."""
+    """Reattach a returning caller to its generation, at any entry.
+
+    The generation id names the target and a digest of the customer, so the entry
+    needs no state of the first request. The request is refused if the customer is
+    another one, if the target is not known here, or if the entry is shutting down
+    or has no configuration.
+    """
     spec = event.spec
     if state.shutting_down:
         return [Refuse(spec.request, _leaving_problem())]
@@ -260,11 +281,12 @@
 
 
 def drop_caller(state: State, event: CallerGone, now: Millis) -> list[Effect]:
-    """The caller is gone: free what its request holds.
+    """Handle a caller that disconnected: release what its request holds.
 
-    A non-idempotent call that is out goes on without it. Closing it would not
-    stop a service that has begun, and the caller that sends the same key
-    again, as after a time-out of its own, could then be told no outcome.
+    A non-idempotent call that was already sent continues without its caller.
+    Closing the connection would not stop a service that has begun, and a caller
+    that sends the same key again, for example after its own time-out, could then
+    not be given the outcome.
     """
     request = state.requests.get(event.request)
     if request is None:
@@ -282,7 +304,7 @@
 
 
 def expire_request(state: State, timer: RequestTimer, now: Millis) -> list[Effect]:
-    """Refuse at once what brought no first byte before its deadline."""
+    """Refuse a request that got no first byte before its deadline."""
     request = state.requests.get(timer.request)
     if request is None or request.delivered > (request.returned_index or 0):
         return []
@@ -300,10 +322,10 @@
 
 
 def abort_requests(state: State) -> list[Effect]:
-    """Give every caller its final answer: the process ends now.
+    """Refuse all open requests because the process ends now.
 
-    Streams are not cancelled at their targets, so that a caller can return
-    through another entry for the rest.
+    Streams are not cancelled at their targets, so that their callers can resume
+    them through another entry.
     """
     state.shutting_down = True
     effects: list[Effect] = []
@@ -341,7 +363,7 @@
 
 
 def build_gone_problem() -> Problem:
-    """Return the answer to a caller whose generation cannot be resumed."""
+    """Build the 410 problem for a caller whose generation cannot be resumed."""
     return Problem(
         410,
         "generation_gone",
--- a/figstep/core/retries.py
+++ b/figstep/core/retries.py
@@ -1,4 +1,4 @@
-"""What to do after a lost attempt, and whether the request ran."""
+"""Retry decisions after a lost attempt, and whether the request ran."""
 
 import random
 from dataclasses import dataclass
@@ -9,16 +9,23 @@
 from figstep.core.problems import Ran
 
 MAX_ATTEMPTS = 8
+"""Most starts of a request, not counting resumes."""
+
 MAX_RESUMES = 4
+"""Most resumes of a generation in a row without a new event."""
+
 INITIAL_BACKOFF = Millis(50)
+"""Backoff before the second resume in a row, in milliseconds; it then doubles."""
+
 MAX_BACKOFF = Millis(2_000)
+"""Longest backoff between two resumes, in milliseconds."""
 
 
 class Recovery(Enum):
-    """How a request goes on."""
+    """How a request continues after a lost attempt."""
 
     RESUME = "resume"  # reattach to the same generation
-    RESTART = "restart"  # start afresh: nothing has reached the caller
+    RESTART = "restart"  # start a new generation: nothing has reached the caller
     GIVE_UP = "give_up"
 
 
@@ -35,8 +42,11 @@
     Loss.SHUTDOWN: Ran.UNKNOWN,
 }
 
+# From weakest to strongest.
 _RAN_ORDER = [Ran.NO, Ran.UNKNOWN, Ran.YES]
 
+# Losses after which a resume is tried: those of a first connection, then those of a
+# connection that was itself a resume.
 _RESUMABLE_LOSSES = frozenset(
     {Loss.BROKEN, Loss.TRUNCATED, Loss.WRONG_GENERATION, Loss.SILENT}
 )
@@ -46,35 +56,35 @@
     Loss.FAILED,
 }
 
-# How long a request keeps away from a target that lost it. A refusal passes
-# with the queue there; a dead target takes longer to come back.
+# Time for which a request avoids a target that lost it, in milliseconds. The cause
+# of a refusal ends as the target's queue drains; a dead target needs longer.
 _AVOIDANCE_BY_LOSS = {Loss.REFUSED: Millis(500), Loss.CONNECT_FAILED: Millis(2_000)}
 _DEFAULT_AVOIDANCE = Millis(5_000)
 
 
 def classify_ran(loss: Loss) -> Ran:
-    """Tell from one loss whether the request ran.
+    """Return whether a request ran, judged from one loss.
 
-    "no" is said only where no byte was handed to a connection or the target
-    itself refused before running; all else would be a guess.
+    ``Ran.NO`` is returned only if no byte was handed to a connection or if the
+    target itself refused before running. Anything else would be a guess.
     """
     return _RAN_BY_LOSS[loss]
 
 
 def combine_ran(before: Ran, after: Ran) -> Ran:
-    """Join what two attempts tell; once it may have run, it stays so."""
+    """Return the stronger of two values: YES over UNKNOWN over NO."""
     return max(before, after, key=_RAN_ORDER.index)
 
 
 @dataclass(frozen=True, slots=True)
 class LostAttempt:
-    """What a decision on a lost attempt rests on.
+    """Inputs of the decision on how a request continues after a lost attempt.
 
     Attributes:
-        loss: How it was lost.
+        loss: How the attempt was lost.
         ran: Whether the request ran, this attempt included.
         attempts: Starts so far, without resumes.
-        resumes: Resumes in a row that brought nothing.
+        resumes: Resumes in a row without a new event.
         resuming: Whether the lost attempt was itself a resume.
         resumable: Whether the target can resume the generation.
         reached_caller: Whether any of the answer reached the caller.
@@ -92,7 +102,11 @@
 
 
 def decide_recovery(lost: LostAttempt) -> Recovery:
-    """Decide how a request goes on after a lost attempt."""
+    """Decide whether a request resumes, restarts or is given up.
+
+    A restart needs that nothing has reached the caller, that fewer than
+    ``MAX_ATTEMPTS`` starts were made, and that a non-idempotent request did not run.
+    """
     if _can_resume(lost):
         return Recovery.RESUME
     if lost.non_idempotent and lost.ran is not Ran.NO:
@@ -115,8 +129,9 @@
 def compute_backoff(resumes: int, rng: random.Random) -> Millis:
     """Return the pause before the next resume, in milliseconds.
 
-    The first goes at once; later ones double, with half of each at random so
-    that the streams of one broken link don't all come back together.
+    The first resume is immediate. Later backoffs double up to ``MAX_BACKOFF``; half
+    of each is random, so that the streams of one broken link do not all return at
+    the same time.
     """
     if resumes == 0:
         return Millis(0)
@@ -125,13 +140,13 @@
 
 
 def compute_avoidance(loss: Loss, retry_after: Millis | None) -> Millis:
-    """Return how long to keep a request away from a target, in milliseconds."""
+    """Return how long a request avoids a target after a loss, in milliseconds."""
     return retry_after or _AVOIDANCE_BY_LOSS.get(loss, _DEFAULT_AVOIDANCE)
 
 
 def jitter_pause(base: int, rng: random.Random) -> Millis:
-    """Return ``base`` to twice ``base`` milliseconds, at random.
+    """Return a random pause from ``base`` to twice ``base``, in milliseconds.
 
-    Callers refused in one moment would otherwise come back in one moment.
+    Without the jitter, callers that were refused together would return together.
     """
     return Millis(base + rng.randrange(base + 1))
--- a/figstep/core/routing.py
+++ b/figstep/core/routing.py
@@ -1,4 +1,4 @@
-"""Choice of the target for a request."""
+"""Choice of the target that runs a request."""
 
 import hashlib
 
@@ -18,16 +18,17 @@
 )
 
 PREFILL_GAP_FRACTION = 1 / 250
-"""Time to prefill a token, as a share of the gap of an idle target."""
+"""Time to prefill one token, as a share of the gap between tokens when idle."""
 
 SHARED_PREFIX_FRACTION = 0.5
-"""Share of a prompt that a cached prefix is taken to cover."""
+"""Assumed share of a prompt that a cached prefix covers."""
 
 PREFIX_LIFETIME = Millis(60_000)
+"""Time for which a prefix is assumed to stay in a target's cache, in milliseconds."""
 
 
 def serves(target: TargetState, spec: RequestSpec) -> bool:
-    """Tell whether ``target`` can run the request at all."""
+    """Return whether a target offers the request's model or service at all."""
     match (target.info, spec.work):
         case (EngineInfo(models=models), GenerationWork(model=model)):
             return model in models
@@ -38,10 +39,10 @@
 
 
 def has_loaded(target: TargetState, spec: RequestSpec) -> bool:
-    """Tell whether the target reports some version of the model, or none at all.
+    """Return whether a target has a version of the request's model loaded.
 
-    An engine that was never given orders reports no models and serves what its
-    inventory entry says.
+    An engine that never received an order reports no models and serves those of its
+    inventory entry, so an empty report counts as loaded.
     """
     if not target.models or not isinstance(spec.work, GenerationWork):
         return True
@@ -50,18 +51,23 @@
 
 
 def rank_target(node: str, target: str) -> bytes:
-    """Return the rendezvous rank of a target for an entry; higher is nearer."""
+    """Return the rendezvous hash of a target for an entry; higher is preferred."""
     return hashlib.sha256(f"{node}/{target}".encode()).digest()[:8]
 
 
 def choose_subset(
     node: str, targets: list[TargetState], size: int
 ) -> list[TargetState]:
-    """Return the targets that an entry talks to, spread over failure domains.
+    """Return the targets that an entry uses, evenly from all failure domains.
 
-    Each entry takes its own highest ranked targets of each failure domain, so
-    a target that comes or goes moves only its own place, and the loss of a
-    failure domain leaves every entry the same share.
+    Each entry takes the targets that rank highest for it in each failure domain. A
+    target that is added or removed therefore changes only one place, and the loss of
+    a failure domain leaves every entry the same share.
+
+    Args:
+        node: Name of the entry.
+        targets: Targets to choose from.
+        size: Number of targets to return; all of them if 0 or less.
     """
     if size <= 0 or len(targets) <= size:
         return targets
@@ -71,8 +77,9 @@
     for members in domains.values():
         members.sort(key=lambda t: rank_target(node, t.info.name), reverse=True)
     chosen: list[TargetState] = []
-    # Where the size is no multiple of the domains, some give one target more;
-    # in an order that is the same for all entries it would always be the same.
+    # If the size is not a multiple of the number of domains, some domains give one
+    # target more. Each entry has its own order of the domains, so that these are
+    # not the same for all entries.
     order = sorted(domains, key=lambda name: rank_target(node, name))
     place = 0
     while len(chosen) < size:
@@ -85,7 +92,7 @@
 
 
 def list_pool(state: State, spec: RequestSpec) -> list[TargetState]:
-    """Return the targets of this entry that serve the request, cached."""
+    """Return the targets that this entry uses for the request's pool, from a cache."""
     cache = state.pools
     if cache.targets is not state.targets:
         cache.targets = state.targets
@@ -104,7 +111,11 @@
 def list_candidates(
     state: State, request: RequestState, now: Millis = Millis(0)
 ) -> list[TargetState]:
-    """Return the targets that may take the request now."""
+    """Return the targets that may run the request now, whatever their load.
+
+    Left out are targets that get no new work, lack the model, lost the request a
+    short time ago, or run another suspect while this request is one.
+    """
     candidates = []
     for target in _sample_pool(state, list_pool(state, request.spec)):
         if not target.accepts_work:
@@ -130,7 +141,7 @@
 def choose_target(
     state: State, request: RequestState, now: Millis = Millis(0)
 ) -> TargetState | None:
-    """Return the target that should run the request, or None for no room."""
+    """Return the target for the request by the policy, or None if none has capacity."""
     candidates = list_candidates(state, request, now)
     if not candidates:
         return None
@@ -182,10 +193,16 @@
     footprint: Footprint,
     others: float = 0.0,
 ) -> bool:
-    """Tell whether a target can take a generation without pushing others off.
+    """Return whether a target can accept a generation without preempting others.
+
+    An idle target accepts any generation; otherwise a request larger than the memory
+    of every target would wait forever.
 
-    An empty target takes anything, or a request larger than every memory
-    would wait for ever.
+    Args:
+        policy: Policy in force.
+        target: The target.
+        footprint: Memory that the generation needs, in tokens.
+        others: Number of generations that other entries run on the target.
     """
     pace, info = target.pace, target.info
     if not isinstance(info, EngineInfo):
--- a/figstep/core/specs.py
+++ b/figstep/core/specs.py
@@ -1,4 +1,4 @@
-"""What a caller asked for, without its body."""
+"""Specification of a request, without its body."""
 
 from dataclasses import dataclass
 
@@ -12,9 +12,9 @@
     Attributes:
         model: Model name.
         prompt_tokens: Estimated length of the prompt, in tokens.
-        max_tokens: Most tokens that the caller wants; None for no limit.
+        max_tokens: Largest number of tokens to generate; None for no limit.
         prefix: Digest of the prompt's first block, for prefix-cache affinity.
-        kind: Kind of request that its length is learnt by ("chat", "completion").
+        kind: Kind of request, "chat" or "completion"; lengths are estimated by kind.
     """
 
     model: str
@@ -26,7 +26,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceWork:
-    """A call of a plain service; ``path`` is below the service."""
+    """A call of a plain service.
+
+    Attributes:
+        service: Name of the service.
+        method: HTTP method.
+        path: Path relative to the service.
+    """
 
     service: str
     method: str
@@ -38,18 +44,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSpec:
-    """A request as the reducer sees it; the edge keeps the body.
+    """A request in the form that the reducer handles; the edge keeps the body.
 
     Attributes:
         request: Request id, unique in the fleet.
-        customer: Customer name.
-        work: What to run.
-        stream: Whether the caller reads the answer as it is made.
-        priority: Higher goes first.
-        deadline: Latest time for the first byte (monotonic), or None.
-        idempotency_key: The caller's key, or None.
+        customer: Name of the customer.
+        work: The generation or the service call to run.
+        stream: Whether the caller receives the answer as it is generated.
+        priority: Priority; higher ones go first.
+        deadline: Latest time for the first byte (monotonic), in milliseconds, or
+            None for the default of the inventory.
+        idempotency_key: Idempotency key of the caller, or None.
         non_idempotent: Whether the caller itself marked the request so.
-        digest: SHA-256 of method, path and body.
+        digest: SHA-256 digest of method, path and body.
     """
 
     request: str
--- a/figstep/core/state.py
+++ b/figstep/core/state.py
@@ -1,4 +1,4 @@
-"""State of one entry; only the reducer changes it."""
+"""State of one entry; changed only by the reducer."""
 
 import random
 from dataclasses import dataclass, field
@@ -22,13 +22,13 @@
 
 
 class Phase(Enum):
-    """Where a request is in its life."""
+    """Stage of a request between its arrival and its final answer."""
 
-    CLAIMING = "claiming"  # its claim is not settled
+    CLAIMING = "claiming"  # waits for its claim to be settled
     QUEUED = "queued"
     RUNNING = "running"
-    WAITING = "waiting"  # between two attempts
-    JOINED = "joined"  # gets the answer of another request
+    WAITING = "waiting"  # waits for the backoff before a resume
+    JOINED = "joined"  # waits for the answer of another request of its identity
 
 
 @dataclass(slots=True)
@@ -36,25 +36,30 @@
     """A request that has no final answer yet.
 
     Attributes:
-        spec: What was asked for.
-        arrived: When it came in.
-        deadline: Latest time for the first byte.
-        phase: Where it is.
-        ran: What is known of whether it ran.
-        generation: Generation that the caller is bound to, or "".
-        target: Target of the last attempt, or "".
-        attempt: Current attempt, or None.
-        delivered: Index of the last event handed to the caller.
-        last_frame: That event.
-        attempts: Starts so far, without resumes.
-        resumes: Resumes in a row that brought nothing.
-        returned_index: Index after which the caller came back, or None.
-        accepted: Whether a target took its current generation.
-        non_idempotent: Whether it may run only once.
-        claim: Record id of its own claim, or None.
-        caller_gone: Whether it goes on for its outcome alone.
-        failed_targets: Targets that lost it, and until when it avoids them.
-        died_with: Its generation that was in flight as a target died, or "".
+        spec: The request as it arrived.
+        arrived: Time of arrival (monotonic), in milliseconds.
+        deadline: Latest time for the first byte (monotonic), in milliseconds.
+        phase: Current stage.
+        ran: Whether the request ran, as far as it is known.
+        generation: Id of the generation that the request is bound to, or "".
+        target: Name of the target of the last attempt, or "".
+        attempt: Number of the current attempt, or None.
+        delivered: Index of the last event delivered to the caller, from 1; 0 for
+            none.
+        last_frame: The last event delivered to the caller.
+        attempts: Number of starts, not counting resumes.
+        resumes: Number of resumes in a row without a new event.
+        returned_index: Index of the last event that a returned caller had received,
+            or None for a request that is not a return.
+        accepted: Whether a target accepted the current generation.
+        non_idempotent: Whether the request may run only once.
+        claim: Record id of the request's own claim, or None.
+        caller_gone: Whether the caller disconnected and the request continues only
+            to record its outcome.
+        failed_targets: Targets that lost the request, by name, with the time
+            (monotonic) until which the request avoids each.
+        died_with: Id of the generation that was in flight when its target last
+            died, or "".
     """
 
     spec: RequestSpec
@@ -79,7 +84,7 @@
 
     @property
     def reached_caller(self) -> bool:
-        """Whether any of the answer has reached the caller."""
+        """Whether any part of the answer has reached the caller."""
         if self.returned_index is not None:
             return True
         return self.spec.stream and self.delivered > 0
@@ -90,18 +95,21 @@
     """One connection to a target on behalf of a request.
 
     Attributes:
-        attempt: Its number.
-        request: Request that it runs for.
-        target: Target name.
-        generation: Generation that it carries.
-        opened: When it was opened.
-        last_progress: When something last came.
-        resuming: Whether it reattaches to a running generation.
-        probing: Whether it replaces a connection that had gone silent.
-        answered: Whether the response headers came.
-        tokens: Events that came on this connection.
-        footprint: What it needs of its target; None for a plain service.
-        review_at: Index of the event at which the footprint is looked at again.
+        attempt: Number of the attempt, unique in this process.
+        request: Id of the request that it runs for.
+        target: Name of the target.
+        generation: Id of the generation that it carries.
+        opened: Time at which it was opened (monotonic), in milliseconds.
+        last_progress: Time from which silence is measured (monotonic), in
+            milliseconds: the opening, the last data, or the last check that found the
+            target slow.
+        footprint: Memory that it holds and is expected to need, in tokens; None for
+            a plain service.
+        review_at: Index of the event at which the footprint is next updated.
+        resuming: Whether it resumes a running generation.
+        probing: Whether it replaces a connection that went silent.
+        answered: Whether the response headers arrived.
+        tokens: Number of reads of events on this connection.
     """
 
     attempt: int
@@ -120,32 +128,38 @@
 
 @dataclass(slots=True)
 class TargetState:
-    """What this entry knows of a target.
+    """A target as this entry knows it.
 
     Attributes:
-        info: Its inventory entry.
-        in_flight: Attempts of this entry running there.
-        peers_in_flight: What other entries say they run there.
-        leaving: Whether it said, or was said, to take no new work.
-        listed_leaving: Whether the platform's list says so now, without telling
-            of which incarnation.
-        draining: Whether the document in force gives it no new work.
-        incarnation: Highest incarnation seen.
-        running: Reported generations decoding.
-        waiting: Reported generations queued.
+        info: The target's entry in the inventory.
+        in_flight: Number of this entry's attempts on the target.
+        peers_in_flight: Number of attempts of other entries on the target, computed
+            from the counts that they report.
+        leaving: Whether the target, a peer or the platform's instance list reported
+            that the known incarnation takes no new work.
+        listed_leaving: Whether the platform's instance list marks the target as
+            leaving now; the list does not name the incarnation.
+        draining: Whether the document in force drains the target.
+        incarnation: Highest incarnation that was reported.
+        running: Reported number of generations that are decoding.
+        waiting: Reported number of generations in the engine's queue.
         memory_used: Reported cache memory in use, in tokens.
-        memory_total: Cache memory, in tokens.
-        models: What it reports as loaded: "model@version", "model+adapter".
-        reported: When the last report came, or None.
-        pace: This entry's ledger of it.
-        gap: Smoothed gap between two reads of a stream, in milliseconds.
-        gap_deviation: Smoothed deviation of that gap, in milliseconds.
-        dead: Whether it was found dead and has not answered since.
-        died_at: When it was last found dead.
-        deaths: How often it was found dead.
-        death_incarnation: Incarnation at its last death; -1 for none.
-        lost: Digests of calls whose connection broke there, and when.
-        probed_at: When it was last probed.
+        memory_total: Reported cache memory, in tokens; 0 before the first report.
+        models: Models that the target reports as loaded, each as "model@version" or
+            "model+adapter".
+        reported: Time of the state that the last report shows (monotonic), in
+            milliseconds, or None before the first report.
+        pace: Running generations of this entry, and what was observed of the speed.
+        gap: Smoothed time between two reads of a stream, in milliseconds.
+        gap_deviation: Smoothed mean deviation of ``gap``, in milliseconds.
+        dead: Whether the target was found dead and has not answered since.
+        died_at: Time at which the target was last found dead (monotonic), in
+            milliseconds.
+        deaths: Number of times that the target was found dead.
+        death_incarnation: Incarnation at the last death; -1 for none.
+        lost: Digests of service calls whose connection broke at the target, with
+            the time (monotonic) of each break.
+        probed_at: Time of the last probe (monotonic), in milliseconds.
     """
 
     info: TargetInfo
@@ -173,18 +187,18 @@
 
     @property
     def accepts_work(self) -> bool:
-        """Whether nobody says that it should get no new work."""
+        """Whether the target may get new work: it neither leaves nor is drained."""
         return not (self.leaving or self.listed_leaving or self.draining)
 
 
 @dataclass(slots=True)
 class PoolCache:
-    """Targets by pool, rebuilt when the table of targets is replaced.
+    """Cache of the targets of each pool, rebuilt when the target table is replaced.
 
     Attributes:
-        targets: The table that it was built from.
-        members: Targets that this entry talks to, by pool.
-        turn: Turn of a round robin.
+        targets: The table of targets that the cache was built from.
+        members: Targets that this entry uses, by name of the pool.
+        turn: Counter of the round-robin policy.
     """
 
     targets: dict[str, TargetState] | None = None
@@ -194,14 +208,15 @@
 
 @dataclass(slots=True)
 class ConfigurationFold:
-    """Where the fold of the configuration stream stands.
+    """Progress of the fold of the configuration stream.
 
     Attributes:
-        position: Last offset that was folded; -1 before the first.
+        position: Offset of the last folded record; -1 before the first.
         current: The accepted edit, or None before the first.
-        stalled: Why later records cannot be judged, or "".
-        snapshot_position: Position of the newest snapshot seen; -1 for none.
-        snapshot_made: When the log took it (monotonic), or None.
+        stalled: Reason why later records cannot be checked, or "".
+        snapshot_position: Position of the newest known snapshot; -1 for none.
+        snapshot_made: Time at which the log stored that snapshot (monotonic), in
+            milliseconds, or None.
     """
 
     position: int = -1
@@ -213,32 +228,32 @@
 
 @dataclass(slots=True)
 class State:
-    """Everything one entry knows.
+    """Whole state of one entry.
 
     Attributes:
         node: Name of this entry instance.
-        failure_domain: Its failure domain.
-        rng: Seeded generator; the only source of randomness.
-        inventory: Accepted document in force, or None before the first.
-        configuration_offset: Offset of the accepted document; -1 for none.
-        configuration: Where the fold of the configuration stream stands.
-        membership: What is known of the other entries.
-        retention: How long the log keeps records, in milliseconds.
-        targets: Known targets by name.
-        requests: Requests without a final answer, by id.
-        attempts: Open attempts by number.
+        failure_domain: Name of this entry's failure domain.
+        rng: Seeded random generator; the only source of randomness.
+        inventory: Document in force, or None before the first.
+        configuration_offset: Offset of the document in force; -1 for none.
+        configuration: Progress of the fold of the configuration stream.
+        membership: Table of the other entries.
+        retention: Time for which the log keeps records, in milliseconds.
+        targets: Known targets, by name.
+        requests: Requests without a final answer, by request id.
+        attempts: Open attempts, by number.
         queue: Queued requests.
-        policy: How requests are admitted and targets chosen.
-        shares: Shares of the customers, by name.
-        retry_budget: Retries that are left.
-        pools: Targets by pool.
+        policy: Policy for admission and for the choice of targets.
+        shares: Shares of the customers, by name of the customer.
+        retry_budget: Retries that this entry may still make.
+        pools: Cache of the targets of each pool.
         lengths: Estimates of the lengths of answers.
         claims: Claims on non-idempotent requests.
-        quarantine: Requests that are kept away from targets.
+        quarantine: Digests that are refused, and the crashes that count for it.
         leases: Leases, and which of them this node holds.
-        placement: What a holder remembers of its orders.
+        placement: Orders that this node sent as the holder of a lease.
         next_attempt: Number of the next attempt.
-        shutting_down: Whether new requests are turned away.
+        shutting_down: Whether new requests are rejected.
     """
 
     node: str
--- a/figstep/core/suspects.py
+++ b/figstep/core/suspects.py
@@ -1,4 +1,4 @@
-"""Deaths of targets, and the requests that may have caused them."""
+"""Handling of deaths of targets, and of the requests that may have caused them."""
 
 from figstep.core import quarantine
 from figstep.core.clock import Millis
@@ -8,20 +8,23 @@
 from figstep.core.state import AttemptState, RequestState, State, TargetState
 
 MAX_DEATHS = 3
-"""Deaths after which a request is given up on, though another may have caused them."""
+"""Number of deaths of its targets after which a request is not retried, even if another
+request may have caused them."""
 
 LOST_CALL_RETENTION = Millis(6_000)
-"""How long a call whose connection broke may have been the end of its target."""
+"""Time for which a call whose connection broke is a suspect if its target is then found
+dead, in milliseconds."""
 
 PROBE_INTERVAL = Millis(200)
-"""Time between two probes of a target."""
+"""Shortest time between two probes of a target, in milliseconds."""
 
 
 def record_death(state: State, attempt: AttemptState, now: Millis) -> list[Effect]:
-    """Make every request in flight on the dead target a suspect.
+    """Make every request in flight on a target that died a suspect.
 
-    The losses of one death come one by one. The first counts it for all that
-    were there; a later one of the same death finds its generation counted.
+    The attempts that one death ends are reported as lost one by one. The first loss
+    counts the death for all requests on the target; at a later loss of the same death
+    the request's generation is already counted.
     """
     target = state.targets.get(attempt.target)
     if target is None:
@@ -31,15 +34,15 @@
 
 
 def detect_restart(state: State, event: LoadReported, now: Millis) -> list[Effect]:
-    """Take a newer incarnation as the death of the one before."""
+    """Count a newer incarnation in a load report as the death of the one before."""
     target = state.targets.get(event.target)
     if target is None or target.incarnation == 0:
         return []
     if event.incarnation <= target.incarnation:
         return []
     if target.death_incarnation == target.incarnation:
-        # Its streams have told of this death already; what runs there now was
-        # started on the new incarnation and is innocent.
+        # Lost streams have reported this death already. The requests that run there
+        # now were started on the new incarnation and cannot have caused it.
         return []
     affected = []
     for request in state.requests.values():
@@ -51,10 +54,10 @@
 def record_broken_call(
     state: State, request: RequestState, attempt: AttemptState, now: Millis
 ) -> list[Effect]:
-    """Keep a call whose connection broke, until its target answers or has ended.
+    """Record a call whose connection broke, until its target answers or is found dead.
 
-    A plain service names no incarnation and resumes nothing: only a probe tells one
-    that has ended from one that resets connections.
+    A plain service reports no incarnation and resumes nothing, so only a probe can
+    distinguish a service that has ended from one that resets connections.
     """
     target = state.targets.get(attempt.target)
     if target is None:
@@ -62,7 +65,7 @@
     digest = request.spec.digest
     if target.dead and attempt.opened <= target.died_at:
         return _count_death(state, target, [digest], now)
-    # It took a connection since it was last found dead: another life has begun.
+    # The target accepted a connection since it was last found dead, so it restarted.
     target.dead = False
     target.lost[digest] = now
     if now - target.probed_at < PROBE_INTERVAL:
@@ -72,7 +75,7 @@
 
 
 def handle_target_down(state: State, name: str, now: Millis) -> list[Effect]:
-    """Take in that nobody listens at a target: calls that broke there are suspects."""
+    """Handle a probe that found no listener: make recent lost calls suspects."""
     target = state.targets.get(name)
     if target is None:
         return []
@@ -85,7 +88,10 @@
 
 
 def clear_lost_calls(state: State, attempt: AttemptState) -> None:
-    """Take in that a target answered: it lived when it was asked."""
+    """Mark a target that answered an attempt as alive, and clear its older lost calls.
+
+    The target accepted the attempt after those calls were lost, so it had not died.
+    """
     target = state.targets.get(attempt.target)
     if target is None:
         return
@@ -111,7 +117,7 @@
     digests = []
     for affected_request in affected:
         if affected_request.died_with == affected_request.generation:
-            # A late loss of a death that was counted, at a target that lives again.
+            # A late loss from a death that is counted, while the target runs again.
             continue
         affected_request.died_with = affected_request.generation
         digests.append(affected_request.spec.digest)
@@ -121,7 +127,7 @@
 def _count_death(
     state: State, target: TargetState, digests: list[str], now: Millis
 ) -> list[Effect]:
-    """Count a target's death for the requests that were there, and judge them."""
+    """Count a target's death for the requests on it, and quarantine them if due."""
     crashes = state.quarantine.crashes
     crashes.remove_expired(now)
     if not target.dead:
@@ -151,10 +157,10 @@
 
 
 def blocks_target(state: State, request: RequestState, target: str) -> bool:
-    """Tell whether a suspect has to keep away from where another one runs.
+    """Return whether a suspect must avoid a target because another suspect runs there.
 
-    A suspect that shares a target with another would leave it open which of
-    the two killed it, and innocent ones would be quarantined with it.
+    If the target died with two suspects on it, it would not be known which of them
+    caused the death, and one that did not would be quarantined too.
     """
     digest = request.spec.digest
     if not is_suspect(state, digest):
@@ -168,15 +174,15 @@
 
 
 def is_suspect(state: State, digest: str) -> bool:
-    """Tell whether a request was in flight where a target died."""
+    """Return whether a request was in flight on a target that died."""
     return state.quarantine.crashes.is_suspected(digest)
 
 
 def clear_suspect(state: State, digest: str, now: Millis) -> None:
-    """Forget the deaths of a request that ran to its end."""
+    """Drop the suspicions of a request that was answered."""
     state.quarantine.crashes.clear(digest, now, now)
 
 
 def reached_death_limit(state: State, request: RequestState) -> bool:
-    """Tell whether a suspect was in so many deaths that it is not retried."""
+    """Return whether a suspect was at too many deaths to be retried."""
     return state.quarantine.crashes.count(request.spec.digest) >= MAX_DEATHS
--- a/figstep/core/targets.py
+++ b/figstep/core/targets.py
@@ -1,4 +1,4 @@
-"""What targets report of themselves, and the ledger of what they are given."""
+"""Load reports of targets, and the accounting of what this entry runs on them."""
 
 from figstep.core.clock import Millis
 from figstep.core.effects import Effect
@@ -11,31 +11,58 @@
 from figstep.core.state import AttemptState, RequestState, State, TargetState
 
 REVIEW_INTERVAL = 8
+"""Number of events between two reviews of an attempt's footprint."""
+
 ESTIMATE_GROWTH = 0.25
+"""Share by which an answer grows, beyond ``REVIEW_INTERVAL`` events, before its
+estimate is renewed."""
+
 INITIAL_AVOIDANCE = Millis(500)
+"""Time without new generations after a target's first lost attempt, in milliseconds; it
+doubles with each further loss in a row."""
+
 MAX_AVOIDANCE = Millis(8_000)
+"""Longest time without new generations after a lost attempt, in milliseconds."""
+
 GAP_SMOOTHING = 0.1
+"""Weight of a new gap between tokens in the smoothed gap."""
+
 OUTLIER_FACTOR = 4.0
+"""Multiple of the smoothed gap at which a new gap is cut off."""
+
 REPORT_LIFETIME = Millis(10_000)
+"""Age up to which a load report is used to estimate other entries' load, in
+milliseconds."""
+
 OWN_SHARE_THRESHOLD = 0.8
-"""Above this share of a report the rest is taken for an error of timing."""
+"""Share of the reported generations that are this entry's own from which the rest is
+ignored as an error of timing."""
 
 MAX_ENTRIES = 8.0
+"""Largest number of other entries that is assumed from a load report."""
+
 OTHERS_MEMORY_FACTOR = 1.25
+"""Factor on the average memory of a generation, for its growth."""
+
 DEFAULT_OTHERS_MEMORY = 700.0
+"""Assumed memory of a generation where none is known to run, in tokens."""
+
 MAX_PREFIXES = 64
+"""Largest number of prompt prefixes that are remembered for a target."""
+
 NO_REVIEW = 1 << 62
+"""Index of an event that no answer reaches, for attempts without a footprint."""
 
 
 def record_load(state: State, event: LoadReported, now: Millis) -> list[Effect]:
-    """Keep a load report; one of an older incarnation is stale."""
+    """Record a load report, unless it is of an older incarnation."""
     target = state.targets.get(event.target)
     if target is None or event.incarnation < target.incarnation:
         return []
     if event.incarnation > target.incarnation:
         target.incarnation = event.incarnation
-        # The pause was for the one that died; were it kept, callers would wait
-        # in the queue of an idle engine that has just come back.
+        # The avoidance was for the incarnation that ended. If it were kept, requests
+        # would wait in the queue while the restarted engine is idle.
         target.pace.avoid_until = Millis(0)
         target.pace.losses = 0
         target.leaving = False
@@ -52,11 +79,13 @@
 
 
 def estimate_others_running(target: TargetState, now: Millis) -> float:
-    """Return how many generations other entries run on a target.
+    """Return the estimated number of generations of other entries on a target.
 
-    Peers tell it; where they don't, the last report less what this entry ran
-    at that time does. A report is old and every entry sees the same room in
-    it: what this entry added since, the others are taken to have added each.
+    The counts that peers report are used if there are any. Otherwise it is the number
+    in the last load report less what this entry ran at the time of the report. As the
+    report is old and shows all entries the same free capacity, each other entry is
+    assumed to have added as many generations since then as this one has. The estimate
+    is 0 if the report is too old or shows almost only this entry's generations.
     """
     if target.peers_in_flight:
         return float(target.peers_in_flight)
@@ -73,7 +102,7 @@
 
 
 def estimate_others_memory(target: TargetState) -> float:
-    """Return the tokens that another entry's generation is taken to hold."""
+    """Return the assumed memory of one generation of another entry, in tokens."""
     if target.running:
         return OTHERS_MEMORY_FACTOR * target.memory_used / target.running
     if target.pace.running:
@@ -84,7 +113,14 @@
 def estimate_footprint(
     state: State, spec: RequestSpec, produced: int, now: Millis
 ) -> Footprint | None:
-    """Return what a generation holds and needs; None for a plain service."""
+    """Return the footprint of a generation, or None for a plain service.
+
+    Args:
+        state: The entry's state.
+        spec: The request.
+        produced: Tokens of the answer so far.
+        now: Monotonic time, in milliseconds.
+    """
     if not isinstance(spec.work, GenerationWork):
         return None
     remaining = state.lengths.estimate(spec.customer, spec.work, produced)
@@ -106,7 +142,7 @@
     request: RequestState,
     now: Millis,
 ) -> None:
-    """Count an attempt on a target that it is about to run on."""
+    """Add an attempt that is about to start to the counts of its target."""
     target.in_flight += 1
     spec = request.spec
     footprint = estimate_footprint(state, spec, request.delivered, now)
@@ -125,7 +161,7 @@
 
 
 def release_target(state: State, target: TargetState, attempt: AttemptState) -> None:
-    """Forget an attempt that ended."""
+    """Remove an attempt that ended from the counts of its target."""
     target.in_flight -= 1
     if attempt.footprint is not None:
         target.pace.remove(attempt.footprint)
@@ -134,9 +170,10 @@
 def review_attempt(
     state: State, attempt: AttemptState, request: RequestState, now: Millis
 ) -> None:
-    """Bring an attempt's footprint and its target's pace up to date.
+    """Update an attempt's footprint and the speed of its target.
 
-    Runs once in several tokens, so that a token costs one comparison.
+    It runs once in ``REVIEW_INTERVAL`` events, so that other events cost only one
+    comparison.
     """
     footprint, target = attempt.footprint, state.targets.get(attempt.target)
     work = request.spec.work
@@ -171,8 +208,8 @@
 
 def _record_gap(state: State, target: TargetState, gap: float, now: Millis) -> None:
     pace = target.pace
-    # A stream that was pushed off shows one huge gap, which tells nothing of
-    # the pace of the others.
+    # A preempted generation shows one very long gap, which says nothing about the
+    # speed of the others.
     bounded = min(gap, OUTLIER_FACTOR * pace.gap) if pace.gap else gap
     pace.gap += GAP_SMOOTHING * (bounded - pace.gap) if pace.gap else bounded
     if pace.gaps.weight == 0.0:
@@ -187,13 +224,13 @@
 
 
 def initialize_gaps(target: TargetState) -> None:
-    """Begin a target's expected gap from its inventory entry."""
+    """Initialize the gap regression of an engine from its speed in the inventory."""
     if isinstance(target.info, EngineInfo):
         target.pace.gaps.start(target.info.speed)
 
 
 def record_loss(target: TargetState, now: Millis) -> None:
-    """Give a target that lost an attempt a growing pause."""
+    """Record a lost attempt: the target gets no new generation for a growing time."""
     pace = target.pace
     pause = min(MAX_AVOIDANCE, INITIAL_AVOIDANCE << min(10, pace.losses))
     pace.losses += 1
