--- a/figstep/core/__init__.py
+++ b/figstep/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions: pure state, events in, effects out."""
+"""Decision logic without I/O: a state that turns events into effects."""
--- a/figstep/core/changes.py
+++ b/figstep/core/changes.py
@@ -1,8 +1,8 @@
-"""Differences between two documents, field by field, and how to apply them.
+"""Field-by-field differences between two documents, and their application.
 
-Lists of named things are compared by name, so one engine's speed is one small
-change however many engines there are. The order of such lists has no meaning
-and is not kept.
+Lists of named items are compared by name, so a changed speed of one engine is one
+small change, however many engines there are. The order of such lists has no
+meaning and is not preserved.
 """
 
 from collections.abc import Sequence
@@ -12,18 +12,19 @@
 from figstep.errors import ChangeError
 
 NAME_MEMBERS = ("name", "target")
+"""Members that can name a list item; the first one that is a string is used."""
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """Step to a member of an object."""
+    """Path step to the member of an object that has the given name."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class Item:
-    """Step to the item of a list that has this name."""
+    """Path step to the item of a list that has the given name."""
 
     name: str
 
@@ -33,12 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldChange:
-    """One difference between two documents.
+    """Difference between two documents in one field.
 
     Attributes:
-        steps: Way to the field from the top of the document.
-        before: Value before; None if it was absent.
-        after: Value after; None if it is absent.
+        steps: Path of the field from the top of the document.
+        before: Value before the change; None if the field was absent.
+        after: Value after the change; None if the field is absent.
     """
 
     steps: tuple[Step, ...]
@@ -47,7 +48,7 @@
 
     @property
     def path(self) -> str:
-        """Place in the document, such as ``engines[muc-1].speed``."""
+        """Path of the field as text, such as ``engines[muc-1].speed``."""
         path = ""
         for step in self.steps:
             match step:
@@ -68,7 +69,16 @@
 def diff_documents(
     before: Any, after: Any, steps: tuple[Step, ...] = ()
 ) -> list[FieldChange]:
-    """Return the differences field by field; lists of named things by name."""
+    """Return the differences between two documents, field by field.
+
+    Lists whose items all have distinct names are compared by name; other lists are
+    compared as a whole.
+
+    Args:
+        before: Old document, or the part of it at ``steps``.
+        after: New document, or the part of it at ``steps``.
+        steps: Path of the compared parts from the top of the document.
+    """
     if before == after:
         return []
     if isinstance(before, dict) and isinstance(after, dict):
@@ -90,7 +100,7 @@
 
 
 def _index_by_name(value: Any) -> dict[str, Any] | None:
-    """Return list items by their name; None if they have none."""
+    """Return list items by name; None unless all items have distinct names."""
     if not isinstance(value, list):
         return None
     items: dict[str, Any] = {}
@@ -115,7 +125,9 @@
 def apply_changes(
     document: dict[str, Any], changes: Sequence[FieldChange]
 ) -> dict[str, Any]:
-    """Return a changed document; what does not change is shared with the old one.
+    """Return a document with the changes applied.
+
+    The given document is not modified; unchanged parts are shared with the result.
 
     Raises:
         ChangeError: If a change does not fit the document.
@@ -168,7 +180,7 @@
 
 
 def encode_changes(changes: Sequence[FieldChange]) -> list[dict[str, Any]]:
-    """Return changes as they stand in a log record, without the old values."""
+    """Return the JSON form of changes for a log record, without the old values."""
     encoded = []
     for change in changes:
         path: list[Any] = []
@@ -183,10 +195,10 @@
 
 
 def decode_changes(encoded: Any) -> list[FieldChange]:
-    """Return the changes of a log record.
+    """Return the changes that a log record holds; their old values are None.
 
     Raises:
-        ChangeError: If they are not well formed.
+        ChangeError: If the encoded changes are malformed.
     """
     changes = []
     try:
--- a/figstep/core/claims.py
+++ b/figstep/core/claims.py
@@ -1,4 +1,4 @@
-"""Claims: the fold that says which request owns a non-idempotent identity."""
+"""Fold of the claims stream: which request owns a non-idempotent identity."""
 
 import base64
 import binascii
@@ -15,20 +15,23 @@
 from figstep.core.specs import RequestSpec, ServiceWork
 
 CLAIM_WINDOW = Millis(15 * MINUTE)
+"""Longest time that an identity is remembered, in milliseconds."""
 MAX_OUTCOME_BODY = 1_024
+"""Longest answer that is recorded with an outcome, in bytes."""
 SWEEP_INTERVAL = 1_000
+"""Number of folded records between two removals of expired claims."""
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """What makes two non-idempotent requests the same.
+    """Identity of a non-idempotent request; equal ones must run only once.
 
     Attributes:
-        name: Digest of the customer and its key, or of the body; a fixed
-            length, and nothing of the customer's is readable in the log.
-        window: How long it is remembered, in milliseconds.
+        name: Digest of the customer and its key, or of the customer and the request.
+            It has a fixed length, and the log shows no data of the customer.
+        window: Time that the identity is remembered, in milliseconds.
         time: Time that the caller's key carries, in milliseconds since the
-            epoch; None if it carries none.
+            epoch; None if the key carries none.
     """
 
     name: str
@@ -38,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How a claimed request ended.
+    """Outcome of a claimed request.
 
     Attributes:
-        ran: Whether it ran.
+        ran: Whether the request ran.
         status: HTTP status of the answer; 0 if there was none.
         content_type: Content type of the answer.
-        body: The answer, or None where it was too large to be recorded.
-        generation: Generation that holds the answer, or "".
+        body: Body of the answer, or None if it was too large to be recorded.
+        generation: Id of the generation that holds the answer, or "".
     """
 
     ran: Ran
@@ -57,16 +60,19 @@
 
 @dataclass(slots=True)
 class Claim:
-    """The claim that owns an identity.
+    """Claim that owns an identity, as folded from the log.
 
     Attributes:
-        record: Id of the record; only the process that made it knows it as its
-            own, so a restarted entry of the same name owns nothing of before.
-        digest: Digest of method, path and body.
-        expires: When the identity is free again, by the log's time.
-        folded: When it was read here (monotonic).
-        window: How long it is remembered, in milliseconds.
-        outcome: How it ended, or None.
+        record: Id of the claim's record. Only the process that created the record
+            recognizes the id, so a restarted entry of the same name owns no claim
+            of the process before it.
+        digest: Digest of the request's method, path and body.
+        expires: Time at which the identity is free again, in milliseconds since
+            the epoch by the log's clock.
+        folded: Time at which this entry read the record, in monotonic
+            milliseconds.
+        window: Time that the identity is remembered, in milliseconds.
+        outcome: Outcome of the request, or None if none is recorded.
     """
 
     record: str
@@ -78,25 +84,25 @@
 
 
 class OwnClaimState(Enum):
-    """Where a claim of this process is."""
+    """State of a claim that this process appended."""
 
-    PENDING = "pending"  # not read back yet
-    OWNED = "owned"  # read back as the first for its identity
-    ABANDONED = "abandoned"  # its caller was refused: it is never dispatched
+    PENDING = "pending"  # not read back from the log yet
+    OWNED = "owned"  # read back as the first claim for its identity
+    ABANDONED = "abandoned"  # the caller was refused: never dispatched
 
 
 @dataclass(slots=True)
 class OwnClaim:
-    """A claim that this process appended.
+    """Claim that this process appended.
 
     Attributes:
-        record: Id of the record.
-        identity: Identity that it claims.
-        request: Request that it is for.
+        record: Id of the claim's record.
+        identity: Identity that is claimed.
+        request: Id of the request that the claim is made for.
         key: Key of the append.
-        appended: When the append began (monotonic).
-        state: Where it is.
-        joined: Duplicates at this entry that get the same answer.
+        appended: Time at which the append began, in monotonic milliseconds.
+        state: State of the claim.
+        joined: Ids of duplicate requests at this entry that get the same answer.
     """
 
     record: str
@@ -110,12 +116,14 @@
 
 @dataclass(slots=True)
 class UnconfirmedRecord:
-    """An outcome or release that the log has not confirmed.
+    """Outcome or release record that the log has not confirmed yet.
 
     Attributes:
-        data: The record; appending it again is harmless.
-        since: When an append of it first had no answer (monotonic), or None.
-        uncertain: Whether its last append had no answer.
+        data: The record. Appending it twice is harmless, as only the first takes
+            effect.
+        since: Time at which an append of the record first went unanswered, in
+            monotonic milliseconds, or None.
+        uncertain: Whether the last append of the record went unanswered.
     """
 
     data: dict[str, Any]
@@ -125,18 +133,20 @@
 
 @dataclass(slots=True)
 class ClaimTable:
-    """Claims as folded from the log, and those of this process.
+    """Claims as folded from the log, and the claims of this process.
 
     Attributes:
-        owners: Owning claim by identity name.
-        released: Ids of released claims, with the log's time of the release.
+        owners: Owning claims by name of the identity.
+        released: Release times of released claims by record id, in milliseconds
+            since the epoch by the log's clock.
         own: Claims of this process by record id.
-        waiters: Requests here that wait for another entry's outcome, by
-            identity name.
-        unconfirmed: Outcomes and releases on their way, by key of the append.
-        caught_up: Whether the stream was read to its end and can be read.
+        waiters: Ids of requests at this entry that wait for the outcome of another
+            entry's claim, by name of the identity.
+        unconfirmed: Outcomes and releases that are not confirmed, by key of the
+            append.
+        caught_up: Whether the stream was read to its end and is still readable.
         next_key: Key of the next append.
-        folded: Records folded so far.
+        folded: Number of records folded so far.
     """
 
     owners: dict[str, Claim] = field(default_factory=dict)
@@ -149,12 +159,17 @@
     folded: int = 0
 
 
-# Results of folding one record
+# Results of folding one record.
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimWon:
-    """The record is the first claim for its identity."""
+    """Result: the record is the first claim for its identity and now owns it.
+
+    Attributes:
+        record: Id of the record.
+        time: Time of the record, in milliseconds since the epoch by the log's clock.
+    """
 
     record: str
     time: int
@@ -162,7 +177,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimLost:
-    """Another claim owns the identity."""
+    """Result: the record is a claim, but another claim owns the identity.
+
+    Attributes:
+        record: Id of the record.
+        name: Name of the identity.
+    """
 
     record: str
     name: str
@@ -170,14 +190,14 @@
 
 @dataclass(frozen=True, slots=True)
 class IdentityReleased:
-    """The owner gave the identity back without dispatching."""
+    """Result: the owner released the identity without dispatching its request."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeRecorded:
-    """The owner recorded its outcome."""
+    """Result: the owner recorded the outcome of its request."""
 
     name: str
     outcome: Outcome
@@ -185,7 +205,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unchanged:
-    """A repeated, late or malformed record."""
+    """Result: the record is repeated, late or malformed and changes nothing."""
 
 
 Change = ClaimWon | ClaimLost | IdentityReleased | OutcomeRecorded | Unchanged
@@ -194,7 +214,7 @@
 def find_rule(
     inventory: Inventory | None, spec: RequestSpec
 ) -> NonIdempotentRule | None:
-    """Return the first rule that lets the request run only once."""
+    """Return the first rule that makes the request non-idempotent, or None."""
     if inventory is None or not isinstance(spec.work, ServiceWork):
         return None
     for rule in inventory.rules.non_idempotent:
@@ -210,7 +230,7 @@
 
 
 def is_non_idempotent(inventory: Inventory | None, spec: RequestSpec) -> bool:
-    """Tell whether the rules or the caller let the request run only once."""
+    """Return whether the rules or the caller declare the request non-idempotent."""
     return spec.non_idempotent or find_rule(inventory, spec) is not None
 
 
@@ -219,8 +239,16 @@
 ) -> Identity:
     """Return the identity of a non-idempotent request.
 
-    Its window is never longer than the log's retention: an entry that starts
-    later could not read the claim any more.
+    The identity comes from the Idempotency-Key; without one, from the digest of
+    method, path and body if a rule sets a digest window, and otherwise from the
+    request's own id.
+    The window is never longer than the log's retention, because an entry that
+    starts after that could no longer read the claim.
+
+    Args:
+        inventory: The document in force, or None.
+        spec: The request.
+        retention: Time that the log keeps records, in milliseconds.
     """
     longest = min(CLAIM_WINDOW, retention)
     if spec.idempotency_key is not None:
@@ -238,7 +266,7 @@
 
 
 def read_key_time(key: str) -> int | None:
-    """Return the time in a UUID version 7, in ms since the epoch, or None."""
+    """Return the time in a version 7 UUID, in milliseconds since the epoch, or None."""
     try:
         parsed = uuid.UUID(key)
     except ValueError:
@@ -258,12 +286,15 @@
 
 
 def build_release(record: str, name: str) -> dict[str, Any]:
-    """Return the record that gives an identity back undispatched."""
+    """Return the record that releases an identity whose request was not dispatched."""
     return {"kind": "release", "id": record, "name": name}
 
 
 def build_outcome(record: str, name: str, outcome: Outcome) -> dict[str, Any]:
-    """Return the record of how a claimed request ended."""
+    """Return the record of a claimed request's outcome.
+
+    A body of more than ``MAX_OUTCOME_BODY`` bytes is left out.
+    """
     body = None
     if outcome.body is not None and len(outcome.body) <= MAX_OUTCOME_BODY:
         body = base64.b64encode(outcome.body).decode()
@@ -280,12 +311,16 @@
 
 
 def fold_record(table: ClaimTable, record: LogRecord, now: Millis) -> Change:
-    """Apply one record of the claims stream; every entry reaches the same table.
+    """Apply one record of the claims stream to the table.
+
+    Ownership follows from the records and the log's times alone, so all entries
+    that fold the same records agree on the owners.
 
     Args:
-        table: Changed in place.
-        record: The record; its time and offset are the log's.
-        now: Monotonic time of the reading, for this entry's own use only.
+        table: Table of claims, changed in place.
+        record: The record, with the offset and time that the log assigned.
+        now: Time of the reading, in monotonic milliseconds; it is stored for this
+            entry's own use and does not affect the result.
     """
     table.folded += 1
     if table.folded % SWEEP_INTERVAL == 0:
@@ -375,10 +410,11 @@
 
 
 def find_owner(table: ClaimTable, name: str, now: Millis) -> Claim | None:
-    """Return the claim that owns an identity, as far as this entry can tell.
+    """Return the claim that owns an identity, as far as this entry knows, or None.
 
-    One that was read longer ago than its window has expired by the log's time
-    too; a new claim then asks the log, whose order settles it.
+    A claim that this entry read longer ago than the claim's window has expired by
+    the log's clock too. It is not returned: the caller then appends a new claim,
+    and the order of the log decides.
     """
     claim = table.owners.get(name)
     if claim is None or now - claim.folded > claim.window:
@@ -387,7 +423,10 @@
 
 
 def find_own(table: ClaimTable, name: str, now: Millis) -> OwnClaim | None:
-    """Return this process's live claim on an identity."""
+    """Return this process's claim on an identity, or None.
+
+    Abandoned claims and claims appended longer ago than their window are skipped.
+    """
     for own in table.own.values():
         if own.identity.name != name or own.state is OwnClaimState.ABANDONED:
             continue
--- a/figstep/core/clock.py
+++ b/figstep/core/clock.py
@@ -1,4 +1,4 @@
-"""Clock type: integer milliseconds."""
+"""Clocks and times in integer milliseconds."""
 
 from abc import ABC, abstractmethod
 from typing import NewType
@@ -14,19 +14,19 @@
 
     @abstractmethod
     def now(self) -> Millis:
-        """Return monotonic milliseconds; the zero point is arbitrary."""
+        """Return the monotonic time in milliseconds, from an arbitrary zero point."""
 
 
 class ManualClock(Clock):
-    """Clock that moves only when told, for tests and trials."""
+    """Clock that moves only when it is advanced, for tests and simulations."""
 
     def __init__(self, start: int = 0) -> None:
         self._now = Millis(start)
 
     def now(self) -> Millis:
-        """Return the time that was last set."""
+        """Return the time that the clock was last moved to, in milliseconds."""
         return self._now
 
     def advance(self, millis: int) -> None:
-        """Move forward by ``millis`` milliseconds."""
+        """Move the clock forward by ``millis`` milliseconds."""
         self._now = Millis(self._now + millis)
--- a/figstep/core/configuration.py
+++ b/figstep/core/configuration.py
@@ -1,10 +1,10 @@
 """Fold of the configuration stream: which document is in force.
 
-Records are judged strictly in order of offset, so every node that has folded
-the same records holds the same document. A node that lacks a record, because
-the log dropped it or because a newer program wrote it, judges none of the later
-ones until a checkpoint, from the log or from a peer, stands for the records
-that it lacks.
+Records are folded strictly in order of offset, so all nodes that have folded the
+same records hold the same document. If a node misses a record because the log
+dropped it, or cannot read one that a newer program wrote, its fold stalls. It
+continues when a checkpoint, from the log or from a peer, replaces the missing
+records.
 """
 
 from dataclasses import dataclass, replace
@@ -31,28 +31,36 @@
 from figstep.core.state import ConfigurationFold, State, TargetState
 
 EDIT = "edit"
+"""Kind of a record that holds an edit of the document."""
 SNAPSHOT = "snapshot"
+"""Kind of a record that holds a checkpoint of the fold."""
 
-# A snapshot is renewed well before the log drops it: two lost appends and an
-# outage of a third of the retention still leave one in the log.
 RENEWALS_PER_RETENTION = 3
+"""Number of snapshots that are appended within the log's retention.
+
+A snapshot is thus renewed well before the log drops it: two lost appends and an
+outage of a third of the retention still leave one in the log.
+"""
 SNAPSHOT_RECORDS = 200
+"""Number of folded records after which a new snapshot is appended early."""
 JITTER_DIVISOR = 12
+"""The log's retention divided by the longest random delay of a renewal."""
 SNAPSHOT_APPEND_KEY = -1
+"""Key of all appends of snapshots, whose answers are not awaited."""
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The record is in force."""
+    """Verdict: the edit is accepted and comes into force."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The record changes nothing.
+    """Verdict: the edit is refused and changes nothing.
 
     Attributes:
-        rule: Short name of the rule that refused it.
-        why: What was wrong and the remedy.
+        rule: Short name of the rule that refused the edit.
+        why: What was wrong, and the remedy.
     """
 
     rule: str
@@ -61,7 +69,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """This program cannot judge the record."""
+    """Verdict: this program does not know the edit's validation version.
+
+    Attributes:
+        why: What is missing, and the remedy.
+    """
 
     why: str
 
@@ -70,10 +82,10 @@
 
 
 def check_edit(current: Checkpoint | None, event: ConfigurationRead) -> EditVerdict:
-    """Judge an edit against the document in force before it.
+    """Check an edit against the document that is in force before it.
 
     Args:
-        current: The accepted edit, or None before the first.
+        current: Checkpoint of the last accepted edit, or None before the first.
         event: The edit.
     """
     if not event.known:
@@ -95,7 +107,11 @@
 
 
 def fold_record(state: State, event: ConfigurationRead, now: Millis) -> list[Effect]:
-    """Put an accepted document in force; never go back."""
+    """Fold an edit and put its document in force if it is accepted.
+
+    Records that were folded already are ignored, so an older document never comes
+    back into force.
+    """
     fold = state.configuration
     if event.offset <= fold.position:
         return []
@@ -113,7 +129,7 @@
 
 
 def build_checkpoint(event: ConfigurationRead) -> Checkpoint:
-    """Return the checkpoint right after an accepted edit."""
+    """Return the checkpoint that results from folding an accepted edit."""
     return Checkpoint(
         accepted=event.offset,
         position=event.offset,
@@ -147,7 +163,12 @@
 
 
 def fold_snapshot(state: State, event: SnapshotRead, now: Millis) -> list[Effect]:
-    """Take what a snapshot stands for; an equal one changes nothing."""
+    """Fold a snapshot: apply its checkpoint and schedule the next renewal.
+
+    A snapshot of a state that this node has folded already leaves the document as
+    it is. One that claims to cover its own offset or later ones is counted as
+    invalid and not applied.
+    """
     fold = state.configuration
     effects: list[Effect] = []
     checkpoint = event.checkpoint
@@ -165,10 +186,10 @@
 
 
 def apply_checkpoint(state: State, offer: Checkpoint, now: Millis) -> list[Effect]:
-    """Jump to a checkpoint that stands for more records than were folded.
+    """Continue from a checkpoint that covers more records than were folded.
 
-    The higher position wins, whether it came from the log or from a peer. The
-    records after it are read again, because a stalled node passed over them.
+    The higher position wins, whether the checkpoint comes from the log or from a
+    peer. The records after it are read again, because a stalled node skipped them.
     """
     fold = state.configuration
     if offer.position <= fold.position:
@@ -180,8 +201,8 @@
             f" {offer.validation}; upgrade this program",
         )
     if offer.accepted < state.configuration_offset:
-        # Accepted offsets only grow along the stream, so this checkpoint was
-        # made by a program that folds wrongly; taking it would undo an edit.
+        # Accepted offsets only grow along the stream, so a faulty program made
+        # this checkpoint; applying it would undo an edit.
         return [
             Count("configuration.checkpoint_invalid"),
             Note("configuration checkpoint ignored", {"accepted": offer.accepted}),
@@ -218,7 +239,10 @@
 
 
 def apply_inventory(state: State, inventory: Inventory) -> None:
-    """Make the known targets those of ``inventory``; running work goes on."""
+    """Replace the known targets by those of ``inventory``.
+
+    Targets that are no longer listed but still run attempts are kept and drained.
+    """
     state.inventory = inventory
     draining = {mark.target for mark in inventory.draining}
     evacuated = {mark.failure_domain for mark in inventory.evacuated}
@@ -245,10 +269,10 @@
 
 
 def _schedule_renewal(state: State, now: Millis) -> WakeAt:
-    """Wake when the newest snapshot is due for renewal, spread among nodes.
+    """Schedule a wake-up for when the newest snapshot is due for renewal.
 
-    All nodes find a snapshot due at the same time; the spread lets the first
-    one append it and the others see it before their own turn.
+    A snapshot becomes due on all nodes at the same time. The random delay lets one
+    node append the new snapshot and the others read it before they are due.
     """
     made = state.configuration.snapshot_made
     due = now if made is None else made + _renewal_period(state)
@@ -258,7 +282,11 @@
 
 
 def needs_snapshot(state: State, now: Millis) -> bool:
-    """Tell whether the log should hold a newer snapshot."""
+    """Return whether the log should get a newer snapshot.
+
+    That is so if there is none, if ``SNAPSHOT_RECORDS`` or more were folded after
+    it, or if it is older than the renewal period.
+    """
     fold = state.configuration
     if fold.snapshot_made is None:
         return True
@@ -268,7 +296,7 @@
 
 
 def renew_snapshot(state: State, now: Millis) -> list[Effect]:
-    """Append a snapshot unless another node did; look again later."""
+    """Append a snapshot if the log needs a newer one, and schedule the next check."""
     fold = state.configuration
     wake = _schedule_renewal(state, now)
     if fold.current is None or fold.stalled or not needs_snapshot(state, now):
@@ -282,7 +310,12 @@
 
 
 def encode_snapshot(current: Checkpoint, position: int) -> dict[str, Any]:
-    """Return the record of a checkpoint after folding up to ``position``."""
+    """Return the snapshot record of a checkpoint.
+
+    Args:
+        current: Checkpoint of the edit in force.
+        position: Last offset that was folded, which the snapshot covers.
+    """
     return {
         "kind": SNAPSHOT,
         "accepted": current.accepted,
@@ -296,7 +329,7 @@
 
 
 def apply_policy(state: State, inventory: Inventory) -> None:
-    """Take the load policy and the customers' shares from the rules."""
+    """Apply the load policy of the rules and the shares of the customers."""
     state.shares = {c.name: c.share for c in inventory.customers}
     policy = find_policy(inventory.rules.routing)
     if isinstance(policy, Figstep):
@@ -305,7 +338,7 @@
 
 
 def set_policy(state: State, policy: Policy) -> None:
-    """Decide by ``policy`` from now on."""
+    """Set the load policy and order the queue accordingly."""
     state.policy = policy
     match policy:
         case Figstep(fair=fair, shortest_first=shortest_first):
--- a/figstep/core/datagrams.py
+++ b/figstep/core/datagrams.py
@@ -1,4 +1,4 @@
-"""Choice of what goes into one bounded datagram."""
+"""Selection of the content of one gossip datagram of bounded size."""
 
 from figstep.core.clock import Millis
 from figstep.core.gossip import (
@@ -14,25 +14,36 @@
 from figstep.core.state import State
 
 MAX_BYTES = 500
-"""Longest datagram; the estimates below are upper bounds."""
+"""Longest datagram, in bytes.
+
+The sizes of its parts below are upper bounds of their encoded sizes, in bytes.
+"""
 HEADER_BYTES = 136
+"""Upper bound for the fixed part, without the sender's name and address."""
 MEMBER_BYTES = 40
+"""Upper bound for the news of one entry, without its name and address."""
 MARK_BYTES = 24
+"""Upper bound for one leaving mark, without the target's name."""
 COUNT_BYTES = 9
+"""Upper bound for the attempt count of one target."""
 DIGEST_BYTES = 20
+"""Upper bound for one quarantined digest, without the digest itself."""
 MAX_COUNTS = 16
+"""Most attempt counts in one datagram."""
 MAX_FRESH_MARKS = 8
+"""Most leaving marks in one datagram that are sent ahead of other content."""
 MAX_DIGESTS = 2
+"""Most quarantined digests in one datagram."""
 
 
 class _FreeSpace:
-    """Bytes that are left in a datagram."""
+    """Free bytes of a datagram."""
 
     def __init__(self, left: int) -> None:
         self._left = left
 
     def consume(self, size: int) -> bool:
-        """Take ``size`` bytes; return whether they were there."""
+        """Reserve ``size`` bytes; return False and reserve none if fewer are free."""
         if size > self._left:
             return False
         self._left -= size
@@ -42,7 +53,15 @@
 def build_gossip(
     state: State, receiver: Member | None, now: Millis, wants_answer: bool
 ) -> Gossip:
-    """Return the next message for a peer, the most urgent news first."""
+    """Return the next message for a peer, filled in order of urgency.
+
+    Args:
+        state: State of this entry; its sequence number, cursors and remaining sends
+            are advanced.
+        receiver: The receiving entry, or None if only its address is known.
+        now: Monotonic time, in milliseconds.
+        wants_answer: Whether the receiver should acknowledge the message.
+    """
     membership = state.membership
     membership.sequence += 1
     free_space = _FreeSpace(
@@ -96,7 +115,7 @@
 def _pick_old_marks(
     state: State, free_space: _FreeSpace, already_picked: set[str]
 ) -> list[LeavingMark]:
-    """Fill with a window of marks that are no news, for who missed them."""
+    """Fill free space with a window of older marks, for entries that missed them."""
     membership = state.membership
     names = list(membership.marks)
     picked: list[LeavingMark] = []
@@ -124,7 +143,7 @@
 ) -> list[MemberNews]:
     picked: list[MemberNews] = []
     if receiver is not None and receiver.status is not MemberStatus.ALIVE:
-        # The receiver learns that it is thought dead, and refutes it.
+        # The receiver learns that it is suspected or thought dead, and refutes it.
         free_space.consume(_size_member(receiver))
         picked.append(_describe_member(receiver))
     for member in state.membership.members.values():
@@ -140,7 +159,7 @@
 def _pick_random_member(
     state: State, free_space: _FreeSpace, already_picked: set[str]
 ) -> list[MemberNews]:
-    """Add one random entry, so that every table becomes whole in time."""
+    """Return one random entry, so that all member tables become complete eventually."""
     members = state.membership.members
     if not members:
         return []
--- a/figstep/core/generations.py
+++ b/figstep/core/generations.py
@@ -1,4 +1,4 @@
-"""Generation ids: they name the target, so any entry can resume them."""
+"""Generation ids, which name the target so that any entry can resume the stream."""
 
 import hashlib
 import re
@@ -12,9 +12,9 @@
     """Parts of a generation id.
 
     Attributes:
-        target: Target that runs the generation.
-        owner: Digest of the customer that it belongs to.
-        nonce: Makes it unique.
+        target: Name of the target that runs the generation.
+        owner: Digest of the name of the customer that owns the generation.
+        nonce: Value that makes the id unique.
     """
 
     target: str
@@ -26,12 +26,12 @@
 
 
 def digest_owner(customer: str) -> str:
-    """Return the digest of a customer's name that a generation id carries."""
+    """Return the digest of a customer's name, as it appears in generation ids."""
     return hashlib.sha256(customer.encode()).hexdigest()[:12]
 
 
 def parse_generation(text: str) -> GenerationId | None:
-    """Parse a generation id; None if it is not one."""
+    """Parse a generation id; return None if the text is not one."""
     match = _ID.fullmatch(text)
     if match is None:
         return None
--- a/figstep/core/gossip.py
+++ b/figstep/core/gossip.py
@@ -1,4 +1,4 @@
-"""What entries tell each other, and the table of entries."""
+"""Messages that entries exchange with each other, and the member table."""
 
 import zlib
 from dataclasses import dataclass, field
@@ -8,17 +8,17 @@
 
 
 class MemberStatus(Enum):
-    """State of an entry; at the same incarnation the later one wins."""
+    """State of an entry; within one incarnation the highest value wins."""
 
     ALIVE = 0
-    SUSPECT = 1  # no acknowledgement; may still refute it
+    SUSPECT = 1  # did not acknowledge a message; may still refute the suspicion
     LEAVING = 2
     GONE = 3
 
 
 @dataclass(frozen=True, slots=True)
 class MemberNews:
-    """What is known of an entry."""
+    """State of one entry, as a peer reports it."""
 
     name: str
     address: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeavingMark:
-    """A target takes no new work in this incarnation."""
+    """Statement that a target takes no new work in the given incarnation."""
 
     target: str
     incarnation: int
@@ -36,7 +36,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetCount:
-    """Attempts that the sender runs on a target, named by its hash."""
+    """Number of attempts that the sender of a message runs on one target.
+
+    Attributes:
+        target: 32-bit hash of the target's name, see ``hash_target``.
+        count: Number of attempts in progress, at most 65535.
+    """
 
     target: int
     count: int
@@ -44,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuarantineMark:
-    """A digest that is refused for ``remaining`` more milliseconds."""
+    """Digest of quarantined requests, refused for ``remaining`` more milliseconds."""
 
     digest: str
     remaining: Millis
@@ -52,21 +57,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Gossip:
-    """One datagram between entries.
+    """Content of one datagram between entries.
 
     Attributes:
         sender: Name of the sending entry.
-        address: Where it listens, as "host:port".
-        incarnation: Grows each time the sender starts or refutes a suspicion.
-        sequence: Grows with each message of a process.
-        wants_answer: Whether the receiver acknowledges it.
+        address: Address where the sender listens for peers, as "host:port".
+        incarnation: Number that grows each time the sender starts or refutes a
+            suspicion.
+        sequence: Number that grows with each message of the sending process.
+        wants_answer: Whether the receiver should acknowledge the message.
         leaving: Whether the sender is shutting down.
-        accepted: Offset of its document in force; -1 for none.
-        position: Last offset of the configuration stream that it folded.
+        accepted: Offset of the sender's document in force; -1 for none.
+        position: Last offset of the configuration stream that the sender folded.
         members: News of other entries.
-        marks: Leaving targets.
-        counts: Its attempts by target.
-        counts_whole: Whether ``counts`` holds every target in use.
+        marks: Targets that are leaving.
+        counts: Attempts in progress at the sender, by target.
+        counts_whole: Whether ``counts`` covers every target that the sender uses.
         quarantined: Digests that are refused.
     """
 
@@ -87,21 +93,25 @@
 
 @dataclass(slots=True)
 class Member:
-    """Another entry.
+    """Row of the member table: another entry and its last known state.
+
+    All times are monotonic milliseconds of this entry.
 
     Attributes:
-        name: Its name.
-        address: Where it listens for peers.
-        incarnation: Highest incarnation seen.
-        status: What is known of it.
-        status_changed_at: When ``status`` last changed.
-        sequence: Highest sequence seen of this incarnation.
-        unacknowledged_since: When the oldest unacknowledged message went out, or None.
-        accepted: Offset of its document in force.
-        position: Last offset that it folded.
-        counts: Its attempts by hash of the target.
-        counts_received_at: When ``counts`` was last heard, or None.
-        sends_left: How often news of it is still spread.
+        name: Name of the entry.
+        address: Address where the entry listens for peers, as "host:port".
+        incarnation: Highest known incarnation.
+        status: Last known status.
+        status_changed_at: Time at which ``status`` last changed.
+        sequence: Highest sequence number received of this incarnation; -1 for none.
+        unacknowledged_since: Time at which the oldest unacknowledged message was
+            sent, or None.
+        accepted: Offset of the entry's document in force; -1 for none.
+        position: Last offset of the configuration stream that the entry folded.
+        counts: Attempts in progress at the entry, by hash of the target.
+        counts_received_at: Time at which ``counts`` was last received, or None.
+        sends_left: Number of messages that still carry news of the entry ahead of
+            other content.
     """
 
     name: str
@@ -119,17 +129,18 @@
 
     @property
     def reachable(self) -> bool:
-        """Whether messages are worth sending there."""
+        """Whether messages are sent to the entry, which is so until it is gone."""
         return self.status is not MemberStatus.GONE
 
 
 @dataclass(slots=True)
 class MarkState:
-    """A leaving mark that is spread.
+    """Leaving mark of a target and the progress of its propagation.
 
     Attributes:
-        incarnation: Incarnation that leaves.
-        sends_left: How often it is still spread ahead of the rest.
+        incarnation: Incarnation of the target that is leaving.
+        sends_left: Number of messages that still carry the mark ahead of other
+            content.
     """
 
     incarnation: int
@@ -138,23 +149,26 @@
 
 @dataclass(slots=True)
 class Membership:
-    """What an entry knows of the others.
+    """Membership state of this entry.
+
+    All times are monotonic milliseconds of this entry.
 
     Attributes:
-        address: Where this entry listens for peers; "" before it does.
-        incarnation: Of this entry.
-        start: Addresses from the settings.
-        seeds: Addresses from the settings and the instance list, to join by.
+        address: Address where this entry listens for peers, as "host:port"; "" while
+            it does not listen.
+        incarnation: Incarnation of this entry.
+        start: Addresses of peers from the settings.
+        seeds: Addresses from the settings and the instance list, used to join.
         members: Other entries by name.
-        marks: Leaving targets by name.
-        unvisited: Names still to be sent to in this round, shuffled.
-        sequence: Of the last message sent.
-        allowance: Messages that may go out at once, besides the periodic ones.
-        refilled: When ``allowance`` was last refilled.
-        fetch_at: When a peer's document is fetched, or None.
-        counts_cursor: Where the next window of ``counts`` starts.
-        marks_cursor: Where the next window of old marks starts.
-        quarantine_cursor: Where the next window of digests starts.
+        marks: Leaving marks by name of the target.
+        unvisited: Names of the entries still to be sent to in this round, shuffled.
+        sequence: Sequence number of the last message sent.
+        allowance: Urgent messages that may be sent now (a token bucket).
+        refilled: Time at which ``allowance`` was last refilled.
+        fetch_at: Time at which a document is fetched from a peer, or None.
+        counts_cursor: Index at which the next window of attempt counts starts.
+        marks_cursor: Index at which the next window of older marks starts.
+        quarantine_cursor: Index at which the next window of digests starts.
     """
 
     address: str = ""
@@ -174,9 +188,9 @@
 
 
 def hash_target(name: str) -> int:
-    """Return the 32 bits that stand for a target in counts.
+    """Return the 32-bit hash that stands for a target's name in attempt counts.
 
-    A collision among some hundred names adds one target's count to another's:
-    a wrong hint to the load policy and nothing worse.
+    A collision, unlikely among some hundred names, adds the count of one target to
+    another. The only effect is a wrong estimate for the load policy.
     """
     return zlib.crc32(name.encode())
--- a/figstep/core/inventory.py
+++ b/figstep/core/inventory.py
@@ -1,4 +1,4 @@
-"""Inventory and rules as the operators published them: frozen data."""
+"""Immutable data of the inventory and the rules, as published by the operators."""
 
 from dataclasses import dataclass, field
 
@@ -7,7 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FailureDomain:
-    """Part of a region that can fail as one."""
+    """Part of a region whose instances can fail together.
+
+    Attributes:
+        name: Unique name.
+        region: Name of the region.
+    """
 
     name: str
     region: str
@@ -15,21 +20,22 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineInfo:
-    """What the operators know of a model engine.
+    """Model engine, as the operators describe it.
 
     Attributes:
         name: Unique target name.
         address: Base URL.
-        failure_domain: Name of its failure domain.
-        models: Names of the models it may serve.
-        kind: Make of the engine, as the operators name it.
-        speed: Decode speed relative to the slowest class (1.0).
+        failure_domain: Name of the engine's failure domain.
+        models: Names of the models that the engine may serve.
+        kind: Type of the engine, as the operators name it.
+        speed: Decode speed relative to the slowest class, which has 1.0.
         memory_tokens: Cache memory, in tokens.
-        max_running: Most generations it decodes at once.
+        max_running: Most generations that the engine decodes at once.
         resume: Whether a stream can be resumed by generation and index.
-        continuation: Whether it carries a generation on from given tokens exactly;
-            kept for the record, nothing acts on it (docs/design/requests.md).
-        checks_fencing: Whether it refuses orders with an old fencing number.
+        continuation: Whether the engine continues a generation exactly from given
+            tokens. It is only recorded: nothing acts on it
+            (docs/design/requests.md).
+        checks_fencing: Whether the engine refuses orders with an old fencing number.
     """
 
     name: str
@@ -47,14 +53,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceInfo:
-    """One replica of a plain service, a target beside the engines.
+    """Replica of a plain service, the other kind of target besides engines.
 
     Attributes:
         name: Unique target name.
-        service: Name that callers use.
+        service: Name of the service that callers use.
         address: Base URL.
-        failure_domain: Name of its failure domain.
-        refusals_not_run: Whether its 429 and 503 prove that a call did not run.
+        failure_domain: Name of the replica's failure domain.
+        refusals_not_run: Whether an answer with status 429 or 503 proves that the
+            call did not run.
     """
 
     name: str
@@ -69,7 +76,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelInfo:
-    """A model and the version that should be served."""
+    """Model and the version of it that should be served.
+
+    Attributes:
+        name: Unique name.
+        version: Wanted version.
+        adapters: Names of the adapters that should be loaded with the model.
+    """
 
     name: str
     version: str = "1"
@@ -78,7 +91,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerInfo:
-    """A customer; only the SHA-256 of its key is known."""
+    """Customer of the fleet.
+
+    Attributes:
+        name: Unique name.
+        key_hash: SHA-256 of the customer's key; the key itself is not stored.
+        share: Weight of the customer when capacity is shared.
+        priority: Priority of the customer's requests; higher goes first.
+    """
 
     name: str
     key_hash: str
@@ -88,11 +108,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementRule:
-    """How many replicas of a model are wanted where.
+    """Number of replicas of a model that are wanted in some failure domains.
 
     Attributes:
         model: Model name.
-        replicas: Wanted replicas in each of the failure domains.
+        replicas: Number of replicas wanted in each of the failure domains.
         failure_domains: Names of the failure domains; empty for all.
     """
 
@@ -103,7 +123,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PriorityRule:
-    """Priority of requests; None matches everything, higher goes first."""
+    """Priority of the requests of a customer, of a model, or of both.
+
+    Attributes:
+        priority: Priority of matching requests; higher goes first.
+        customer: Name of the customer; None matches all.
+        model: Name of the model; None matches all.
+    """
 
     priority: int
     customer: str | None = None
@@ -112,12 +138,12 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceRecord:
-    """A machine of the asset register.
+    """Machine in the asset register.
 
     Attributes:
-        name: Name as in the platform's instance list.
-        kind: "entry" for the system's own, "target" for engines and services.
-        failure_domain: Name of its failure domain.
+        name: Name in the platform's instance list.
+        kind: "entry" for entry instances, "target" for engines and services.
+        failure_domain: Name of the machine's failure domain.
         size: Size class, as the operators name it.
     """
 
@@ -129,7 +155,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainMark:
-    """A target that the operators want to get no new work."""
+    """Mark that drains one target: it gets no new work.
+
+    Attributes:
+        target: Name of the target.
+        reason: Why the operators drain it.
+    """
 
     target: str
     reason: str = ""
@@ -137,7 +168,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EvacuationMark:
-    """A failure domain whose targets the operators want to get no new work."""
+    """Mark that evacuates one failure domain: its targets get no new work.
+
+    Attributes:
+        failure_domain: Name of the failure domain.
+        reason: Why the operators evacuate it.
+    """
 
     failure_domain: str
     reason: str = ""
@@ -145,15 +181,16 @@
 
 @dataclass(frozen=True, slots=True)
 class NonIdempotentRule:
-    """Requests that run at most once; None and "" match everything.
+    """Rule that makes matching requests non-idempotent: they run at most once.
 
     Attributes:
         service: Name of the plain service.
-        method: HTTP method in capitals, or None.
-        path: Prefix of the path below the service.
-        customer: Customer name, or None.
-        digest_window: Where set, requests without an Idempotency-Key are told
-            apart by a digest of the body within this many milliseconds.
+        method: HTTP method in capitals; None matches all.
+        path: Prefix of the path below the service; "" matches all.
+        customer: Name of the customer; None matches all.
+        digest_window: Time within which requests without an Idempotency-Key are
+            the same if their digests of method, path and body are equal, in
+            milliseconds; None to treat each such request as a different one.
     """
 
     service: str
@@ -165,19 +202,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """Policy that the operators set.
+    """Rules that the operators set.
 
     Attributes:
-        non_idempotent: Which calls run at most once.
-        deadline: Time a request may wait for its first byte, in milliseconds.
+        non_idempotent: Rules for requests that run at most once.
+        deadline: Longest time that a request may wait for its first byte, in
+            milliseconds.
         load_interval: Least time between two reads of the weight store by the
             whole fleet, in milliseconds.
         routing: Name of the routing policy.
-        priorities: Priorities by customer and model; the first match counts.
-        placement: Which model wants how many replicas where.
-        gap_goal: Gap between tokens above which a target is given less, in
+        priorities: Priorities by customer and model; the first match applies.
+        placement: Rules for the number of replicas of models.
+        gap_goal: Gap between two tokens above which a target gets less work, in
             milliseconds.
-        subset: Most targets of a pool that an entry talks to; 0 for all.
+        subset: Most targets of a pool that an entry sends to; 0 for all.
     """
 
     non_idempotent: tuple[NonIdempotentRule, ...] = ()
@@ -192,7 +230,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Inventory:
-    """One accepted document: what exists and the rules for it."""
+    """Document of the operators: the inventory of the fleet and its rules."""
 
     failure_domains: tuple[FailureDomain, ...] = ()
     engines: tuple[EngineInfo, ...] = ()
@@ -205,5 +243,5 @@
     instances: tuple[InstanceRecord, ...] = ()
 
     def list_targets(self) -> list[TargetInfo]:
-        """Return the engines, then the replicas of plain services."""
+        """Return all targets: the engines, then the replicas of plain services."""
         return [*self.engines, *self.services]
--- a/figstep/core/leases.py
+++ b/figstep/core/leases.py
@@ -1,8 +1,8 @@
-"""Leases recorded in the log: who may give orders, and with which number.
+"""Leases recorded in the log: which node may send orders, and its fencing number.
 
-The fold reads nothing but the records and the times that the log service
-stamped on them, so every reader names the same holder. The offset of the
-record that took a lease is its fencing number.
+The fold uses only the records and the times that the log service assigned to
+them, so all readers agree on the holder. The offset of the record that acquired a
+lease is the lease's fencing number.
 """
 
 from dataclasses import dataclass, field
@@ -12,20 +12,23 @@
 from figstep.core.records import LogRecord
 
 TERM = Millis(10_000)
+"""Time that a lease lasts after its last renewal, in milliseconds."""
 MARGIN = Millis(1_000)
+"""Time before the end of the term at which a holder stops acting, in milliseconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRecord:
-    """A record of the lease stream.
+    """Record of the lease stream.
 
     Attributes:
         lease: Name of the lease.
-        holder: Node that wants it.
-        session: Tells two runs of a node apart.
-        record: Id of this record, to find it again after a lost answer.
-        term: How long it lasts, in milliseconds.
-        release: Whether the holder gives it up.
+        holder: Name of the node that acquires, renews or releases the lease.
+        session: Identifier that distinguishes the runs of a node.
+        record: Id of this record, by which the node recognizes it when it is read
+            back, also if the append went unanswered.
+        term: Time that the lease lasts, in milliseconds.
+        release: Whether the holder releases the lease.
     """
 
     lease: str
@@ -48,7 +51,7 @@
 
 
 def parse_lease_record(data: dict[str, Any]) -> LeaseRecord | None:
-    """Return the record, or None where it is not one of a lease."""
+    """Parse a record of the lease stream; return None if it is malformed."""
     try:
         return LeaseRecord(
             lease=str(data["lease"]),
@@ -64,16 +67,18 @@
 
 @dataclass(slots=True)
 class Lease:
-    """A lease as the log tells it.
+    """State of a lease, as folded from the log.
 
     Attributes:
-        holder: Node that holds it.
-        session: Run of that node.
-        fencing: Offset of the record that took it.
-        time: Log time of the last renewal, in milliseconds since the epoch.
-        term: How long it lasts from there, in milliseconds.
-        released: Whether the holder gave it up.
-        last_read: When this node read the last renewal (monotonic).
+        holder: Name of the node that holds the lease.
+        session: Session of that node.
+        fencing: Fencing number: offset of the record that acquired the lease.
+        time: Time of the last renewal, in milliseconds since the epoch by the
+            log's clock.
+        term: Time that the lease lasts from ``time`` on, in milliseconds.
+        released: Whether the holder released the lease.
+        last_read: Time at which this node read the last renewal, in monotonic
+            milliseconds.
     """
 
     holder: str
@@ -87,12 +92,14 @@
 
 @dataclass(slots=True)
 class Holding:
-    """This node's own hold on a lease.
+    """Lease that this node holds.
 
     Attributes:
-        fencing: Number for its orders.
-        acquired: When the record that took it was appended (monotonic).
-        until: When this node stops acting on it (monotonic).
+        fencing: Fencing number that the node's orders carry.
+        acquired: Time at which the record that acquired the lease was appended, in
+            monotonic milliseconds.
+        until: Time at which this node stops acting on the lease, in monotonic
+            milliseconds.
     """
 
     fencing: int
@@ -102,11 +109,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingAppend:
-    """A record of this node's that was not read back yet.
+    """Record that this node appended and has not read back yet.
 
     Attributes:
-        lease: Lease that it takes or renews.
-        at: When it was appended (monotonic).
+        lease: Name of the lease that the record acquires or renews.
+        at: Time just before the append, in monotonic milliseconds.
     """
 
     lease: str
@@ -115,13 +122,14 @@
 
 @dataclass(slots=True)
 class LeaseTable:
-    """All leases, and what this node holds of them.
+    """All leases, and those that this node holds.
 
     Attributes:
-        session: This run of this node.
-        leases: Leases by name, as folded.
-        holdings: This node's holds, by lease.
-        pending: This node's open records that take or renew a lease, by id.
+        session: Identifier of the current run of this node.
+        leases: Leases by name, as folded from the log.
+        holdings: Holds of this node, by name of the lease.
+        pending: Records of this node that acquire or renew a lease and are not read
+            back yet, by id of the record.
         next_record: Number of this node's next record.
     """
 
@@ -135,13 +143,24 @@
 def fold_lease(
     leases: dict[str, Lease], record: LeaseRecord, position: LogRecord, now: Millis
 ) -> bool:
-    """Apply a record to the leases; tell whether it took effect."""
+    """Apply a record to the leases.
+
+    Args:
+        leases: Leases by name, changed in place.
+        record: The parsed record.
+        position: Record as read, with the offset and time that the log assigned.
+        now: Time of the reading, in monotonic milliseconds.
+
+    Returns:
+        Whether the record took effect; it does not if another holder or session has
+        the lease, or if it releases a lease that nobody holds.
+    """
     current = leases.get(record.lease)
     if current is not None and _is_held(current, position.time):
         is_own = (current.holder, current.session) == (record.holder, record.session)
         if not is_own:
             return False
-        # The log's clock may step back; a lease then lasts longer, never less.
+        # If the log's clock steps back, the lease lasts longer, never shorter.
         current.time = max(current.time, position.time)
         current.term = record.term
         current.released = record.release
@@ -168,10 +187,18 @@
 def request_lease(
     table: LeaseTable, lease: str, node: str, now: Millis, release: bool = False
 ) -> LeaseRecord:
-    """Return the record that takes, renews or releases a lease for ``node``.
+    """Return the record that acquires, renews or releases a lease for ``node``.
+
+    The time is stored before the append. A holder that was paused between the
+    append and its answer would otherwise count a term that is already over.
 
-    Its time is noted before the append: a holder that was paused between the
-    append and its answer would otherwise count a term that has passed already.
+    Args:
+        table: Table of leases; the record is added to the pending appends, or, for
+            a release, the node's hold and pending appends are dropped.
+        lease: Name of the lease.
+        node: Name of this node.
+        now: Monotonic time, in milliseconds.
+        release: Whether the lease is released.
     """
     name = f"{node}.{table.session}.{table.next_record}"
     table.next_record += 1
@@ -184,8 +211,8 @@
 
 
 def _discard_pending(table: LeaseTable, lease: str) -> None:
-    # A renewal that went out before the release and is read back after it would
-    # make this node hold the lease anew, while the log has let another take it.
+    # A renewal that was appended before the release and read back after it would
+    # make this node hold the lease again while another node may have acquired it.
     for name, pending in list(table.pending.items()):
         if pending.lease == lease:
             del table.pending[name]
@@ -194,7 +221,14 @@
 def apply_record(
     table: LeaseTable, node: str, position: LogRecord, now: Millis
 ) -> None:
-    """Fold a record that was read, and update this node's own hold."""
+    """Fold a record read from the lease stream and update this node's own hold.
+
+    Args:
+        table: Table of leases, changed in place.
+        node: Name of this node.
+        position: Record as read, with the offset and time that the log assigned.
+        now: Time of the reading, in monotonic milliseconds.
+    """
     record = parse_lease_record(position.data)
     if record is None:
         return
@@ -218,7 +252,7 @@
 
 
 def find_holding(table: LeaseTable, lease: str, now: Millis) -> Holding | None:
-    """Return this node's hold on a lease if it may still act on it."""
+    """Return this node's hold on a lease, or None if it may not act on it now."""
     holding = table.holdings.get(lease)
     if holding is None or now >= holding.until:
         return None
@@ -226,9 +260,9 @@
 
 
 def is_free(table: LeaseTable, lease: str, now: Millis) -> bool:
-    """Tell whether a lease looks free from here.
+    """Return whether a lease is free as far as this node knows.
 
-    A renewal is read after it was written, so counting the term from then is
+    A renewal is read after it was written, so a term counted from the reading ends
     late, never early.
     """
     current = table.leases.get(lease)
--- a/figstep/core/membership.py
+++ b/figstep/core/membership.py
@@ -1,7 +1,8 @@
-"""Which entries and targets live, leave or are gone.
+"""Gossip-based membership and failure detection for entries and targets.
 
-Each entry sends to a few others each period, whatever their number, and takes
-the acknowledgement as a sign of life. News rides on these messages.
+In every period each entry sends a message to a fixed number of other entries,
+however many there are, and treats the acknowledgement as proof that the receiver
+is alive. News of members and targets is piggybacked on these messages.
 """
 
 from figstep.core import quarantine
@@ -34,20 +35,36 @@
 from figstep.core.state import State
 
 GOSSIP_INTERVAL = Millis(1_000)
+"""Mean time between two periodic rounds, in milliseconds; jittered by 10 percent."""
 FANOUT = 2
+"""Entries that each periodic round sends to."""
 URGENT_FANOUT = 3
+"""Most entries that one urgent broadcast sends to."""
 URGENT_RATE = 1.0
-"""Messages a second that may go out besides the periodic ones, on average."""
+"""Average rate limit of urgent messages, in messages a second.
+
+Periodic messages and acknowledgements do not count against it.
+"""
 URGENT_BURST = 12.0
+"""Most urgent messages that may be sent in one burst."""
 ACK_TIMEOUT = Millis(2_000)
+"""Time without an acknowledgement after which an entry is silent, in milliseconds."""
 SUSPECT_TIMEOUT = Millis(5_000)
+"""Time that a suspected entry has to refute the suspicion, in milliseconds."""
 REMOVAL_DELAY = Millis(60_000)
+"""Time that a gone entry stays in the member table, in milliseconds."""
 COUNTS_TTL = Millis(6_000)
+"""Time that the attempt counts of a peer stay valid, in milliseconds."""
 FETCH_DELAY = Millis(400)
+"""Longest random delay before a document is fetched from a peer, in milliseconds.
+
+It is also the least time between the due time of one fetch and the planning of
+the next.
+"""
 
 
 def open_peers(state: State, event: PeerListenerOpened, now: Millis) -> list[Effect]:
-    """Start to gossip."""
+    """Set the peer address and incarnation of this entry and start to gossip."""
     membership = state.membership
     membership.address = event.address
     membership.incarnation = event.incarnation
@@ -59,7 +76,7 @@
 
 
 def run_period(state: State, now: Millis) -> list[Effect]:
-    """Judge silent entries and send to the next few."""
+    """Run one gossip round: detect silent entries and send to the next partners."""
     effects: list[Effect] = []
     _refill_allowance(state, now)
     for member in list(state.membership.members.values()):
@@ -83,10 +100,10 @@
 
 
 def _choose_partners(state: State, count: int) -> list[Member]:
-    """Return the next entries of a shuffled round.
+    """Return the next ``count`` entries of a shuffled round-robin order.
 
-    A round visits every entry once, so a dead one is probed within as many
-    periods as it takes, not only with luck.
+    A round visits every entry once. This bounds the number of periods until a
+    dead entry is probed, which independent random choices would not.
     """
     membership = state.membership
     chosen: list[Member] = []
@@ -104,10 +121,10 @@
 
 
 def _send_to_seed(state: State, now: Millis) -> list[Effect]:
-    """Try one listed address that no living entry answers from.
+    """Send to one random seed address that no reachable entry has.
 
-    After a long partition each side has forgotten the other; the seeds join
-    them again.
+    After a long partition each side has removed the other from its member table;
+    messages to the seeds merge the two sides again.
     """
     membership = state.membership
     known = {m.address for m in membership.members.values() if m.reachable}
@@ -159,16 +176,20 @@
 
 
 def count_sends(state: State) -> int:
-    """Return how often a piece of news is sent on.
+    """Return how many messages of this entry carry one piece of news.
 
-    Logarithmic in the number of entries: enough for it to reach all of them
-    with high probability; windows of old news catch the rest.
+    The number is logarithmic in the number of entries, which is enough for the
+    news to reach all of them with high probability. The windows of older news in
+    each datagram reach the rest.
     """
     return 3 * (len(state.membership.members) + 2).bit_length()
 
 
 def handle_gossip(state: State, event: GossipReceived, now: Millis) -> list[Effect]:
-    """Take a peer's message and acknowledge it."""
+    """Apply a peer's message and acknowledge it if the peer asks for that.
+
+    A message that brings urgent news is followed by an urgent broadcast.
+    """
     gossip = event.gossip
     if gossip.sender == state.node:
         return []
@@ -196,7 +217,11 @@
 
 
 def _update_sender(state: State, gossip: Gossip, now: Millis) -> Member | None:
-    """Return the sender, or None if the message is old or repeated."""
+    """Update the table with the sender of a message.
+
+    Returns:
+        The sender's member, or None if the message is outdated or repeated.
+    """
     members = state.membership.members
     status = MemberStatus.LEAVING if gossip.leaving else MemberStatus.ALIVE
     member = members.get(gossip.sender)
@@ -218,7 +243,7 @@
 
 
 def _apply_news(state: State, news: MemberNews, now: Millis) -> bool:
-    """Take what a peer says of a third entry; return whether it is urgent."""
+    """Apply a peer's news of a third entry; return whether the news is urgent."""
     if news.name == state.node:
         return _refute(state, news)
     members = state.membership.members
@@ -245,10 +270,13 @@
 
 
 def _refute(state: State, news: MemberNews) -> bool:
-    """Take a new incarnation where peers think this entry dead.
+    """Raise this entry's incarnation if peers believe that it is dead.
+
+    A pause or a lossy link makes peers suspect a live entry; without the
+    refutation they would remove it from their tables although it still serves.
 
-    A pause or a lossy link makes peers suspect a living entry; without the
-    refutation they would drop it although it serves.
+    Returns:
+        Whether the incarnation was raised.
     """
     membership = state.membership
     if news.incarnation < membership.incarnation:
@@ -260,10 +288,13 @@
 
 
 def mark_leaving(state: State, mark: LeavingMark) -> bool:
-    """Give a target no new work; return whether that is news.
+    """Mark a target as leaving, so that it gets no new work.
 
-    The union of all sources counts, so a source that lags never clears the
-    mark: only a newer incarnation of the target does.
+    The marks of all sources are combined by union, so a source that lags behind
+    never clears a mark: only a newer incarnation of the target does.
+
+    Returns:
+        Whether the mark is news to this entry.
     """
     target = state.targets.get(mark.target)
     if target is None or mark.incarnation < target.incarnation:
@@ -281,7 +312,7 @@
 
 
 def broadcast_leaving(state: State, target: str, now: Millis) -> list[Effect]:
-    """Tell peers at once if ``target`` has just been found leaving."""
+    """Announce to peers at once that ``target`` is leaving, if that is news."""
     found = state.targets.get(target)
     if found is None or not found.leaving:
         return []
@@ -291,10 +322,11 @@
 
 
 def broadcast_urgently(state: State, now: Millis) -> list[Effect]:
-    """Send to a few random peers now, as far as the allowance goes.
+    """Send to a few random peers now, within the allowance for urgent messages.
 
-    Every receiver to whom it is news does the same, so it crosses the fleet in
-    a few round trips; the periodic messages reach whom this missed.
+    Every receiver to which the message is news broadcasts it too, so it crosses
+    the fleet in a few round trips. The periodic messages reach the entries that
+    the broadcasts missed.
     """
     membership = state.membership
     _refill_allowance(state, now)
@@ -315,12 +347,13 @@
 
 
 def estimate_peer_counts(state: State, now: Millis) -> None:
-    """Set what other entries run on each target.
+    """Estimate the number of attempts that other entries run on each target.
 
-    The sum over those heard lately is scaled to the number of entries. Where
-    fewer than half were heard, one entry's count would stand for many: a target
-    that one of them uses would look full. The load policy then goes by the
-    targets' own reports.
+    The counts received within the last ``COUNTS_TTL`` are summed and scaled up to
+    the number of reachable entries. If fewer than half of these have reported,
+    the estimate is 0 and the load policy relies on the targets' own reports:
+    otherwise one entry's count would stand for many, and a target that this entry
+    uses would look full.
     """
     alive, reporters = 0, 0
     sums: dict[int, int] = {}
@@ -343,10 +376,10 @@
 
 
 def _schedule_fetch(state: State, now: Millis) -> list[Effect]:
-    """Plan to take a newer document from a peer.
+    """Schedule a fetch if a peer has a newer document than this entry.
 
-    The log usually brings it first; the pause spares the fetch. An entry
-    without a document does not wait.
+    The log usually delivers the document first, and the random delay then saves
+    the fetch. An entry without any document fetches without delay.
     """
     membership = state.membership
     if membership.fetch_at is not None and now < membership.fetch_at + FETCH_DELAY:
@@ -361,7 +394,11 @@
 
 
 def _choose_fetch_source(state: State) -> Member | None:
-    """Return a random one of the peers that hold the newest document."""
+    """Return a random peer among those that hold the newest document.
+
+    Peers with the same document qualify only if this entry's fold has stalled and
+    they have folded further. None is returned if no peer qualifies.
+    """
     best: list[Member] = []
     stalled = bool(state.configuration.stalled)
     own_progress = (state.configuration_offset, state.configuration.position)
@@ -380,7 +417,7 @@
 
 
 def fetch_document(state: State, now: Millis) -> list[Effect]:
-    """Fetch from a peer unless the log was quicker."""
+    """Fetch a newer document from a peer unless the log has delivered it already."""
     state.membership.fetch_at = None
     member = _choose_fetch_source(state)
     if member is None:
@@ -389,11 +426,12 @@
 
 
 def record_instances(state: State, event: InstancesListed, now: Millis) -> list[Effect]:
-    """Join the platform's list with what is known.
+    """Merge the platform's instance list into the known targets and seeds.
 
-    The list lags, so a live line never clears a mark that another source set.
-    A line without an incarnation cannot be told from one of an earlier start;
-    it counts for as long as the list says so, and is not spread.
+    The list lags behind, so a line that shows a target alive never clears a mark
+    that another source set. A leaving line without an incarnation (0) may belong
+    to an earlier start of the target; it is honoured only for as long as the list
+    holds it, and it is not sent to peers.
     """
     effects: list[Effect] = []
     for instance in event.instances:
--- a/figstep/core/orders.py
+++ b/figstep/core/orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: statements of a wanted state."""
+"""Orders to engines, which state the wanted state."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -6,11 +6,14 @@
 from figstep.core.clock import Millis
 
 ORDER_TIMEOUT = Millis(5_000)
+"""Longest time that an order takes, and least time before it is sent again, in
+milliseconds.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadModel:
-    """The engine should have this version of a model; none comes twice."""
+    """Order to load a version of a model; a repeated order has no effect."""
 
     model: str
     version: str
@@ -18,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnloadModel:
-    """The engine should not have this version of a model."""
+    """Order to unload a version of a model."""
 
     model: str
     version: str
@@ -26,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadAdapter:
-    """The engine should have this adapter of a model."""
+    """Order to load an adapter of a model."""
 
     model: str
     adapter: str
@@ -36,16 +39,16 @@
 
 
 class OrderOutcome(Enum):
-    """What came of an order."""
+    """Result of an order."""
 
     APPLIED = "applied"
-    STALE = "stale"  # the engine has seen a higher fencing number
+    STALE = "stale"  # the engine has received a higher fencing number
     UNCERTAIN = "uncertain"  # no answer: it may have taken effect
 
 
 @dataclass(frozen=True, slots=True)
 class PlacedOrder:
-    """An order and the engine that it is for."""
+    """Order together with the name of the engine that it is sent to."""
 
     target: str
     order: Order
@@ -53,14 +56,18 @@
 
 @dataclass(slots=True)
 class PlacementState:
-    """What a holder remembers between two rounds.
+    """State that placement keeps between two rounds.
+
+    All times are monotonic milliseconds.
 
     Attributes:
-        sent: When each order was last sent (monotonic).
-        last_load: When an order last made an engine read weights (monotonic).
-        open_orders: Lease of each order whose answer is awaited, by number.
+        sent: Time at which each order was last sent.
+        last_load: Time at which an order last made an engine read weights, or None.
+        open_orders: Names of the leases of orders whose answers are awaited, by
+            number of the order.
         next_order: Number of the next order.
-        try_at: When to try for each lease that looks free (monotonic).
+        try_at: Time at which to try to acquire each lease that is known as free, by
+            name of the lease.
     """
 
     sent: dict[PlacedOrder, Millis] = field(default_factory=dict)
--- a/figstep/core/ownership.py
+++ b/figstep/core/ownership.py
@@ -1,4 +1,4 @@
-"""What a non-idempotent request does with its claim."""
+"""Life cycle of the claim of a non-idempotent request, up to its outcome."""
 
 from typing import Any
 
@@ -20,23 +20,32 @@
 from figstep.core.state import Phase, RequestState, State
 
 SETTLE_TIMEOUT = Millis(10 * SECOND)
+"""Longest time that a request waits for its claim to be read back, in milliseconds."""
 OUTCOME_WAIT_TIMEOUT = Millis(10 * SECOND)
+"""Longest time that a duplicate waits for the owner's outcome, in milliseconds."""
 MAX_DISPATCH_AGE = Millis(60 * SECOND)
+"""Age up to which a claim may be dispatched, in milliseconds.
+
+Half the claim's window applies if that is shorter.
+"""
 
 
 def needs_claim(state: State, spec: RequestSpec) -> bool:
-    """Tell whether a request has to be claimed before it is dispatched."""
+    """Return whether a request has to be claimed before it is dispatched."""
     return claims.is_non_idempotent(state.inventory, spec)
 
 
 def begin_claim(state: State, request: RequestState, now: Millis) -> list[Effect]:
-    """Claim a request's identity, or follow the claim that owns it."""
+    """Claim the identity of a request, or wait for the claim that owns it.
+
+    A request is refused if the claims stream is not read to its end.
+    """
     table, name = state.claims, request.spec.request
     request.non_idempotent = True
     request.phase = Phase.CLAIMING
     if not table.caught_up:
-        # What the unread rest of the stream says is unknown: an owner there
-        # may have run this very request.
+        # The unread rest of the stream may hold a claim whose owner has already
+        # run this request.
         del state.requests[name]
         return [Refuse(name, _build_log_problem(state)), Count("claims.unavailable")]
     identity = claims.identify_request(state.inventory, request.spec, state.retention)
@@ -74,7 +83,17 @@
 def follow_owner(
     state: State, request: RequestState, identity: str, owner: Claim, now: Millis
 ) -> list[Effect]:
-    """Answer a duplicate from the owner's outcome, or wait for it."""
+    """Answer a duplicate with the owner's outcome, or make it wait for the outcome.
+
+    A request whose digest differs from the owner's is refused.
+
+    Args:
+        state: State of this entry.
+        request: The duplicate.
+        identity: Name of the identity.
+        owner: Claim that owns the identity.
+        now: Monotonic time, in milliseconds.
+    """
     name = request.spec.request
     request.claim = None
     if owner.digest != request.spec.digest:
@@ -90,7 +109,11 @@
 
 
 def answer_duplicate(request: str, outcome: Outcome) -> Effect:
-    """Give a duplicate what the first request got, as far as it is held."""
+    """Answer a duplicate with the outcome of the first request.
+
+    The recorded answer is replayed if the outcome holds it; otherwise the duplicate
+    is refused with a problem that names what is known.
+    """
     if outcome.body is not None:
         return ReplayAnswer(request, outcome.status, outcome.content_type, outcome.body)
     if outcome.ran is not Ran.YES or outcome.status == 0:
@@ -104,11 +127,11 @@
 
 
 def may_dispatch(state: State, request: RequestState, now: Millis) -> bool:
-    """Tell whether a request may go out now.
+    """Return whether a request may be dispatched now.
 
-    A paused owner may wake after its identity has expired and another claim
-    owns it; dispatching then would run it twice. Its claim's age is measured
-    from before the append, so it is never younger than the log thinks.
+    A paused owner may resume after its identity has expired and another claim owns
+    it; dispatching then would run the request twice. The claim's age is measured
+    from before the append, so it is never less than its age by the log's clock.
     """
     if not request.non_idempotent:
         return True
@@ -120,14 +143,24 @@
 
 
 def outlives_caller(state: State, request: RequestState) -> bool:
-    """Tell whether a request goes on for its outcome when its caller leaves."""
+    """Return whether a request continues after its caller has disconnected.
+
+    A non-idempotent request to a plain service that has an attempt in progress
+    does, so that its outcome can be recorded.
+    """
     if not request.non_idempotent or request.attempt is None:
         return False
     return isinstance(request.spec.work, ServiceWork)
 
 
 def abandon_claim(state: State, request: RequestState, ran: Ran) -> list[Effect]:
-    """Give up a claim whose caller has left; ``ran`` is what may be said."""
+    """Close the claim of a request whose caller has disconnected.
+
+    Args:
+        state: State of this entry.
+        request: The request.
+        ran: Whether the request ran, as far as this entry knows.
+    """
     problem = Problem(
         409,
         "first_request_gone",
@@ -138,7 +171,11 @@
 
 
 def close_claim(state: State, request: RequestState, problem: Problem) -> list[Effect]:
-    """Settle the claim of a request that gets ``problem`` for an answer."""
+    """Close the claim of a request that is answered with ``problem``.
+
+    The claim is released if the request did not run; otherwise its outcome is
+    recorded. Duplicates that joined the request get the same problem.
+    """
     own = _pop_own(state, request)
     if own is None:
         return []
@@ -155,10 +192,10 @@
 
 
 def release_claim(state: State, own: OwnClaim) -> list[Effect]:
-    """Record that a claim was not and never will be dispatched.
+    """Release a claim whose request was not dispatched and never will be.
 
-    One that is not read back yet is only marked: its append may still take
-    effect, late, and its read-back then releases it.
+    A claim that is not read back yet is only marked as abandoned: its append may
+    still take effect later, and the claim is then released when it is read back.
     """
     pending = own.state is not OwnClaimState.OWNED
     own.state = OwnClaimState.ABANDONED
@@ -173,13 +210,13 @@
 def record_answer(
     state: State, request: RequestState, event: ServiceAnswered
 ) -> list[Effect]:
-    """Record a service's answer and give it to the joined duplicates."""
+    """Record a service's answer as the outcome and replay it to joined duplicates."""
     outcome = Outcome(Ran.YES, event.status, event.content_type, event.body)
     return _finish_claim(state, request, outcome)
 
 
 def record_generation(state: State, request: RequestState) -> list[Effect]:
-    """Record that a non-idempotent generation ended whole."""
+    """Record the outcome of a non-idempotent generation that ran to its end."""
     return _finish_claim(
         state, request, Outcome(Ran.YES, 200, generation=request.generation)
     )
@@ -199,8 +236,8 @@
 
 
 def _append_outcome(state: State, own: OwnClaim, outcome: Outcome) -> list[Effect]:
-    # The table is brought up at once: a duplicate may come in before the
-    # record is read back, and the log may be down by then.
+    # The table is updated at once: a duplicate may arrive before the record is
+    # read back, and the log may be unavailable by then.
     owner = state.claims.owners.get(own.identity.name)
     if owner is not None and owner.record == own.record:
         owner.outcome = outcome
@@ -212,7 +249,7 @@
 
 
 def pop_waiters(state: State, identity: str) -> list[str]:
-    """Take out and return the requests here that wait for an outcome."""
+    """Remove and return the ids of requests at this entry that wait for an outcome."""
     removed = []
     for name in state.claims.waiters.pop(identity, []):
         if state.requests.pop(name, None) is not None:
@@ -225,7 +262,7 @@
 
 
 def append_unconfirmed(state: State, unconfirmed: claims.UnconfirmedRecord) -> Effect:
-    """Append an outcome or release, to be kept until the log confirms it."""
+    """Append an outcome or release and keep it until the log confirms it."""
     key = state.claims.next_key
     state.claims.next_key += 1
     unconfirmed.uncertain = False
@@ -242,7 +279,7 @@
 
 
 def build_mismatch_problem() -> Problem:
-    """Return the answer to another body under a known key."""
+    """Return the problem for a key that was first used with another path or body."""
     return Problem(
         422,
         "key_reused",
@@ -252,7 +289,7 @@
 
 
 def build_unknown_problem(ran: Ran) -> Problem:
-    """Return the answer where nobody can tell whether the request ran."""
+    """Return the problem for a request that may or may not have run."""
     return Problem(
         409,
         "outcome_unknown",
@@ -263,7 +300,7 @@
 
 
 def build_stale_problem() -> Problem:
-    """Return the answer where a claim got too old before it was dispatched."""
+    """Return the problem for a claim that became too old before its dispatch."""
     return Problem(
         503,
         "claim_too_old",
@@ -274,7 +311,7 @@
 
 
 def build_expired_problem() -> Problem:
-    """Return the answer to a key from before the window."""
+    """Return the problem for a key that is older than its identity's window."""
     return Problem(
         409,
         "key_expired",
@@ -295,5 +332,5 @@
 
 
 def build_unsettled_problem(state: State) -> Problem:
-    """Return the answer where a claim was not read back in time."""
+    """Return the problem for a claim that was not read back before its deadline."""
     return _build_log_problem(state)
--- a/figstep/core/placement.py
+++ b/figstep/core/placement.py
@@ -1,8 +1,9 @@
-"""Models, versions and adapters brought to where the rules want them.
+"""Placement: loads and unloads models, versions and adapters as the rules want.
 
-One lease per failure domain; its holder compares what the engines there report
-with what is wanted and states the difference, again and again until it is
-reported. Nothing is kept of an order but the time it was last sent.
+There is one lease per failure domain. Its holder compares what the engines of the
+failure domain report with what is wanted, and sends orders for the difference in
+each round until the engines report the wanted state. Apart from the number of an
+open order, only the time at which an order was last sent is stored.
 """
 
 import hashlib
@@ -26,20 +27,28 @@
 from figstep.core.state import State, TargetState
 
 ROUND_INTERVAL = Millis(2_000)
+"""Time between two rounds of placement, in milliseconds."""
 SENT_RETENTION = Millis(600_000)
+"""Time that the last sending of an order is remembered, in milliseconds."""
 LEASE_PREFIX = "orders."
+"""Prefix of a lease's name; the name of the failure domain follows."""
 LEASE_APPEND_KEY = 0
-"""Key of appends whose answer nobody waits for; reading back settles them."""
+"""Key of all appends to the lease stream.
+
+Their answers are not awaited: reading the records back shows whether they took
+effect.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineView:
-    """What placement looks at of one engine.
+    """Properties of one engine that placement depends on.
 
     Attributes:
-        info: Its inventory entry.
-        loaded: What it reports as loaded: "model@version" or "model+adapter".
-        usable: Whether it takes work and has reported.
+        info: Inventory record of the engine.
+        loaded: What the engine reports as loaded, as "model@version" or
+            "model+adapter".
+        usable: Whether the engine takes work and has reported its load.
     """
 
     info: EngineInfo
@@ -48,19 +57,19 @@
 
 
 def name_version(model: str, version: str) -> str:
-    """Return how engines report a version of a model."""
+    """Return a version of a model as engines report it, "model@version"."""
     return f"{model}@{version}"
 
 
 def name_adapter(model: str, adapter: str) -> str:
-    """Return how engines report an adapter of a model."""
+    """Return an adapter of a model as engines report it, "model+adapter"."""
     return f"{model}+{adapter}"
 
 
 def plan_orders(
     inventory: Inventory, domain: str, engines: list[EngineView]
 ) -> list[PlacedOrder]:
-    """Return the orders that bring one failure domain to what is wanted.
+    """Return the orders that bring one failure domain to the wanted state.
 
     Args:
         inventory: The document in force.
@@ -68,8 +77,8 @@
         engines: The engines of the failure domain.
 
     Returns:
-        Loads first; an engine goes on with an old version until the wanted one
-        serves at full strength.
+        For each model the loads, then the unloads. Other versions stay loaded until
+        the wanted number of replicas serves the wanted version.
     """
     orders: list[PlacedOrder] = []
     for model in inventory.models:
@@ -80,7 +89,7 @@
 
 
 def count_wanted(inventory: Inventory, model: str, domain: str) -> int | None:
-    """Return the replicas wanted in a failure domain; None where no rule tells."""
+    """Return the replicas wanted in a failure domain; None if the model has no rule."""
     wanted = None
     for rule in inventory.rules.placement:
         if rule.model != model:
@@ -114,7 +123,11 @@
 
 
 def _rank_engine(model: ModelInfo, engine: EngineView) -> tuple[bool, bool, str]:
-    """Prefer engines that work and have the model; break ties by hash."""
+    """Return the sort key of an engine for a model; the lowest is chosen first.
+
+    Usable engines come first, then engines that have the wanted version loaded;
+    ties are broken by a hash of the names of model and engine.
+    """
     current = name_version(model.name, model.version)
     digest = hashlib.sha256(f"{model.name} {engine.info.name}".encode()).hexdigest()
     return (not engine.usable, current not in engine.loaded, digest)
@@ -132,10 +145,11 @@
 def _plan_unloads(
     model: ModelInfo, engine: EngineView, chosen: bool
 ) -> list[PlacedOrder]:
-    """Unload other versions, and every version where the model is not wanted.
+    """Return the orders that unload unwanted versions of a model from an engine.
 
-    Called only once the wanted version serves at full strength: an unload that
-    came first would take capacity away for as long as the weights load.
+    A chosen engine keeps the wanted version; any other engine keeps none. This is
+    called only once the wanted number of replicas serves the wanted version: an
+    earlier unload would remove capacity for as long as the weights load.
     """
     orders = []
     for loaded in sorted(engine.loaded):
@@ -149,7 +163,11 @@
 
 
 def run_round(state: State, now: Millis) -> list[Effect]:
-    """Keep or try for the leases, then state what is still missing."""
+    """Run one round: maintain the leases and send the orders that they cover.
+
+    Leases are maintained for all failure domains that have engines. While the node
+    shuts down or has no document, all leases are released instead.
+    """
     effects: list[Effect] = [WakeAt(PlacementTimer(), Millis(now + ROUND_INTERVAL))]
     _discard_old(state.placement, now)
     if state.inventory is None or state.shutting_down:
@@ -182,9 +200,9 @@
     if not leases.is_free(state.leases, lease, now):
         state.placement.try_at.pop(lease, None)
         return []
-    # All nodes see a lease lapse at the same moment; without a random wait
-    # each change of holder would cost the log one append per node. Nodes of
-    # the lease's own failure domain go first.
+    # A lease expires at the same time on all nodes; without a random delay, each
+    # change of holder would cost the log one append per node. Nodes of the
+    # lease's own failure domain try first.
     wait = 0 if domain == state.failure_domain else leases.TERM
     later = Millis(now + wait + state.rng.randrange(leases.TERM // 2))
     try_at = state.placement.try_at.setdefault(lease, later)
@@ -199,7 +217,7 @@
 
 
 def release_leases(state: State, now: Millis) -> list[Effect]:
-    """Give up every lease that this node holds."""
+    """Release every lease that this node holds."""
     effects: list[Effect] = []
     for lease in list(state.leases.holdings):
         record = leases.request_lease(
@@ -210,7 +228,7 @@
 
 
 def view_engine(target: TargetState) -> EngineView | None:
-    """Return placement's view of a target; None if it is not an engine."""
+    """Return the view of a target for placement, or None if it is not an engine."""
     if not isinstance(target.info, EngineInfo):
         return None
     usable = target.accepts_work and target.reported is not None
@@ -229,8 +247,8 @@
         views.append(view)
     sent = state.placement.sent
     planned = plan_orders(state.inventory, domain, views)
-    # The weight store's rate lets one load through at a time; an engine that
-    # never loads would hold up the others if it always came first.
+    # The rate limit of the weight store admits one load at a time; an engine that
+    # never completes its load would block the others if it always came first.
     planned.sort(key=lambda placed: sent.get(placed, 0))
     effects: list[Effect] = []
     for placed in planned:
@@ -248,9 +266,9 @@
     sent = state.placement.sent.get(placed)
     if sent is not None and now < sent + ORDER_TIMEOUT:
         return False
-    # An engine that ignores fencing numbers would still obey the last holder,
-    # paused in the middle of an order. After a whole term and the longest
-    # order, that holder has stopped itself and its last order has ended.
+    # An engine that ignores fencing numbers would still obey an earlier holder
+    # that was paused in the middle of an order. After a whole term and the
+    # longest order, that holder has stopped and its last order has ended.
     takeover_safe_at = holding.acquired + leases.TERM + ORDER_TIMEOUT
     if not target.info.checks_fencing and now < takeover_safe_at:
         return False
@@ -258,7 +276,10 @@
 
 
 def _may_load(state: State, now: Millis) -> bool:
-    """Keep the fleet within the weight store's rate, shared by its domains."""
+    """Return whether a load may be sent within the weight store's rate limit.
+
+    The limit holds for the whole fleet: each failure domain gets an equal share.
+    """
     assert state.inventory is not None
     last = state.placement.last_load
     if last is None:
@@ -283,12 +304,12 @@
 
 
 def handle_answer(state: State, event: OrderAnswered, now: Millis) -> list[Effect]:
-    """Note what came of an order; a stale number ends this node's hold."""
+    """Count the result of an order; a stale fencing number ends this node's hold."""
     lease = state.placement.open_orders.pop(event.order, None)
     if lease is None or event.outcome is not OrderOutcome.STALE:
         return [Count(f"orders.{event.outcome.value}")]
-    # Another holder has been at the engine: this node's lease lapsed without
-    # its noticing. To go on would set two holders' orders against each other.
+    # A newer holder has sent orders to the engine, so this node's lease expired
+    # unnoticed. If this node went on, the orders of two holders would conflict.
     state.leases.holdings.pop(lease, None)
     return [
         Count("orders.stale"),
@@ -297,7 +318,7 @@
 
 
 def apply_lease_records(state: State, event: RecordsRead, now: Millis) -> list[Effect]:
-    """Fold records of the lease stream."""
+    """Fold records of the lease stream into the table of leases."""
     for record in event.records:
         leases.apply_record(state.leases, state.node, record, now)
     return []
--- a/figstep/core/problems.py
+++ b/figstep/core/problems.py
@@ -1,4 +1,4 @@
-"""Final answers other than success, as a caller sees them."""
+"""Problems: final answers to callers other than success."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -16,14 +16,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """A refusal or failure; ``detail`` names the remedy.
+    """Refusal or failure of a request.
 
     Attributes:
         status: HTTP status.
-        code: Stable machine-readable kind, in snake case.
-        detail: What was wrong and what to do about it.
+        code: Stable machine-readable kind of the problem, in snake case.
+        detail: What was wrong, and the remedy.
         ran: Whether the request ran.
-        retry_after: When coming back helps, in milliseconds; None if never.
+        retry_after: Delay after which a retry may succeed, in milliseconds; None if
+            a retry does not help.
     """
 
     status: int
--- a/figstep/core/records.py
+++ b/figstep/core/records.py
@@ -1,21 +1,25 @@
-"""Records of the platform's log."""
+"""Records of the platform's log, and the names of its streams."""
 
 from dataclasses import dataclass
 from typing import Any
 
 CONFIGURATION = "configuration"
+"""Name of the stream of edits and snapshots of the document."""
 CLAIMS = "claims"
+"""Name of the stream of claims on non-idempotent requests."""
 LEASES = "leases"
+"""Name of the stream of leases for sending orders."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogRecord:
-    """A record of a stream.
+    """Record of a stream.
 
     Attributes:
         offset: Position in the stream, from 0.
-        time: When the service took it, in milliseconds since the epoch.
-        data: The record itself, a JSON object.
+        time: Time at which the log service accepted the record, in milliseconds since
+            the epoch.
+        data: Content of the record, a JSON object.
     """
 
     offset: int
--- a/figstep/core/settlement.py
+++ b/figstep/core/settlement.py
@@ -1,4 +1,4 @@
-"""What the claims stream and its follower mean for waiting requests."""
+"""Settlement of waiting requests by records and events of the claims stream."""
 
 from figstep.core import claims, ownership, requests
 from figstep.core.claims import (
@@ -25,12 +25,18 @@
 from figstep.core.state import Phase, RequestState, State
 
 READ_BACK_TIMEOUT = Millis(2 * SECOND)
+"""Longest wait to read back a claim whose append went unanswered, in milliseconds."""
 OUTCOME_RETRY_DELAY = Millis(1 * SECOND)
+"""Delay before an unanswered outcome or release is appended again, in milliseconds."""
 OUTCOME_RETRY_TIMEOUT = Millis(60 * SECOND)
+"""Time after which an unconfirmed outcome or release is dropped, in milliseconds.
+
+It is counted from the first append that went unanswered.
+"""
 
 
 def apply_records(state: State, event: RecordsRead, now: Millis) -> list[Effect]:
-    """Fold records and let the requests that they settle go on."""
+    """Fold records of the claims stream and continue the requests that they settle."""
     effects: list[Effect] = []
     if event.stream != CLAIMS:
         return effects
@@ -52,14 +58,14 @@
 def _settle_won(state: State, record: str, time: int, now: Millis) -> list[Effect]:
     own = state.claims.own.get(record)
     if own is None or own.state is OwnClaimState.OWNED:
-        # A record that the log holds twice wins again once its window has
-        # passed; what it stands for was started by the first.
+        # A record that the log holds twice owns the identity again once its
+        # window is over; its request was started by the first copy.
         return []
     abandoned = own.state is OwnClaimState.ABANDONED
     own.state = OwnClaimState.OWNED
     request = state.requests.get(own.request)
     if abandoned or request is None:
-        # The append took effect after its caller had been told "not run".
+        # The append took effect after the caller was answered with "not run".
         return ownership.release_claim(state, own)
     key_time = own.identity.time
     if key_time is not None and time - key_time > own.identity.window:
@@ -114,14 +120,14 @@
 
 
 def handle_caught_up(state: State, event: StreamCaughtUp) -> list[Effect]:
-    """The claims stream is read to its end: claims can be settled."""
+    """Record that the claims stream is read to its end, so claims can be settled."""
     if event.stream == CLAIMS:
         state.claims.caught_up = True
     return []
 
 
 def handle_unavailable(state: State, event: StreamUnavailable) -> list[Effect]:
-    """Refuse at once what waits for a read-back that cannot come."""
+    """Refuse the requests whose claims cannot be read back, as the stream is down."""
     if event.stream != CLAIMS:
         return []
     state.claims.caught_up = False
@@ -133,10 +139,12 @@
 
 
 def handle_uncertain(state: State, event: AppendUncertain, now: Millis) -> list[Effect]:
-    """Settle an append without an answer by reading, for a short while.
+    """Handle an append that went unanswered.
 
-    Appending again under a new id could leave two claims, the first of which
-    comes to light after the caller was refused.
+    A claim is settled by reading it back within ``READ_BACK_TIMEOUT``. Appending it
+    again under a new id could leave two claims in the log, the first of which might
+    be read only after the caller was refused. An outcome or release is appended
+    again after ``OUTCOME_RETRY_DELAY``.
     """
     unconfirmed = state.claims.unconfirmed.get(event.key)
     if unconfirmed is not None:
@@ -154,16 +162,16 @@
 
 
 def handle_confirmed(state: State, event: AppendConfirmed) -> list[Effect]:
-    """Forget an outcome or release that the log has."""
+    """Discard an outcome or release that the log has confirmed."""
     state.claims.unconfirmed.pop(event.key, None)
     return []
 
 
 def append_outcomes(state: State, now: Millis) -> list[Effect]:
-    """Append again what may not be in the log, for a bounded time.
+    """Append unanswered outcomes and releases again, for a bounded time.
 
-    A lost outcome leaves other entries' duplicates with "unknown". The fold
-    takes the first record of an id, so a second one does no harm.
+    If an outcome is lost, duplicates at other entries are answered with "unknown".
+    The fold applies only the first record of an id, so a second one is harmless.
     """
     effects: list[Effect] = []
     for key, unconfirmed in list(state.claims.unconfirmed.items()):
@@ -186,7 +194,7 @@
 
 
 def expire_claim(state: State, timer: ClaimTimer) -> list[Effect]:
-    """End a wait for a read-back, or for another entry's outcome."""
+    """End the wait of a request for its read-back or for another request's outcome."""
     request = state.requests.get(timer.request)
     if request is None or request.phase is not Phase.CLAIMING:
         return []
--- a/figstep/core/watch.py
+++ b/figstep/core/watch.py
@@ -1,4 +1,4 @@
-"""Engines whose load reports an entry reads."""
+"""Selection of the engines whose load reports an entry reads."""
 
 from figstep.core import leases
 from figstep.core.clock import Millis
@@ -10,10 +10,14 @@
 
 
 def list_watched(state: State, now: Millis) -> list[EngineInfo]:
-    """Return the engines that this entry sends work or orders to.
+    """Return the engines to which this entry sends work or orders.
 
-    Reading the reports of all engines would cost an entry of a large fleet
-    many times its budget for control.
+    In a large fleet, reading the reports of all engines would cost an entry many
+    times its budget for control traffic.
+
+    Args:
+        state: State of this entry.
+        now: Monotonic time, in milliseconds.
     """
     if state.inventory is None:
         return []
