--- a/tests/core/entries.py
+++ b/tests/core/entries.py
@@ -1,4 +1,4 @@
-"""One entry's state without edges: events in, effects out."""
+"""Test harness of the core: one entry's state; events go in, effects come out."""
 
 import random
 from typing import TypeVar
@@ -20,11 +20,17 @@
 from figstep.core.specs import GenerationWork, RequestSpec, ServiceWork
 from figstep.core.state import State
 
-EffectType = TypeVar("Kind", bound=Effect)
+EffectType = TypeVar("EffectType", bound=Effect)
 
 
 def make_inventory(engines: int = 2, window: Millis | None = None) -> Inventory:
-    """Return engines e1, e2 ... and services s1 and s2 with an order rule."""
+    """Return engines e1, e2, ... and services s1 and s2 with a rule for orders.
+
+    Args:
+        engines: Number of engines.
+        window: Milliseconds for which equal bodies are one order, None for no such
+            window.
+    """
     names = [f"e{number}" for number in range(1, engines + 1)]
     rule = NonIdempotentRule("shop", path="/orders", digest_window=window)
     return Inventory(
@@ -37,7 +43,7 @@
 
 
 class Entry:
-    """State of one entry, its time and the effects of the last event."""
+    """State of one entry, its current time and the effects of the last event."""
 
     def __init__(
         self, node: str = "n1", seed: int = 1, inventory: Inventory | None = None
@@ -49,26 +55,26 @@
 
     @property
     def claims(self) -> ClaimTable:
-        """The folded claims."""
+        """The entry's table of claims."""
         return self.state.claims
 
     def feed(self, event: Event, after: int = 0) -> list[Effect]:
-        """Reduce an event ``after`` milliseconds later."""
+        """Reduce an event ``after`` milliseconds later and return its effects."""
         self.now = Millis(self.now + after)
         self.effects = reduce(self.state, event, self.now)
         return self.effects
 
     def catch_up(self) -> None:
-        """Let the claims stream be read to its end."""
+        """Report that the claims stream was read to its end."""
         self.feed(StreamCaughtUp(CLAIMS))
 
     def start(self, request: str = "r1", digest: str = "d", stream: bool = True) -> int:
-        """Start a generation and return its attempt."""
+        """Start a generation and return the number of its attempt."""
         spec = RequestSpec(
             request, "demo", GenerationWork("m"), stream=stream, digest=digest
         )
         self.feed(RequestArrived(spec))
-        return self.take(OpenAttempt).attempt
+        return self.find_effect(OpenAttempt).attempt
 
     def order(self, request: str, key: str | None = "k", digest: str = "d") -> None:
         """Send a non-idempotent order."""
@@ -79,23 +85,23 @@
         self.feed(RequestArrived(spec))
 
     def deliver(self, attempt: int, first: int, count: int = 1) -> list[Effect]:
-        """Let tokens of the attempt's own generation come."""
+        """Deliver ``count`` tokens of an attempt's own generation."""
         generation = self.state.attempts[attempt].generation
         frames = [b"%d" % index for index in range(first, first + count)]
         return self.feed(TokensArrived(attempt, generation, first, frames))
 
     def find_effects(self, kind: type[EffectType]) -> list[EffectType]:
-        """Return the last effects of one kind."""
+        """Return the effects of a type among those of the last event."""
         return [effect for effect in self.effects if isinstance(effect, kind)]
 
-    def take(self, kind: type[EffectType]) -> EffectType:
-        """Return the only one of the last effects of one kind."""
+    def find_effect(self, kind: type[EffectType]) -> EffectType:
+        """Return the only effect of a type among those of the last event."""
         found = self.find_effects(kind)
         assert len(found) == 1, self.effects
         return found[0]
 
     def find_attempt(self, request: str) -> int:
-        """Return the open attempt of a request."""
+        """Return the number of a request's open attempt."""
         attempt = self.state.requests[request].attempt
         assert attempt is not None
         return attempt
--- a/tests/core/test_budgets.py
+++ b/tests/core/test_budgets.py
@@ -1,4 +1,4 @@
-"""Retry budget: a share of successes."""
+"""Tests of the retry budget, which grows with successes."""
 
 from figstep.core.budgets import INITIAL_RETRIES, MAX_RETRIES, RETRY_SHARE, RetryBudget
 from figstep.core.effects import OpenAttempt, Refuse
@@ -19,10 +19,11 @@
 
 
 def test_failing_pool_is_not_sent_a_multiple_of_its_load() -> None:
-    """Every target breaks each connection before its first token.
+    """Guards against a failing pool that gets a multiple of its load as retries.
 
-    The first requests are tried elsewhere from the reserve; then each request
-    is sent once and its caller is told at once that it may have run.
+    Every target breaks each connection before its first token. The first requests are
+    retried from the reserve; after that each request is sent once, and its caller
+    learns at once that it may have run.
     """
     entry = Entry(inventory=make_inventory(engines=4))
     opened = refused = 0
--- a/tests/core/test_changes.py
+++ b/tests/core/test_changes.py
@@ -1,4 +1,4 @@
-"""Differences between documents, and applying them."""
+"""Tests of computing and applying the differences between documents."""
 
 from typing import Any
 
--- a/tests/core/test_claims_properties.py
+++ b/tests/core/test_claims_properties.py
@@ -1,4 +1,4 @@
-"""At most one dispatch of an order, and a true "not run", under any faults."""
+"""Property tests: under any faults an order runs at most once and "not run" is true."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -42,10 +42,15 @@
 
 ENTRIES = 2
 WINDOW = Millis(4_000)
+"""Milliseconds for which orders with equal bodies are one order."""
+
 PROVEN_NOT_RUN = (Loss.CONNECT_FAILED, Loss.REFUSED)
+"""Losses that prove that the request did not run."""
+
 LOSSES = (*PROVEN_NOT_RUN, Loss.BROKEN, Loss.TRUNCATED, Loss.FAILED)
 
 BODIES = ["x", "x", "generation", "y"]
+"""Bodies to draw from; x is listed twice so that it is drawn more often."""
 
 entries = st.integers(0, ENTRIES - 1)
 picks = st.integers(0, 7)
@@ -53,7 +58,7 @@
 
 @dataclass(slots=True)
 class Node:
-    """One entry with its place in the log and its unanswered appends."""
+    """An entry with its position in the log, appends, timers and open attempts."""
 
     entry: Entry
     read: int = 0
@@ -64,14 +69,14 @@
 
 @dataclass(slots=True)
 class Dispatch:
-    """An order that went out and is not proved not to have run."""
+    """An order that was sent and is not proven not to have run."""
 
     at: int
     request: str
 
 
 def make_spec(request: str, body: str) -> RequestSpec:
-    """Return an order of a service, or a generation that runs once."""
+    """Return an order to a service, or a non-idempotent generation."""
     if body == "generation":
         work = GenerationWork("m")
         return RequestSpec(
@@ -82,7 +87,7 @@
 
 
 class ClaimsMachine(RuleBasedStateMachine):
-    """Orders through two entries that crash, pause and lose the log."""
+    """Orders through two entries that crash, pause and lose access to the log."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -155,6 +160,7 @@
 
     @rule(number=entries)
     def append_confirmed(self, number: int) -> None:
+        """Store an entry's oldest append and confirm it."""
         node = self.nodes[number]
         if node.appends:
             effect = node.appends.pop(0)
@@ -163,6 +169,7 @@
 
     @rule(number=entries, fate=st.sampled_from(["taken", "dropped", "late"]))
     def append_answer_lost(self, number: int, fate: str) -> None:
+        """Store, drop or delay an entry's oldest append, and report it as uncertain."""
         node = self.nodes[number]
         if not node.appends:
             return
@@ -176,6 +183,7 @@
     @precondition(lambda self: self.delayed_records)
     @rule(pick=picks)
     def late_append_stored(self, pick: int) -> None:
+        """Store a record whose append was delayed."""
         self._append_to_log(
             [self.delayed_records.pop(pick % len(self.delayed_records))]
         )
@@ -183,6 +191,7 @@
     @precondition(lambda self: self.log)
     @rule(pick=picks)
     def record_is_repeated(self, pick: int) -> None:
+        """Store an earlier record once more."""
         self._append_to_log([self.log[-1 - pick % len(self.log)].data])
 
     @rule(number=entries, count=st.integers(1, 4))
@@ -200,18 +209,21 @@
 
     @rule(number=entries)
     def log_works(self, number: int) -> None:
+        """Confirm an entry's appends and let it read the log to its end."""
         while self.nodes[number].appends:
             self.append_confirmed(number)
         self.read_all(number)
 
     @rule(number=entries, body=st.sampled_from(BODIES))
     def order_dispatched(self, number: int, body: str) -> None:
+        """Send an order through an entry whose log works."""
         self.read_all(number)
         self.send_order(number, body)
         self.log_works(number)
 
     @rule(number=entries, pause=st.sampled_from([1_900, 2_100, 4_100]))
     def owner_is_paused(self, number: int, pause: int) -> None:
+        """Pause an entry after its claim, while the other entry gets the same order."""
         self.read_all(number)
         self.send_order(number, "x")
         while self.nodes[number].appends:
@@ -222,6 +234,7 @@
 
     @rule(number=entries)
     def deadline_passes(self, number: int) -> None:
+        """Send an order and let its deadline pass."""
         self.order_dispatched(number, "y")
         self.now += 60_000
         self.timers_fire(number)
@@ -232,6 +245,7 @@
 
     @rule(number=entries, late=st.booleans())
     def crash(self, number: int, late: bool) -> None:
+        """Replace an entry with a new one; its appends are lost or stored later."""
         for effect in self.nodes[number].appends:
             if late:
                 self.delayed_records += effect.records
--- a/tests/core/test_configuration.py
+++ b/tests/core/test_configuration.py
@@ -1,4 +1,4 @@
-"""The fold of the configuration stream."""
+"""Tests of folding the configuration stream into the document in force."""
 
 from dataclasses import replace
 from typing import Any
@@ -41,10 +41,10 @@
 
 
 def test_racing_edits_accept_exactly_one() -> None:
-    """Two operators start from the same document and both publish.
+    """Guards against two concurrent edits that are both accepted.
 
-    Both records are in the log; the first by offset is in force and the
-    second is refused with the winner named, at every node alike.
+    Two operators publish from the same document. Both records are in the log; the first
+    by offset comes into force, and every node refuses the second and names the first.
     """
     state = State("a")
     effects = feed(state, build_edit(0, -1), build_edit(1, 0), build_edit(2, 0))
@@ -60,11 +60,11 @@
 
 
 def test_unknown_validation_version_stalls_until_a_checkpoint() -> None:
-    """An older program reads an edit made for newer validation rules.
+    """Guards against an older program that diverges from newer nodes.
 
-    It cannot tell whether the others accepted it, so it keeps its document
-    and judges nothing after it; judging the next edit by its base could make
-    it differ from every newer node. A later checkpoint ends the wait.
+    The program reads an edit made for newer validation rules and cannot know whether
+    the others accepted it. It keeps its document and evaluates no later edit either,
+    since those depend on that one. A later checkpoint resolves the stall.
     """
     state = State("a")
     unknown = build_edit(1, 0, inventory=None, known=False, validation=2)
@@ -78,11 +78,11 @@
 
 
 def test_start_after_truncation_needs_a_snapshot_that_joins_on() -> None:
-    """A fresh node finds the log's beginning gone.
+    """Guards against a new node that takes a stale edit for the first document.
 
-    A stale edit made from nothing must not be taken as the first document.
-    The snapshot stands for offset 4 at position 5, so the node reads again
-    from 6 and judges the edit that came between snapshot and its record.
+    The beginning of the log is truncated, and an edit based on no document must not be
+    accepted. The snapshot stands for offset 4 at position 5, so the node reads again
+    from 6 and evaluates the edit between the snapshot's position and its record.
     """
     state = State("a")
     feed(state, build_edit(6, 4), build_edit(7, -1))
@@ -151,7 +151,7 @@
 
 
 class FoldMachine(RuleBasedStateMachine):
-    """Nodes that read one list late, lossily and past truncation."""
+    """Nodes that read one log late, with lost answers and after truncation."""
 
     NODES = 3
 
@@ -181,7 +181,7 @@
 
     @rule(back=strategies.integers(0, 2), valid=strategies.booleans())
     def publish(self, back: int, valid: bool) -> None:
-        """An operator publishes from the document in force, or from a stale one."""
+        """Publish an edit based on the document in force, or on an older one."""
         base = self.history[max(0, len(self.history) - 1 - back)]
         offset = len(self.records)
         edit = build_edit(offset, base, inventory=Inventory() if valid else None)
@@ -189,7 +189,7 @@
 
     @rule(number=strategies.integers(0, NODES - 1))
     def snapshot(self, number: int) -> None:
-        """A node that may lag appends a snapshot."""
+        """Let a node, which may lag, append a snapshot."""
         fold = self.nodes[number].configuration
         if fold.current is None:
             return
@@ -199,7 +199,7 @@
 
     @rule(number=strategies.integers(0, NODES - 1), count=strategies.integers(1, 4))
     def read(self, number: int, count: int) -> None:
-        """A node reads on; what the log dropped is passed over."""
+        """Let a node read on; truncated records are skipped."""
         for _ in range(count):
             offset = max(self.next[number], self.earliest)
             if offset >= len(self.records):
@@ -209,19 +209,19 @@
 
     @rule(number=strategies.integers(0, NODES - 1))
     def read_again(self, number: int) -> None:
-        """A lost answer makes a node read what it has read."""
+        """Let a node read records again, as after a lost answer."""
         self.next[number] = max(self.earliest, self.next[number] - 2)
 
     @rule(keep=strategies.integers(0, 3))
     def truncate(self, keep: int) -> None:
-        """The log drops its oldest records."""
+        """Drop the oldest records of the log and keep the newest ``keep``."""
         self.earliest = max(self.earliest, len(self.records) - keep)
 
     @rule(
         provider=strategies.integers(0, NODES - 1), recipient=strategies.integers(0, 2)
     )
     def offer(self, provider: int, recipient: int) -> None:
-        """A peer gives its checkpoint, perhaps an old one."""
+        """Let a node offer its checkpoint, perhaps an old one, to another."""
         fold = self.nodes[provider].configuration
         if fold.current is None:
             return
@@ -230,7 +230,7 @@
 
     @rule(number=strategies.integers(0, NODES - 1))
     def restart(self, number: int) -> None:
-        """A node is replaced; the new one knows nothing."""
+        """Replace a node with one that has an empty state."""
         self.nodes[number] = State(f"n{number}")
         self.next[number] = 0
         self.accepted_offsets[number] = [-1]
@@ -238,7 +238,7 @@
     @precondition(lambda self: self.reference.configuration.current is not None)
     @rule(number=strategies.integers(0, NODES - 1))
     def settle(self, number: int) -> None:
-        """After a snapshot that joins on, every node reaches the same document."""
+        """Check that a node reaches the reference document after a fitting snapshot."""
         fold = self.reference.configuration
         assert fold.current is not None
         checkpoint = replace(fold.current, position=fold.position)
--- a/tests/core/test_crashes.py
+++ b/tests/core/test_crashes.py
@@ -1,4 +1,4 @@
-"""Tests of requests that crash targets, told from those beside them."""
+"""Tests of finding the requests that crash targets among those running beside them."""
 
 from figstep.core.clock import Millis
 from figstep.core.crashes import (
@@ -16,7 +16,7 @@
 def record_crash(
     table: CrashTable, incarnation: str, *digests: str, at: int = NOW
 ) -> None:
-    """Let requests be at a target that crashes."""
+    """Record requests that were in flight at a target as it crashed."""
     for digest in digests:
         table.record_suspicion(Suspicion(digest, incarnation), Millis(at))
 
@@ -42,7 +42,7 @@
 
 
 def test_a_neighbour_at_two_crashes_is_not_refused() -> None:
-    """Guards against a read that was sent on to where the same request went."""
+    """Guards against refusing a read retried where the crashing request went next."""
     table = CrashTable()
     for number in range(4):
         record_crash(table, f"b-{number}@1", "killer")
@@ -69,7 +69,7 @@
 
 
 def test_two_killers_at_once_are_both_refused() -> None:
-    """Guards against requests that shield each other."""
+    """Guards against crashing requests that hide each other."""
     table = CrashTable()
     for number in range(4):
         record_crash(
@@ -82,7 +82,7 @@
 
 
 def test_more_crashes_are_required_where_targets_crash_often() -> None:
-    """Guards against a request refused that met two of many targets that flap."""
+    """Guards against refusing a request that met two of many crash-looping targets."""
     table = CrashTable()
     for number in range(6):
         record_crash(table, f"b-{number}@1", f"beside {number}", at=NOW + 200 * number)
@@ -95,7 +95,7 @@
 
 
 def test_crashes_count_whose_suspects_have_all_run() -> None:
-    """Guards against the last of those at a lost domain that is left suspected."""
+    """Guards against suspecting the last uncleared request of a lost failure domain."""
     table = CrashTable()
     for number in range(3):
         record_crash(table, f"b-{number}@1", f"beside {number}")
@@ -110,7 +110,7 @@
     record_crash(table, "b-1@1", "good")
     assert table.clear("good", Millis(NOW + 10), Millis(NOW + 10))
     assert not table.clear("good", Millis(NOW + 20), Millis(NOW + 20))
-    # Told late by an entry that had not heard of the answer.
+    # Reported late by an entry that did not know of the answer.
     late = Suspicion("good", "b-2@1", Millis(30))
     assert not table.record_suspicion(late, Millis(NOW + 40))
     record_crash(table, "b-3@1", "good", at=NOW + 50)
@@ -138,7 +138,7 @@
 
 
 def test_suspicions_that_prove_a_request_are_sent_first() -> None:
-    """Guards against crashes that drop out of messages as a domain is lost."""
+    """Guards against decisive crashes crowded out of messages as a domain is lost."""
     table = CrashTable()
     record_crash(table, "b-1@1", "killer")
     record_crash(table, "b-2@1", "killer")
--- a/tests/core/test_finishes.py
+++ b/tests/core/test_finishes.py
@@ -1,4 +1,4 @@
-"""Which last events a whole answer can end with."""
+"""Tests of recognizing whether an answer's last event is a final one."""
 
 import pytest
 
--- a/tests/core/test_generations_properties.py
+++ b/tests/core/test_generations_properties.py
@@ -1,4 +1,4 @@
-"""A caller sees indexes 1 to n of one generation, under any faults."""
+"""Property tests: a caller gets events 1 to n of one generation, under any faults."""
 
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
@@ -31,11 +31,13 @@
 from tests.core.entries import Entry, make_inventory
 
 LENGTH = 6
+"""Number of events in each complete generation."""
+
 picks = st.integers(0, 9)
 
 
 class Caller:
-    """What one caller has been handed."""
+    """The events that one caller has received."""
 
     def __init__(self, stream: bool) -> None:
         self.stream = stream
@@ -44,7 +46,7 @@
 
 
 class GenerationsMachine(RuleBasedStateMachine):
-    """Several generations on targets that lose, repeat and cross events."""
+    """Generations on targets that lose, repeat and mix up events."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -100,12 +102,14 @@
 
     @rule(pick=picks, other=picks, count=st.integers(1, 4))
     def answers_cross(self, pick: int, other: int, count: int) -> None:
+        """Deliver events of one generation over an attempt of another."""
         if self.attempts:
             attempt, generation = self._pick(pick)[0], self._pick(other)[1]
             self._deliver(attempt, generation, 1, count)
 
     @rule(pick=picks, count=st.integers(1, LENGTH))
     def next_events_arrive(self, pick: int, count: int) -> None:
+        """Deliver the events that follow those already delivered."""
         if not self.attempts:
             return
         attempt, generation, name = self._pick(pick)
@@ -137,6 +141,7 @@
 
     @rule(stream=st.booleans(), count=st.integers(1, LENGTH))
     def target_dies(self, stream: bool, count: int) -> None:
+        """Start a request and lose it again and again, as when its target has died."""
         self.send(stream)
         if not self.attempts:
             return
--- a/tests/core/test_leases.py
+++ b/tests/core/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: one holder at a time, and fencing for one that was paused."""
+"""Tests of leases: one holder at a time, and fencing of paused holders."""
 
 import pytest
 from hypothesis import settings
@@ -47,11 +47,11 @@
 
 
 def test_a_renewal_read_back_after_the_release_holds_nothing() -> None:
-    """Two entries would give orders to the engines of a failure domain.
+    """Guards against two entries that give orders to the same engines.
 
-    An entry renews its lease, then releases it; the log holds both. It reads
-    the renewal back first and would hold the lease again, while another entry
-    has read the release and taken it.
+    An entry renews its lease and then releases it; the log holds both records. It reads
+    the renewal back first and must not hold the lease again, because another entry may
+    have read the release and acquired the lease.
     """
     machine = LeaseMachine()
     machine.append(lost=False, node="b", release=False)
@@ -72,10 +72,10 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Three nodes, a list as the log, one clock, an engine that checks.
+    """Three nodes, a list as the log, one clock and an engine that checks fencing.
 
-    Nodes append (the answer may be lost: only reading back counts), read late
-    and act late, as after a pause. Orders arrive at the engine in any order.
+    Nodes append records whose answers may be lost, so that only reading back counts.
+    They read and act late, as after a pause. Orders arrive at the engine in any order.
     """
 
     NODES = ("a", "b", "c")
--- a/tests/core/test_lengths.py
+++ b/tests/core/test_lengths.py
@@ -1,4 +1,4 @@
-"""Estimates of the lengths of answers."""
+"""Tests of estimating the lengths of answers."""
 
 import random
 
@@ -33,10 +33,10 @@
 
 
 def test_a_long_generation_is_expected_to_get_longer() -> None:
-    """Most answers are short, a few very long.
+    """Guards against underestimating generations that have outlived the short ones.
 
-    A generation that has outlived the short ones is one of the long ones, so
-    what remains of it is expected to grow although tokens came.
+    Most answers are short and a few are very long. Once a generation is longer than the
+    short ones, its expected remaining length grows, although it has sent tokens.
     """
     table = LengthTable()
     for _ in range(90):
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: liveness, leaving marks, counts and documents among entries."""
+"""Tests of membership: liveness, leaving marks, counts and documents of entries."""
 
 import random
 from dataclasses import replace
@@ -40,7 +40,7 @@
 )
 
 NUMBER_WITHOUT_ZERO_BYTES = 0x7EDC_BA98_7654_3210
-"""A number without zero bytes, which the packing could leave out."""
+"""An integer without zero bytes, which a packed message cannot shorten."""
 
 
 def make_state(members: int = 0, targets: int = 2) -> State:
@@ -57,6 +57,7 @@
 def build_gossip_event(
     sender: str, address: str = "127.0.0.1:2", **members: object
 ) -> object:
+    """Return the event of a received gossip message with the given members."""
     gossip = Gossip(sender, address, 5, 1, wants_answer=False)
     return GossipReceived(replace(gossip, **members))  # type: ignore[arg-type]
 
@@ -66,14 +67,16 @@
 
 
 def list_sent(effects: list[Effect]) -> list[SendGossip]:
+    """Return the gossip messages among some effects."""
     return [effect for effect in effects if isinstance(effect, SendGossip)]
 
 
 def test_silent_entry_is_suspected_then_gone_and_returns_when_it_speaks() -> None:
-    """A peer answers nothing for seconds, then its link comes back.
+    """Guards against a peer that stays removed after its connection is restored.
 
-    It is suspected, then gone. Its next message of the same incarnation does
-    not revive it; the answer tells it so, and it comes with a newer one.
+    A peer is silent for seconds; it is suspected and then gone. Its next message with
+    the same incarnation does not revive it. The answer reports its status to it, and it
+    returns with a newer incarnation.
     """
     state = make_state(members=1)
     statuses = []
@@ -99,11 +102,11 @@
 
 
 def test_leaving_mark_is_sent_on_at_once_and_once() -> None:
-    """A target tells one entry that it leaves.
+    """Guards against work sent to a leaving target by entries that do not know it yet.
 
-    The others give it work until they know. The mark crosses the fleet in a
-    few datagrams' time because each entry to whom it is news sends it on; an
-    entry that knows it already stays silent, so the flood ends.
+    A target reports to one entry that it leaves. Each entry to which the mark is new
+    forwards it at once, so it crosses the fleet in a few messages' time. An entry that
+    already has the mark does not forward it, which ends the flood.
     """
     state = make_state(members=8)
     mark = LeavingMark("engine-1", 3)
@@ -214,10 +217,11 @@
 
 
 def test_a_list_without_incarnations_counts_while_it_says_so() -> None:
-    """The platform's list names no incarnations and calls a target leaving.
+    """Guards against new work for a target that the platform lists as leaving.
 
-    The target has told its own incarnation, so the line looks older than it;
-    were it passed over, the target would get new work until it is gone.
+    The platform's list has no incarnations. The target has reported its own, so the
+    listed line looks older; if it were ignored, the target would get new work until it
+    is gone.
     """
     state = make_state(members=1)
     target = state.targets["engine-0"]
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: what a holder orders, and when it holds back."""
+"""Tests of placement: the orders of a lease holder, and when it gives none."""
 
 import random
 
@@ -54,10 +54,10 @@
 
 
 def test_an_old_version_is_kept_until_the_new_one_serves_everywhere() -> None:
-    """A model gets a new version.
+    """Guards against lost capacity while a model gets a new version.
 
-    Unloading the old one first would leave callers without capacity while the
-    weights load, so unloads wait until all wanted engines have the new one.
+    Unloading the old version first would leave callers without capacity while the
+    weights load. Unloads wait until all desired engines have the new version.
     """
     model = ModelInfo("m", "2")
     first = plan(model, 3, {"m@1"}, {"m@1"}, {"m@1"})
@@ -84,7 +84,7 @@
 
 
 def acquire_lease(state: State, now: int) -> int:
-    """Run rounds until the lease is asked for and read back; return the time."""
+    """Run rounds until the lease was requested and read back; return the time."""
     for _ in range(20):
         effects = placement.run_round(state, Millis(now))
         for effect in effects:
@@ -94,10 +94,11 @@
                 placement.apply_lease_records(state, event, Millis(now))
                 return now
         now += placement.ROUND_INTERVAL
-    raise AssertionError("no lease was asked for")
+    raise AssertionError("no lease was requested")
 
 
 def list_orders(state: State, now: int) -> list[SendOrder]:
+    """Run a round and return the orders that it gives."""
     effects = placement.run_round(state, Millis(now))
     return [effect for effect in effects if isinstance(effect, SendOrder)]
 
@@ -117,11 +118,11 @@
 
 
 def test_a_new_holder_waits_for_engines_that_ignore_numbers() -> None:
-    """The last holder was paused in the middle of an order.
+    """Guards against a paused holder whose order overrides a newer one.
 
-    An engine that ignores fencing numbers obeys it when it wakes. The new
-    holder waits a whole term and the longest order, and only then orders, so
-    its own statement comes last.
+    The last holder was paused while giving an order, and an engine that ignores fencing
+    numbers obeys it when the holder resumes. The new holder waits for a whole lease
+    term and the longest order first, so that its own order comes last.
     """
     state = make_state(checks_fencing=False)
     now = acquire_lease(state, 0)
@@ -136,10 +137,11 @@
 
 
 def test_a_stale_fencing_number_ends_the_holding() -> None:
-    """A holder's lease lapsed while it was paused; another has ordered since.
+    """Guards against a holder that gives orders after its lease was taken over.
 
-    The engine refuses its number. It must stop at once, not go on until its
-    own clock tells.
+    The holder was paused, its lease lapsed, and another one has given orders. When an
+    engine refuses its fencing number, it stops at once and does not wait for its own
+    clock to show that the lease has lapsed.
     """
     state = make_state()
     now = acquire_lease(state, 0)
--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that kill targets, and their innocent neighbours."""
+"""Tests of quarantining requests that crash targets, and of clearing others."""
 
 from figstep.core import quarantine
 from figstep.core.clock import Millis
@@ -24,24 +24,25 @@
 
 
 def list_suspected(entry: Entry) -> set[str]:
-    """Return the requests that were in flight where a target died."""
+    """Return the digests of requests that were in flight where a target died."""
     return set(entry.state.quarantine.crashes.list_suspected())
 
 
 def record_crash(entry: Entry, digest: str, death: str) -> None:
-    """Let a request be in flight at a target that died elsewhere."""
+    """Record a request as in flight at a target that died at another entry."""
     entry.state.quarantine.crashes.record_suspicion(Suspicion(digest, death), entry.now)
 
 
 def answer_attempt(entry: Entry, request: str) -> None:
+    """Report that the target of a request's attempt has answered."""
     entry.feed(AttemptAnswered(entry.find_attempt(request)))
 
 
 def test_a_request_is_refused_after_it_killed_two_targets() -> None:
-    """A request crashes the engine that runs it, and its caller sends it again.
+    """Guards against a request that crashes engine after engine as it is retried.
 
-    The second death, where it was the only suspect, proves it; the third
-    sending is refused before it reaches a target.
+    The second crash, at which it is the only suspect, proves it; the third try is
+    refused before it reaches a target.
     """
     entry = Entry(inventory=make_inventory(engines=3))
     entry.start("r1", digest="killer", stream=False)
@@ -49,19 +50,20 @@
     lose_for_good(entry, "r1")
     answer_attempt(entry, "r1")
     lose_for_good(entry, "r1")
-    assert entry.take(Refuse).problem.code == "request_quarantined"
+    assert entry.find_effect(Refuse).problem.code == "request_quarantined"
     assert entry.find_effects(OpenAttempt) == []
     spec = RequestSpec("r2", "demo", GenerationWork("m"), digest="killer")
     entry.feed(RequestArrived(spec))
-    problem = entry.take(Refuse).problem
+    problem = entry.find_effect(Refuse).problem
     assert problem.retry_after == entry.state.quarantine.until["killer"] - entry.now
 
 
 def test_neighbours_of_a_killer_go_on_and_are_cleared() -> None:
-    """A killer and an innocent request share the engine that dies.
+    """Guards against quarantining an innocent request that shared an engine.
 
-    Both become suspects and are retried on different targets. The killer's
-    death there proves it; the innocent one ends whole and is forgotten.
+    A crashing and an innocent request run at the engine that dies. Both become suspects
+    and are retried on different targets. The crash there proves the first one; the
+    innocent one completes and is cleared.
     """
     entry = Entry(inventory=make_inventory(engines=3))
     entry.start("bad", digest="killer", stream=False)
@@ -98,7 +100,7 @@
     entry.deliver(entry.find_attempt("r1"), 1)
     entry.feed(AttemptEnded(entry.find_attempt("r1")))
     entry.feed(TimerFired(QueueTimer()))
-    assert entry.take(OpenAttempt).request == "r2"
+    assert entry.find_effect(OpenAttempt).request == "r2"
 
 
 def test_two_suspects_at_the_same_crashes_are_not_proved() -> None:
@@ -114,9 +116,10 @@
 
 
 def test_one_death_is_counted_once() -> None:
-    """A death shows by broken streams first and by a new incarnation later.
+    """Guards against counting one crash twice.
 
-    What was started on the new incarnation meanwhile had no part in it.
+    A crash shows first by broken streams and later by a new incarnation. Requests
+    started on the new incarnation in between were not part of it.
     """
     entry = Entry(inventory=make_inventory(engines=1))
     entry.feed(LoadReported("e1", incarnation=1))
@@ -156,10 +159,11 @@
 
 
 def test_shared_digests_end_everywhere() -> None:
-    """Two entries repeat to each other what they refuse, half a second late.
+    """Guards against a quarantine that lasts longer with each exchange.
 
-    The time on the way is added at each hop; were every longer time taken, the
-    digest would be refused for half as long again.
+    Two entries repeat to each other which digests they refuse, with a delay of half a
+    second that is added at each hop. If an entry adopted every longer time, a digest
+    would be refused for half as long again.
     """
     first, second = Quarantine(), Quarantine()
     quarantine.quarantine_digest(first, "d", Millis(60_000), Millis(0))
--- a/tests/core/test_queues.py
+++ b/tests/core/test_queues.py
@@ -1,4 +1,4 @@
-"""Order of the queue: priority, customers' shares, expected length."""
+"""Tests of the queue's order by priority, customers' shares and expected length."""
 
 import random
 
@@ -15,6 +15,7 @@
 
 
 def pop(queue: RequestQueue, cost: float = 1.0, share: float = 1.0) -> str:
+    """Remove the next request from the queue, charge its cost and return its name."""
     spec = queue.peek("m")
     assert spec is not None
     queue.remove(spec.request)
@@ -30,9 +31,10 @@
 
 
 def test_waiting_makes_up_for_length() -> None:
-    """One long request waits while short ones keep coming.
+    """Guards against a long request that starves while short ones keep arriving.
 
-    They go first for a time that its length sets, then it is its turn.
+    The short ones go first for a time that depends on the length of the long one; then
+    it is its turn.
     """
     queue = RequestQueue()
     queue.add(make_spec("long"), 1_000, 1, Millis(0))
--- a/tests/core/test_recovery.py
+++ b/tests/core/test_recovery.py
@@ -1,4 +1,4 @@
-"""Tokens, losses, silence: what reaches the caller and what is retried."""
+"""Tests of handling tokens, losses and silence, and of retries and resumes."""
 
 from figstep.core.effects import (
     CancelGeneration,
@@ -33,7 +33,7 @@
 
 
 def lose_for_good(entry: Entry, request: str) -> None:
-    """Lose an attempt and all resumes of it, as when its target has died."""
+    """Lose an attempt and all of its resumes, as when its target has died."""
     entry.feed(AttemptLost(entry.find_attempt(request), Loss.BROKEN))
     for _ in range(MAX_RESUMES - 1):
         entry.feed(AttemptLost(entry.find_attempt(request), Loss.CONNECT_FAILED))
@@ -46,16 +46,17 @@
     attempt = entry.start()
     entry.deliver(attempt, 1, 3)
     entry.feed(AttemptLost(attempt, Loss.BROKEN))
-    resumed = entry.take(ResumeAttempt)
+    resumed = entry.find_effect(ResumeAttempt)
     assert resumed.after == 3
     entry.deliver(resumed.attempt, 2, 4)
-    assert entry.take(Deliver).frames == [b"4", b"5"]
+    assert entry.find_effect(Deliver).frames == [b"4", b"5"]
 
 
 def test_events_of_a_closed_attempt_are_dropped() -> None:
-    """The old connection still has events in its buffer after a resume.
+    """Guards against events that a caller receives twice after a resume.
 
-    The new one brings them too; the caller would see them twice.
+    The old connection still has events in its buffer, and the new one delivers the same
+    events.
     """
     entry = Entry()
     attempt = entry.start()
@@ -74,7 +75,7 @@
     other = entry.state.attempts[second].generation
     entry.feed(TokensArrived(first, other, 1, [b"1"]))
     assert entry.find_effects(Deliver) == []
-    assert entry.take(ResumeAttempt).request == "r1"
+    assert entry.find_effect(ResumeAttempt).request == "r1"
 
 
 def test_a_gap_is_filled_by_a_resume() -> None:
@@ -83,30 +84,31 @@
     entry.deliver(attempt, 1)
     entry.deliver(attempt, 3)
     assert entry.find_effects(Deliver) == []
-    assert entry.take(ResumeAttempt).after == 1
+    assert entry.find_effect(ResumeAttempt).after == 1
 
 
 def test_a_whole_answer_is_restarted_unseen_when_its_target_dies() -> None:
-    """An engine dies late in an answer that is gathered for the caller.
+    """Guards against failing a non-streamed request that can be restarted.
 
-    Nothing has reached the caller, so what was gathered is dropped and the
-    request starts anew elsewhere; the caller only waits longer.
+    An engine dies late in an answer that is collected for the caller. Nothing has
+    reached the caller, so the collected events are dropped and the request starts again
+    on another target; the caller only waits longer.
     """
     entry = Entry()
     entry.deliver(entry.start(stream=False), 1, 50)
     lost = entry.state.requests["r1"].target
     lose_for_good(entry, "r1")
-    assert entry.take(OpenAttempt).target != lost
+    assert entry.find_effect(OpenAttempt).target != lost
     assert entry.find_effects(DiscardDelivered)
     entry.deliver(entry.find_attempt("r1"), 1, 2)
-    assert entry.take(Deliver).frames == [b"1", b"2"]
+    assert entry.find_effect(Deliver).frames == [b"1", b"2"]
 
 
 def test_a_stream_that_cannot_be_resumed_ends_with_a_problem() -> None:
     entry = Entry()
     entry.deliver(entry.start(), 1)
     lose_for_good(entry, "r1")
-    problem = entry.take(Refuse).problem
+    problem = entry.find_effect(Refuse).problem
     assert (problem.code, problem.ran) == ("generation_lost", Ran.YES)
     assert entry.state.requests == {}
 
@@ -122,16 +124,17 @@
             entry.feed(TimerFired(QueueTimer()))
             continue
         entry.feed(AttemptLost(request.attempt, Loss.REFUSED))
-    problem = entry.take(Refuse).problem
+    problem = entry.find_effect(Refuse).problem
     assert (problem.code, problem.ran) == ("no_target", Ran.NO)
     assert problem.retry_after
 
 
 def test_the_deadline_stops_a_running_attempt_and_does_not_claim_not_run() -> None:
-    """A target took the request and brings no first token in time.
+    """Guards against claiming "not run" for a request that a target may have run.
 
-    The caller is refused at its deadline. The target may be at work, so its
-    generation is cancelled and the answer does not say "not run".
+    A target accepted the request and sends no first token before the deadline. The
+    caller is refused, the generation is cancelled, and the answer does not say "not
+    run".
     """
     entry = Entry()
     attempt = entry.start()
@@ -139,9 +142,9 @@
     deadline = next(wake for wake in timers if wake.timer == RequestTimer("r1"))
     entry.now = deadline.at
     entry.feed(TimerFired(deadline.timer))
-    problem = entry.take(Refuse).problem
+    problem = entry.find_effect(Refuse).problem
     assert (problem.ran, problem.status) == (Ran.UNKNOWN, 504)
-    assert entry.take(CloseAttempt).attempt == attempt
+    assert entry.find_effect(CloseAttempt).attempt == attempt
     assert entry.find_effects(CancelGeneration)
 
 
@@ -154,11 +157,11 @@
 
 
 def test_a_silent_pool_is_replaced_once_a_probe_delivers() -> None:
-    """Something in between has lost track of all connections to one target.
+    """Guards against streams that wait on connections which a middlebox has dropped.
 
-    They stay open and bring nothing. The first to be probed gets events over a
-    new connection, which shows that the target is well, so the pool is
-    replaced and the other silent streams reattach at once.
+    All connections to one target stay open but deliver nothing. The first stream to be
+    probed gets events over a new connection, which shows that the target is healthy.
+    The connection pool is replaced and the other silent streams reattach at once.
     """
     entry = Entry()
     first = entry.start("r1")
@@ -167,51 +170,52 @@
     while entry.state.attempts[other].target != target:
         other = entry.start(f"r{other + 10}")
     entry.feed(TimerFired(AttemptTimer(first)), after=FIRST_EVENT_LIMIT)
-    probe = entry.take(ResumeAttempt).attempt
+    probe = entry.find_effect(ResumeAttempt).attempt
     entry.feed(AttemptAnswered(probe))
     assert entry.find_effects(ReplacePool) == []
     entry.now += 1
     entry.deliver(probe, 1)
-    assert entry.take(ReplacePool).target == target
+    assert entry.find_effect(ReplacePool).target == target
     reattached = [effect.request for effect in entry.find_effects(ResumeAttempt)]
     assert len(reattached) >= 1
     assert other not in entry.state.attempts
 
 
 def test_a_stream_that_goes_silent_early_is_probed_within_its_own_limit() -> None:
-    """A connection dies after its second token.
+    """Guards against a long wait for a stream that dies after its second token.
 
-    The limit is a second by then; the patience for a first token, five times
-    as long, must not hold for the rest.
+    Its limit is one second by then; the five times longer limit for a first token must
+    not apply any more.
     """
     entry = Entry()
     attempt = entry.start()
     entry.now += 100
     entry.deliver(attempt, 1)
-    first = entry.take(WakeAt)
+    first = entry.find_effect(WakeAt)
     assert first.timer == AttemptTimer(attempt)
     entry.now += 10
     entry.deliver(attempt, 2)
     assert entry.find_effects(WakeAt) == []
     entry.now = first.at
     entry.feed(TimerFired(first.timer))
-    due = entry.take(WakeAt).at
+    due = entry.find_effect(WakeAt).at
     assert due <= first.at + 10
     entry.now = due
     entry.feed(TimerFired(first.timer))
-    assert entry.take(ResumeAttempt).after == 2
+    assert entry.find_effect(ResumeAttempt).after == 2
 
 
 def test_a_slow_target_is_not_taken_for_a_silent_one() -> None:
-    """An engine preempts a generation and brings nothing for long.
+    """Guards against replacing the connection pool of a slow target.
 
-    The probe is answered and brings nothing either: the target is slow, so
-    the pool stays and no more probes are sent.
+    An engine preempts a generation and sends nothing for long. The probe is answered
+    but delivers no events either, so the target is slow: the pool stays and no more
+    probes are sent.
     """
     entry = Entry()
     attempt = entry.start()
     entry.feed(TimerFired(AttemptTimer(attempt)), after=FIRST_EVENT_LIMIT)
-    probe = entry.take(ResumeAttempt).attempt
+    probe = entry.find_effect(ResumeAttempt).attempt
     entry.feed(AttemptAnswered(probe))
     for _ in range(5):
         entry.feed(TimerFired(AttemptTimer(probe)), after=FIRST_EVENT_LIMIT)
@@ -226,8 +230,8 @@
     generation = entry.state.attempts[attempt].generation
     spec = RequestSpec("r2", "demo", GenerationWork("m"))
     entry.feed(CallerReturned(spec, generation, 4))
-    resumed = entry.take(ResumeAttempt)
+    resumed = entry.find_effect(ResumeAttempt)
     assert resumed.after == 4
     entry.feed(AttemptLost(resumed.attempt, Loss.NOT_FOUND))
-    problem = entry.take(Refuse).problem
+    problem = entry.find_effect(Refuse).problem
     assert (problem.code, problem.ran) == ("generation_gone", Ran.YES)
--- a/tests/core/test_region_split.py
+++ b/tests/core/test_region_split.py
@@ -1,4 +1,4 @@
-"""Two regions that lose each other for an hour, on membership alone."""
+"""Test of two regions that are partitioned for an hour, with membership alone."""
 
 import random
 from collections import deque
@@ -17,11 +17,14 @@
 
 REGIONS = {"127.0.0.1:1": "a", "127.0.0.1:2": "a", "127.0.0.1:3": "b"}
 HOUR = 3_600_000
+"""Duration of the partition, in milliseconds."""
+
 PERIOD = 1_000
+"""Interval between gossip rounds, in milliseconds."""
 
 
 class Members:
-    """Three states and the messages that they owe each other."""
+    """Three membership states and the messages under way between them."""
 
     def __init__(self) -> None:
         self.now = Millis(0)
@@ -44,7 +47,7 @@
             self._waiting.append((address, effect))
 
     def run(self, millis: int) -> None:
-        """Let periods pass and every message that is not cut off arrive."""
+        """Run gossip rounds for ``millis`` and deliver the messages not cut off."""
         for _ in range(millis // PERIOD):
             self.now = Millis(self.now + PERIOD)
             for address, state in self.states.items():
@@ -57,7 +60,7 @@
                 self._send(sent.address, reduce(state, event, self.now))
 
     def list_alive(self, address: str) -> set[str]:
-        """Return the names of those that one holds to be alive."""
+        """Return the names of the members that an address considers alive."""
         alive = set()
         for name, member in self.states[address].membership.members.items():
             if member.status is MemberStatus.ALIVE:
@@ -66,11 +69,11 @@
 
 
 def test_regions_remove_and_rejoin_each_other() -> None:
-    """Two regions lose each other for an hour, then the link is back.
+    """Guards against regions that stay separate after a long partition.
 
-    Each side soon takes the other for gone, so nothing waits for it; the
-    listed addresses are tried on, so the sides find each other again without
-    an operator.
+    Two regions lose their connection for an hour. Each side soon considers the other
+    gone, so that nothing waits for it. The listed addresses are still tried, so the
+    sides rejoin without an operator when the connection is restored.
     """
     members = Members()
     members.run(30_000)
--- a/tests/core/test_retries.py
+++ b/tests/core/test_retries.py
@@ -1,4 +1,4 @@
-"""The tables of recovery and of "not run"."""
+"""Tests of the tables that decide on recovery and on "not run"."""
 
 import random
 
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -1,4 +1,4 @@
-"""Choice of the target, and what bounds what it is given."""
+"""Tests of choosing a target and of the limits on its load."""
 
 import random
 from dataclasses import replace
@@ -39,6 +39,7 @@
 
 
 def start(state: State, name: str, prompt: int = 10, now: int = 1_000) -> str:
+    """Let a request arrive and return its target, or "" if it does not start."""
     spec = RequestSpec(name, "c", GenerationWork("m", prompt), digest=name)
     for effect in reduce(state, RequestArrived(spec), Millis(now)):
         if isinstance(effect, OpenAttempt):
@@ -53,10 +54,10 @@
 @pytest.mark.parametrize(
     ("running", "held", "others", "added", "room"),
     [
-        (0, 0, 0, 5_000, True),  # an empty target takes anything
+        (0, 0, 0, 5_000, True),  # an empty target accepts any request
         (1, 500, 0, 400, True),
         (1, 500, 0, 600, False),
-        (4, 400, 4, 10, False),  # as many as it decodes at once
+        (4, 400, 4, 10, False),  # its batch is full
         (1, 100, 2, 100, True),
         (1, 100, 2, 900, False),
     ],
@@ -92,10 +93,10 @@
 
 
 def test_request_that_cannot_start_in_time_is_refused_at_once() -> None:
-    """The queue already holds more work than can start before the deadline.
+    """Guards against a caller that waits until its deadline for a refusal.
 
-    The caller is told so on arrival, that nothing ran, and when to come back;
-    not when its deadline has passed.
+    The queue already holds more work than can start before the deadline. The caller
+    learns on arrival that nothing ran and when to retry.
     """
     state = make_state(1.0)
     start(state, "running", prompt=900)
@@ -112,7 +113,7 @@
     waits = [r.problem.retry_after or 0 for r in refusals]
     assert all(r.problem.ran.value == "no" for r in refusals)
     assert min(waits) >= 1_000
-    assert len(set(waits)) == len(waits)  # spread, so that they don't return at once
+    assert len(set(waits)) == len(waits)  # spread, so that callers don't retry at once
 
 
 def test_lost_attempts_make_a_target_avoided_for_a_growing_time() -> None:
@@ -127,10 +128,10 @@
 
 
 def test_old_report_is_corrected_by_what_was_added_since() -> None:
-    """Several entries see the same room in the same late report.
+    """Guards against entries that together overfill a target after the same report.
 
-    Each that fills it alone would overfill the target together with the
-    others, so each takes the others to have added what it added itself.
+    Several entries learn of the same free capacity from one late report. Each therefore
+    assumes that the others have added as much as it added itself.
     """
     state = make_state(1.0)
     set_policy(state, Figstep(memory=False))
@@ -141,9 +142,7 @@
     assert estimate_others_running(target, Millis(3_000)) == 3
     start(state, "r2", now=3_100)
     assert estimate_others_running(target, Millis(3_100)) == 6
-    assert (
-        estimate_others_running(target, Millis(60_000)) == 0
-    )  # too old to tell anything
+    assert estimate_others_running(target, Millis(60_000)) == 0  # too old to be used
     target.peers_in_flight = 5
     assert estimate_others_running(target, Millis(3_100)) == 5
 
@@ -212,10 +211,10 @@
 def test_an_engine_without_the_model_gets_no_request(
     reported: tuple[str, ...], loaded: bool
 ) -> None:
-    """Orders have moved a model off an engine whose entry still allows it.
+    """Guards against requests sent to an engine from which a model was unloaded.
 
-    The engine would refuse each request, and its caller would wait for a
-    second attempt elsewhere.
+    Orders have moved the model, but the inventory still allows it there. The engine
+    would refuse each request, and its caller would wait for a second attempt elsewhere.
     """
     engine = EngineInfo("e1", "http://x", "muc-a", ("m", "other"))
     target = TargetState(engine, models=reported)
@@ -223,10 +222,10 @@
 
 
 def test_a_new_incarnation_ends_the_pause_after_losses() -> None:
-    """An engine crashes, is left alone for a while, and comes back at once.
+    """Guards against callers queued while a restarted engine is idle.
 
-    Its pause was for the one that died. Were it kept, callers would wait in
-    the queue of an idle engine.
+    An engine crashes, is avoided for some time, and restarts at once. Its avoidance
+    period was meant for the incarnation that ended.
     """
     entry = Entry(inventory=make_inventory(engines=1))
     entry.feed(LoadReported("e1", incarnation=1))
--- a/tests/core/test_settlement.py
+++ b/tests/core/test_settlement.py
@@ -1,4 +1,4 @@
-"""Claims: who dispatches, who waits, who is told what."""
+"""Tests of claims: who dispatches an order, who waits and what callers are told."""
 
 import uuid
 
@@ -35,14 +35,14 @@
 
 
 class Log:
-    """The claims stream as a list; entries read it when told."""
+    """The claims stream as a list, which entries read on request."""
 
     def __init__(self) -> None:
         self.records: list[LogRecord] = []
         self.time = 1_000_000
 
-    def take(self, entry: Entry) -> None:
-        """Append what the entry's last effects ask for."""
+    def append_from(self, entry: Entry) -> None:
+        """Append the records of an entry's last effects."""
         for effect in entry.find_effects(AppendRecords):
             for data in effect.records:
                 self.add(data)
@@ -52,11 +52,12 @@
         self.records.append(LogRecord(len(self.records), self.time, data))
 
     def deliver_to(self, entry: Entry, start: int = 0) -> None:
-        """Let the entry read from ``start`` on."""
+        """Let an entry read the log from index ``start`` on."""
         entry.feed(RecordsRead(CLAIMS, tuple(self.records[start:])))
 
 
 def build_ready_entry(node: str = "n1", seed: int = 1) -> Entry:
+    """Return an entry that has read the claims stream to its end."""
     entry = Entry(node, seed)
     entry.catch_up()
     return entry
@@ -66,97 +67,99 @@
     entry, log = build_ready_entry(), Log()
     entry.order("r1")
     assert entry.find_effects(OpenAttempt) == []
-    log.take(entry)
+    log.append_from(entry)
     log.deliver_to(entry)
-    assert entry.take(OpenAttempt).once
+    assert entry.find_effect(OpenAttempt).once
 
 
 def test_the_same_order_through_two_entries_runs_once() -> None:
-    """A caller sends an order twice and the balancer spreads it.
+    """Guards against an order that runs twice when its caller sends it twice.
 
-    Both entries append a claim; the log's order says that the first owns the
-    identity. The other waits and gives its caller the recorded answer.
+    A balancer spreads the requests over two entries and both append a claim. By the
+    log's order the first one owns the identity; the other waits and gives its caller
+    the recorded answer.
     """
     first, second, log = build_ready_entry("n1", 1), build_ready_entry("n2", 2), Log()
     first.order("a")
-    log.take(first)
+    log.append_from(first)
     second.order("b")
-    log.take(second)
+    log.append_from(second)
     log.deliver_to(second)
     assert second.find_effects(OpenAttempt) == []
     log.deliver_to(first)
-    attempt = first.take(OpenAttempt).attempt
+    attempt = first.find_effect(OpenAttempt).attempt
     first.feed(ServiceAnswered(attempt, 201, "text/plain", b"booked"))
-    log.take(first)
+    log.append_from(first)
     log.deliver_to(second, 2)
-    assert second.take(ReplayAnswer).body == b"booked"
+    assert second.find_effect(ReplayAnswer).body == b"booked"
     assert second.state.requests == {}
 
 
 def test_a_duplicate_at_the_same_entry_joins_the_running_one() -> None:
     entry, log = build_ready_entry(), Log()
     entry.order("r1")
-    log.take(entry)
+    log.append_from(entry)
     log.deliver_to(entry)
-    attempt = entry.take(OpenAttempt).attempt
+    attempt = entry.find_effect(OpenAttempt).attempt
     entry.order("r2")
     assert entry.effects[-1:] != [] and entry.find_effects(AppendRecords) == []
     entry.feed(ServiceAnswered(attempt, 200, "text/plain", b"done"))
-    assert entry.take(ReplayAnswer).request == "r2"
+    assert entry.find_effect(ReplayAnswer).request == "r2"
     entry.order("r3")
-    assert entry.take(ReplayAnswer).request == "r3"
+    assert entry.find_effect(ReplayAnswer).request == "r3"
 
 
 def test_another_body_under_the_same_key_is_refused() -> None:
     entry, log = build_ready_entry(), Log()
     entry.order("r1")
-    log.take(entry)
+    log.append_from(entry)
     entry.order("r2", digest="other")
-    assert entry.take(Refuse).problem.status == 422
+    assert entry.find_effect(Refuse).problem.status == 422
 
 
 @pytest.mark.parametrize("loss", [Loss.CONNECT_FAILED, Loss.REFUSED])
 def test_an_order_that_did_not_run_is_sent_to_another_target(loss: Loss) -> None:
     entry, log = build_ready_entry(), Log()
     entry.order("r1")
-    log.take(entry)
+    log.append_from(entry)
     log.deliver_to(entry)
-    opened = entry.take(OpenAttempt)
+    opened = entry.find_effect(OpenAttempt)
     entry.feed(AttemptLost(opened.attempt, loss))
-    assert entry.take(OpenAttempt).target != opened.target
+    assert entry.find_effect(OpenAttempt).target != opened.target
 
 
 @pytest.mark.parametrize("loss", [Loss.BROKEN, Loss.TRUNCATED, Loss.FAILED])
 def test_an_order_that_may_have_run_is_never_sent_again(loss: Loss) -> None:
-    """The connection breaks after the order's bytes went out.
+    """Guards against a second run of an order whose connection broke.
 
-    Whether a pallet is on its way cannot be told; the caller is told so, and a
-    duplicate through any entry is told the same.
+    The connection breaks after the order's bytes were sent. Whether it ran, such as
+    whether a pallet is on its way, is unknown; the caller is told so, and a duplicate
+    through any entry gets the same answer.
     """
     entry, log = build_ready_entry(), Log()
     entry.order("r1")
-    log.take(entry)
+    log.append_from(entry)
     log.deliver_to(entry)
-    entry.feed(AttemptLost(entry.take(OpenAttempt).attempt, loss))
-    problem = entry.take(Refuse).problem
+    entry.feed(AttemptLost(entry.find_effect(OpenAttempt).attempt, loss))
+    problem = entry.find_effect(Refuse).problem
     assert problem.code == "outcome_unknown" and problem.ran is not Ran.NO
-    log.take(entry)
+    log.append_from(entry)
     other = build_ready_entry("n2", 2)
     log.deliver_to(other)
     other.order("r2")
-    assert other.take(Refuse).problem.code == "outcome_unknown"
+    assert other.find_effect(Refuse).problem.code == "outcome_unknown"
 
 
 def test_a_lost_append_is_settled_by_reading() -> None:
-    """The log took the claim but its answer was lost.
+    """Guards against a second claim for an append whose answer was lost.
 
-    The entry waits a little for its own record to be read back, and then goes
-    on as if nothing had happened; no second record is appended.
+    The entry waits a short time until it reads its own record back and then continues
+    as usual; no second record is appended.
     """
     entry, log = build_ready_entry(), Log()
     entry.order("r1")
-    log.take(entry)
-    entry.feed(AppendUncertain(entry.take(AppendRecords).key))
+    log.append_from(entry)
+    entry.feed(AppendUncertain(entry.find_effect(AppendRecords).key))
     assert entry.find_effects(Refuse) == []
     assert entry.find_effects(AppendRecords) == []
     log.deliver_to(entry)
@@ -164,25 +167,26 @@
 
 
 def test_a_claim_read_back_too_late_is_released_and_not_dispatched() -> None:
-    """An append is uncertain and is not read back in time.
+    """Guards against dispatching an order that was reported as "not run".
 
-    The caller is refused with "not run". When the record shows up after all,
-    dispatching would make that a lie, so the claim is given back.
+    The outcome of an append is uncertain and the record is not read back before the
+    deadline, so the caller is refused with "not run". When the record appears later,
+    the claim is released.
     """
     entry, log = build_ready_entry(), Log()
     entry.order("r1")
-    log.take(entry)
-    entry.feed(AppendUncertain(entry.take(AppendRecords).key))
+    log.append_from(entry)
+    entry.feed(AppendUncertain(entry.find_effect(AppendRecords).key))
     entry.feed(TimerFired(ClaimTimer("r1")), after=1_000)
-    assert entry.take(Refuse).problem.ran is Ran.NO
+    assert entry.find_effect(Refuse).problem.ran is Ran.NO
     log.deliver_to(entry)
     assert entry.find_effects(OpenAttempt) == []
-    assert entry.take(AppendRecords).records[0]["kind"] == "release"
-    log.take(entry)
+    assert entry.find_effect(AppendRecords).records[0]["kind"] == "release"
+    log.append_from(entry)
     other = build_ready_entry("n2", 2)
     log.deliver_to(other)
     other.order("r2")
-    log.take(other)
+    log.append_from(other)
     log.deliver_to(other, 2)
     assert other.find_effects(OpenAttempt)
 
@@ -191,10 +195,10 @@
     entry, log = build_ready_entry(), Log()
     entry.order("r1")
     entry.feed(StreamUnavailable(CLAIMS))
-    problem = entry.take(Refuse).problem
+    problem = entry.find_effect(Refuse).problem
     assert problem.ran is Ran.NO and problem.retry_after
     entry.order("r2", key="other")
-    assert entry.take(Refuse).problem.ran is Ran.NO
+    assert entry.find_effect(Refuse).problem.ran is Ran.NO
     assert log.records == []
     assert entry.start("r3")
 
@@ -202,68 +206,70 @@
 def test_an_entry_that_starts_reads_the_claims_before_it_dispatches() -> None:
     entry = Entry()
     entry.order("r1")
-    assert entry.take(Refuse).problem.code == "claims_unavailable"
+    assert entry.find_effect(Refuse).problem.code == "claims_unavailable"
 
 
 def test_a_paused_owner_does_not_dispatch_an_old_claim() -> None:
-    """An owner is frozen between claim and dispatch, and wakes much later.
+    """Guards against an order dispatched under a claim that has expired.
 
-    Its identity may have expired and belong to another by then.
+    An owner is frozen between claim and dispatch and resumes much later. Its identity
+    may have expired and belong to another claim by then.
     """
     entry, log = build_ready_entry(), Log()
     entry.order("r1")
-    log.take(entry)
+    log.append_from(entry)
     entry.now = Millis(entry.now + MAX_DISPATCH_AGE + 1)
     log.deliver_to(entry)
     assert entry.find_effects(OpenAttempt) == []
-    assert entry.take(Refuse).problem.ran is Ran.NO
-    assert entry.take(AppendRecords).records[0]["kind"] == "release"
+    assert entry.find_effect(Refuse).problem.ran is Ran.NO
+    assert entry.find_effect(AppendRecords).records[0]["kind"] == "release"
 
 
 def test_a_dead_owners_claim_stays_unknown() -> None:
-    """The owner died after its claim; whether it dispatched nobody knows."""
+    """Guards against guessing whether an owner that died had dispatched its order."""
     dead, other, log = build_ready_entry("n1", 1), build_ready_entry("n2", 2), Log()
     dead.order("r1")
-    log.take(dead)
+    log.append_from(dead)
     log.deliver_to(other)
     other.order("r2")
     assert other.find_effects(AppendRecords) == []
     other.feed(TimerFired(ClaimTimer("r2")), after=10_000)
-    problem = other.take(Refuse).problem
+    problem = other.find_effect(Refuse).problem
     assert (problem.code, problem.ran) == ("first_still_running", Ran.UNKNOWN)
 
 
 def test_an_order_continues_when_its_caller_has_left() -> None:
-    """The caller's own time-out ends its connection while the order runs.
+    """Guards against cancelling an order because its caller timed out.
 
-    It then sends the same key again and gets the first one's answer.
+    The caller's own timeout closes its connection while the order runs. It then sends
+    the same key again and gets the first order's answer.
     """
     entry, log = build_ready_entry(), Log()
     entry.order("r1")
-    log.take(entry)
+    log.append_from(entry)
     log.deliver_to(entry)
-    attempt = entry.take(OpenAttempt).attempt
+    attempt = entry.find_effect(OpenAttempt).attempt
     entry.feed(CallerGone("r1"))
     entry.order("r2")
     entry.feed(ServiceAnswered(attempt, 200, "", b"x"))
-    assert entry.take(ReplayAnswer).request == "r2"
+    assert entry.find_effect(ReplayAnswer).request == "r2"
 
 
 def test_a_key_from_before_the_window_is_refused() -> None:
-    """A caller sends an order again after what is remembered has passed.
+    """Guards against running an order again after its record has expired.
 
-    Whether it ran is no longer known. A key that carries its time shows this;
-    the request is refused and not run.
+    Whether the first one ran is no longer known. A key that carries its time shows
+    this; the request is refused and not run.
     """
     entry, log = build_ready_entry(), Log()
     time = log.time - CLAIM_WINDOW - 1
     key = str(uuid.UUID(int=(time << 80) | (7 << 76) | (2 << 62)))
     assert read_key_time(key) == time
     entry.order("r1", key=key)
-    log.take(entry)
+    log.append_from(entry)
     log.deliver_to(entry)
     assert entry.find_effects(OpenAttempt) == []
-    problem = entry.take(Refuse).problem
+    problem = entry.find_effect(Refuse).problem
     assert (problem.code, problem.ran) == ("key_expired", Ran.UNKNOWN)
 
 
@@ -276,7 +282,7 @@
         log.time += pause
         entry.order(request, key=None)
         read = len(log.records)
-        log.take(entry)
+        log.append_from(entry)
         log.deliver_to(entry, read)
         assert len(entry.find_effects(OpenAttempt)) == opened, request
 
@@ -284,19 +290,19 @@
 def test_an_order_without_key_or_window_is_claimed_for_itself() -> None:
     entry = build_ready_entry()
     entry.order("r1", key=None)
-    first = entry.take(AppendRecords).records[0]["name"]
+    first = entry.find_effect(AppendRecords).records[0]["name"]
     entry.order("r2", key=None)
-    assert entry.take(AppendRecords).records[0]["name"] != first
+    assert entry.find_effect(AppendRecords).records[0]["name"] != first
 
 
 def test_a_large_answer_is_reported_as_run_without_its_body() -> None:
     entry, log = build_ready_entry(), Log()
     entry.order("r1")
-    log.take(entry)
+    log.append_from(entry)
     log.deliver_to(entry)
-    entry.feed(ServiceAnswered(entry.take(OpenAttempt).attempt, 200, "", None))
+    entry.feed(ServiceAnswered(entry.find_effect(OpenAttempt).attempt, 200, "", None))
     entry.order("r2")
-    problem = entry.take(Refuse).problem
+    problem = entry.find_effect(Refuse).problem
     assert (problem.code, problem.ran) == ("already_ran", Ran.YES)
 
 
@@ -312,8 +318,8 @@
 def test_a_repeated_record_changes_nothing() -> None:
     entry, log = build_ready_entry(), Log()
     entry.order("r1")
-    log.take(entry)
-    log.take(entry)
+    log.append_from(entry)
+    log.append_from(entry)
     log.deliver_to(entry)
     assert len(entry.find_effects(OpenAttempt)) == 1
 
@@ -326,41 +332,42 @@
 
 
 def test_a_started_generation_is_not_released_when_its_caller_leaves() -> None:
-    """The caller of a non-idempotent generation leaves before its first token.
+    """Guards against a second run of a generation whose caller left early.
 
-    The request's bytes may have reached the engine, so its identity is not
-    free: a duplicate that found it free would run it a second time.
+    The caller of a non-idempotent generation leaves before its first token. The bytes
+    of the request may have reached the engine, so its identity stays claimed; a
+    duplicate that found it free would run a second time.
     """
     entry, log = build_ready_entry(), Log()
     spec = RequestSpec(
         "r1", "demo", GenerationWork("m"), idempotency_key="k", non_idempotent=True
     )
     entry.feed(RequestArrived(spec))
-    log.take(entry)
+    log.append_from(entry)
     log.deliver_to(entry)
     assert entry.find_effects(OpenAttempt)
     entry.feed(CallerGone("r1"))
-    record = entry.take(AppendRecords).records[0]
+    record = entry.find_effect(AppendRecords).records[0]
     assert (record["kind"], record["ran"]) == ("outcome", "unknown")
 
 
 def test_an_outcome_is_appended_again_until_the_log_has_it() -> None:
-    """The log is down when an order ends.
+    """Guards against duplicates told "unknown" of an order that has an answer.
 
-    Duplicates at other entries would be told "unknown" of an order that has an
-    answer. The same record is appended again; the fold takes the first.
+    The log is down when an order ends. The same record is appended again until the log
+    has it; the fold uses the first one.
     """
     entry, log = build_ready_entry(), Log()
     entry.order("r1")
-    log.take(entry)
+    log.append_from(entry)
     log.deliver_to(entry)
-    attempt = entry.take(OpenAttempt).attempt
+    attempt = entry.find_effect(OpenAttempt).attempt
     entry.feed(ServiceAnswered(attempt, 200, "", b"x"))
-    first = entry.take(AppendRecords)
+    first = entry.find_effect(AppendRecords)
     entry.feed(AppendUncertain(first.key))
     assert entry.find_effects(AppendRecords) == []
     entry.feed(TimerFired(OutcomeTimer()), after=1_000)
-    again = entry.take(AppendRecords)
+    again = entry.find_effect(AppendRecords)
     assert again.records == first.records
     entry.feed(AppendConfirmed(again.key, 1))
     assert entry.claims.unconfirmed == {}
@@ -371,30 +378,31 @@
 def test_an_outcome_that_cannot_be_appended_is_finally_dropped() -> None:
     entry, log = build_ready_entry(), Log()
     entry.order("r1")
-    log.take(entry)
+    log.append_from(entry)
     log.deliver_to(entry)
-    attempt = entry.take(OpenAttempt).attempt
+    attempt = entry.find_effect(OpenAttempt).attempt
     entry.feed(ServiceAnswered(attempt, 200, "", b"x"))
-    entry.feed(AppendUncertain(entry.take(AppendRecords).key))
+    entry.feed(AppendUncertain(entry.find_effect(AppendRecords).key))
     entry.feed(TimerFired(OutcomeTimer()), after=60_000)
     assert entry.find_effects(AppendRecords) == []
     assert entry.claims.unconfirmed == {}
 
 
 def test_a_record_that_the_log_repeats_late_does_not_disturb_its_request() -> None:
-    """An order runs longer than its window and another takes the identity.
+    """Guards against an order that gets the outcome of another one.
 
-    Then the log shows the first claim again. It has lost now, but its order is
-    out: it must not be told the outcome of the other one, or "not run".
+    An order runs longer than its window and another one claims the identity. Then the
+    log repeats the first claim. That claim has lost now, but its order was sent: it
+    must get neither the other's outcome nor "not run".
     """
     inventory = make_inventory(window=Millis(5_000))
     entry, log = Entry(inventory=inventory), Log()
     entry.catch_up()
     entry.order("r1", key=None)
-    claim = entry.take(AppendRecords).records[0]
-    log.take(entry)
+    claim = entry.find_effect(AppendRecords).records[0]
+    log.append_from(entry)
     log.deliver_to(entry)
-    attempt = entry.take(OpenAttempt).attempt
+    attempt = entry.find_effect(OpenAttempt).attempt
     log.time += 6_000
     log.add({**claim, "id": "another"})
     log.add(claim)
--- a/tests/core/test_suspects.py
+++ b/tests/core/test_suspects.py
@@ -1,4 +1,4 @@
-"""Calls that crash plain services, told from those at services that live."""
+"""Tests of calls that crash plain services, beside calls at live services."""
 
 import pytest
 
@@ -19,11 +19,12 @@
 from tests.core.entries import Entry
 
 SERVICES = 6
+"""Number of targets of the plain service."""
 
 
 @pytest.fixture
 def entry() -> Entry:
-    """An entry before six targets of one plain service."""
+    """Return an entry that knows six targets of one plain service."""
     services = tuple(
         ServiceInfo(f"s{number}", "shop", "http://x", "muc-a")
         for number in range(SERVICES)
@@ -44,7 +45,7 @@
 
 
 def start_at_target(entry: Entry, target: str) -> str:
-    """Send reads until one runs at a target; returns that request, and its digest."""
+    """Send reads until one runs at a target; return its request, also its digest."""
     number = 0
     while True:
         name = f"beside-{number}"
@@ -55,7 +56,7 @@
 
 
 def crash(entry: Entry, request: str) -> str:
-    """Let a request's target crash under it; returns the target."""
+    """Crash a request's target while it runs; return the target."""
     target = find_target(entry, request)
     entry.feed(AttemptLost(entry.find_attempt(request), Loss.BROKEN))
     entry.feed(TargetDown(target), after=2)
@@ -63,7 +64,7 @@
 
 
 def crash_all(entry: Entry, request: str) -> list[str]:
-    """Let each target that a request is sent to crash; returns them."""
+    """Crash each target to which a request is sent; return the targets."""
     crashed = []
     while request in entry.state.requests:
         crashed.append(crash(entry, request))
@@ -71,7 +72,7 @@
 
 
 def test_a_target_that_breaks_many_calls_is_probed_once(entry: Entry) -> None:
-    """Guards against a probe for each of the calls that a crash cuts."""
+    """Guards against a probe for each of the calls that a crash interrupts."""
     for number in range(2 * SERVICES):
         send_read(entry, f"r{number}", f"d{number}")
     target = find_target(entry, "r0")
@@ -85,26 +86,26 @@
 
 
 def test_a_call_that_crashes_services_is_kept_away_from_the_rest(entry: Entry) -> None:
-    """Guards against a read that ends all targets of a service in one attempt."""
+    """Guards against a read that crashes all targets of a service in one request."""
     send_read(entry, "r1", "killer")
     assert len(crash_all(entry, "r1")) <= 3
     send_read(entry, "r2", "killer")
-    assert entry.take(Refuse).problem.code == "request_quarantined"
+    assert entry.find_effect(Refuse).problem.code == "request_quarantined"
 
 
 def test_a_call_at_services_that_live_is_not_refused(entry: Entry) -> None:
-    """Guards against calls refused where connections break and services live."""
+    """Guards against calls refused where connections break but services stay up."""
     send_read(entry, "r1", "good")
     for _ in range(4):
         entry.feed(AttemptLost(entry.find_attempt("r1"), Loss.BROKEN))
     assert not entry.state.quarantine.until
     entry.feed(ServiceAnswered(entry.find_attempt("r1"), 200))
     send_read(entry, "r2", "good")
-    assert entry.take(OpenAttempt).request == "r2"
+    assert entry.find_effect(OpenAttempt).request == "r2"
 
 
 def test_a_neighbour_of_a_call_that_crashes_services_is_served(entry: Entry) -> None:
-    """Guards against calls refused for what crashed beside them."""
+    """Guards against calls refused for a crash that another call caused."""
     send_read(entry, "bad", "killer")
     name = start_at_target(entry, find_target(entry, "bad"))
     entry.feed(AttemptLost(entry.find_attempt(name), Loss.BROKEN))
@@ -115,7 +116,7 @@
 
 
 def test_a_service_that_answers_clears_what_broke_there_before(entry: Entry) -> None:
-    """Guards against a break that is taken for the cause of a later end."""
+    """Guards against a broken connection taken for the cause of a later crash."""
     send_read(entry, "r1", "good")
     target = find_target(entry, "r1")
     entry.feed(AttemptLost(entry.find_attempt("r1"), Loss.BROKEN))
@@ -137,7 +138,7 @@
 def test_a_call_whose_loss_is_reported_after_its_target_is_down_is_suspected(
     entry: Entry,
 ) -> None:
-    """Guards against the call that is lost first being blamed for the others."""
+    """Guards against blaming only the call whose loss is reported first."""
     send_read(entry, "first", "first")
     name = start_at_target(entry, find_target(entry, "first"))
     crash(entry, "first")
@@ -146,7 +147,7 @@
 
 
 def test_a_call_that_crashes_the_only_target_again_is_refused() -> None:
-    """Guards against crashes of one target that all count as its first."""
+    """Guards against counting the crashes of a single target as one."""
     services = (ServiceInfo("s1", "shop", "http://x", "muc-a"),)
     entry = Entry(inventory=Inventory(services=services))
     for number in range(2):
@@ -154,11 +155,11 @@
         crash(entry, f"r{number}")
         entry.feed(CallerGone(f"r{number}"), after=MAX_AVOIDANCE)
     send_read(entry, "r3", "killer")
-    assert entry.take(Refuse).problem.code == "request_quarantined"
+    assert entry.find_effect(Refuse).problem.code == "request_quarantined"
 
 
 def test_breaks_of_one_crash_count_once(entry: Entry) -> None:
-    """Guards against a call refused after one crash that two probes found."""
+    """Guards against a call refused after one crash that two probes reported."""
     send_read(entry, "r1", "good")
     target = crash(entry, "r1")
     entry.feed(TargetDown(target))
--- a/tests/core/test_watch.py
+++ b/tests/core/test_watch.py
@@ -1,4 +1,4 @@
-"""Which engines' reports an entry reads."""
+"""Tests of which engines' reports an entry reads."""
 
 import random
 
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of who waits, who is refused at once, and when refused callers return."""
+"""Tests of queueing, immediate refusals and the retry times of refused callers."""
 
 import heapq
 from dataclasses import dataclass, field
@@ -13,27 +13,34 @@
 from tests.gateway.worlds import PLAN, EntryHarness
 
 RUN_DURATION = Millis(4_000)
-"""How long each run of the replays takes."""
+"""Duration of each run in the simulation, in milliseconds."""
 
 PREFILL_DURATION = Millis(300)
-"""How long until its first event."""
+"""Time from the start of a run to its first event, in milliseconds."""
 
 RUNS_PER_ENGINE = 8
-"""Runs that fit into an engine's memory."""
+"""Number of concurrent runs that fit into an engine's memory."""
 
 TICK_INTERVAL = Millis(30)
+"""Time between two ticks of the gateway, in milliseconds."""
 
 
 @dataclass
 class Overload:
-    """Callers who come at a pool faster than it ends runs, and return once.
+    """Callers that arrive faster than a pool ends runs, and retry once.
 
     Attributes:
-        factor: Callers a second, in parts of what the pool can run.
-        refusal_delays: Waits of callers who were refused at their first try.
-        started_early: First tries that started before half their objective was over.
-        started: All starts.
-        returned: Callers who came back.
+        factor: Arrival rate, relative to the rate at which the pool can run requests.
+        seconds: Time during which new callers arrive.
+        engines: Number of engines in the pool.
+        harness: The entry that receives the requests.
+        arrived_at: Arrival time of each request, by its number.
+        digests: Digest of each request, by its number.
+        first_try: Whether a request is its caller's first try, by its number.
+        refusal_delays: Milliseconds that refused first tries had waited.
+        started_early: First tries that started within half of their objective.
+        started: Number of requests that started, with retries.
+        returned: Number of callers that retried.
     """
 
     factor: float
@@ -49,7 +56,7 @@
     returned: int = 0
 
     def simulate(self) -> None:
-        """Play all callers."""
+        """Simulate all callers, runs and ticks."""
         names = [f"e-{number}" for number in range(self.engines)]
         self.harness.register(*names)
         per_second = self.factor * self.engines * RUNS_PER_ENGINE * 1_000 / RUN_DURATION
@@ -78,10 +85,10 @@
                     self.harness.handle(StreamEnded(payload))  # type: ignore[arg-type]
                 case _:
                     self.harness.handle(Ticked())
-            for follow_ups in self._collect_follow_ups(due):
+            for follow_up in self._collect_follow_ups(due):
                 sequence += 1
                 heapq.heappush(
-                    schedule, (follow_ups[0], sequence, follow_ups[1], follow_ups[2])
+                    schedule, (follow_up[0], sequence, follow_up[1], follow_up[2])
                 )
 
     def _arrive(self, digest: str, first: bool) -> None:
@@ -114,7 +121,7 @@
 
 @pytest.mark.parametrize("factor", [1.5, 2.5])
 def test_under_lasting_overload_most_refusals_come_at_once(factor: float) -> None:
-    """Guards against callers held for seconds who are then turned away."""
+    """Guards against callers that wait for seconds and are then refused."""
     load = Overload(factor)
     load.simulate()
     at_once = [waited for waited in load.refusal_delays if waited <= 225]
@@ -124,7 +131,7 @@
 
 @pytest.mark.parametrize("factor", [1.5, 2.5])
 def test_under_lasting_overload_engines_stay_in_use(factor: float) -> None:
-    """Guards against callers who are turned away while engines have room."""
+    """Guards against callers refused while engines have free memory."""
     load = Overload(factor)
     load.simulate()
     possible = load.engines * RUNS_PER_ENGINE * load.seconds * 1_000 / RUN_DURATION
@@ -132,7 +139,7 @@
 
 
 def test_queueing_time_is_bounded_by_the_callers_patience() -> None:
-    """Guards against callers with little time left who are held to its end."""
+    """Guards against callers queued until their patience has run out."""
     harness = EntryHarness()
     harness.register("e-1")
     engine = harness.state.targets.find("e-1")
@@ -144,11 +151,11 @@
     assert harness.find_effects(Refuse) == []
     harness.clock.advance(round(2_000 * admission.WAIT_DEADLINE_FRACTION))
     harness.handle(Ticked())
-    assert harness.find(Refuse).problem.retry_after is not None
+    assert harness.find_effect(Refuse).problem.retry_after is not None
 
 
 def test_refused_callers_get_staggered_retry_times() -> None:
-    """Guards against callers who all come back to the room of one."""
+    """Guards against refused callers that all retry for the same free capacity."""
     harness = EntryHarness()
     harness.register("e-1")
     engine = harness.state.targets.find("e-1")
@@ -165,7 +172,7 @@
 
 
 def test_a_prompt_is_not_sent_to_an_engine_that_would_miss_its_deadline() -> None:
-    """Guards against engines that read prompts whose callers have gone."""
+    """Guards against engines that read prompts whose callers have left."""
     harness = EntryHarness()
     harness.register("e-1")
     engine = harness.state.targets.find("e-1")
--- a/tests/gateway/test_application.py
+++ b/tests/gateway/test_application.py
@@ -1,4 +1,4 @@
-"""Tests of the gateway's loop over events."""
+"""Tests of the gateway's event loop."""
 
 import random
 from unittest.mock import create_autospec
@@ -17,6 +17,7 @@
 
 
 def build_gateway() -> Gateway:
+    """Return a gateway with mock ports in place of callers, targets and peers."""
     budget = RetryBudget(0.2, 10.0, Millis(10_000))
     state = State("entry-1", "muc-a", random.Random(1), budget)
     gateway = Gateway(state, ManualClock(0), GatewayMeasures())
@@ -29,10 +30,10 @@
 def test_an_event_that_fails_ends_neither_the_timer_nor_its_caller(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All callers would wait for good behind one event that nobody thought of.
+    """Guards against callers that hang after an event with an unexpected error.
 
-    A request makes the reducer fail. Its caller is told at once, the failure is
-    counted, and the next event is handled as ever.
+    A request makes the reducer fail. Its caller gets an answer at once, the failure is
+    counted, and later events are handled normally.
     """
     gateway = build_gateway()
 
--- a/tests/gateway/test_budgets.py
+++ b/tests/gateway/test_budgets.py
@@ -8,6 +8,7 @@
 
 
 def spend(budget: RetryBudget, fleet: FleetUse, urgent: bool = True) -> int:
+    """Spend repeats until the budget denies one, and return their number."""
     spent = 0
     while budget.can_repeat("engines", fleet, NOW, urgent):
         budget.record_repeat("engines", NOW)
@@ -30,10 +31,10 @@
 
 
 def test_partitioned_entries_stay_within_the_bound_together() -> None:
-    """The fleet would send more repeats than a service can bear.
+    """Guards against more repeats than a service can handle.
 
-    A cut leaves eight entries on their own. None hears what the others use,
-    and each could take the whole allowance for its own.
+    A network partition isolates eight entries. None receives the others' usage, and
+    each could spend the whole budget.
     """
     budgets = [RetryBudget(0.2, 56.0, WINDOW) for _ in range(8)]
     alone = FleetUse(0, 0, 8, complete=False)
@@ -41,10 +42,10 @@
 
 
 def test_a_restarted_entry_without_peers_repeats_nothing_at_first() -> None:
-    """A restart would give the whole allowance anew.
+    """Guards against a restart that grants the whole budget again.
 
-    An entry uses its part, is killed and comes back within the window. It
-    remembers nothing; the service counts what both processes sent.
+    An entry spends its share, is killed and restarts within the window. It has lost its
+    counts, but the service receives the repeats of both processes.
     """
     budget = RetryBudget(0.2, 56.0, WINDOW, started=NOW, first_start=False)
     alone = FleetUse(0, 0, 1, complete=True)
@@ -69,10 +70,10 @@
 
 
 def test_streams_in_danger_may_use_more_of_the_bound_than_short_requests() -> None:
-    """Callers would lose long answers although their copies are there.
+    """Guards against long answers lost although their copies exist.
 
-    Four engines leave at once; a failure domain of 18 entries, a quarter of the
-    fleet, goes on with 45 streams in a window whose bound for it is 46 of 186.
+    Four engines leave at once. A failure domain of 18 entries, a quarter of the fleet,
+    resumes 45 streams within a window in which its share is 46 of 186 repeats.
     """
     budget = RetryBudget(0.0, 186.0, Millis(10_000))
     fleet = FleetUse(0, 36, 18, True, fleet_fraction=0.25)
--- a/tests/gateway/test_copies.py
+++ b/tests/gateway/test_copies.py
@@ -1,4 +1,4 @@
-"""Tests of copies of running generations, and of going on from them."""
+"""Tests of copies of running generations and of resuming from them."""
 
 from figstep.core.clock import Millis
 from figstep.gateway import copies
@@ -34,11 +34,11 @@
 
 
 def start_without_backup(output: int = 900) -> tuple[EntryHarness, OpenAttempt]:
-    """Return a world with a plan that found no room for a backup at its start."""
+    """Return an entry with a plan whose backup found no free memory at its start."""
     harness = EntryHarness()
     harness.register("e-1")
     harness.receive_plan(output=output)
-    opened = harness.find(OpenAttempt)
+    opened = harness.find_effect(OpenAttempt)
     assert opened.backup == ""
     harness.send_pieces(opened.attempt, 1, 10)
     harness.handle(Ticked())
@@ -48,55 +48,56 @@
 
 
 def test_a_stream_resumes_from_its_backup_when_its_engine_leaves() -> None:
-    """The caller would lose its plan in mid-answer.
+    """Guards against a plan lost in mid-answer as its engine leaves.
 
-    The engine's registration vanishes; it is gone in 1.5 seconds. The backup's
-    holder is opened beside it, and it is closed only once the holder delivers.
-    What both send is delivered once.
+    The engine's registration disappears; the engine ends 1.5 seconds later. The attempt
+    at the backup's holder is opened in parallel, and the first one is closed only once
+    the holder delivers. Events that both send are delivered once.
     """
     harness, opened = start_with_backup()
     harness.depart(opened.target)
-    standby = harness.find(OpenAttempt)
+    standby = harness.find_effect(OpenAttempt)
     assert standby.target == opened.backup
     assert standby.source == RunCopy(opened.backup, opened.backup, "id-1")
     assert standby.after == 10
     harness.send_pieces(opened.attempt, 11, 12)
-    assert harness.find(Deliver).data.endswith(b"id: 12\n\n")
+    assert harness.find_effect(Deliver).data.endswith(b"id: 12\n\n")
     harness.send_pieces(standby.attempt, 11, 14)
-    assert harness.find(CloseAttempt).attempt == opened.attempt
-    assert harness.find(Deliver).data == b"id: 13\n\nid: 14\n\n"
+    assert harness.find_effect(CloseAttempt).attempt == opened.attempt
+    assert harness.find_effect(Deliver).data == b"id: 13\n\nid: 14\n\n"
 
 
 def test_a_backup_that_is_refused_leaves_the_run_where_it_is() -> None:
     harness, opened = start_with_backup()
     harness.depart(opened.target)
-    standby = harness.find(OpenAttempt)
+    standby = harness.find_effect(OpenAttempt)
     harness.handle(AttemptLost(standby.attempt, Loss.REFUSED))
     assert harness.find_effects(BreakStream) == []
     harness.send_pieces(opened.attempt, 11, 11)
-    assert harness.find(Deliver).data == b"id: 11\n\n"
+    assert harness.find_effect(Deliver).data == b"id: 11\n\n"
 
 
 def test_a_copy_that_its_holder_refuses_is_made_elsewhere() -> None:
     harness, opened = start_without_backup()
     harness.handle(Ticked())
-    order = harness.find(CopyRun)
+    order = harness.find_effect(CopyRun)
     harness.handle(RunCopied(1, order.source, order.holder, "h-1"))
     harness.depart(opened.target)
-    standby = harness.find(OpenAttempt)
+    standby = harness.find_effect(OpenAttempt)
     harness.handle(AttemptLost(standby.attempt, Loss.REFUSED))
     assert harness.find_effects(BreakStream) == []
     harness.send_pieces(opened.attempt, 11, 11)
-    assert harness.find(Deliver).data == b"id: 11\n\n"
+    assert harness.find_effect(Deliver).data == b"id: 11\n\n"
     harness.handle(Ticked())
-    assert harness.find(CopyRun).source == opened.target
+    assert harness.find_effect(CopyRun).source == opened.target
 
 
 def test_engines_that_copy_runs_on_order_keep_no_running_backups() -> None:
-    """Callers would see pauses, or wait for room, for copies made just in case.
+    """Guards against stalls and queueing caused by precautionary copies.
 
-    Four engines carry sixteen runs. A running backup of each fills the memory
-    that is left: prompts find no room, and runs that grow are preempted.
+    Four engines run sixteen generations. A running backup of each would fill the
+    remaining memory: prompts would find no free memory, and growing runs would be
+    preempted.
     """
     harness = EntryHarness()
     harness.register("e-1", "e-2", "e-3")
@@ -112,10 +113,10 @@
     opened = harness.open_plan()
     harness.send_pieces(opened.attempt, 1, 10)
     harness.depart(opened.target)
-    order = harness.find(CopyRun)
+    order = harness.find_effect(CopyRun)
     assert order.holder != opened.target
     harness.handle(RunCopied(1, order.source, order.holder, "h-1"))
-    standby = harness.find(OpenAttempt)
+    standby = harness.find_effect(OpenAttempt)
     assert standby.source == RunCopy(order.holder, opened.target, "h-1")
 
 
@@ -125,28 +126,28 @@
     opened = harness.open_plan()
     harness.send_pieces(opened.attempt, 1, 10)
     harness.depart(opened.target)
-    first = harness.find(CopyRun)
+    first = harness.find_effect(CopyRun)
     harness.handle(RunNotCopied(1, first.source, first.holder, "answered 503"))
-    second = harness.find(CopyRun)
+    second = harness.find_effect(CopyRun)
     assert second.holder != first.holder
 
 
 def test_a_copy_of_a_run_that_ended_meanwhile_is_freed() -> None:
     harness, opened = start_without_backup()
     harness.depart(opened.target)
-    order = harness.find(CopyRun)
+    order = harness.find_effect(CopyRun)
     harness.handle(StreamEnded(opened.attempt))
     harness.handle(RunCopied(1, order.source, order.holder, "h-1"))
-    assert harness.find(DropCopy).copy.handle == "h-1"
+    assert harness.find_effect(DropCopy).copy.handle == "h-1"
     assert all(t.memory == 0 for t in harness.state.targets.targets.values())
 
 
 def test_a_run_is_handed_over_once_its_holder_has_read_its_prompts() -> None:
-    """The caller would see a pause of a third of a second.
+    """Guards against a pause of a third of a second at a handover.
 
-    A slow engine takes three times as long for each event while it reads a
-    prompt. The run's own engine still generates for a second and a half, so
-    the change-over waits until the holder has read all, but not for long.
+    A slow engine takes three times as long for each event while it reads a prompt. The
+    run's own engine still generates for 1.5 seconds, so the handover waits, for a
+    limited time, until the holder has read all prompts.
     """
     harness, opened = start_with_backup()
     holder = harness.state.targets.find(opened.backup)
@@ -157,7 +158,7 @@
     harness.clock.advance(100)
     holder.peer_reading = 0
     harness.handle(Ticked())
-    assert harness.find(OpenAttempt).target == opened.backup
+    assert harness.find_effect(OpenAttempt).target == opened.backup
 
 
 def test_a_run_does_not_wait_for_its_holder_until_its_engine_is_gone() -> None:
@@ -171,14 +172,15 @@
         harness.clock.advance(100)
         harness.state.requests[1].delivered_at = harness.clock.now()
     harness.handle(Ticked())
-    assert harness.find(OpenAttempt).target == opened.backup
+    assert harness.find_effect(OpenAttempt).target == opened.backup
 
 
 def test_a_young_run_waits_for_its_backup_to_arrive() -> None:
-    """The caller would lose its plan just after its start.
+    """Guards against a plan lost just after its start.
 
-    The engine leaves as its run has sent one event. A backup grows there
-    several times a second; asked for at once it would be refused and spoiled.
+    The engine leaves when its run has sent one event. The backup is updated several
+    times a second; an early request to resume from it would be refused and would
+    invalidate it.
     """
     harness = EntryHarness(moves=False)
     harness.register("e-1", "e-2", "e-3")
@@ -190,23 +192,23 @@
     harness.clock.advance(BACKUP_ARRIVAL_DELAY)
     harness.send_pieces(opened.attempt, 2, 9)
     harness.handle(Ticked())
-    assert harness.find(OpenAttempt).target == opened.backup
+    assert harness.find_effect(OpenAttempt).target == opened.backup
 
 
 def test_a_long_run_without_a_backup_is_copied_once_memory_is_free() -> None:
-    """The caller would lose its plan with an engine that holds seven of them.
+    """Guards against a plan lost with an engine that runs seven of them.
 
-    All engines were full as its run began. Copied in the notice only, the runs
-    of one engine queue on its link, and the last of them don't make it.
+    All engines were full when its run began. If runs are copied only within the notice
+    period, those of one engine queue on its link, and the last copies come too late.
     """
     harness, opened = start_without_backup()
     harness.handle(Ticked())
-    order = harness.find(CopyRun)
+    order = harness.find_effect(CopyRun)
     assert order.source == opened.target
     harness.handle(RunCopied(1, order.source, order.holder, "h-1"))
     assert harness.actions == []
     harness.depart(opened.target)
-    standby = harness.find(OpenAttempt)
+    standby = harness.find_effect(OpenAttempt)
     assert standby.source == RunCopy(order.holder, opened.target, "h-1")
 
 
@@ -218,18 +220,18 @@
         harness.send_pieces(opened.attempt, 1, 10)
     harness.register("e-2", "e-3")
     harness.handle(Ticked())
-    first = harness.find(CopyRun)
+    first = harness.find_effect(CopyRun)
     harness.handle(Ticked())
     assert harness.find_effects(CopyRun) == []
     harness.handle(RunCopied(first.number, first.source, first.holder, "h-1"))
     harness.handle(Ticked())
-    assert harness.find(CopyRun).number != first.number
+    assert harness.find_effect(CopyRun).number != first.number
 
 
 def test_a_kept_copy_is_refreshed_before_it_is_dropped() -> None:
     harness, opened = start_without_backup()
     harness.handle(Ticked())
-    order = harness.find(CopyRun)
+    order = harness.find_effect(CopyRun)
     harness.handle(RunCopied(1, order.source, order.holder, "h-1"))
     for _ in range(29):
         harness.clock.advance(100)
@@ -239,16 +241,16 @@
     harness.clock.advance(100)
     harness.state.requests[1].delivered_at = harness.clock.now()
     harness.handle(Ticked())
-    again = harness.find(CopyRun)
+    again = harness.find_effect(CopyRun)
     assert (again.source, again.holder) == (opened.target, order.holder)
 
 
 def test_no_advance_copy_is_sent_over_a_link_in_use() -> None:
-    """The caller would lose its plan although its engine gave notice.
+    """Guards against a plan lost although its engine gave notice.
 
-    A new engine has come, and all entries copy runs to it at once. Links carry
-    copies one after another: those of an engine whose notice comes then wait for
-    two seconds behind copies made just in case, and it is gone before.
+    A new engine has joined, and all entries copy runs to it at once. A link carries one
+    copy after another, so the copies of an engine that gives notice now would wait two
+    seconds behind precautionary ones, and the engine would end before that.
     """
     harness, opened = start_without_backup()
     busy = PeerLoad(opened.target, 2, 8_000, outgoing=4_000)
@@ -257,25 +259,26 @@
     assert harness.find_effects(CopyRun) == []
     harness.handle(PeerHeard("entry-2", (PeerLoad(opened.target, 2, 8_000),)))
     harness.handle(Ticked())
-    assert harness.find(CopyRun).source == opened.target
+    assert harness.find_effect(CopyRun).source == opened.target
 
 
 def test_a_copy_within_the_notice_uses_the_free_link() -> None:
-    """The caller would lose its plan: its copy waits behind those of others.
+    """Guards against a plan lost because its copy waits behind other copies.
 
-    Both other engines have room, but the emptier one gets three copies already.
+    Both other engines have free memory, but the emptier one is already receiving three
+    copies.
     """
     harness, opened = start_without_backup()
     loads = (PeerLoad("e-2", 0, 0, incoming=12_000), PeerLoad("e-3", 2, 8_000))
     harness.handle(PeerHeard("entry-2", loads))
     harness.depart(opened.target)
-    assert harness.find(CopyRun).holder == "e-3"
+    assert harness.find_effect(CopyRun).holder == "e-3"
 
 
 def test_a_copy_counts_on_its_links_until_it_is_made() -> None:
     harness, _ = start_without_backup()
     harness.handle(Ticked())
-    order = harness.find(CopyRun)
+    order = harness.find_effect(CopyRun)
     source = harness.state.targets.targets[order.source]
     holder = harness.state.targets.targets[order.holder]
     assert source.outgoing_load == holder.incoming_load > 3_000
@@ -284,30 +287,30 @@
     harness.clock.advance(3_000)
     harness.state.requests[1].delivered_at = harness.clock.now()
     harness.handle(Ticked())
-    # Brought up to date, it carries what is new only.
-    assert harness.find(CopyRun).holder == order.holder
+    # A refresh of the copy transfers only what is new.
+    assert harness.find_effect(CopyRun).holder == order.holder
     assert holder.incoming_load < 1_000
     harness.handle(RunNotCopied(1, order.source, order.holder, "answered 503"))
     assert source.outgoing_load == holder.incoming_load == 0
 
 
 def test_a_busy_holder_is_waited_for_once_no_other_copy_can_be_made() -> None:
-    """The caller would lose its plan with a whole copy of it elsewhere.
+    """Guards against a plan lost although a complete copy of it exists.
 
-    The holder reads prompts and takes longer to go on than the run may be open
-    at both. Early in the notice another copy is made; late in it the run is
-    ended at the engine that leaves, and the holder goes on with it.
+    The holder is reading prompts and would resume later than a run may be open at two
+    engines. Early in the notice period another copy is made. Late in it the run is
+    closed at the leaving engine, and the holder resumes it.
     """
     for waited, kept in ((Millis(0), False), (LAST_COPY_ORDER_DELAY, True)):
         harness, opened = start_with_backup()
         harness.depart(opened.target)
-        standby = harness.find(OpenAttempt)
+        standby = harness.find_effect(OpenAttempt)
         target = harness.state.targets.targets[opened.target]
         target.left_at = Millis(harness.clock.now() - waited)
         harness.clock.advance(MAX_OVERLAP)
         harness.handle(Ticked())
         closed = opened.attempt if kept else standby.attempt
-        assert harness.find(CloseAttempt).attempt == closed
+        assert harness.find_effect(CloseAttempt).attempt == closed
 
 
 def test_a_run_that_ends_soon_is_not_copied() -> None:
@@ -319,7 +322,7 @@
 def test_the_memory_of_a_copy_is_counted_once() -> None:
     harness, opened = start_without_backup()
     harness.handle(Ticked())
-    order = harness.find(CopyRun)
+    order = harness.find_effect(CopyRun)
     holder = harness.state.targets.find(order.holder)
     assert holder is not None
     taken = holder.memory
@@ -330,18 +333,18 @@
     assert holder.memory == taken
     harness.handle(StreamEnded(opened.attempt))
     assert holder.memory == 0
-    assert harness.find(DropCopy).copy.handle == "h-1"
+    assert harness.find_effect(DropCopy).copy.handle == "h-1"
 
 
 def test_a_full_engine_is_tried_again_a_second_later() -> None:
-    """The caller would lose its plan although its copy would have found room.
+    """Guards against a plan lost although free memory appeared for its copy.
 
-    The only other engine is full as the run is copied ahead. Runs end there,
-    and a second later it has room.
+    The only other engine is full when the run is copied in advance. Runs end there, and
+    a second later it has free memory.
     """
     harness, _ = start_without_backup()
     harness.handle(Ticked())
-    order = harness.find(CopyRun)
+    order = harness.find_effect(CopyRun)
     harness.depart("e-2" if order.holder == "e-3" else "e-3")
     harness.handle(RunNotCopied(1, order.source, order.holder, "answered 503"))
     harness.handle(Ticked())
@@ -349,44 +352,44 @@
     harness.clock.advance(1_000)
     harness.state.requests[1].delivered_at = harness.clock.now()
     harness.handle(Ticked())
-    assert harness.find(CopyRun).holder == order.holder
+    assert harness.find_effect(CopyRun).holder == order.holder
 
 
 def test_a_full_engine_is_tried_again_within_the_notice() -> None:
-    """Guards against a run lost in its notice though room came in time."""
+    """Guards against a run lost although memory became free within its notice."""
     harness, opened = start_without_backup()
     harness.depart("e-3")
     harness.depart(opened.target)
-    order = harness.find(CopyRun)
+    order = harness.find_effect(CopyRun)
     harness.handle(RunNotCopied(1, order.source, order.holder, "answered 503"))
     assert harness.find_effects(CopyRun) == []
     harness.clock.advance(300)
     harness.send_pieces(opened.attempt, 11, 14)
     harness.handle(Ticked())
-    assert harness.find(CopyRun).holder == order.holder
+    assert harness.find_effect(CopyRun).holder == order.holder
 
 
 def test_advance_copies_are_dropped_where_memory_runs_out() -> None:
-    """A caller would see a pause of half a second: its run is preempted.
+    """Guards against a pause of half a second because a run is preempted.
 
     A copy is kept at an engine that other entries have filled meanwhile.
     """
     harness, _ = start_without_backup()
     harness.handle(Ticked())
-    order = harness.find(CopyRun)
+    order = harness.find_effect(CopyRun)
     harness.handle(RunCopied(1, order.source, order.holder, "h-1"))
     harness.handle(Ticked())
     assert harness.find_effects(DropCopy) == []
     harness.handle(PeerHeard("entry-2", (PeerLoad(order.holder, 9, 34_000),)))
     harness.handle(Ticked())
-    assert harness.find(DropCopy).copy.holder == order.holder
+    assert harness.find_effect(DropCopy).copy.holder == order.holder
     assert harness.state.targets.targets[order.holder].memory == 0
 
 
 def test_a_copy_is_not_dropped_while_its_run_needs_it() -> None:
     harness, opened = start_without_backup()
     harness.handle(Ticked())
-    order = harness.find(CopyRun)
+    order = harness.find_effect(CopyRun)
     harness.handle(RunCopied(1, order.source, order.holder, "h-1"))
     harness.handle(PeerHeard("entry-2", (PeerLoad(order.holder, 9, 34_000),)))
     harness.depart(opened.target)
@@ -395,9 +398,10 @@
 
 
 def test_advance_copies_leave_free_memory_for_prompts() -> None:
-    """A caller would be refused for memory that a copy holds just in case.
+    """Guards against callers refused for memory that precautionary copies hold.
 
-    The engines are filled to half and more; a copy would bring them over 0.6.
+    The engines are more than half full; a copy would raise their memory use above a
+    fraction of 0.6.
     """
     harness, _ = start_without_backup()
     loads = (PeerLoad("e-2", 5, 18_000), PeerLoad("e-3", 5, 18_000))
@@ -410,10 +414,10 @@
 
 
 def test_while_a_prompt_waits_copies_are_kept_but_none_is_begun() -> None:
-    """A caller would be refused for a copy, or lose its plan for want of one.
+    """Guards against callers refused for a copy, and plans lost without one.
 
-    The copy of the first run is not renewed under load, and dropped as its time
-    is up; its engine leaves then.
+    Under load the copy of the first run is not refreshed, and it would be dropped when
+    its time is up. Its engine leaves then.
     """
     harness, _ = start_without_backup()
     request = harness.state.requests[1]
@@ -421,7 +425,7 @@
     assert copies.order_proactive_copies(harness.state, harness.clock.now()) == []
     harness.state.queue.clear()
     harness.handle(Ticked())
-    order = harness.find(CopyRun)
+    order = harness.find_effect(CopyRun)
     harness.handle(RunCopied(1, order.source, order.holder, "h-1"))
     harness.state.queue.append(1)
     harness.clock.advance(3_000)
@@ -431,10 +435,10 @@
 
 
 def start_with_stale_copy() -> tuple[EntryHarness, CopyRun]:
-    """Return a world whose run has a copy that has grown old, as its engine leaves."""
+    """Return an entry whose run has a stale copy as its engine leaves."""
     harness, _ = start_without_backup()
     harness.handle(Ticked())
-    order = harness.find(CopyRun)
+    order = harness.find_effect(CopyRun)
     harness.handle(RunCopied(1, order.source, order.holder, "h-1"))
     harness.clock.advance(STALE_COPY_AGE)
     harness.depart(order.source)
@@ -442,29 +446,29 @@
 
 
 def test_a_stale_copy_is_refreshed_before_a_handover() -> None:
-    """Guards against pauses of a quarter second, of what the copy lacks."""
+    """Guards against a pause of 250 ms while the holder regenerates missing events."""
     harness, order = start_with_stale_copy()
-    assert harness.find(CopyRun) == order
+    assert harness.find_effect(CopyRun) == order
     assert harness.find_effects(OpenAttempt) == []
     harness.handle(RunCopied(1, order.source, order.holder, "h-1"))
-    assert harness.find(OpenAttempt).target == order.holder
+    assert harness.find_effect(OpenAttempt).target == order.holder
 
 
 def test_a_run_resumes_from_its_stale_copy_if_no_newer_one_can_be_made() -> None:
-    """Guards against runs that are lost with a copy at hand."""
+    """Guards against runs lost although a stale copy exists."""
     harness, order = start_with_stale_copy()
     harness.handle(RunNotCopied(1, order.source, order.holder, "answered 503"))
-    assert harness.find(OpenAttempt).source == RunCopy(
+    assert harness.find_effect(OpenAttempt).source == RunCopy(
         order.holder, order.source, "h-1"
     )
 
 
 def test_a_run_resumes_from_its_stale_copy_if_the_newer_one_takes_too_long() -> None:
-    """Guards against runs whose engine is gone before their newer copy is made."""
+    """Guards against runs whose engine ends before their newer copy is made."""
     harness, order = start_with_stale_copy()
     harness.clock.advance(REFRESH_TIMEOUT)
     harness.handle(Ticked())
-    assert harness.find(OpenAttempt).source == RunCopy(
+    assert harness.find_effect(OpenAttempt).source == RunCopy(
         order.holder, order.source, "h-1"
     )
 
@@ -472,10 +476,10 @@
 def test_a_fresh_copy_is_used_as_it_is() -> None:
     harness, _ = start_without_backup()
     harness.handle(Ticked())
-    order = harness.find(CopyRun)
+    order = harness.find_effect(CopyRun)
     harness.handle(RunCopied(1, order.source, order.holder, "h-1"))
     harness.depart(order.source)
-    assert harness.find(OpenAttempt).target == order.holder
+    assert harness.find_effect(OpenAttempt).target == order.holder
 
 
 def start_in_two_domains() -> tuple[EntryHarness, OpenAttempt]:
@@ -491,18 +495,18 @@
 
 
 def test_a_run_outlives_the_failure_domain_that_its_engine_is_in() -> None:
-    """Guards against a run lost together with its copy in one failure domain."""
+    """Guards against a run and its copy that are lost with one failure domain."""
     harness, opened = start_in_two_domains()
     harness.handle(Ticked())
-    order = harness.find(CopyRun)
+    order = harness.find_effect(CopyRun)
     assert order.holder == "e-far"
     harness.handle(RunCopied(1, order.source, order.holder, "h-1"))
     harness.handle(AttemptLost(opened.attempt, Loss.BROKEN))
-    assert harness.find(OpenAttempt).target == "e-far"
+    assert harness.find_effect(OpenAttempt).target == "e-far"
 
 
 def test_within_the_notice_a_copy_goes_where_it_arrives_first() -> None:
-    """Guards against copies that arrive after their engine has gone."""
+    """Guards against copies that arrive after their engine has ended."""
     harness, opened = start_in_two_domains()
     harness.depart(opened.target)
-    assert harness.find(CopyRun).holder == "e-near"
+    assert harness.find_effect(CopyRun).holder == "e-near"
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -1,4 +1,4 @@
-"""Requests that crash their targets, before fleets that share what they see."""
+"""Tests of requests that crash their targets, in fleets that share suspicions."""
 
 from dataclasses import dataclass, field, replace
 from enum import Enum
@@ -43,22 +43,26 @@
 )
 
 DOMAINS = ("muc-a", "muc-b", "nue-a", "aug-a")
+"""Failure domains of the entries and targets."""
+
 KILLER = "killer"
+"""Digest of the request that crashes its targets."""
+
 RETRY_DELAY = 3_600
 """Milliseconds after which a caller sends the same request again."""
 
 RESTART_DELAY = 3_000
-"""Milliseconds for which a target that crashed is down."""
+"""Milliseconds for which a crashed target is down."""
 
 PROPAGATION_DELAY = 3_000
-"""Milliseconds after the third crash from which on retries count."""
+"""Milliseconds after the third crash from which runs count as late."""
 
 MAX_LATE_RUNS = 3
-"""Retries later than that which are borne."""
+"""Number of late runs of the request that are tolerated."""
 
 
 class CrashEvidence(Enum):
-    """How the end of a target shows."""
+    """Observation that tells an entry that a target has crashed."""
 
     PROBE = "nobody listens at its address"
     LAPSE = "its registration goes"
@@ -68,15 +72,16 @@
 
 @dataclass
 class Replay:
-    """A fleet before four targets that a read crashes.
+    """A fleet with four targets of a service, and a read that crashes them.
 
     Attributes:
-        size: Entries.
-        evidence: How the end of a target shows.
-        loss: How the attempt that crashes a target is lost.
-        runs: When the read ran, and where.
-        registrations: Start of each target's newest life.
-        down: Targets that are down, and until when.
+        size: Number of entries.
+        evidence: Observation that tells the entries that a target has crashed.
+        loss: Loss of the attempt that crashes a target.
+        domains: Failure domains of the entries and targets.
+        runs: Time and target of each run of the read.
+        registrations: Newest registration of each target.
+        down: Targets that are down, with the time at which they restart.
     """
 
     size: int = 8
@@ -97,13 +102,13 @@
         exchange_messages(self.fleet)
 
     def register(self, info: Registration) -> None:
-        """Let a target start."""
+        """Start a target and register it at all entries."""
         self.registrations[info.target] = info
         for harness in self.fleet:
             harness.handle(TargetRegistered(info))
 
     def wait(self, millis: int) -> None:
-        """Let time pass; targets that were down start again."""
+        """Advance the clock by ``millis``; targets restart when due."""
         until = Millis(self.clock.now() + millis)
         for name, back in sorted(self.down.items(), key=lambda item: item[1]):
             if back > until:
@@ -132,7 +137,7 @@
     def send(
         self, harness: EntryHarness, digest: str = KILLER, path: str = "/lookup/a"
     ) -> None:
-        """Send a request that crashes targets, and play what follows."""
+        """Send a request that crashes targets, and follow all of its attempts."""
         harness.receive_request(path, digest=digest)
         opened = harness.find_effects(OpenAttempt)
         while opened:
@@ -141,7 +146,7 @@
     def crash_target(
         self, harness: EntryHarness, opened: OpenAttempt
     ) -> list[OpenAttempt]:
-        """Let a target crash under an attempt; returns what is sent next."""
+        """Crash the target of an attempt; return the attempts opened next."""
         name = opened.target
         if name not in self.registrations:
             harness.handle(AttemptLost(opened.attempt, Loss.MISDIRECTED))
@@ -157,7 +162,7 @@
         return harness.find_effects(OpenAttempt)
 
     def lose_attempt(self, harness: EntryHarness, attempt: int) -> None:
-        """End an attempt as its target crashes; the effects of the loss stay."""
+        """Lose an attempt to a crash; only the effects of the loss are kept."""
         harness.handle(AttemptLost(attempt, self.loss))
         effects = list(harness.effects)
         for probe in harness.find_effects(ProbeTarget):
@@ -167,7 +172,7 @@
         harness.effects = effects
 
     def count_late_runs(self) -> int:
-        """Return the runs that began after the third crash was known to all."""
+        """Return the number of runs begun after all entries knew of the third crash."""
         if len(self.runs) < 3:
             return 0
         known = self.runs[2][0] + PROPAGATION_DELAY
@@ -175,7 +180,7 @@
 
 
 def was_rejected(harness: EntryHarness) -> bool:
-    """Tell whether the last request was refused for its crashes."""
+    """Return whether the last request was refused because it crashes targets."""
     return any(
         effect.problem.code == "crashes_targets"
         for effect in harness.find_effects(Refuse)
@@ -183,25 +188,25 @@
 
 
 def rejects_request(harness: EntryHarness, digest: str = KILLER) -> bool:
-    """Tell whether an entry refuses a read for its crashes."""
+    """Return whether an entry refuses a read because it crashes targets."""
     harness.receive_request("/lookup/a", digest=digest)
     return was_rejected(harness)
 
 
 def retry_repeatedly(replay: Replay, times: int = 6) -> None:
-    """Let the caller come back to one entry after another."""
+    """Let the caller retry at one entry after another."""
     for number in range(times):
         replay.send(replay.fleet[number % len(replay.fleet)])
         replay.wait(RETRY_DELAY)
 
 
 @pytest.mark.parametrize("size", [8, 73])
-@pytest.mark.parametrize("ending", list(CrashEvidence))
+@pytest.mark.parametrize("evidence", list(CrashEvidence))
 @pytest.mark.parametrize("loss", [Loss.BROKEN, Loss.GARBLED, Loss.SILENT, Loss.FAILED])
 def test_a_read_that_crashes_its_targets_is_kept_away(
     size: int, evidence: CrashEvidence, loss: Loss
 ) -> None:
-    """Guards against targets that crash one after another under one read."""
+    """Guards against a read that crashes one target after another."""
     replay = Replay(size, evidence, loss)
     retry_repeatedly(replay)
     assert replay.count_late_runs() <= MAX_LATE_RUNS
@@ -210,7 +215,7 @@
 
 
 def test_entries_of_a_large_fleet_keep_a_read_away() -> None:
-    """Guards against crashes that only one failure domain hears of."""
+    """Guards against crashes that only one failure domain learns of."""
     replay = Replay(300)
     retry_repeatedly(replay, 3)
     assert len(replay.runs) == 2
@@ -219,7 +224,7 @@
 
 @pytest.mark.parametrize("loss", [Loss.REFUSED, Loss.UNREACHED])
 def test_a_request_that_did_not_run_is_not_suspected(loss: Loss) -> None:
-    """Guards against requests blamed for targets that never began them."""
+    """Guards against requests suspected for targets that never started them."""
     replay = Replay(loss=loss)
     retry_repeatedly(replay)
     assert not rejects_request(replay.fleet[5])
@@ -228,7 +233,7 @@
 
 @pytest.mark.parametrize("loss", [Loss.BROKEN, Loss.GARBLED, Loss.SILENT, Loss.FAILED])
 def test_losses_at_targets_that_live_refuse_nobody(loss: Loss) -> None:
-    """Guards against reads refused for targets that reset, garble or fail."""
+    """Guards against reads refused for resets, garbled answers or failures."""
     replay = Replay(loss=loss)
     for number in range(6):
         harness = replay.fleet[number]
@@ -246,10 +251,10 @@
 
 
 def answer_from(harness: EntryHarness, name: str) -> None:
-    """Let a target answer some request of an entry."""
+    """Send requests to an entry until the named target has answered one."""
     for _ in range(20):
         harness.receive_request("/lookup/other")
-        opened = harness.find(OpenAttempt)
+        opened = harness.find_effect(OpenAttempt)
         harness.handle(AnswerArrived(opened.attempt, 200))
         if opened.target == name:
             return
@@ -258,14 +263,17 @@
 def start_at_target(
     replay: Replay, target: str, count: int, path: str = "/lookup/a"
 ) -> list[tuple[EntryHarness, OpenAttempt]]:
-    """Start requests until some run at a target, at any entry."""
+    """Start ``count`` requests at a target, each at some entry.
+
+    Requests that are sent to another target are answered and not returned.
+    """
     found: list[tuple[EntryHarness, OpenAttempt]] = []
     number = 0
     while len(found) < count:
         harness = replay.fleet[number % len(replay.fleet)]
         harness.receive_request(path, digest=f"good-{number}")
         number += 1
-        opened = harness.find(OpenAttempt)
+        opened = harness.find_effect(OpenAttempt)
         if opened.target == target:
             found.append((harness, opened))
         else:
@@ -275,11 +283,11 @@
 
 @pytest.mark.parametrize("size", [8, 73])
 def test_a_read_beside_the_killer_at_two_crashes_is_served(size: int) -> None:
-    """Guards against an innocent read that is sent on to where the killer goes."""
+    """Guards against refusing a read that shared two crashed targets with another."""
     replay = Replay(size)
     first, second = replay.fleet[:2]
     first.receive_request("/lookup/a", digest=KILLER)
-    killer = first.find(OpenAttempt)
+    killer = first.find_effect(OpenAttempt)
     [(second, good)] = start_at_target(replay, killer.target, 1)
     digest = second.state.requests[good.number].spec.digest
     for _ in range(2):
@@ -292,14 +300,14 @@
         killer = next_killer
         [good] = again
         if good.target != killer.target:
-            # Send it to where the killer goes, as happens in one case of three.
+            # Send it to the same target, which happens by chance in one case of three.
             attempt = second.state.attempts[good.attempt]
             attempt.target = second.state.targets.targets[killer.target]
     replay.wait(RETRY_DELAY)
     harness = replay.fleet[3]
     harness.receive_request("/lookup/a", digest=digest)
     assert harness.find_effects(OpenAttempt)
-    harness.handle(AnswerArrived(harness.find(OpenAttempt).attempt, 200))
+    harness.handle(AnswerArrived(harness.find_effect(OpenAttempt).attempt, 200))
     retry_repeatedly(replay, 4)
     assert rejects_request(replay.fleet[3])
     assert replay.count_late_runs() <= MAX_LATE_RUNS
@@ -317,7 +325,7 @@
 def test_nobody_is_refused_after_a_failure_domain_is_lost(
     size: int, domains: tuple[str, ...]
 ) -> None:
-    """Guards against requests refused that were at targets of a lost domain."""
+    """Guards against refusing requests that ran in a failure domain that was lost."""
     replay = Replay(size, domains=domains)
     lost = [
         name
@@ -328,9 +336,9 @@
     for number in range(80):
         harness = replay.fleet[number % len(replay.fleet)]
         harness.receive_request("/lookup/a", digest=f"good-{number}")
-        running.append((harness, harness.find(OpenAttempt)))
+        running.append((harness, harness.find_effect(OpenAttempt)))
     assert sum(opened.target in lost for _, opened in running) >= 40
-    # Those that are sent on may meet the next target as it goes.
+    # Retried requests may reach the next target just before it goes down.
     for name in lost:
         replay.down[name] = Millis(replay.clock.now() + RESTART_DELAY)
         for harness, opened in list(running):
@@ -350,11 +358,11 @@
 
 
 def test_a_queued_request_is_refused_once_its_crashes_are_reported() -> None:
-    """Guards against a killer in a queue that is started all the same."""
+    """Guards against starting a queued request that is known to crash targets."""
     harness = EntryHarness()
     harness.register("e-1", slots=1)
     harness.receive_request("/question/a", Prompt("m", 100, 50, 50))
-    running = harness.find(OpenAttempt)
+    running = harness.find_effect(OpenAttempt)
     harness.receive_request("/question/a", Prompt("m", 100, 50, 50), digest=KILLER)
     assert harness.find_effects(OpenAttempt) == []
     for number in range(2):
@@ -364,17 +372,17 @@
     harness.handle(Ticked())
     assert harness.find_effects(OpenAttempt) == []
     assert was_rejected(harness)
-    assert harness.find(Refuse).problem.status == 503
+    assert harness.find_effect(Refuse).problem.status == 503
 
 
 def test_a_request_is_not_retried_once_peers_report_its_crashes() -> None:
-    """Guards against a killer at two entries at once that goes on at both."""
+    """Guards against a crashing request that is retried by two entries at once."""
     replay = Replay()
     first, second = replay.fleet[:2]
     first.receive_request("/lookup/a", digest=KILLER)
-    first_opened = first.find(OpenAttempt)
+    first_opened = first.find_effect(OpenAttempt)
     second.receive_request("/lookup/a", digest=KILLER)
-    second_opened = second.find(OpenAttempt)
+    second_opened = second.find_effect(OpenAttempt)
     if second_opened.target == first_opened.target:
         attempt = second.state.attempts[second_opened.attempt]
         other = next(
@@ -394,18 +402,18 @@
 
 
 def test_a_run_is_not_repeated_once_its_crashes_are_known() -> None:
-    """Guards against a route of many attempts that crashes as many targets."""
+    """Guards against a route with many attempts that crashes as many targets."""
     replay = Replay()
     route = replace(LOOKUP, attempts=4)
     for harness in replay.fleet:
         harness.handle(ConfigurationRead(build_table(2, [route])))
     replay.send(replay.fleet[0])
-    # The repeat after the second crash goes out before that crash is known.
+    # The repeat after the second crash is sent before that crash is known.
     assert len(replay.runs) <= 3
 
 
 def test_an_entry_that_starts_again_learns_what_is_refused() -> None:
-    """Guards against a restarted entry that sends a killer on."""
+    """Guards against a restarted entry that forwards a crashing request."""
     replay = Replay(73)
     retry_repeatedly(replay, 2)
     replay.wait(20_000)
@@ -420,7 +428,7 @@
 
 
 def test_entries_that_were_cut_off_learn_what_is_refused() -> None:
-    """Guards against crashes that are told only while they are new."""
+    """Guards against crashes that are reported only while they are recent."""
     replay = Replay(8)
     connected, isolated = replay.fleet[:4], replay.fleet[4:]
     replay.fleet = connected
@@ -432,7 +440,7 @@
 
 
 def test_a_caller_that_comes_again_at_once_is_refused() -> None:
-    """Guards against crashes in the time before others can have been told."""
+    """Guards against crashes caused by retries before all entries are informed."""
     replay = Replay(8)
     replay.send(replay.fleet[0])
     exchange_messages(replay.fleet)
@@ -443,25 +451,25 @@
 
 
 def test_a_new_refusal_has_a_short_retry_time() -> None:
-    """Guards against an innocent read sent away before others could clear it."""
+    """Guards against refusing an innocent read for long before peers can clear it."""
     replay = Replay(8)
     replay.send(replay.fleet[0])
     exchange_messages(replay.fleet)
     harness = replay.fleet[1]
     replay.send(harness)
-    assert harness.find(Refuse).problem.retry_after == SETTLING_RETRY_AFTER
+    assert harness.find_effect(Refuse).problem.retry_after == SETTLING_RETRY_AFTER
     replay.wait(RETRY_DELAY)
     replay.send(harness)
-    assert harness.find(Refuse).problem.retry_after == REFUSED_RETRY_AFTER
+    assert harness.find_effect(Refuse).problem.retry_after == REFUSED_RETRY_AFTER
 
 
 def test_an_answer_clears_a_read_everywhere() -> None:
-    """Guards against a read that stays suspected though it has run."""
+    """Guards against a read that stays suspected although it has completed."""
     replay = Replay(8)
     first, second = replay.fleet[:2]
     first.receive_request("/lookup/a", digest="good")
-    replay.lose_attempt(first, first.find(OpenAttempt).attempt)
-    again = first.find(OpenAttempt)
+    replay.lose_attempt(first, first.find_effect(OpenAttempt).attempt)
+    again = first.find_effect(OpenAttempt)
     exchange_messages(replay.fleet)
     assert second.state.crashes.is_suspected("good")
     replay.clock.advance(20)
@@ -472,7 +480,7 @@
 
 
 def test_a_stream_that_had_begun_is_not_suspected() -> None:
-    """Guards against streams blamed for what crashed their engine."""
+    """Guards against streams suspected for a crash that another request caused."""
     harness, opened = start_with_backup()
     harness.handle(AttemptLost(opened.attempt, Loss.BROKEN))
     harness.handle(TargetDown(Incarnation(opened.target, 1)))
@@ -481,11 +489,11 @@
 
 
 def test_a_request_cut_off_by_a_leaving_target_is_not_suspected() -> None:
-    """Guards against requests blamed for a target that was told to end."""
+    """Guards against requests suspected because their target shut down."""
     harness = EntryHarness()
     harness.register("b-1", "b-2", service=BOOKINGS)
     harness.receive_request("/lookup/a", digest="good")
-    opened = harness.find(OpenAttempt)
+    opened = harness.find_effect(OpenAttempt)
     harness.handle(TargetLeaving(Incarnation(opened.target, 1)))
     harness.handle(AttemptLost(opened.attempt, Loss.BROKEN))
     harness.handle(TargetDown(Incarnation(opened.target, 1)))
@@ -497,7 +505,7 @@
     harness = EntryHarness()
     harness.register("b-1", "b-2", "b-3", service=BOOKINGS)
     harness.receive_request("/lookup/a", digest="good")
-    first = harness.find(OpenAttempt)
+    first = harness.find_effect(OpenAttempt)
     harness.handle(AttemptLost(first.attempt, Loss.BROKEN))
     harness.handle(TargetDown(Incarnation(first.target, 1)))
     assert harness.state.crashes.is_suspected("good")
@@ -509,11 +517,11 @@
 
 
 def test_a_target_that_ends_much_later_has_not_crashed() -> None:
-    """Guards against reads blamed for an end that had nothing to do with them."""
+    """Guards against reads suspected for an unrelated later end of their target."""
     harness = EntryHarness()
     harness.register("b-1", "b-2", service=BOOKINGS)
     harness.receive_request("/lookup/a", digest="good")
-    opened = harness.find(OpenAttempt)
+    opened = harness.find_effect(OpenAttempt)
     harness.handle(AttemptLost(opened.attempt, Loss.BROKEN))
     harness.clock.advance(LOST_RETENTION)
     harness.handle(TargetDeparted(opened.target))
@@ -521,11 +529,11 @@
 
 
 def test_a_caller_that_leaves_is_suspected_like_others() -> None:
-    """Guards against a killer whose caller leaves before its target is found."""
+    """Guards against a crashing request whose caller left before the crash is known."""
     harness = EntryHarness()
     harness.register("b-1", "b-2", service=BOOKINGS)
     number = harness.receive_request("/lookup/a", digest=KILLER)
-    opened = harness.find(OpenAttempt)
+    opened = harness.find_effect(OpenAttempt)
     harness.handle(CallerGone(number))
     harness.handle(TargetDeparted(opened.target))
     assert harness.state.crashes.is_suspected(KILLER)
@@ -553,7 +561,7 @@
 
 
 def test_old_suspicions_are_left_out_of_partial_messages() -> None:
-    """Guards against messages of a large fleet that all tell of old crashes."""
+    """Guards against old crashes repeated in each message of a large fleet."""
     replay = Replay(73)
     retry_repeatedly(replay, 2)
     replay.wait(RETRY_DELAY)
--- a/tests/gateway/test_departures.py
+++ b/tests/gateway/test_departures.py
@@ -1,4 +1,4 @@
-"""Tests of targets that have said that they leave."""
+"""Tests of targets that have reported that they are leaving."""
 
 from dataclasses import replace
 
@@ -26,7 +26,7 @@
 from tests.gateway.worlds import BOOKINGS, ENGINES, EntryHarness, build_fleet
 
 RETENTION_DURATION = Millis(31_000)
-"""Time after which a target that left and serves nothing is not known any more."""
+"""Milliseconds after which a departed, idle target is removed."""
 
 
 def build_harness(*names: str) -> EntryHarness:
@@ -37,12 +37,12 @@
 
 
 def build_leaving(target: str, born: int = 1) -> TargetLeaving:
-    """Return a target's word that it leaves."""
+    """Return a target's report that it is leaving."""
     return TargetLeaving(Incarnation(target, born))
 
 
 def list_called_targets(harness: EntryHarness, calls: int = 6) -> set[str]:
-    """Return the targets that some calls are sent to."""
+    """Return the targets to which ``calls`` requests are sent."""
     called = set()
     for _ in range(calls):
         harness.receive_request("/order/a")
@@ -59,21 +59,21 @@
 
 
 def test_streams_move_from_an_engine_that_reports_leaving() -> None:
-    """Guards against streams that end with an engine whose answer told its end."""
+    """Guards against streams lost with an engine whose answer announced its end."""
     harness = EntryHarness()
     harness.register("e-1", "e-2")
     opened = harness.open_plan()
     harness.send_pieces(opened.attempt, 1, 9)
     harness.handle(build_leaving(opened.target))
-    assert harness.find(CopyRun).source == opened.target
+    assert harness.find_effect(CopyRun).source == opened.target
 
 
 def test_a_call_is_refused_at_once_where_all_targets_leave() -> None:
-    """Guards against callers who wait for targets that take nothing more."""
+    """Guards against callers that wait for targets that accept no more work."""
     harness = build_harness("b-1")
     harness.handle(build_leaving("b-1"))
     harness.receive_request("/order/a")
-    assert harness.find(Refuse).problem.status == 503
+    assert harness.find_effect(Refuse).problem.status == 503
 
 
 @pytest.mark.parametrize("pause", [0, 5_000, LEAVING_ANNOUNCE_DURATION + 1, 60_000])
@@ -92,7 +92,7 @@
 
 
 def test_a_departed_target_that_registers_again_stays_leaving() -> None:
-    """Guards against a registration that lapsed and comes back as the target leaves."""
+    """Guards against a lapsed registration that returns while its target leaves."""
     harness = build_harness("b-1", "b-2")
     harness.handle(TargetDeparted("b-1"))
     harness.handle(build_leaving("b-1"))
@@ -101,7 +101,7 @@
 
 
 def test_a_target_that_starts_again_gets_work() -> None:
-    """Guards against a new process that is shunned for the word of the one before."""
+    """Guards against a restarted target avoided for its predecessor's leaving mark."""
     harness = build_harness("b-1", "b-2")
     harness.handle(build_leaving("b-1"))
     message = peers.describe_entry(harness.state, harness.clock.now())
@@ -116,7 +116,7 @@
 
 
 def test_a_late_leaving_mark_does_not_apply_to_a_newer_incarnation() -> None:
-    """Guards against a new process that is shunned for an answer still under way."""
+    """Guards against a restarted target avoided for a delayed answer."""
     harness = build_harness("b-1", "b-2")
     info = Registration("b-1", BOOKINGS, "b-1:80", "muc-a", 6, born=2)
     harness.handle(TargetRegistered(info))
@@ -128,7 +128,7 @@
 
 @pytest.mark.parametrize("size", [8, 73])
 def test_what_a_target_said_to_one_entry_reaches_the_others(size: int) -> None:
-    """Guards against entries that send on until the target has told each of them."""
+    """Guards against entries that send work until the target has informed each one."""
     fleet = build_fleet(size, ("muc-a", "muc-b", "nue-a", "aug-a"))
     for harness in fleet:
         harness.register("b-1", "b-2", service=BOOKINGS, slots=6)
@@ -146,7 +146,7 @@
 
 
 def test_a_leaving_mark_received_before_the_registration_applies() -> None:
-    """Guards against an entry that starts and reads the target's record from before."""
+    """Guards against a starting entry that trusts a target's outdated record."""
     sender = build_harness("b-1")
     sender.handle(build_leaving("b-1"))
     harness = build_harness("b-2")
@@ -156,7 +156,7 @@
 
 
 def test_a_leaving_mark_is_sent_briefly_and_kept_longer() -> None:
-    """Guards against messages and a state that grow with every departure."""
+    """Guards against messages and state that grow with every departure."""
     harness = build_harness("b-1", "b-2")
     harness.handle(build_leaving("b-1"))
     assert peers.describe_entry(harness.state, harness.clock.now()).leaving
@@ -169,7 +169,7 @@
 
 
 def test_an_engine_report_does_not_undo_a_leaving_mark() -> None:
-    """Guards against an engine that comes back after its own notice was told."""
+    """Guards against an engine used again after it had announced its end."""
     harness = EntryHarness()
     harness.handle(EntriesCounted(8))
     harness.register("e-1", "e-2")
@@ -182,22 +182,22 @@
 
 
 def test_a_target_that_reports_leaving_is_logged_once() -> None:
-    """Guards against a departure that no log line shows."""
+    """Guards against a departure that is missing from the log."""
     harness = build_harness("b-1")
-    message = []
+    logged = []
     for _ in range(3):
         harness.handle(build_leaving("b-1"))
-        message += [note.message for note in harness.find_effects(Note)]
-    assert message == ["target says that it leaves"]
+        logged += [note.message for note in harness.find_effects(Note)]
+    assert logged == ["target says that it leaves"]
 
 
 def test_a_leaving_mark_of_an_unknown_target_is_ignored() -> None:
-    """Guards against an answer that comes after its target was forgotten."""
+    """Guards against an answer that arrives after its target was removed."""
     assert EntryHarness().handle(build_leaving("b-9")) == []
 
 
 def start_plan_without_store() -> tuple[EntryHarness, OpenAttempt]:
-    """Return an entry that can't read the store, alone, with a plan that runs."""
+    """Return an entry with a running plan and a store that no entry can read."""
     harness = EntryHarness()
     harness.register("e-1", "e-2")
     opened = harness.open_plan()
@@ -207,7 +207,7 @@
 
 
 def test_a_draining_engine_keeps_its_runs_while_no_entry_reads_the_store() -> None:
-    """Guards against runs moved, and room lost, though the engine serves on."""
+    """Guards against runs moved, and capacity lost, while the engine still serves."""
     harness, opened = start_plan_without_store()
     harness.handle(EngineReported(opened.target, leaving=True, ending=False))
     assert not harness.find_effects(CopyRun)
@@ -217,27 +217,27 @@
 
 
 def test_an_engine_that_reports_its_end_is_evacuated_at_once() -> None:
-    """Guards against runs lost with an engine that was only drained at first."""
+    """Guards against runs lost with an engine that was only draining at first."""
     harness, opened = start_plan_without_store()
     harness.handle(EngineReported(opened.target, leaving=True, ending=False))
     harness.handle(EngineReported(opened.target, leaving=True, ending=True))
-    assert harness.find(CopyRun).source == opened.target
+    assert harness.find_effect(CopyRun).source == opened.target
 
 
 def test_an_engine_is_left_at_once_where_another_entry_reads_the_store() -> None:
-    """Guards against runs kept at an engine whose word the store has taken."""
+    """Guards against runs kept at an engine whose departure the store confirms."""
     harness, opened = start_plan_without_store()
     harness.handle(PeerHeard("entry-2", reading=True))
     harness.handle(EngineReported(opened.target, leaving=True, ending=False))
-    assert harness.find(CopyRun).source == opened.target
+    assert harness.find_effect(CopyRun).source == opened.target
 
 
 def test_a_target_that_is_down_is_not_waited_for_after_an_outage() -> None:
-    """Guards against requests sent to engines that went while the store was away."""
+    """Guards against requests sent to engines that ended during a store outage."""
     harness = build_harness("b-1", "b-2", "b-3")
     harness.handle(StoreLost())
     harness.receive_request("/lookup/a")
-    opened = harness.find(OpenAttempt)
+    opened = harness.find_effect(OpenAttempt)
     harness.handle(AttemptLost(opened.attempt, Loss.UNREACHED))
     harness.handle(StoreRegained())
     for name in ("b-1", "b-2", "b-3"):
--- a/tests/gateway/test_eligibility.py
+++ b/tests/gateway/test_eligibility.py
@@ -1,4 +1,4 @@
-"""Tests of regions that routes and customers are bound to."""
+"""Tests of the regions to which routes and customers are bound."""
 
 from dataclasses import replace
 
@@ -55,7 +55,7 @@
 def build_harness(
     allowed_regions: RegionSet, customer: RegionSet = None
 ) -> EntryHarness:
-    """Return an entry in one of three regions, each with a target."""
+    """Return an entry that knows three regions with one target each."""
     harness = EntryHarness()
     harness.handle(SettingsRead(0.2, 56.0, harness.state.budget.window, REGIONS))
     harness.handle(ConfigurationRead(build_bound_table(allowed_regions, customer)))
@@ -65,7 +65,7 @@
 
 
 def list_called_targets(harness: EntryHarness, path: str = "/order/a") -> set[str]:
-    """Return the targets that some calls are sent to."""
+    """Return the targets to which twelve requests are sent."""
     called = set()
     for _ in range(12):
         harness.receive_request(path)
@@ -86,7 +86,7 @@
 
 
 def test_regions_of_route_and_customer_both_bind() -> None:
-    """Guards against one of two bounds that is forgotten."""
+    """Guards against checking only one of the two region bounds."""
     harness = build_harness(
         frozenset({"berlin", "eire"}), frozenset({"bayern", "eire"})
     )
@@ -94,31 +94,31 @@
 
 
 def test_a_request_without_an_allowed_region_is_refused_at_once() -> None:
-    """Guards against callers held for targets that they may never be sent to."""
+    """Guards against callers that wait for targets that may never serve them."""
     harness = build_harness(frozenset({"berlin"}), frozenset({"eire"}))
     harness.receive_request("/order/a")
-    problem = harness.find(Refuse).problem
+    problem = harness.find_effect(Refuse).problem
     assert (problem.status, problem.code) == (503, "no_home")
 
 
 def test_a_failure_domain_of_unknown_region_is_not_eligible() -> None:
-    """Guards against a new failure domain that is taken for a home."""
+    """Guards against a new failure domain that is used before its region is known."""
     harness = build_harness(frozenset({"berlin"}))
     register(harness, "b-new", "ham-a")
     assert list_called_targets(harness) == {"b-ber-a"}
 
 
 def test_retries_stay_in_the_regions_of_their_route() -> None:
-    """Guards against second tries that leave the regions of their route."""
+    """Guards against retries outside the regions of their route."""
     harness = build_harness(frozenset({"berlin"}))
     harness.receive_request("/lookup/a")
-    first = harness.find(OpenAttempt)
+    first = harness.find_effect(OpenAttempt)
     harness.handle(AttemptLost(first.attempt, Loss.FAILED, status=500))
     assert not harness.find_effects(OpenAttempt)
 
 
 def test_copies_stay_at_home() -> None:
-    """Guards against a run's memory that is copied to a region it is not bound to."""
+    """Guards against a run's memory copied to a region that is not allowed."""
     harness = build_harness(frozenset({"berlin"}))
     register(harness, "e-1", "ber-a", ENGINES)
     opened = harness.open_plan()
@@ -127,11 +127,11 @@
     harness.handle(TargetDeparted("e-1"))
     assert not harness.find_effects(CopyRun)
     register(harness, "e-3", "ber-a", ENGINES)
-    assert harness.find(CopyRun).holder == "e-3"
+    assert harness.find_effect(CopyRun).holder == "e-3"
 
 
 def test_new_homes_bind_requests_that_wait() -> None:
-    """Guards against a waiting request sent where it must not go any more."""
+    """Guards against a queued request sent to a region that is no longer allowed."""
     harness = build_harness(None)
     register(harness, "e-1", "ber-a", ENGINES)
     for _ in range(9):
@@ -147,7 +147,7 @@
 
 
 def test_a_removed_route_keeps_its_regions() -> None:
-    """Guards against a request set free as its route leaves the configuration."""
+    """Guards against a request freed from its bounds as its route is removed."""
     harness = build_harness(frozenset({"eire"}))
     number = harness.receive_request("/order/a")
     table = replace(build_bound_table(None, version=3), routes={})
--- a/tests/gateway/test_evacuations.py
+++ b/tests/gateway/test_evacuations.py
@@ -36,7 +36,7 @@
 
 
 def evacuate(harness: EntryHarness, *domains: str, position: int = 5) -> None:
-    """Let an entry read in the store which failure domains are evacuated."""
+    """Let an entry read from the store which failure domains are evacuated."""
     harness.handle(EvacuationsRead(Evacuations(frozenset(domains), position)))
 
 
@@ -49,7 +49,7 @@
 
 
 def build_harness() -> EntryHarness:
-    """Return an entry with two engines and two plain targets, in two domains."""
+    """Return an entry with two engines and two plain targets in two domains."""
     harness = EntryHarness()
     for domain in DOMAINS[:2]:
         register(harness, f"e-{domain}", domain)
@@ -59,16 +59,16 @@
 
 @pytest.mark.parametrize("path", ["/order/a", "/lookup/a"])
 def test_calls_avoid_an_evacuated_domain(path: str) -> None:
-    """Guards against calls that go on to the targets of an evacuated domain."""
+    """Guards against calls sent to targets of an evacuated failure domain."""
     harness = build_harness()
     evacuate(harness, "muc-a")
     for _ in range(8):
         harness.receive_request(path)
-        assert harness.find(OpenAttempt).target == "b-muc-b"
+        assert harness.find_effect(OpenAttempt).target == "b-muc-b"
 
 
 def test_prompts_avoid_an_evacuated_domain() -> None:
-    """Guards against prompts that are sent to engines that shall get nothing."""
+    """Guards against prompts sent to engines of an evacuated failure domain."""
     harness = build_harness()
     evacuate(harness, "muc-a")
     for _ in range(2):
@@ -76,38 +76,38 @@
 
 
 def test_a_target_that_comes_back_into_an_evacuated_domain_gets_nothing() -> None:
-    """Guards against new registrations that hide the evacuation of their domain."""
+    """Guards against new registrations that bypass their domain's evacuation."""
     harness = build_harness()
     evacuate(harness, "muc-a")
     register(harness, "b-new", "muc-a", BOOKINGS)
     for _ in range(8):
         harness.receive_request("/order/a")
-        assert harness.find(OpenAttempt).target == "b-muc-b"
+        assert harness.find_effect(OpenAttempt).target == "b-muc-b"
 
 
 def test_retries_avoid_an_evacuated_domain() -> None:
-    """Guards against second tries that go where nothing may be sent any more."""
+    """Guards against retries sent to a failure domain evacuated since the first try."""
     harness = build_harness()
     register(harness, "b-3", "nue-a", BOOKINGS)
     evacuate(harness, "muc-a")
     harness.receive_request("/lookup/a")
-    first = harness.find(OpenAttempt)
+    first = harness.find_effect(OpenAttempt)
     harness.handle(AttemptLost(first.attempt, Loss.FAILED, status=500))
-    assert {first.target, harness.find(OpenAttempt).target} == {"b-muc-b", "b-3"}
+    assert {first.target, harness.find_effect(OpenAttempt).target} == {"b-muc-b", "b-3"}
 
 
 def test_a_call_is_refused_at_once_where_all_is_evacuated() -> None:
-    """Guards against callers held until their deadline for targets that get nothing."""
+    """Guards against callers held until their deadline without any usable target."""
     harness = build_harness()
     evacuate(harness, "muc-a", "muc-b")
     harness.receive_request("/order/a")
-    problem = harness.find(Refuse).problem
+    problem = harness.find_effect(Refuse).problem
     assert (problem.status, problem.code) == (503, "evacuated")
     assert problem.retry_after is not None
 
 
 def test_a_waiting_prompt_is_refused_once_all_is_evacuated() -> None:
-    """Guards against waiting callers who are held though nothing can take them."""
+    """Guards against queued callers that are kept although no target is left."""
     harness = EntryHarness()
     register(harness, "e-1", "muc-a")
     for _ in range(9):
@@ -122,7 +122,7 @@
 
 
 def test_runs_end_where_they_are_and_get_no_copy_there() -> None:
-    """Guards against orders and copies sent to engines that shall get nothing."""
+    """Guards against orders and copies sent to engines of an evacuated domain."""
     harness = EntryHarness()
     register(harness, "e-1", "muc-a")
     opened = harness.open_plan()
@@ -138,7 +138,7 @@
 
 
 def test_a_copy_in_an_evacuated_domain_counts_as_none() -> None:
-    """Guards against a stream that goes on from a copy at an evacuated engine."""
+    """Guards against a stream resumed from a copy at an evacuated engine."""
     harness = EntryHarness()
     register(harness, "e-1", "muc-a")
     opened = harness.open_plan()
@@ -151,7 +151,7 @@
 
 
 def test_evacuated_engines_are_not_queried() -> None:
-    """Guards against questions to engines of an evacuated domain in an outage."""
+    """Guards against queries to engines of an evacuated domain in an outage."""
     harness = EntryHarness()
     register(harness, "e-1", "muc-a")
     opened = harness.open_plan()
@@ -164,19 +164,19 @@
 
 
 def test_a_domain_gets_work_at_once_when_its_evacuation_ends() -> None:
-    """Guards against a failure domain that stays shut after its evacuation ended."""
+    """Guards against a failure domain that stays unused after its evacuation ended."""
     harness = build_harness()
     evacuate(harness, "muc-a", position=5)
     evacuate(harness, position=6)
     targets = set()
     for _ in range(20):
         harness.receive_request("/order/a")
-        targets.add(harness.find(OpenAttempt).target)
+        targets.add(harness.find_effect(OpenAttempt).target)
     assert targets == {"b-muc-a", "b-muc-b"}
 
 
 def test_an_older_record_does_not_restore_an_evacuation() -> None:
-    """Guards against a late message that undoes what the store said since."""
+    """Guards against a late message that overrides a newer record of the store."""
     harness = build_harness()
     evacuate(harness, "muc-a", position=5)
     evacuate(harness, position=9)
@@ -187,7 +187,7 @@
 
 
 def test_a_configuration_leaves_an_evacuation_in_force() -> None:
-    """Guards against versions of the configuration that end an evacuation."""
+    """Guards against configuration versions that end an evacuation."""
     harness = build_harness()
     evacuate(harness, "muc-a")
     harness.handle(ConfigurationRead(build_table(version=2)))
@@ -195,7 +195,7 @@
 
 
 def test_a_message_carries_evacuations() -> None:
-    """Guards against peers that learn the position but not what is evacuated."""
+    """Guards against peers that learn the position but not the evacuated domains."""
     records = Evacuations(frozenset({"muc-a", "nue-a"}), 17)
     data = encode_hello(Hello(PeerHeard("entry-1", evacuations=records)))
     assert decode_hello(data, "10.0.0.1:7000").content.evacuations == records
@@ -212,7 +212,7 @@
 
 
 def test_an_unknown_domain_evacuates_nothing() -> None:
-    """Guards against a record with a wrong name that stops all work."""
+    """Guards against a record with a misspelled domain that stops all work."""
     harness = build_harness()
     evacuate(harness, "moon")
     assert {harness.open_plan().target, harness.open_plan().target} == {
@@ -222,10 +222,10 @@
 
 
 def test_a_repeated_evacuation_is_logged_once() -> None:
-    """Guards against log lines for each message that says the same."""
+    """Guards against a log line for each message that repeats an evacuation."""
     harness = build_harness()
     evacuate(harness, "muc-a", position=5)
-    assert harness.find(Note).message == "failure domain evacuated"
+    assert harness.find_effect(Note).message == "failure domain evacuated"
     evacuate(harness, "muc-a", position=6)
     assert not harness.find_effects(Note)
 
@@ -239,7 +239,7 @@
 def test_the_newest_evacuation_applies_in_any_order(
     records: list[tuple[int, frozenset[str]]],
 ) -> None:
-    """Guards against words that come late, twice or crossed."""
+    """Guards against late, repeated and reordered evacuation records."""
     harness = build_harness()
     newest = Evacuations()
     for position, domains in records:
@@ -254,11 +254,13 @@
 
 @dataclass
 class Fleet:
-    """Entries that tell each other what they know; some messages get lost.
+    """Entries that send each other their state over a lossy network.
 
     Attributes:
-        entries: The entries, of all failure domains in turn.
-        rng: Draws which messages are lost.
+        entries: The entries, assigned to the failure domains in turn.
+        clock: Clock that all entries share.
+        rng: Source of the losses and delays of messages.
+        pending: Messages under way: arrival time, receiver and message.
     """
 
     entries: list[EntryHarness]
@@ -267,7 +269,7 @@
     pending: list[tuple[Millis, EntryHarness, PeerHeard]] = field(default_factory=list)
 
     def step(self, millis: int) -> None:
-        """Let time pass, in which each entry tells all others of its domain."""
+        """Advance the clock, deliver due messages and send each entry's messages."""
         self.clock.advance(millis)
         now = self.clock.now()
         due = [item for item in self.pending if item[0] <= now]
@@ -294,7 +296,7 @@
 
 
 def build_lossy_fleet(size: int, seed: int) -> Fleet:
-    """Return a fleet of which each entry knows one target a failure domain."""
+    """Return a fleet in which each entry knows one target per failure domain."""
     entries = build_fleet(size, DOMAINS)
     for harness in entries:
         for domain in DOMAINS:
@@ -307,7 +309,7 @@
 def test_entries_that_the_store_turns_away_learn_of_an_evacuation(
     size: int, seed: int
 ) -> None:
-    """Guards against entries cut from the store that go on sending to the domain."""
+    """Guards against entries without the store that send to an evacuated domain."""
     fleet = build_lossy_fleet(size, seed)
     fleet.step(200)
     readers = fleet.entries[: max(1, size // 10)]
@@ -317,7 +319,7 @@
         fleet.step(200)
     for harness in fleet.entries:
         harness.receive_request("/order/a")
-        assert harness.find(OpenAttempt).target != "b-muc-b"
+        assert harness.find_effect(OpenAttempt).target != "b-muc-b"
     restarted = build_lossy_fleet(size, seed).entries[0]
     fleet.entries[-1] = restarted
     restarted.clock = fleet.clock
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -1,4 +1,4 @@
-"""A replay of many entries that place prompts on what they tell each other."""
+"""Simulation of a large fleet that places prompts by the loads its entries exchange."""
 
 import random
 from dataclasses import dataclass, field, replace
@@ -22,6 +22,8 @@
 
 DOMAINS = ("muc-a", "muc-b", "nue-a", "aug-a", "rgb-a", "wue-a")
 ENTRIES_PER_DOMAIN = 4
+"""Number of simulated entries in each failure domain."""
+
 ENGINES_PER_DOMAIN = {
     "muc-a": 9,
     "muc-b": 9,
@@ -30,15 +32,25 @@
     "rgb-a": 1,
     "wue-a": 1,
 }
-"""Engines of each failure domain: callers are as many in all of them."""
+"""Number of engines in each failure domain; every domain has as many callers."""
 
 FLEET_SIZE = 195
+"""Number of entries that each simulated entry takes the fleet to have."""
+
 PROMPTS_PER_SECOND = 28
+"""Arrival rate of prompts in all simulated entries together."""
+
 DURATION_SECONDS = 8
+"""Simulated time, in seconds."""
+
 STEP = Millis(10)
+"""Simulation step, in milliseconds."""
+
 PROMPT_TOKENS = 1_700
+"""Length of each prompt, in tokens."""
+
 GENERATION_DURATION = Millis(3_000)
-"""How long a run goes on once its prompt is read."""
+"""Milliseconds that a run takes once its prompt has been read."""
 
 
 @dataclass
@@ -46,13 +58,13 @@
     """An engine that reads prompts one after another.
 
     Attributes:
-        free_at: When it has read all prompts that it was sent.
+        free_at: Time at which it has read all prompts that it was sent.
     """
 
     free_at: Millis = Millis(0)
 
     def read(self, now: Millis) -> Millis:
-        """Take a prompt; returns when it has been read."""
+        """Queue a prompt and return the time at which it has been read."""
         start = max(self.free_at, now)
         self.free_at = Millis(start + round(PROMPT_TOKENS / DEFAULT_READ_RATE))
         return self.free_at
@@ -60,14 +72,20 @@
 
 @dataclass
 class Fleet:
-    """Entries of several failure domains, some prompts from each, no losses.
+    """Simulated entries of several failure domains; no messages are lost.
 
     Attributes:
-        ratios: Time until a prompt was read over what was expected.
+        clock: Clock that all entries share.
+        entries: The simulated entries.
+        engines: Engines by name.
+        ratios: Reading time of each prompt, divided by the expected one.
+        due: Pending events of runs: time, entry, kind and attempt.
+        sent_loads: Loads that each entry last sent to other failure domains, by target.
+        rng: Source of the arrivals.
     """
 
     clock: ManualClock = field(default_factory=lambda: ManualClock(100_000))
-    worlds: list[EntryHarness] = field(default_factory=list)
+    entries: list[EntryHarness] = field(default_factory=list)
     engines: dict[str, Engine] = field(default_factory=dict)
     ratios: list[float] = field(default_factory=list)
     due: list[tuple[Millis, EntryHarness, str, int]] = field(default_factory=list)
@@ -75,31 +93,31 @@
     rng: random.Random = field(default_factory=lambda: random.Random(3))
 
     def build(self) -> None:
-        """Set up entries and engines, which know of each other."""
+        """Create entries and engines, and register all engines at all entries."""
         for domain in DOMAINS:
             for number in range(ENTRIES_PER_DOMAIN):
                 harness = EntryHarness(clock=self.clock)
                 harness.state.node = f"entry-{domain}-{number}"
                 harness.state.failure_domain = domain
-                harness.state.rng.seed(len(self.worlds))
+                harness.state.rng.seed(len(self.entries))
                 harness.handle(EntriesCounted(FLEET_SIZE))
-                self.worlds.append(harness)
+                self.entries.append(harness)
         for domain in DOMAINS:
             for number in range(ENGINES_PER_DOMAIN[domain]):
                 name = f"e-{domain}-{number}"
                 self.engines[name] = Engine()
                 info = Registration(name, ENGINES, f"{name}:80", domain, 24, born=1)
-                for harness in self.worlds:
+                for harness in self.entries:
                     harness.handle(TargetRegistered(info))
 
     def simulate(self) -> None:
-        """Let prompts come, be read and run."""
+        """Simulate the arrival, reading and generation of prompts."""
         self.build()
         for tick in range(DURATION_SECONDS * 1_000 // STEP):
             self.clock.advance(STEP)
             self._process_due()
             if self.rng.random() < PROMPTS_PER_SECOND * STEP / 1_000:
-                self._place(self.rng.choice(self.worlds))
+                self._place(self.rng.choice(self.entries))
             self._exchange_messages(tick * STEP)
 
     def _place(self, harness: EntryHarness) -> None:
@@ -131,11 +149,11 @@
                 harness.handle(StreamEnded(attempt))
 
     def _exchange_messages(self, at: int) -> None:
-        for harness in self.worlds:
+        for harness in self.entries:
             if at % round(HELLO_SECONDS * 1_000) == 0:
                 self._send_locally(harness)
         if at % round(FAR_SECONDS * 1_000) == 0:
-            for harness in self.worlds:
+            for harness in self.entries:
                 if peers.is_domain_representative(harness.state, self.clock.now()):
                     self._send_remotely(
                         harness, at % round(FAR_WHOLE_SECONDS * 1_000) == 0
@@ -143,7 +161,7 @@
 
     def _send_locally(self, harness: EntryHarness) -> None:
         message = peers.describe_entry(harness.state, self.clock.now())
-        for other in self.worlds:
+        for other in self.entries:
             is_local = other.state.failure_domain == harness.state.failure_domain
             if is_local and other is not harness:
                 other.handle(message)
@@ -154,7 +172,7 @@
         self._deliver_remotely(harness, replace(message, loads=loads, partial=True))
 
     def _deliver_remotely(self, harness: EntryHarness, message: PeerHeard) -> None:
-        for other in self.worlds:
+        for other in self.entries:
             if other.state.failure_domain != harness.state.failure_domain:
                 other.handle(message)
 
@@ -169,7 +187,7 @@
 
 
 def test_prompts_are_read_when_a_large_fleet_expects_it() -> None:
-    """Guards against prompts that wait behind others which nobody had told of."""
+    """Guards against prompts that queue behind others which were not reported."""
     ratios = []
     for seed in range(3, 11):
         fleet = Fleet(rng=random.Random(seed))
--- a/tests/gateway/test_fleet_properties.py
+++ b/tests/gateway/test_fleet_properties.py
@@ -1,4 +1,4 @@
-"""Entries, targets and a network that loses messages, in any order of events."""
+"""Property tests of entries and targets over a lossy network, with random events."""
 
 import re
 from collections import Counter, deque
@@ -72,28 +72,32 @@
 ENTRIES = 3
 DOMAINS = ("muc-a", "muc-b")
 STREAM_EVENTS = 12
-"""Events of a whole stream."""
+"""Number of events in a complete stream."""
 
 STEP = Millis(50)
+"""Step of the clock, in milliseconds."""
+
 RESTART_DELAY = Millis(1_500)
-"""How long a target that crashed is down."""
+"""Milliseconds for which a crashed target is down."""
 
 NOT_RUN_STATUSES = (408, 421, 429, 503)
+"""Statuses of refusals that tell the caller that its request did not run."""
+
 KILLERS = ("killer-1", "killer-2")
 ROUTES = {route.prefix: route for route in (PLAN, QUESTION, ORDER, LOOKUP)}
 
 
 @dataclass
 class Run:
-    """An attempt as its target sees it.
+    """An attempt, as seen by its target.
 
     Attributes:
-        entry: Number of the entry.
-        attempt: Number of the attempt there.
-        incarnation: The target's life that got it.
-        opened: When it came.
-        resumed: Whether it goes on from a copy.
-        index: Last event that it sent.
+        entry: Index of the entry.
+        attempt: Number of the attempt at that entry.
+        incarnation: Incarnation of the target that received it.
+        opened: Time at which it was opened.
+        resumed: Whether it resumes from a copy.
+        index: Index of the last event that it sent.
         open: Whether it has not ended.
         ran: Whether it may have run.
     """
@@ -110,14 +114,14 @@
 
 @dataclass
 class Call:
-    """A request as its caller sees it.
+    """A request, as seen by its caller.
 
     Attributes:
-        route: Its route.
+        route: Route of the request.
         digest: Digest of the request.
         runs: Its attempts, oldest first.
-        events: Last event that the caller got.
-        ended: Whether it has its final answer, or left.
+        events: Index of the last event that the caller received.
+        ended: Whether the caller has its final answer or has left.
     """
 
     route: Route
@@ -128,7 +132,7 @@
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Three entries that tell each other what they know, over a bad network."""
+    """Three entries that exchange their state over a lossy, reordering network."""
 
     @initialize()
     def start(self) -> None:
@@ -154,20 +158,20 @@
                 )
         self.send_messages()
 
-    # What the entries ask for
+    # Effects of the entries
 
     def handle(self, entry: int, event: Event) -> None:
-        """Let an entry take an event, and do what it asks for."""
+        """Let an entry handle an event, and perform its effects."""
         for effect in self.fleet[entry].handle(event):
             self.perform(entry, effect)
 
     def run_pending(self) -> None:
-        """Do what was put off until an entry had ended its event."""
+        """Run the actions that were deferred until an event was handled."""
         while self.pending:
             self.pending.popleft()()
 
     def perform(self, entry: int, effect: Effect) -> None:
-        """Do what an entry asks for."""
+        """Perform an effect of an entry."""
         match effect:
             case OpenAttempt():
                 self.open(entry, effect)
@@ -196,7 +200,7 @@
                 self.refuse(entry, number, problem.status, problem.code)
 
     def open(self, entry: int, opened: OpenAttempt) -> None:
-        """Let a target get an attempt."""
+        """Open an attempt at its target, and check that the target may get it."""
         call = self.calls[entry][opened.number]
         assert not call.ended
         info = self.up.get(opened.target)
@@ -225,24 +229,24 @@
             self.pending.append(partial(self.crash, info.target, info.incarnation))
 
     def probe(self, entry: int, incarnation: Incarnation) -> None:
-        """Answer whether anybody listens at a target's address."""
+        """Report a target as down if nothing listens at its address."""
         if incarnation.target not in self.up:
             self.handle(entry, TargetDown(incarnation))
 
     def receive_events(self, call: Call, data: bytes) -> None:
-        """Let a caller get events: each once, and in order."""
+        """Check that a caller receives each event once and in order."""
         for index in re.findall(rb"id: (\d+)", data):
             call.events += 1
             assert int(index) == call.events
 
     def end(self, entry: int, number: int) -> None:
-        """Let a caller get its final answer, which comes once."""
+        """Check that a caller gets only one final answer."""
         call = self.calls[entry][number]
         assert not call.ended
         call.ended = True
 
     def refuse(self, entry: int, number: int, status: int, code: str) -> None:
-        """Let a caller get an answer of the entry's own."""
+        """Check that a refusal by the entry itself is true and justified."""
         self.end(entry, number)
         call = self.calls[entry][number]
         runs_once = call.route.kind is RouteKind.UNSAFE or call.route is PLAN
@@ -262,7 +266,7 @@
         digest=st.sampled_from([*KILLERS, *["menu"] * 5, *[""] * 5]),
     )
     def receive_request(self, entry: int, prefix: str, digest: str) -> None:
-        """Let a request come; one without a digest comes once."""
+        """Let a request arrive; one without a digest gets a unique digest."""
         harness = self.fleet[entry]
         prompt = Prompt("m", 3_000, 2_000, 900) if "lookup" not in prefix else None
         if prefix == "/order/":
@@ -276,7 +280,7 @@
 
     @rule(entry=st.integers(0, ENTRIES - 1), events=st.integers(1, STREAM_EVENTS - 1))
     def stream(self, entry: int, events: int) -> None:
-        """Let a stream come and begin."""
+        """Let a stream arrive and send its first events."""
         number = self.fleet[entry].next_number
         self.receive_request(entry, "/plan/", "")
         for run in list(self.runs.values()):
@@ -307,7 +311,7 @@
         self.run_pending()
 
     def advance_run(self, run: Run, events: int) -> None:
-        """Let a run send events, and end with its last."""
+        """Let a run send events, and end after its last one."""
         entry, attempt = run.entry, run.attempt
         number = self.fleet[entry].state.attempts[attempt].request
         if self.calls[entry][number].route.kind is not RouteKind.STREAM:
@@ -332,7 +336,7 @@
         ),
     )
     def lose_attempt(self, data: st.DataObject, loss: Loss) -> None:
-        """Let an attempt end without an answer, at a target that lives."""
+        """Lose an attempt without an answer, at a target that stays up."""
         run = data.draw(st.sampled_from(list(self.runs.values())))
         if run.index and loss in (Loss.REFUSED, Loss.FAILED):
             return
@@ -350,13 +354,13 @@
     @precondition(lambda self: self.up)
     @rule(data=st.data())
     def crash_any(self, data: st.DataObject) -> None:
-        """Let a target crash by itself."""
+        """Let any target crash, without a request as its cause."""
         info = data.draw(st.sampled_from(list(self.up.values())))
         self.crash(info.target, info.incarnation)
         self.run_pending()
 
     def crash(self, name: str, incarnation: Incarnation) -> None:
-        """Let a life of a target end, with all that it runs."""
+        """End an incarnation of a target, with all of its runs."""
         info = self.up.get(name)
         if info is None or info.incarnation != incarnation:
             return
@@ -373,13 +377,13 @@
     @precondition(lambda self: self.up)
     @rule(data=st.data(), entry=st.integers(0, ENTRIES - 1))
     def announce_leaving(self, data: st.DataObject, entry: int) -> None:
-        """Let a target tell an entry that it leaves; it ends some time later."""
+        """Let a target report to one entry that it leaves."""
         info = data.draw(st.sampled_from(list(self.up.values())))
         self.handle(entry, TargetLeaving(info.incarnation))
         self.run_pending()
 
     def return_targets(self) -> None:
-        """Let targets that were down for long start again, as another life."""
+        """Restart targets as new incarnations once their restart delay is over."""
         now = self.clock.now()
         for name, at in list(self.down.items()):
             if now - at >= RESTART_DELAY:
@@ -395,14 +399,14 @@
     @precondition(lambda self: self.copies)
     @rule()
     def fail_copy(self) -> None:
-        """Let an ordered copy not be made."""
+        """Let an ordered copy fail."""
         entry, order = self.copies.pop(0)
         outcome = RunNotCopied(order.number, order.source, order.holder, "no room")
         self.handle(entry, outcome)
         self.run_pending()
 
     def make_copies(self) -> None:
-        """Let ordered copies be made where both engines are up."""
+        """Make ordered copies whose two engines are up; fail the others."""
         for entry, order in self.copies:
             number, source, holder = order.number, order.source, order.holder
             outcome: Event = RunNotCopied(number, source, holder, "gone")
@@ -411,11 +415,11 @@
             self.pending.append(partial(self.handle, entry, outcome))
         self.copies.clear()
 
-    # Entries and what is between them
+    # Entries, the store and the network
 
     @rule(entry=st.integers(0, ENTRIES - 1))
     def restart(self, entry: int) -> None:
-        """Let an entry start again, with nothing of before."""
+        """Restart an entry with an empty state."""
         for run in [run for run in self.runs.values() if run.entry == entry]:
             self.close(run)
         before = self.fleet[entry]
@@ -433,12 +437,12 @@
 
     @rule(entry=st.integers(0, ENTRIES - 1), away=st.booleans())
     def change_store(self, entry: int, away: bool) -> None:
-        """Let the store turn an entry away, or answer it again."""
+        """Let an entry lose the store, or regain it."""
         self.handle(entry, StoreLost() if away else StoreRegained())
         self.run_pending()
 
     def send_messages(self) -> None:
-        """Let each entry send the others what it knows."""
+        """Let each entry send its state to the others."""
         now = self.clock.now()
         for sender, harness in enumerate(self.fleet):
             message = peers.describe_entry(harness.state, now)
@@ -449,7 +453,7 @@
     @precondition(lambda self: self.network)
     @rule(data=st.data(), arrives=st.booleans())
     def deliver_message(self, data: st.DataObject, arrives: bool) -> None:
-        """Let a message arrive, in any order, or be lost."""
+        """Deliver or drop any of the messages under way."""
         position = data.draw(st.integers(0, len(self.network) - 1))
         receiver, message = self.network.pop(position)
         if arrives:
@@ -458,7 +462,7 @@
 
     @rule(steps=st.integers(1, 30))
     def advance_time(self, steps: int) -> None:
-        """Let time pass."""
+        """Advance the clock in steps, with ticks, restarts and copies."""
         for _ in range(steps):
             self.clock.advance(STEP)
             for entry in range(ENTRIES):
@@ -470,7 +474,7 @@
         self.send_messages()
 
     def check_overlaps(self) -> None:
-        """Look that no run goes on at two engines for longer than it may."""
+        """Check that no run is open at two engines for longer than allowed."""
         now = self.clock.now()
         for calls in self.calls:
             for call in calls.values():
@@ -478,11 +482,11 @@
                 for run in running[1:]:
                     assert now - run.opened <= MAX_OVERLAP + STEP, "runs at two engines"
 
-    # What holds at any time
+    # Invariants
 
     @invariant()
     def attempts_belong_to_requests(self) -> None:
-        """No attempt outlives its request, and each is open at its target."""
+        """Each attempt belongs to a request and is open at its target."""
         for entry, harness in enumerate(self.fleet):
             for number, attempt in harness.state.attempts.items():
                 assert attempt.request in harness.state.requests
@@ -490,7 +494,7 @@
 
     @invariant()
     def loads_match_attempts(self) -> None:
-        """What an entry counts at a target is what it has open there."""
+        """The calls counted at a target are the attempts open there."""
         for harness in self.fleet:
             open_calls = Counter(
                 id(attempt.target) for attempt in harness.state.attempts.values()
@@ -499,7 +503,7 @@
                 assert target.calls == open_calls[id(target)]
 
     def teardown(self) -> None:
-        """Let all end: nothing is left of any request."""
+        """End all runs and check that no state of any request remains."""
         if not hasattr(self, "fleet"):
             return
         for entry in range(ENTRIES):
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -1,4 +1,4 @@
-"""Tests of what entries of a large fleet tell each other of their loads."""
+"""Tests of the load messages between entries of a large fleet."""
 
 import random
 from dataclasses import replace
@@ -19,13 +19,13 @@
 
 
 def build_message(calls: dict[str, int]) -> PeerHeard:
-    """Return an entry's message with its calls at some targets."""
+    """Return an entry's message with its number of calls at some targets."""
     loads = tuple(PeerLoad(t, n, 3_000 * n, 0, 7.0) for t, n in calls.items())
     return PeerHeard("entry-2", loads, failure_domain="muc-a")
 
 
 def read_peer_calls(harness: EntryHarness) -> dict[str, int]:
-    """Return what an entry takes the others to have open."""
+    """Return the open calls that an entry attributes to its peers, by target."""
     found = {}
     for name, target in harness.state.targets.targets.items():
         if target.peer_calls:
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_partial_messages_give_the_same_loads_as_whole_ones(seed: int) -> None:
-    """Guards against loads that drift apart as only what changed is told."""
+    """Guards against loads that drift as only changes are sent."""
     rng = random.Random(seed)
     news = LoadUpdates()
     harness = EntryHarness()
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_lost_message_is_repaired_by_a_later_one(seed: int) -> None:
-    """Guards against prompts that stay unknown since one datagram was lost."""
+    """Guards against prompts that stay unknown because one datagram was lost."""
     rng = random.Random(seed)
     news = LoadUpdates()
     harness = EntryHarness()
@@ -69,7 +69,7 @@
 
 
 def test_loads_of_a_closing_peer_are_removed() -> None:
-    """Guards against engines that look busy with calls of an entry that is gone."""
+    """Guards against engines that look busy with calls of an entry that has ended."""
     news = LoadUpdates()
     harness = EntryHarness()
     harness.register("e-0", "e-1")
@@ -81,7 +81,7 @@
 
 
 def test_changed_loads_are_sent_in_a_small_message() -> None:
-    """Guards against messages that grow with all targets of the fleet."""
+    """Guards against messages that grow with the number of targets in the fleet."""
     news = LoadUpdates()
     calls = dict.fromkeys(TARGETS, 2)
     whole = news.select(build_message(calls), Millis(0))
@@ -92,7 +92,7 @@
 
 
 def test_whole_messages_are_sent_periodically() -> None:
-    """Guards against growth of runs that nobody is ever told of."""
+    """Guards against growth of runs that is never sent to the peers."""
     news = LoadUpdates()
     calls = dict.fromkeys(TARGETS, 2)
     news.select(build_message(calls), Millis(0))
@@ -101,7 +101,7 @@
 
 
 def test_unchanged_state_sends_no_message() -> None:
-    """Guards against entries that speak though nothing changed."""
+    """Guards against entries that send messages without any change."""
     news = LoadUpdates()
     own = replace(
         build_message({"e-0": 1}),
@@ -131,7 +131,7 @@
     ],
 )
 def test_changes_that_peers_act_on_are_sent_at_once(change: dict[str, object]) -> None:
-    """Guards against news that wait for the next whole message."""
+    """Guards against urgent changes that wait for the next whole message."""
     news = LoadUpdates()
     own = replace(build_message({"e-0": 1}), uses=(UseReport("bookings", 10, 1),))
     news.select(own, Millis(0))
--- a/tests/gateway/test_peers.py
+++ b/tests/gateway/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of what entries tell each other."""
+"""Tests of the state that entries exchange."""
 
 import random
 
@@ -37,10 +37,10 @@
 
 
 def test_a_silent_peers_loads_expire_but_its_budget_share_stays() -> None:
-    """Two halves of a split fleet would each spend the whole retry budget.
+    """Guards against two halves of a split fleet that each spend the whole budget.
 
-    A peer falls silent behind a cut. Its loads must not keep engines from
-    work; its repeats go on, so that this entry keeps to its own part.
+    A peer behind a network partition falls silent. Its loads must not keep engines from
+    work, but it still sends repeats, so this entry keeps to its own share.
     """
     harness = EntryHarness()
     harness.register("e-1")
@@ -107,7 +107,7 @@
 
 
 def test_sums_of_loads_stay_right_over_messages_silence_and_new_targets() -> None:
-    """Guards against prompts that keep off an idle engine, or all go to a full one."""
+    """Guards against prompts that avoid an idle engine or all go to a full one."""
     harness = EntryHarness()
     harness.register("e-1")
     rng = random.Random(5)
@@ -162,26 +162,26 @@
 
 
 def test_only_changed_loads_are_sent_between_whole_messages() -> None:
-    """Guards against bytes between failure domains that grow with all targets."""
-    message = {name: PeerLoad(name, 2, 8_000, 0) for name in ("e-1", "e-2", "e-3")}
+    """Guards against traffic between failure domains that grows with all targets."""
+    last_sent = {name: PeerLoad(name, 2, 8_000, 0) for name in ("e-1", "e-2", "e-3")}
     loads = (PeerLoad("e-1", 2, 8_100, 0), PeerLoad("e-2", 3, 11_000, 3_000))
-    changed = peers.select_changed(message, loads)
+    changed = peers.select_changed(last_sent, loads)
     assert changed == (loads[1], PeerLoad("e-3", 0, 0))
 
 
 def test_accumulated_growth_is_sent() -> None:
-    message = {"e-1": PeerLoad("e-1", 2, 8_000)}
+    last_sent = {"e-1": PeerLoad("e-1", 2, 8_000)}
     loads = (PeerLoad("e-1", 2, 8_000 + peers.MEMORY_REPORT_STEP),)
-    assert peers.select_changed(message, loads) == loads
+    assert peers.select_changed(last_sent, loads) == loads
 
 
 def report_unreachable(harness: EntryHarness, entry: str, *targets: str) -> None:
-    """Let a peer tell which targets it could not connect to."""
+    """Let a peer report targets that it could not connect to."""
     harness.handle(PeerHeard(entry, failure_domain="muc-a", unreached=targets))
 
 
 def test_a_target_that_others_can_not_reach_is_not_tried() -> None:
-    """Guards against each entry finding a dead engine by a try of its own."""
+    """Guards against entries that each find a dead engine by a failed try."""
     harness = EntryHarness()
     harness.register("e-1", "e-2")
     report_unreachable(harness, "entry-2", "e-1")
@@ -191,7 +191,7 @@
 
 
 def test_no_copy_is_made_at_an_engine_that_others_can_not_reach() -> None:
-    """Guards against runs without a copy since each order went to a dead engine."""
+    """Guards against runs without a copy because each order went to a dead engine."""
     harness = EntryHarness()
     harness.register("e-1")
     opened = harness.open_plan()
@@ -200,11 +200,11 @@
     report_unreachable(harness, "entry-3", "e-2")
     harness.send_pieces(opened.attempt, 1, 9)
     harness.handle(Ticked())
-    assert harness.find(CopyRun).holder == "e-3"
+    assert harness.find_effect(CopyRun).holder == "e-3"
 
 
 def test_a_single_partitioned_entry_is_not_believed() -> None:
-    """Guards against one entry behind a cut that shuts engines for all others."""
+    """Guards against one partitioned entry that blocks engines for all others."""
     harness = EntryHarness()
     harness.register("e-1")
     for _ in range(5):
@@ -215,7 +215,7 @@
 
 
 def test_a_target_that_answers_this_entry_is_kept() -> None:
-    """Guards against engines shut on the word of entries that can't reach them."""
+    """Guards against engines blocked by reports of entries that can't reach them."""
     harness = EntryHarness()
     harness.register("e-1", "e-2")
     opened = harness.open_plan()
@@ -227,11 +227,11 @@
 
 
 def test_unreachable_targets_are_reported_at_once_and_briefly() -> None:
-    """Guards against others that go on to a dead engine, or never come back to it."""
+    """Guards against peers that keep trying a dead engine, or never return to it."""
     harness = EntryHarness()
     harness.register("b-1", "b-2", service=BOOKINGS)
     harness.receive_request("/order/a")
-    lost = harness.find(OpenAttempt)
+    lost = harness.find_effect(OpenAttempt)
     harness.handle(AttemptLost(lost.attempt, Loss.UNREACHED))
     assert harness.find_effects(Announce)
     now = harness.clock.now()
@@ -244,7 +244,7 @@
 
 
 def test_reports_of_peers_are_not_forwarded() -> None:
-    """Guards against entries that keep each other from a target that is back."""
+    """Guards against entries that keep each other from a target that has returned."""
     harness = EntryHarness()
     harness.register("e-1", "e-2")
     report_unreachable(harness, "entry-2", "e-1")
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of placement: replays of the loads that each rule answers."""
+"""Tests of placement: replays of the loads that each rule was made for."""
 
 from collections import Counter
 
@@ -14,10 +14,10 @@
 
 
 def test_an_empty_engine_does_not_draw_all_prompts() -> None:
-    """Prompts queue for seconds at an engine that has just come.
+    """Guards against prompts that queue for seconds at an engine that has just joined.
 
-    It is empty, so by memory alone it is the best for every prompt until they
-    are read; the fifth one there waits for four others.
+    The engine is empty, so by memory alone it is the best choice for each prompt until
+    the first ones are read; the fifth one there waits for four others.
     """
     harness = EntryHarness()
     harness.register("e-1", "e-2", "e-3")
@@ -29,7 +29,7 @@
     targets = Counter()
     for _ in range(6):
         harness.receive_plan()
-        targets[harness.find(OpenAttempt).target] += 1
+        targets[harness.find_effect(OpenAttempt).target] += 1
     assert max(targets.values()) <= 3
 
 
@@ -41,7 +41,7 @@
     assert fast is not None
     slow.own_read_rate, fast.own_read_rate = 2.0, 7.0
     harness.receive_plan()
-    assert harness.find(OpenAttempt).target == "e-2"
+    assert harness.find_effect(OpenAttempt).target == "e-2"
 
 
 def test_a_prompt_that_would_be_late_behind_others_waits() -> None:
@@ -53,10 +53,10 @@
 
 
 def test_backups_leave_room_for_prompts() -> None:
-    """Prompts find no room while half of the memory holds copies.
+    """Guards against prompts refused while half of the memory holds copies.
 
-    Four engines carry 23 runs and a backup of each: the next prompt is turned
-    away although the runs alone leave plenty of room.
+    Four engines run 23 generations and a backup of each. The next prompt would be
+    refused although the runs alone leave enough free memory.
     """
     harness = EntryHarness(moves=False)
     harness.register("e-1", "e-2")
@@ -65,7 +65,7 @@
         assert engine is not None
         engine.peer_memory = 25_000
     harness.receive_plan()
-    assert harness.find(OpenAttempt).backup == ""
+    assert harness.find_effect(OpenAttempt).backup == ""
 
 
 def test_calls_go_to_the_least_loaded_target_that_answers() -> None:
@@ -75,13 +75,13 @@
     assert failing is not None
     failing.failures = 0.8
     harness.receive_request("/order/a")
-    assert harness.find(OpenAttempt).target == "b-2"
+    assert harness.find_effect(OpenAttempt).target == "b-2"
     failing.failures = 0.0
     busy = harness.state.targets.find("b-2")
     assert busy is not None
     busy.peer_calls = 6
     harness.receive_request("/order/a")
-    assert harness.find(OpenAttempt).target == "b-1"
+    assert harness.find_effect(OpenAttempt).target == "b-1"
 
 
 def test_an_avoided_target_is_used_where_there_is_no_other() -> None:
@@ -91,15 +91,16 @@
     assert target is not None
     target.record_loss(harness.clock.now(), reached=False)
     harness.receive_request("/order/a")
-    assert harness.find(OpenAttempt).target == "b-1"
+    assert harness.find_effect(OpenAttempt).target == "b-1"
 
 
 def test_in_a_large_fleet_prompts_stay_with_engines_whose_loads_are_known() -> None:
-    """Answers would begin late behind prompts that another domain sent unseen.
+    """Guards against late answers behind prompts of another domain not yet reported.
 
-    The fleet has 73 entries. Loads of other failure domains come a second or two
-    old, in which an engine there gets two more prompts. An engine of the own
-    domain with two prompts waiting is taken before one there that looks empty.
+    The fleet has 73 entries. Loads of other failure domains arrive one or two seconds
+    late, and an engine there gets two more prompts in that time. An engine of the
+    entry's own domain with two waiting prompts is preferred to one there that looks
+    empty.
     """
     harness = EntryHarness()
     harness.handle(EntriesCounted(73))
@@ -110,4 +111,4 @@
         harness.state.targets.targets[name].own_read_rate = 7.0
     harness.handle(PeerHeard("entry-2", (PeerLoad("near", 1, 3_400, 3_000),)))
     harness.receive_plan()
-    assert harness.find(OpenAttempt).target == "near"
+    assert harness.find_effect(OpenAttempt).target == "near"
--- a/tests/gateway/test_recovery.py
+++ b/tests/gateway/test_recovery.py
@@ -1,4 +1,4 @@
-"""Tests of what follows a lost attempt."""
+"""Tests of the handling of lost attempts."""
 
 import pytest
 
@@ -29,23 +29,23 @@
 def test_a_request_that_did_not_run_is_sent_to_another_target(loss: Loss) -> None:
     harness = build_harness()
     harness.receive_request("/order/a")
-    first = harness.find(OpenAttempt)
+    first = harness.find_effect(OpenAttempt)
     harness.handle(AttemptLost(first.attempt, loss))
-    assert harness.find(OpenAttempt).target != first.target
+    assert harness.find_effect(OpenAttempt).target != first.target
 
 
 @pytest.mark.parametrize("loss", [Loss.BROKEN, Loss.GARBLED])
 def test_an_order_that_may_have_run_is_not_sent_again(loss: Loss) -> None:
-    """A doubled flour order lands two pallets.
+    """Guards against an order that runs twice, such as two pallets of flour for one.
 
-    The connection breaks after the order was sent. Whether it ran is unknown,
-    so it goes to no other target, and its caller is not told "not run".
+    The connection breaks after the order was sent. Whether it ran is unknown, so it is
+    sent to no other target, and the answer does not say "not run".
     """
     harness = build_harness()
     harness.receive_request("/order/a")
-    first = harness.find(OpenAttempt)
+    first = harness.find_effect(OpenAttempt)
     harness.handle(AttemptLost(first.attempt, loss))
-    problem = harness.find(Refuse).problem
+    problem = harness.find_effect(Refuse).problem
     assert (problem.status, problem.ran) == (502, Ran.UNKNOWN)
     assert harness.find_effects(OpenAttempt) == []
 
@@ -54,58 +54,58 @@
     harness = build_harness()
     harness.receive_request("/order/a")
     while harness.find_effects(OpenAttempt):
-        opened = harness.find(OpenAttempt)
+        opened = harness.find_effect(OpenAttempt)
         harness.handle(AttemptLost(opened.attempt, Loss.REFUSED))
-    problem = harness.find(Refuse).problem
+    problem = harness.find_effect(Refuse).problem
     assert (problem.status, problem.ran) == (503, Ran.NO)
 
 
 def test_an_order_that_may_have_run_is_never_reported_as_not_run() -> None:
     harness = build_harness()
     harness.receive_request("/order/a")
-    first = harness.find(OpenAttempt)
+    first = harness.find_effect(OpenAttempt)
     harness.state.requests[first.number].may_have_run = True
     harness.handle(AttemptLost(first.attempt, Loss.REFUSED))
     while harness.find_effects(OpenAttempt):
-        opened = harness.find(OpenAttempt)
+        opened = harness.find_effect(OpenAttempt)
         harness.handle(AttemptLost(opened.attempt, Loss.REFUSED))
-    assert harness.find(Refuse).problem.ran is Ran.UNKNOWN
+    assert harness.find_effect(Refuse).problem.ran is Ran.UNKNOWN
 
 
 def test_a_lookup_runs_again_within_its_attempts() -> None:
     harness = build_harness()
     number = harness.receive_request("/lookup/a")
-    first = harness.find(OpenAttempt)
+    first = harness.find_effect(OpenAttempt)
     harness.handle(AttemptLost(first.attempt, Loss.FAILED, status=500))
-    second = harness.find(OpenAttempt)
+    second = harness.find_effect(OpenAttempt)
     assert second.target != first.target
     harness.handle(AttemptLost(second.attempt, Loss.FAILED, status=500))
-    assert harness.find(Answer) == Answer(number, second.attempt)
+    assert harness.find_effect(Answer) == Answer(number, second.attempt)
 
 
 def test_a_failure_answer_to_an_order_is_passed_to_the_caller() -> None:
     harness = build_harness()
     number = harness.receive_request("/order/a")
-    first = harness.find(OpenAttempt)
+    first = harness.find_effect(OpenAttempt)
     harness.handle(AttemptLost(first.attempt, Loss.FAILED, status=500))
-    assert harness.find(Answer) == Answer(number, first.attempt)
+    assert harness.find_effect(Answer) == Answer(number, first.attempt)
 
 
 def test_a_failure_answer_that_means_not_run_is_not_passed_on() -> None:
     harness = build_harness()
     harness.receive_request("/order/a")
-    first = harness.find(OpenAttempt)
+    first = harness.find_effect(OpenAttempt)
     harness.handle(AttemptLost(first.attempt, Loss.FAILED, status=None))
-    assert harness.find(Refuse).problem.status == 502
+    assert harness.find_effect(Refuse).problem.status == 502
 
 
 def test_a_silent_lookup_is_retried_at_another_target() -> None:
     harness = build_harness()
     harness.receive_request("/lookup/a")
-    first = harness.find(OpenAttempt)
+    first = harness.find_effect(OpenAttempt)
     harness.clock.advance(400)
     harness.handle(Ticked())
-    assert harness.find(OpenAttempt).target != first.target
+    assert harness.find_effect(OpenAttempt).target != first.target
 
 
 def test_a_silent_order_is_left_alone() -> None:
@@ -117,14 +117,14 @@
 
 
 def test_a_route_with_one_attempt_is_not_cut_for_silence() -> None:
-    """A slow answer would be thrown away though none other can be had.
+    """Guards against a slow answer discarded although no other one can follow.
 
-    A request of a route with one attempt gets no second one, so giving up on
-    the first before the deadline only turns a late answer into a failure.
+    A request on a route with one attempt gets no second one, so abandoning the first
+    before the deadline only turns a late answer into a failure.
     """
     harness = build_harness()
     harness.receive_request("/lookup/a")
-    first = harness.find(OpenAttempt)
+    first = harness.find_effect(OpenAttempt)
     harness.state.requests[first.number].lost_runs = 1
     harness.clock.advance(400)
     harness.handle(Ticked())
@@ -132,40 +132,40 @@
 
 
 def test_a_request_that_crashed_two_targets_is_kept_from_the_third() -> None:
-    """Each engine that runs it dies, and its caller sends it again and again.
+    """Guards against a request that crashes every engine as its caller retries.
 
-    The connection breaks before the first event, twice, at engines that were
-    not leaving, and nobody listens there after it. The third time it is refused
-    at once.
+    The connection breaks before the first event, twice, at engines that were not
+    leaving and at whose address nothing listens afterwards. The third try is refused at
+    once.
     """
     harness = build_harness()
     prompt = Prompt("m", 100, 50, 10)
     harness.receive_request("/question/a", prompt, digest="poison")
-    first = harness.find(OpenAttempt)
+    first = harness.find_effect(OpenAttempt)
     harness.handle(AttemptLost(first.attempt, Loss.BROKEN))
-    second = harness.find(OpenAttempt)
+    second = harness.find_effect(OpenAttempt)
     harness.handle(TargetDown(Incarnation(first.target, 1)))
     harness.handle(AttemptLost(second.attempt, Loss.BROKEN))
     harness.handle(TargetDown(Incarnation(second.target, 1)))
     harness.receive_request("/question/a", prompt, digest="poison")
-    assert harness.find(Refuse).problem.code == "crashes_targets"
+    assert harness.find_effect(Refuse).problem.code == "crashes_targets"
 
 
 def test_a_resumable_stream_resumes_after_its_last_event() -> None:
     harness = build_harness()
     harness.receive_request("/question/a", Prompt("m", 100, 50, 10))
-    first = harness.find(OpenAttempt)
+    first = harness.find_effect(OpenAttempt)
     harness.send_pieces(first.attempt, 1, 2)
     harness.handle(AttemptLost(first.attempt, Loss.BROKEN))
-    again = harness.find(OpenAttempt)
+    again = harness.find_effect(OpenAttempt)
     assert again.after == 2
     assert again.source is None
 
 
 def test_a_stream_that_the_budget_denies_is_ended_at_once_and_logged() -> None:
-    """The caller would wait for an answer that nobody works on any more.
+    """Guards against a caller that waits for an answer that no engine generates.
 
-    The engine dies, a backup is there, but the fleet has used up its repeats.
+    The engine dies and a backup exists, but the fleet has spent its repeats.
     """
     harness, opened = start_with_backup()
     harness.state.budget.allowance = 0.0
@@ -189,11 +189,11 @@
 
 
 def find_tries(harness: EntryHarness, path: str = "/plan/a") -> list[str]:
-    """Let a prompt come and lose all tries in muc-a; returns where it was sent."""
+    """Send a prompt, lose all of its tries in muc-a and return the targets tried."""
     harness.receive_request(path, Prompt("m", 300, 200, 40))
     tries = []
     while harness.find_effects(OpenAttempt):
-        opened = harness.find(OpenAttempt)
+        opened = harness.find_effect(OpenAttempt)
         tries.append(opened.target)
         if not opened.target.startswith("e-muc-a"):
             harness.send_pieces(opened.attempt, 1, 1)
@@ -205,7 +205,7 @@
 
 @pytest.mark.parametrize("path", ["/plan/a", "/question/a"])
 def test_a_failure_domain_that_goes_down_costs_no_prompt(path: str) -> None:
-    """Guards against callers refused after four dead engines beside idle ones."""
+    """Guards against callers refused after four dead engines while others are idle."""
     harness = build_domains(("muc-a", 9), ("muc-b", 9))
     for _ in range(10):
         tries = find_tries(harness, path)
@@ -222,45 +222,45 @@
 
 
 def test_a_failure_domain_that_is_back_is_tried_again() -> None:
-    """Guards against a failure domain that is spared for good."""
+    """Guards against a failure domain that is avoided forever."""
     harness = build_domains(("muc-a", 9), ("muc-b", 9))
     find_tries(harness)
     harness.clock.advance(UNREACHED_DURATION)
     harness.receive_plan()
-    assert harness.find(OpenAttempt).target.startswith("e-muc-a")
+    assert harness.find_effect(OpenAttempt).target.startswith("e-muc-a")
 
 
 def test_engines_that_answer_keep_their_failure_domain() -> None:
-    """Guards against a whole failure domain spared for two engines of it."""
+    """Guards against a whole failure domain avoided for two of its engines."""
     harness = build_domains(("muc-a", 9), ("muc-b", 9))
     find_tries(harness)
     alive = harness.state.targets.targets["e-muc-a-8"]
     alive.record_success(harness.clock.now())
     harness.receive_plan()
-    assert harness.find(OpenAttempt).target.startswith("e-muc-a")
+    assert harness.find_effect(OpenAttempt).target.startswith("e-muc-a")
 
 
 def test_refusals_still_bound_the_tries_of_a_request() -> None:
-    """Guards against a prompt that goes round all engines of a full pool."""
+    """Guards against a prompt that is tried at every engine of a full pool."""
     harness = build_domains(("muc-a", 9))
     harness.state.budget.allowance = 10_000.0
     harness.receive_plan()
     tries = 0
     while harness.find_effects(OpenAttempt):
         tries += 1
-        opened = harness.find(OpenAttempt)
+        opened = harness.find_effect(OpenAttempt)
         harness.handle(AttemptLost(opened.attempt, Loss.REFUSED))
     assert tries == MAX_SENDS
 
 
 def test_a_read_is_retried_in_another_failure_domain() -> None:
-    """Guards against a read that follows a failure domain as it is lost."""
+    """Guards against a read retried within a failure domain that is being lost."""
     harness = EntryHarness()
     harness.register("b-1", "b-2", "b-3", service=BOOKINGS)
     far = Registration("b-4", BOOKINGS, "b-4:80", "muc-b", 64, born=1)
     harness.handle(TargetRegistered(far))
     harness.receive_request("/lookup/a")
-    first = harness.find(OpenAttempt)
+    first = harness.find_effect(OpenAttempt)
     assert first.target != far.target
     harness.handle(AttemptLost(first.attempt, Loss.BROKEN))
-    assert harness.find(OpenAttempt).target == far.target
+    assert harness.find_effect(OpenAttempt).target == far.target
