--- a/tests/gateway/test_reducer.py
+++ b/tests/gateway/test_reducer.py
@@ -17,13 +17,14 @@
 
 
 def ready(harness: EntryHarness) -> list[str]:
+    """Return the names of the targets that are ready."""
     return sorted(target.name for target in harness.state.targets.list_ready(ENGINES))
 
 
 def test_configuration_never_goes_back() -> None:
-    """A dropped route would work again.
+    """Guards against a removed route that works again.
 
-    A peer's copy brings version 3 while a slow read of the store brings 2.
+    A peer's copy holds version 3, while a slow read of the store returns 2.
     """
     harness = EntryHarness()
     harness.handle(ConfigurationRead(build_table(3)))
@@ -49,10 +50,10 @@
 
 
 def test_lapsed_registrations_keep_their_targets_until_they_are_back() -> None:
-    """Every caller would be refused although all engines live.
+    """Guards against callers refused although all engines are up.
 
-    The store is away for long, registrations lapse, and on its return all are
-    gone for up to two seconds. One engine did die meanwhile.
+    The store is away for long and registrations lapse. When it returns, all are missing
+    for up to two seconds. One engine did end meanwhile.
     """
     harness = EntryHarness()
     harness.register("e-1", "e-2")
@@ -80,10 +81,10 @@
 
 
 def test_an_entry_that_alone_was_cut_off_believes_departures_at_once() -> None:
-    """A stream would be lost with an engine whose notice was there to read.
+    """Guards against a stream lost with an engine whose notice was in the store.
 
-    The store turns this entry away and serves a peer all the while. On its
-    return this entry reads that an engine left; nothing can have lapsed.
+    The store rejects this entry but serves a peer all the time. When it answers this
+    entry again, an engine has left; no registration can have lapsed.
     """
     harness = EntryHarness()
     harness.register("e-1", "e-2")
@@ -112,10 +113,10 @@
 
 
 def test_most_targets_departing_at_once_have_lapsed() -> None:
-    """Every caller would be refused although all engines live.
+    """Guards against callers refused although all engines are up.
 
-    A read waits at the store through a short outage, so that this entry does
-    not notice it. All registrations lapse, and their loss is read at once.
+    A read waits at the store through a short outage, so this entry does not notice the
+    outage. All registrations lapse, and their loss is read at once.
     """
     harness = EntryHarness()
     names = [f"e-{number}" for number in range(6)]
@@ -138,12 +139,12 @@
 
 
 def test_targets_that_left_long_ago_don_t_make_a_departure_look_like_a_lapse() -> None:
-    """The caller would lose its plan, and prompts go to an engine that leaves.
+    """Guards against plans lost, and prompts sent, at an engine that is leaving.
 
-    An entry that the store turns away has its peers' list read again and again.
-    Engines that left before are missing from each; counted as departures anew,
-    they make the next one look like a lapse of all registrations, which is not
-    believed for two seconds. The engine is gone by then.
+    An entry that the store rejects reads its peers' list repeatedly, and engines that
+    left earlier are missing from each. If they counted as new departures, the next one
+    would look like a lapse of all registrations, which is not believed for two seconds.
+    The engine ends within that time.
     """
     harness = EntryHarness()
     harness.register("e-1", "e-2", "e-3", "e-4", "e-5", "e-6")
@@ -156,7 +157,7 @@
     ]
     harness.handle(TargetsListed(tuple(left), position=9))
     assert ready(harness) == ["e-5", "e-6"]
-    # What is known already is not told again.
+    # Departures that are already known are not reported again.
     harness.handle(TargetsListed(tuple(left), position=10))
     departed = [
         note for note in harness.find_effects(Note) if note.message == "target departed"
--- a/tests/gateway/test_refusals.py
+++ b/tests/gateway/test_refusals.py
@@ -1,4 +1,4 @@
-"""Tests of requests that were refused and come again."""
+"""Tests of refused requests that are retried."""
 
 from figstep.core.clock import Millis
 from figstep.gateway.refusals import (
@@ -18,7 +18,7 @@
 
 
 def test_a_request_sent_after_its_retry_is_a_new_one() -> None:
-    """Guards against a caller whose every later request counts as late."""
+    """Guards against a caller whose later requests all count as retries."""
     table = RefusalTable()
     table.record_own("digest", NOW, NOW)
     table.pop_first_arrival("digest")
@@ -26,7 +26,7 @@
 
 
 def test_a_retry_at_another_entry_is_recognized() -> None:
-    """Guards against returns that displace callers who can still be in time."""
+    """Guards against retries that displace callers that can still meet an objective."""
     table = RefusalTable()
     table.record_own("digest", Millis(NOW - 700), NOW)
     sent = table.list_announced(Millis(NOW + 100))
--- a/tests/gateway/test_reports.py
+++ b/tests/gateway/test_reports.py
@@ -1,4 +1,4 @@
-"""Tests of what engines say of themselves when they are asked."""
+"""Tests of the reports that engines give when they are queried."""
 
 from figstep.core.clock import Millis
 from figstep.gateway.effects import OpenAttempt, ReadReport
@@ -8,27 +8,27 @@
 
 
 def test_while_the_store_is_away_engines_are_queried_for_departures() -> None:
-    """Streams would be lost with engines whose notice nobody could read.
+    """Guards against streams lost with engines whose notice could not be read.
 
-    The store is away; an engine is reclaimed. Its registration can't tell, but
-    it says so itself, and its stream goes on from the backup.
+    The store is away and an engine is reclaimed. Its registration can't show this, but
+    its own report does, and its stream resumes from the backup.
     """
     harness, opened = start_with_backup()
     harness.handle(Ticked())
     assert harness.find_effects(ReadReport) == []
     harness.handle(StoreLost())
     harness.handle(Ticked())
-    assert harness.find(ReadReport).target == opened.target
+    assert harness.find_effect(ReadReport).target == opened.target
     harness.handle(EngineReported(opened.target, leaving=False))
     assert harness.effects == []
     harness.handle(Ticked())
     assert harness.find_effects(ReadReport) == []
     harness.handle(EngineReported(opened.target, leaving=True))
-    assert harness.find(OpenAttempt).target == opened.backup
+    assert harness.find_effect(OpenAttempt).target == opened.backup
 
 
 def restart() -> EntryHarness:
-    """Return a world whose entry has just started in place of one that was killed."""
+    """Return an entry that has just replaced one that was killed."""
     harness = EntryHarness()
     harness.state.budget.started = harness.clock.now()
     harness.state.budget.first_start = False
@@ -36,11 +36,11 @@
 
 
 def test_prompts_avoid_memory_held_by_copies_of_killed_entries() -> None:
-    """The caller would wait four seconds for the first word of its plan.
+    """Guards against prompts that wait four seconds for their first token.
 
-    All entries are killed while they copy runs to a new engine, and it keeps
-    these copies for seconds. The entries that start again know of none of them:
-    the engine looks empty, and prompts sent there wait until it drops them.
+    All entries are killed while they copy runs to a new engine, which keeps these
+    copies for seconds. The restarted entries know of none of them: the engine looks
+    empty, and prompts sent there would wait until it drops the copies.
     """
     harness = restart()
     harness.register("e-1", "e-2")
@@ -53,20 +53,20 @@
     harness.handle(EngineReported("e-2", leaving=False, memory=0))
     for _ in range(2):
         harness.receive_plan()
-        assert harness.find(OpenAttempt).target == "e-2"
+        assert harness.find_effect(OpenAttempt).target == "e-2"
     harness.receive_plan()
     assert harness.find_effects(OpenAttempt) == []
 
 
 def query_engines(harness: EntryHarness) -> None:
-    """Let the time between two questions pass, and the next one be asked."""
+    """Advance the clock by the query interval so that the engines are queried."""
     harness.clock.advance(QUERY_INTERVAL)
     harness.handle(Ticked())
-    assert harness.find(ReadReport).target == "e-1"
+    assert harness.find_effect(ReadReport).target == "e-1"
 
 
 def test_what_an_engine_reports_is_compared_with_what_was_counted_before() -> None:
-    """Runs of this process would count twice, and prompts be refused for them."""
+    """Guards against runs of this process that count twice and block prompts."""
     harness = restart()
     harness.register("e-1")
     engine = harness.state.targets.targets["e-1"]
@@ -75,7 +75,7 @@
     assert engine.unclaimed == 8_000
     assert harness.open_plan().target == "e-1"
     query_engines(harness)
-    # As old as the question before: the plan is not in it yet.
+    # The report is as old as the previous query: it does not include the plan.
     harness.handle(EngineReported("e-1", leaving=False, memory=8_000))
     assert engine.unclaimed == 8_000
     query_engines(harness)
@@ -87,10 +87,10 @@
 
 
 def test_the_first_answer_in_an_outage_counts_no_run_twice() -> None:
-    """Prompts would be refused, and copies dropped, as the store goes away.
+    """Guards against prompts refused, and copies dropped, as the store goes away.
 
-    Engines that run much are asked for the first time then. What they report is
-    what is counted for them already.
+    Busy engines are queried for the first time then. The memory that they report is
+    what this entry already counts for them.
     """
     harness, opened = start_with_backup()
     engine = harness.state.targets.targets[opened.target]
--- a/tests/gateway/test_requests.py
+++ b/tests/gateway/test_requests.py
@@ -1,4 +1,4 @@
-"""Tests of a request's life at the gateway."""
+"""Tests of the handling of requests from arrival to answer."""
 
 from dataclasses import replace
 
@@ -38,7 +38,7 @@
     harness = EntryHarness()
     harness.register("b-1", service=BOOKINGS)
     harness.receive_request(path, **fields)
-    assert harness.find(Refuse).problem.status == status
+    assert harness.find_effect(Refuse).problem.status == status
     assert harness.find_effects(OpenAttempt) == []
 
 
@@ -46,7 +46,7 @@
     harness = EntryHarness()
     harness.state.table = None
     harness.receive_request("/order/a")
-    problem = harness.find(Refuse).problem
+    problem = harness.find_effect(Refuse).problem
     assert (problem.status, problem.ran) == (503, Ran.NO)
     assert problem.retry_after is not None
 
@@ -57,17 +57,17 @@
     table = build_table(2, [replace(LOOKUP, public=True)])
     harness.handle(ConfigurationRead(table))
     harness.receive_request("/lookup/a", key=None)
-    assert harness.find(OpenAttempt).customer == ""
+    assert harness.find_effect(OpenAttempt).customer == ""
 
 
 def test_an_answer_is_forwarded_unchanged() -> None:
     harness = EntryHarness()
     harness.register("b-1", service=BOOKINGS)
     number = harness.receive_request("/order/a", key=KEY)
-    opened = harness.find(OpenAttempt)
+    opened = harness.find_effect(OpenAttempt)
     assert opened.customer == "gurdwara"
     harness.handle(AnswerArrived(opened.attempt, 200))
-    assert harness.find(Answer) == Answer(number, opened.attempt)
+    assert harness.find_effect(Answer) == Answer(number, opened.attempt)
     assert harness.state.requests == {}
 
 
@@ -75,9 +75,9 @@
     harness = EntryHarness()
     harness.register("b-1", service=BOOKINGS)
     harness.receive_request("/order/a", max_wait=Millis(300))
-    assert harness.find(OpenAttempt).deadline == harness.clock.now() + 300
+    assert harness.find_effect(OpenAttempt).deadline == harness.clock.now() + 300
     harness.receive_request("/order/a", max_wait=Millis(60_000))
-    assert harness.find(OpenAttempt).deadline == harness.clock.now() + 800
+    assert harness.find_effect(OpenAttempt).deadline == harness.clock.now() + 800
 
 
 def test_at_its_deadline_a_request_is_answered_and_its_target_freed() -> None:
@@ -86,7 +86,7 @@
     harness.receive_request("/order/a")
     harness.clock.advance(800)
     harness.handle(Ticked())
-    problem = harness.find(Refuse).problem
+    problem = harness.find_effect(Refuse).problem
     assert (problem.status, problem.ran) == (504, Ran.UNKNOWN)
     assert len(harness.find_effects(CloseAttempt)) == 1
 
@@ -105,7 +105,7 @@
 def test_what_finds_no_target_is_refused_at_once() -> None:
     harness = EntryHarness()
     harness.receive_request("/order/a")
-    problem = harness.find(Refuse).problem
+    problem = harness.find_effect(Refuse).problem
     assert (problem.status, problem.ran) == (503, Ran.NO)
     assert problem.retry_after is not None
 
@@ -132,16 +132,16 @@
     harness.receive_plan()
     harness.clock.advance(2_700)
     harness.handle(Ticked())
-    problem = harness.find(Refuse).problem
+    problem = harness.find_effect(Refuse).problem
     assert (problem.status, problem.ran) == (503, Ran.NO)
 
 
 def test_urgent_prompts_start_first_and_one_at_a_time() -> None:
-    """A new engine would be filled by all entries at once.
+    """Guards against a new engine that all entries fill at once.
 
-    Requests wait at every entry; an engine comes and each starts all that it
-    has. Their prompts queue there for seconds. One a turn lets the entries
-    hear of each other's between two starts.
+    Requests wait at every entry. An engine joins, and if each entry started all of its
+    requests, their prompts would queue there for seconds. Starting one a turn lets the
+    entries learn of each other's prompts in between.
     """
     harness = EntryHarness()
     harness.register("e-1")
@@ -152,7 +152,7 @@
     question = harness.receive_request("/question/a", Prompt("m", 2_000, 50, 15))
     engine.peer_memory = 0
     harness.handle(Ticked())
-    assert harness.find(OpenAttempt).number == question
+    assert harness.find_effect(OpenAttempt).number == question
 
 
 def test_long_streams_are_sent_elsewhere_while_the_entry_ends() -> None:
@@ -162,7 +162,7 @@
     until = Millis(harness.clock.now() + 7_000)
     harness.handle(ShutdownRequested(until))
     harness.receive_plan()
-    assert harness.find(Refuse).problem.ran is Ran.NO
+    assert harness.find_effect(Refuse).problem.ran is Ran.NO
     harness.receive_request("/order/a")
     assert len(harness.find_effects(OpenAttempt)) == 1
 
@@ -172,5 +172,5 @@
     pauses = set()
     for _ in range(20):
         harness.receive_request("/order/a")
-        pauses.add(harness.find(Refuse).problem.retry_after)
+        pauses.add(harness.find_effect(Refuse).problem.retry_after)
     assert len(pauses) > 10
--- a/tests/gateway/test_routes.py
+++ b/tests/gateway/test_routes.py
@@ -1,4 +1,4 @@
-"""Tests of routes."""
+"""Tests of the routing table."""
 
 import random
 from collections import Counter
--- a/tests/gateway/test_shares.py
+++ b/tests/gateway/test_shares.py
@@ -1,11 +1,11 @@
-"""Tests of how entries split what a target takes."""
+"""Tests of how entries divide the rate of a target."""
 
 from figstep.gateway import shares
 from tests.gateway.test_warmups import DOMAINS, RATE, build_cold_fleet
 
 
 def test_a_share_is_whole_and_shares_add_up() -> None:
-    """Guards against shares under one request, of which no entry may send any."""
+    """Guards against shares below one request, with which no entry may send any."""
     fleet = build_cold_fleet(79)
     now = fleet[0].clock.now()
     for target in ("b-1", "b-2", "b-3"):
--- a/tests/gateway/test_sources.py
+++ b/tests/gateway/test_sources.py
@@ -1,4 +1,4 @@
-"""Tests of who reads the store, and of what is known while nobody can."""
+"""Tests of which entries read the store, and of what is known while none can."""
 
 from dataclasses import replace
 
@@ -18,14 +18,14 @@
 
 
 def test_records_missing_from_the_store_are_fetched_from_a_peer() -> None:
-    """Guards against a key that was taken away and works on at one entry."""
+    """Guards against a revoked key that one entry still accepts."""
     harness = EntryHarness()
     harness.handle(PeerHeard("entry-2", address="10.0.0.2:7200", configuration=2))
     harness.handle(Ticked())
     assert harness.find_effects(FetchRecords) == []
     harness.clock.advance(sources.CATCH_UP_DELAY)
     harness.handle(Ticked())
-    assert harness.find(FetchRecords).address == "10.0.0.2:7200"
+    assert harness.find_effect(FetchRecords).address == "10.0.0.2:7200"
 
 
 def test_an_entry_with_newer_records_queries_no_peer() -> None:
@@ -47,7 +47,7 @@
 
 
 def test_another_entry_reads_when_the_readers_fall_silent() -> None:
-    """Guards against a failure domain whose readers all died at once."""
+    """Guards against a failure domain whose readers all ended at once."""
     harness = build_large_fleet_entry()
     harness.state.node = "entry-0-03-next"
     assert not sources.reads_store(harness.state, harness.clock.now())
@@ -73,7 +73,7 @@
 def receive_reader_reports(
     harness: EntryHarness, count: int, receives_records: bool
 ) -> None:
-    """Let the first entries of the failure domain say that they read the store."""
+    """Let the first entries of the failure domain report that they read the store."""
     for number in range(count):
         name = f"entry-0-{number:02}"
         harness.handle(
@@ -87,7 +87,7 @@
 
 
 def test_few_entries_try_to_read_while_the_store_is_away() -> None:
-    """Guards against a fleet that asks a store that is down all at once."""
+    """Guards against a fleet in which all entries try a store that is unavailable."""
     harness = build_large_fleet_entry()
     receive_reader_reports(
         harness, sources.MAX_UNHEALTHY_READERS - 1, receives_records=False
@@ -101,7 +101,7 @@
 
 
 def test_failed_readers_are_divided_among_failure_domains() -> None:
-    """Guards against calls in an outage that grow with the failure domains."""
+    """Guards against store requests in an outage that grow with the failure domains."""
     harness = build_large_fleet_entry()
     for domain in ("muc-b", "nue-a", "aug-a"):
         receive_domain_report(harness, domain)
@@ -114,7 +114,7 @@
 
 
 def test_entries_about_to_fail_reading_are_counted() -> None:
-    """Guards against a fleet that asks all at once as the store is lost."""
+    """Guards against a fleet that tries the store all at once as it is lost."""
     harness = build_large_fleet_entry()
     for domain in ("muc-b", "nue-a", "aug-a"):
         receive_domain_report(harness, domain)
@@ -127,7 +127,7 @@
 
 
 def receive_domain_report(harness: EntryHarness, name: str, **fields: bool) -> None:
-    """Let another failure domain tell its loads."""
+    """Let another failure domain report its loads."""
     node = f"entry-{name}"
     harness.handle(
         PeerHeard(node, failure_domain=name, far=True, **fields)  # type: ignore[arg-type]
@@ -135,7 +135,7 @@
 
 
 def test_one_entry_of_each_of_many_failure_domains_reads_the_store() -> None:
-    """Guards against calls to the store that grow with the failure domains."""
+    """Guards against store requests that grow with the number of failure domains."""
     harness = build_large_fleet_entry()
     harness.state.node = "entry-0-00-next"
     assert sources.reads_store(harness.state, harness.clock.now())
@@ -145,7 +145,7 @@
 
 
 def test_an_entry_that_knows_no_reader_considers_the_store_away() -> None:
-    """Guards against registrations that lapse in an outage taken for departures."""
+    """Guards against registrations lapsed in an outage that look like departures."""
     harness = build_large_fleet_entry()
     receive_reader_reports(harness, 6, receives_records=True)
     harness.handle(Ticked())
@@ -159,7 +159,7 @@
 
 
 def run_fleet(fleet: list[EntryHarness], millis: int) -> None:
-    """Let time pass, and each entry tell those that hear it."""
+    """Advance the clock and let each entry send its messages and handle a tick."""
     fleet[0].clock.advance(millis)
     now = fleet[0].clock.now()
     for harness in fleet:
@@ -179,7 +179,7 @@
 
 @pytest.mark.parametrize("domains", [("muc-a",), ("muc-a", "muc-b", "nue-a", "aug-a")])
 def test_a_large_fleet_finds_that_the_store_is_away(domains: tuple[str, ...]) -> None:
-    """Guards against readers that each take the store for well as the others do."""
+    """Guards against readers that consider the store up because of each other."""
     fleet = build_fleet(24, domains)
     for _ in range(10):
         run_fleet(fleet, 200)
@@ -193,7 +193,7 @@
 
 
 def test_one_reader_that_is_answered_is_enough_for_all() -> None:
-    """Guards against an outage taken for total where some entries are turned away."""
+    """Guards against an outage considered total when the store rejects some entries."""
     fleet = build_fleet(24, ("muc-a", "muc-b", "nue-a", "aug-a"))
     for _ in range(10):
         run_fleet(fleet, 200)
@@ -206,7 +206,7 @@
 
 
 def test_an_entry_that_does_not_read_does_not_vouch_for_the_store() -> None:
-    """Guards against lapsed registrations taken for departures after an outage."""
+    """Guards against lapsed registrations that look like departures after an outage."""
     harness = build_large_fleet_entry()
     receive_reader_reports(harness, 1, receives_records=False)
     harness.handle(PeerHeard("entry-0-09", failure_domain="muc-a"))
@@ -216,7 +216,7 @@
 
 
 def test_one_entry_per_domain_queries_an_engine_while_the_store_is_away() -> None:
-    """Guards against questions of all entries to all engines."""
+    """Guards against queries of all entries to all engines."""
     queries = 0
     for number in range(18):
         harness = build_large_fleet_entry()
@@ -231,7 +231,7 @@
 
 
 def test_an_engines_leaving_report_reaches_the_other_entries() -> None:
-    """Guards against streams that end with an engine whose notice one entry knew."""
+    """Guards against streams lost with an engine whose notice only one entry knew."""
     querying = build_large_fleet_entry()
     querying.register("e-1", "e-2")
     querying.handle(EngineReported("e-1", leaving=True))
@@ -248,7 +248,7 @@
 
 
 def test_an_old_registration_does_not_bring_a_leaving_engine_back() -> None:
-    """Guards against prompts sent to an engine that a peer's old copy lists."""
+    """Guards against prompts sent to a leaving engine that a peer's old copy lists."""
     harness = EntryHarness()
     harness.register("e-1", "e-2")
     harness.handle(EngineReported("e-1", leaving=True))
@@ -259,7 +259,11 @@
 
 
 def test_a_new_configuration_is_not_fetched_by_all_entries_at_once() -> None:
-    """Guards against a key that was taken away and works on for seconds."""
+    """Guards against a revoked key accepted for seconds after a burst of queries.
+
+    Of 17 entries that learn of a new configuration from the same peer, at most four
+    fetch its records at the first opportunity.
+    """
     queries = 0
     for number in range(17):
         harness = build_large_fleet_entry()
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -1,4 +1,4 @@
-"""Tests of streams: delivery in order, each event once."""
+"""Tests of streams: each event is delivered once and in order."""
 
 from figstep.core.clock import Millis
 from figstep.gateway.effects import (
@@ -23,9 +23,9 @@
     harness.register("e-1", "e-2", "e-3")
     opened = harness.open_plan()
     harness.send_pieces(opened.attempt, 1, 10)
-    assert harness.find(BeginStream).attempt == opened.attempt
+    assert harness.find_effect(BeginStream).attempt == opened.attempt
     harness.handle(StreamEnded(opened.attempt))
-    assert harness.find(FinishStream).number == opened.number
+    assert harness.find_effect(FinishStream).number == opened.number
     assert harness.state.requests == {}
     assert all(t.memory == 0 for t in harness.state.targets.targets.values())
 
@@ -39,16 +39,16 @@
 def test_a_stream_whose_engine_dies_resumes_from_its_backup() -> None:
     harness, opened = start_with_backup()
     harness.handle(AttemptLost(opened.attempt, Loss.BROKEN))
-    resumed = harness.find(OpenAttempt)
+    resumed = harness.find_effect(OpenAttempt)
     assert resumed.target == opened.backup
     harness.send_pieces(resumed.attempt, 11, 11)
-    assert harness.find(Deliver).data == b"id: 11\n\n"
+    assert harness.find_effect(Deliver).data == b"id: 11\n\n"
 
 
 def advance_time(
     harness: EntryHarness, millis: int, step: int = 30
 ) -> list[OpenAttempt]:
-    """Let time pass with looks at the streams; returns what was opened."""
+    """Advance the clock with a tick at each step; return the attempts opened."""
     opened = []
     for _ in range(millis // step):
         harness.clock.advance(step)
@@ -58,7 +58,7 @@
 
 
 def send_steadily(harness: EntryHarness, attempt: int, pause: int) -> None:
-    """Let twenty events of a stream come, one after each pause."""
+    """Deliver twenty events of a stream, one after each pause."""
     for index in range(11, 31):
         harness.clock.advance(pause)
         harness.handle(Ticked())
@@ -66,10 +66,11 @@
 
 
 def test_a_stalled_stream_resumes_from_its_backup_before_its_limit() -> None:
-    """The caller would see a pause of half a second: its run was preempted.
+    """Guards against a stall of half a second because a run is preempted.
 
-    Its engine sends an event each 45 ms, then nothing. The backup is asked after
-    120 ms, which leaves 60 of the pause that the caller may see.
+    The engine sends an event every 45 ms, then none. The attempt at the backup's holder
+    is opened after 120 ms, which leaves 60 ms of the longest stall that the caller may
+    see.
     """
     harness, opened = start_with_backup()
     harness.state.requests[1].longest_pause = Millis(0)
@@ -95,9 +96,9 @@
 
 
 def test_a_frozen_entry_reads_buffered_events_before_it_detects_stalls() -> None:
-    """All streams of an entry would go on elsewhere at once.
+    """Guards against an entry that moves all of its streams at once.
 
-    The process was frozen for two seconds; its engines sent on, and the events
+    The process was frozen for two seconds. Its engines kept sending, and the events
     wait in its sockets.
     """
     harness, opened = start_with_backup()
@@ -111,18 +112,18 @@
 
 
 def test_a_run_is_never_left_open_at_two_engines() -> None:
-    """The run would go on at both engines, and the caller get either's events.
+    """Guards against a run that continues at two engines that both send events.
 
-    The holder accepts the run but sends nothing yet, while the engine that
-    leaves still generates. After 300 ms the old one is closed.
+    The holder accepts the run but sends nothing yet, while the leaving engine still
+    generates. The old attempt is closed after 300 ms.
     """
     harness, opened = start_with_backup()
     harness.depart(opened.target)
-    standby = harness.find(OpenAttempt)
+    standby = harness.find_effect(OpenAttempt)
     harness.state.attempts[standby.attempt].answered = True
     harness.clock.advance(300)
     harness.handle(Ticked())
-    assert harness.find(CloseAttempt).attempt == opened.attempt
+    assert harness.find_effect(CloseAttempt).attempt == opened.attempt
 
 
 def test_a_stream_without_any_copy_is_cut_and_never_looks_whole() -> None:
@@ -150,21 +151,22 @@
     harness.register("e-1")
     opened = harness.open_plan()
     harness.send_pieces(opened.attempt, 0, 2)
-    assert harness.find(Deliver).data == b"id: 0\n\nid: 1\n\nid: 2\n\n"
+    assert harness.find_effect(Deliver).data == b"id: 0\n\nid: 1\n\nid: 2\n\n"
 
 
 def test_a_resumed_run_has_the_backup_of_its_new_engine() -> None:
-    """The caller would lose its plan at the second engine that leaves.
+    """Guards against a plan lost at the second engine that leaves.
 
-    The old engine delivers an event while the holder takes the run over. The
-    copy used up there stays noted, and hides the new engine's backup as it dies.
+    The old engine delivers an event while the holder takes over the run. If the entry
+    kept the copy used for that, it would not know the new engine's backup when that
+    engine dies.
     """
     harness, opened = start_with_backup()
     harness.register("e-4")
     harness.depart(opened.target)
-    standby = harness.find(OpenAttempt)
+    standby = harness.find_effect(OpenAttempt)
     harness.send_pieces(opened.attempt, 11, 11)
     harness.send_pieces(standby.attempt, 12, 20)
     assert standby.backup
     harness.handle(AttemptLost(standby.attempt, Loss.BROKEN))
-    assert harness.find(OpenAttempt).target == standby.backup
+    assert harness.find_effect(OpenAttempt).target == standby.backup
--- a/tests/gateway/test_targets.py
+++ b/tests/gateway/test_targets.py
@@ -26,10 +26,10 @@
 
 
 def test_a_new_start_under_the_old_id_is_another_incarnation() -> None:
-    """Work would be counted on an engine that has lost it.
+    """Guards against counting work at an engine that has lost it.
 
-    An engine crashes with attempts open and starts again under its id. What
-    was open there is gone, so its counts must not burden the new one.
+    An engine crashes with open attempts and restarts under its id. Those attempts are
+    lost, so they must not count as load of the new incarnation.
     """
     table = TargetTable()
     first = table.record_registration(register(born=1), NOW)
--- a/tests/gateway/test_warmups.py
+++ b/tests/gateway/test_warmups.py
@@ -1,4 +1,4 @@
-"""Tests of what cold targets are sent, by all entries together."""
+"""Tests of the combined rate at which all entries send to cold targets."""
 
 from dataclasses import replace
 
@@ -28,13 +28,17 @@
 
 DOMAINS = ("muc-a", "muc-b", "nue-a", "aug-a")
 RATE = 25.0
+"""Warm-up rate of the service, in requests a second."""
+
 WARMUP = Millis(1_000)
+"""Default time for which a new target is cold, in milliseconds."""
+
 MAX_PER_SECOND = RATE * 1.5 + 5
-"""What a cold target bears, with the slack that it has."""
+"""Requests that a cold target can handle in a second, 1.5 times its rate and 5."""
 
 
 def build_cold_table(rate: float = RATE) -> RoutingTable:
-    """Return a configuration whose plain service has a warm-up rate."""
+    """Return a configuration whose services have a warm-up rate."""
     table = build_table(version=2)
     services = dict(table.services)
     services[BOOKINGS] = Service(BOOKINGS, warmup=WARMUP, warmup_rate=rate)
@@ -45,7 +49,7 @@
 def register(
     harness: EntryHarness, name: str, warmup: int, domain: str = "muc-a", born: int = 1
 ) -> None:
-    """Register a plain target that says how long it stays cold."""
+    """Register a plain target with the time for which it is cold, in milliseconds."""
     info = Registration(
         name, BOOKINGS, f"{name}:80", domain, 6, warmup=Millis(warmup), born=born
     )
@@ -60,7 +64,7 @@
 
 
 def count_sends(harness: EntryHarness, tries: int = 60) -> int:
-    """Return how many of some calls are sent at once."""
+    """Return how many of some calls are sent on at once."""
     sent = 0
     for _ in range(tries):
         harness.receive_request("/order/a")
@@ -69,7 +73,7 @@
 
 
 def build_cold_fleet(size: int, connected: bool = True) -> list[EntryHarness]:
-    """Return entries that have heard their own failure domain, or nobody."""
+    """Return entries that know their own failure domain, or no other entry."""
     fleet = build_fleet(size, DOMAINS)
     clock = fleet[0].clock
     for harness in fleet:
@@ -87,7 +91,7 @@
 
 @pytest.mark.parametrize("size", [16, 79, 195])
 def test_a_herd_of_waiting_calls_does_not_crash_a_cold_target(size: int) -> None:
-    """Guards against a target that crashes as all entries send to it at once."""
+    """Guards against a target that crashes because all entries send to it at once."""
     fleet = build_cold_fleet(size)
     for harness in fleet:
         register(harness, "b-1", 1_000)
@@ -97,7 +101,7 @@
 
 @pytest.mark.parametrize("size", [79, 195])
 def test_entries_that_hear_nobody_spare_a_cold_target(size: int) -> None:
-    """Guards against cut entries that each take the whole rate for themselves."""
+    """Guards against partitioned entries that each use the whole rate."""
     fleet = build_cold_fleet(size, connected=False)
     for harness in fleet:
         register(harness, "b-1", 1_000)
@@ -114,7 +118,7 @@
 
 
 def test_the_warmup_rate_holds_in_any_sliding_second() -> None:
-    """Guards against bursts at the edge of two seconds."""
+    """Guards against bursts at the boundary of two seconds."""
     harness = build_harness()
     register(harness, "b-1", 5_000)
     sent: list[Millis] = []
@@ -129,7 +133,7 @@
 
 
 def test_load_goes_to_warm_targets_first() -> None:
-    """Guards against calls that wait for a cold target beside warm ones."""
+    """Guards against calls that wait for a cold target although warm ones are free."""
     harness = build_harness(rate=0.5)
     register(harness, "b-cold", 1_000)
     register(harness, "b-warm", 0)
@@ -145,11 +149,11 @@
     assert not harness.find_effects(OpenAttempt)
     harness.clock.advance(120)
     harness.handle(Ticked())
-    assert harness.find(OpenAttempt).target == "b-1"
+    assert harness.find_effect(OpenAttempt).target == "b-1"
 
 
 def test_a_known_target_may_become_cold_again() -> None:
-    """Guards against targets taken for warm as they were so at their start."""
+    """Guards against targets considered warm because they were warm at their start."""
     harness = build_harness(rate=0.5)
     register(harness, "b-1", 0)
     harness.clock.advance(10_000)
@@ -158,7 +162,7 @@
 
 
 def test_a_domain_is_cold_when_its_evacuation_ends() -> None:
-    """Guards against a herd that meets the cold targets of a returned domain."""
+    """Guards against a burst of calls to cold targets as an evacuation ends."""
     harness = build_harness(rate=0.5)
     register(harness, "b-1", 0)
     harness.handle(EvacuationsRead(Evacuations(frozenset({"muc-a"}), 1)))
@@ -171,11 +175,11 @@
 
 
 def test_a_target_that_was_down_is_cold_when_it_is_back() -> None:
-    """Guards against a crowd of calls as a target answers again in a store outage."""
+    """Guards against a burst of calls to a target that returns in a store outage."""
     harness = build_harness(rate=0.5)
     register(harness, "b-1", 0)
     harness.receive_request("/order/a")
-    lost = harness.find(OpenAttempt)
+    lost = harness.find_effect(OpenAttempt)
     harness.handle(AttemptLost(lost.attempt, Loss.UNREACHED))
     target = harness.state.targets.targets["b-1"]
     harness.clock.advance(target.backoff_until - harness.clock.now())
@@ -183,7 +187,7 @@
 
 
 def test_a_service_without_a_warmup_rate_is_not_limited() -> None:
-    """Guards against a limit where a service names none."""
+    """Guards against a limit for services that do not set one."""
     harness = build_harness(rate=0.0)
     register(harness, "b-1", 1_000)
     assert count_sends(harness, 5) == 5
--- a/tests/gateway/worlds.py
+++ b/tests/gateway/worlds.py
@@ -1,4 +1,4 @@
-"""Small worlds for the gateway's tests: a state, its targets and its requests."""
+"""Test harness of the gateway: an entry's state, its targets and its requests."""
 
 import random
 from collections.abc import Sequence
@@ -36,7 +36,7 @@
 from figstep.gateway.state import State
 from figstep.gateway.targets import Registration
 
-EffectType = TypeVar("Found")
+EffectType = TypeVar("EffectType")
 
 ENGINES = "engines"
 BOOKINGS = "bookings"
@@ -90,9 +90,10 @@
     """Return a configuration with all four kinds of route.
 
     Args:
-        version: Its number.
-        routes: Routes in place of the four.
-        moves: Whether engines copy runs on order; they keep running backups.
+        version: Version of the configuration.
+        routes: Routes that replace the four default ones; none keeps the defaults.
+        moves: Whether engines copy runs on order. If they do, running backups are not
+            started although the pool allows them.
     """
     pool = EnginePool(64, 34_000, backups=True, moves=moves, event_tokens=4)
     return RoutingTable(
@@ -105,11 +106,13 @@
 
 @dataclass
 class EntryHarness:
-    """A gateway's state, driven by events on a clock that tests move.
+    """An entry's gateway state, driven by events on a manual clock.
 
     Attributes:
         moves: Whether engines copy runs on order.
+        clock: Clock that the tests advance.
         effects: Effects of the last event.
+        next_number: Number of the next request.
     """
 
     moves: bool = True
@@ -123,24 +126,24 @@
         self.handle(ConfigurationRead(build_table(moves=self.moves)))
 
     def handle(self, event: Event) -> list[Effect]:
-        """Reduce an event."""
+        """Reduce an event and return its effects."""
         self.effects = reduce(self.state, event, self.clock.now())
         return self.effects
 
     def register(self, *names: str, service: str = ENGINES, slots: int = 64) -> None:
-        """Register targets that are ready, in the entry's failure domain."""
+        """Register ready targets in the entry's failure domain."""
         for name in names:
             info = Registration(name, service, f"{name}:80", "muc-a", slots, born=1)
             self.handle(TargetRegistered(info))
 
     def depart(self, name: str) -> list[Effect]:
-        """Let a registration go."""
+        """Handle the loss of a target's registration and return the effects."""
         return self.handle(TargetDeparted(name))
 
     def receive_request(
         self, path: str, prompt: Prompt | None = None, **fields: object
     ) -> int:
-        """Let a request come; returns its number."""
+        """Handle an arriving request and return its number."""
         number = self.next_number
         self.next_number += 1
         request_fields: dict[str, object] = {"key": KEY, "digest": f"digest-{number}"}
@@ -158,31 +161,31 @@
         return number
 
     def receive_plan(self, tokens: int = 3_000, output: int = 900) -> int:
-        """Let a request for a long plan come."""
+        """Handle an arriving request for a long plan and return its number."""
         return self.receive_request("/plan/a", Prompt("m", tokens, 2_000, output))
 
-    def find(self, kind: type[EffectType]) -> EffectType:
-        """Return the only effect of a kind."""
+    def find_effect(self, kind: type[EffectType]) -> EffectType:
+        """Return the only effect of a type among those of the last event."""
         found = self.find_effects(kind)
         assert len(found) == 1, self.effects
         return found[0]
 
     @property
     def actions(self) -> list[Effect]:
-        """Effects of the last event, its log lines left out."""
+        """Effects of the last event without its log lines."""
         return [effect for effect in self.effects if not isinstance(effect, Note)]
 
-    def find_effects(self, kind: type[EffectType]) -> "list[Found]":
-        """Return the effects of a kind."""
+    def find_effects(self, kind: type[EffectType]) -> "list[EffectType]":
+        """Return the effects of a type among those of the last event."""
         return [effect for effect in self.effects if isinstance(effect, kind)]
 
     def open_plan(self) -> OpenAttempt:
-        """Let a plan come and start; returns its attempt."""
+        """Handle an arriving plan that starts at once and return its attempt."""
         self.receive_plan()
-        return self.find(OpenAttempt)
+        return self.find_effect(OpenAttempt)
 
     def send_pieces(self, attempt: int, first: int, last: int) -> list[Effect]:
-        """Let events of a stream come."""
+        """Deliver the events ``first`` to ``last`` of an attempt's stream."""
         self.handle(StreamOpened(attempt))
         pieces = [
             StreamPiece(index, f"id: {index}\n\n".encode())
@@ -192,9 +195,9 @@
 
 
 def start_with_backup() -> tuple[EntryHarness, OpenAttempt]:
-    """Return a world with a plan that runs for half a second and has a backup.
+    """Return an entry with a plan that has run for 500 ms and has a backup.
 
-    Its engines don't copy runs on order: those that do get no running backups.
+    Its engines do not copy runs on order; engines that do get no running backups.
     """
     harness = EntryHarness(moves=False)
     harness.register("e-1", "e-2", "e-3")
@@ -206,7 +209,7 @@
 
 
 def build_large_fleet_entry() -> EntryHarness:
-    """Return an entry of a large fleet that has heard its own failure domain."""
+    """Return an entry of a fleet of 73 that knows its own failure domain."""
     harness = EntryHarness()
     harness.handle(EntriesCounted(73))
     for number in range(18):
@@ -215,7 +218,7 @@
 
 
 def build_fleet(size: int, domains: Sequence[str]) -> list[EntryHarness]:
-    """Return entries of some failure domains in turn, on one clock."""
+    """Return entries on one clock, assigned to the failure domains in turn."""
     clock = ManualClock(100_000)
     fleet = []
     for number in range(size):
@@ -228,7 +231,12 @@
 
 
 def exchange_messages(fleet: list[EntryHarness]) -> None:
-    """Let each entry tell the others what it knows."""
+    """Let each entry send its state to the others.
+
+    Entries of a small fleet send to all others. In a large fleet they send within their
+    failure domain, and the first entry of each domain sends the domain's sums to the
+    entries of the other domains.
+    """
     now = fleet[0].clock.now()
     representatives: dict[str, EntryHarness] = {}
     for harness in fleet:
