--- a/figstep/gateway/state.py
+++ b/figstep/gateway/state.py
@@ -185,7 +185,8 @@
         position: Offset up to which it has read the registrations; -1 for none.
         healthy_since: Since when it has reported, without a break, that it reads the
             store and is answered; None if its last message differs.
-        receives_records: Whether records of the store reach it, directly or through peers.
+        receives_records: Whether records of the store reach it, directly or through
+            peers.
         answered: Whether the store answers it, as far as it reads the store.
         far: Whether it belongs to another failure domain.
         reading: Whether it reads the store's records as they are written.
