--- a/figstep/core/attempts.py
+++ b/figstep/core/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: connections to targets on behalf of requests."""
+"""Attempts: opening, resuming and closing connections to targets."""
 
 from figstep.core import admission, generations, silence, targets
 from figstep.core.clock import Millis
@@ -25,7 +25,11 @@
 def open_attempt(
     state: State, request: RequestState, target: TargetState, now: Millis
 ) -> list[Effect]:
-    """Send the request to a target, under a new generation id."""
+    """Open an attempt that sends the request to a target under a new generation id.
+
+    The id is made of the target's name, a digest of the customer and a nonce, so
+    any entry can resume the generation.
+    """
     nonce = f"{state.node}.{state.next_attempt}.{state.rng.getrandbits(64):016x}"
     owner = generations.digest_owner(request.spec.customer)
     generation = str(generations.GenerationId(target.info.name, owner, nonce))
@@ -41,14 +45,14 @@
             once=request.non_idempotent,
         )
     ]
-    effects.append(_note_attempt("attempt opened", request, attempt))
-    return effects + _watch(request, target, attempt, now)
+    effects.append(_log_attempt("attempt opened", request, attempt))
+    return effects + _start_silence_timer(request, target, attempt, now)
 
 
 def resume_attempt(
     state: State, request: RequestState, target: TargetState, now: Millis
 ) -> list[Effect]:
-    """Reattach the request to its generation over a new connection."""
+    """Open an attempt that resumes the request's generation after its last event."""
     attempt = _add_attempt(state, request, target, request.generation, now)
     attempt.resuming = True
     effects: list[Effect] = [
@@ -59,12 +63,12 @@
             request.generation,
             request.delivered,
         ),
-        _note_attempt("attempt resumed", request, attempt),
+        _log_attempt("attempt resumed", request, attempt),
     ]
-    return effects + _watch(request, target, attempt, now)
+    return effects + _start_silence_timer(request, target, attempt, now)
 
 
-def _note_attempt(message: str, request: RequestState, attempt: AttemptState) -> Note:
+def _log_attempt(message: str, request: RequestState, attempt: AttemptState) -> Note:
     return Note(
         message,
         {
@@ -90,7 +94,7 @@
         number, request.spec.request, target.info.name, generation, now, now
     )
     state.attempts[number] = attempt
-    targets.enter_target(state, target, attempt, request, now)
+    targets.reserve_target(state, target, attempt, request, now)
     request.phase = Phase.RUNNING
     request.attempt = number
     request.generation = generation
@@ -98,17 +102,21 @@
     return attempt
 
 
-def _watch(
+def _start_silence_timer(
     request: RequestState, target: TargetState, attempt: AttemptState, now: Millis
 ) -> list[Effect]:
     if isinstance(request.spec.work, ServiceWork):
         return []
-    limit = silence.compute_limit(target, attempt)
+    limit = silence.compute_silence_limit(target, attempt)
     return [WakeAt(AttemptTimer(attempt.attempt), Millis(now + limit))]
 
 
-def forget_attempt(state: State, number: int | None) -> AttemptState | None:
-    """Take an attempt out of the state; None if it is already gone."""
+def remove_attempt(state: State, number: int | None) -> AttemptState | None:
+    """Remove an attempt from the state and from the counts of its target.
+
+    Returns:
+        The attempt, or None if there is none with this number.
+    """
     if number is None:
         return None
     attempt = state.attempts.pop(number, None)
@@ -116,7 +124,7 @@
         return None
     target = state.targets.get(attempt.target)
     if target is not None:
-        targets.leave_target(state, target, attempt)
+        targets.release_target(state, target, attempt)
     request = state.requests.get(attempt.request)
     if request is not None and request.attempt == number:
         request.attempt = None
@@ -126,13 +134,14 @@
 def abandon_attempt(
     state: State, request: RequestState, cancel: bool = True
 ) -> list[Effect]:
-    """Stop what runs for a request that gets no more of its answer.
+    """Close the request's connection and, if wanted, cancel its generation.
 
-    Between two attempts no connection is open but the target may still be
-    generating, so the cancel is sent wherever a generation was ever named.
+    Between two attempts no connection is open, but the target may still be
+    generating. The cancel is therefore sent whenever the request has had a
+    generation, other than for a plain service.
     """
     effects: list[Effect] = []
-    attempt = forget_attempt(state, request.attempt)
+    attempt = remove_attempt(state, request.attempt)
     if attempt is not None:
         effects.append(CloseAttempt(attempt.attempt))
     if cancel and request.generation and not isinstance(request.spec.work, ServiceWork):
--- a/figstep/core/configuration.py
+++ b/figstep/core/configuration.py
@@ -1,10 +1,10 @@
 """Fold of the configuration stream: which document is in force.
 
-Records are judged strictly in order of offset, so every node that has folded
-the same records holds the same document. A node that lacks a record, because
-the log dropped it or because a newer program wrote it, judges none of the later
-ones until a checkpoint, from the log or from a peer, stands for the records
-that it lacks.
+Records are folded strictly in order of offset, so all nodes that have folded the
+same records hold the same document. If a node misses a record because the log
+dropped it, or cannot read one that a newer program wrote, its fold stalls. It
+continues when a checkpoint, from the log or from a peer, replaces the missing
+records.
 """
 
 from dataclasses import dataclass, replace
@@ -31,28 +31,36 @@
 from figstep.core.state import ConfigurationFold, State, TargetState
 
 EDIT = "edit"
+"""Kind of a record that holds an edit of the document."""
 SNAPSHOT = "snapshot"
+"""Kind of a record that holds a checkpoint of the fold."""
 
-# A snapshot is renewed well before the log drops it: two lost appends and an
-# outage of a third of the retention still leave one in the log.
 RENEWALS_PER_RETENTION = 3
+"""Number of snapshots that are appended within the log's retention.
+
+A snapshot is thus renewed well before the log drops it: two lost appends and an
+outage of a third of the retention still leave one in the log.
+"""
 SNAPSHOT_RECORDS = 200
-SPREAD_DIVISOR = 12
-UNASKED_APPEND = -1
+"""Number of folded records after which a new snapshot is appended early."""
+JITTER_DIVISOR = 12
+"""The log's retention divided by the longest random delay of a renewal."""
+SNAPSHOT_APPEND_KEY = -1
+"""Key of all appends of snapshots, whose answers are not awaited."""
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The record is in force."""
+    """Verdict: the edit is accepted and comes into force."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The record changes nothing.
+    """Verdict: the edit is refused and changes nothing.
 
     Attributes:
-        rule: Short name of the rule that refused it.
-        why: What was wrong and the remedy.
+        rule: Short name of the rule that refused the edit.
+        why: What was wrong, and the remedy.
     """
 
     rule: str
@@ -61,19 +69,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """This program cannot judge the record."""
+    """Verdict: this program does not know the edit's validation version.
+
+    Attributes:
+        why: What is missing, and the remedy.
+    """
 
     why: str
 
 
-Verdict = Accepted | Refused | Unknown
+EditVerdict = Accepted | Refused | Unknown
 
 
-def judge_edit(current: Checkpoint | None, event: ConfigurationRead) -> Verdict:
-    """Judge an edit against the document in force before it.
+def check_edit(current: Checkpoint | None, event: ConfigurationRead) -> EditVerdict:
+    """Check an edit against the document that is in force before it.
 
     Args:
-        current: The accepted edit, or None before the first.
+        current: Checkpoint of the last accepted edit, or None before the first.
         event: The edit.
     """
     if not event.known:
@@ -95,25 +107,29 @@
 
 
 def fold_record(state: State, event: ConfigurationRead, now: Millis) -> list[Effect]:
-    """Put an accepted document in force; never go back."""
+    """Fold an edit and put its document in force if it is accepted.
+
+    Records that were folded already are ignored, so an older document never comes
+    back into force.
+    """
     fold = state.configuration
     if event.offset <= fold.position:
         return []
     if event.offset != fold.position + 1:
         return _stall(fold, f"records {fold.position + 1} to {event.offset - 1} lack")
-    match judge_edit(fold.current, event):
+    match check_edit(fold.current, event):
         case Unknown(why=why):
             return _stall(fold, why)
         case Refused(rule=rule, why=why):
             fold.position = event.offset
-            return [Count("configuration.refused"), _note_refusal(event, rule, why)]
+            return [Count("configuration.refused"), _describe_refusal(event, rule, why)]
         case Accepted():
             fold.position = event.offset
             return _put_in_force(state, build_checkpoint(event), now)
 
 
 def build_checkpoint(event: ConfigurationRead) -> Checkpoint:
-    """Return the checkpoint right after an accepted edit."""
+    """Return the checkpoint that results from folding an accepted edit."""
     return Checkpoint(
         accepted=event.offset,
         position=event.offset,
@@ -126,7 +142,7 @@
     )
 
 
-def _note_refusal(event: ConfigurationRead, rule: str, why: str) -> Note:
+def _describe_refusal(event: ConfigurationRead, rule: str, why: str) -> Note:
     return Note(
         "configuration refused",
         {"offset": event.offset, "author": event.author, "rule": rule, "why": why},
@@ -147,14 +163,19 @@
 
 
 def fold_snapshot(state: State, event: SnapshotRead, now: Millis) -> list[Effect]:
-    """Take what a snapshot stands for; an equal one changes nothing."""
+    """Fold a snapshot: apply its checkpoint and schedule the next renewal.
+
+    A snapshot of a state that this node has folded already leaves the document as
+    it is. One that claims to cover its own offset or later ones is counted as
+    invalid and not applied.
+    """
     fold = state.configuration
     effects: list[Effect] = []
     checkpoint = event.checkpoint
     if checkpoint.position >= event.offset:
         effects.append(Count("configuration.snapshot_invalid"))
     else:
-        effects += take_checkpoint(state, checkpoint, now)
+        effects += apply_checkpoint(state, checkpoint, now)
     if event.offset == fold.position + 1:
         fold.position = event.offset
     if checkpoint.position >= fold.snapshot_position:
@@ -164,11 +185,11 @@
     return effects
 
 
-def take_checkpoint(state: State, offer: Checkpoint, now: Millis) -> list[Effect]:
-    """Jump to a checkpoint that stands for more records than were folded.
+def apply_checkpoint(state: State, offer: Checkpoint, now: Millis) -> list[Effect]:
+    """Continue from a checkpoint that covers more records than were folded.
 
-    The higher position wins, whether it came from the log or from a peer. The
-    records after it are read again, because a stalled node passed over them.
+    The higher position wins, whether the checkpoint comes from the log or from a
+    peer. The records after it are read again, because a stalled node skipped them.
     """
     fold = state.configuration
     if offer.position <= fold.position:
@@ -180,8 +201,8 @@
             f" {offer.validation}; upgrade this program",
         )
     if offer.accepted < state.configuration_offset:
-        # Accepted offsets only grow along the stream, so this checkpoint was
-        # made by a program that folds wrongly; taking it would undo an edit.
+        # Accepted offsets only grow along the stream, so a faulty program made
+        # this checkpoint; applying it would undo an edit.
         return [
             Count("configuration.checkpoint_invalid"),
             Note("configuration checkpoint ignored", {"accepted": offer.accepted}),
@@ -218,22 +239,25 @@
 
 
 def apply_inventory(state: State, inventory: Inventory) -> None:
-    """Make the known targets those of ``inventory``; running work goes on."""
+    """Replace the known targets by those of ``inventory``.
+
+    Targets that are no longer listed but still run attempts are kept and drained.
+    """
     state.inventory = inventory
     draining = {mark.target for mark in inventory.draining}
     evacuated = {mark.failure_domain for mark in inventory.evacuated}
     apply_policy(state, inventory)
-    known = state.targets
+    previous = state.targets
     state.targets = {}
     for info in inventory.list_targets():
-        target = known.pop(info.name, None)
+        target = previous.pop(info.name, None)
         if target is None:
             target = TargetState(info)
         target.info = info
         is_evacuated = info.failure_domain in evacuated
         target.draining = is_evacuated or info.name in draining
         state.targets[info.name] = target
-    for name, target in known.items():
+    for name, target in previous.items():
         if target.in_flight == 0:
             continue
         target.draining = True
@@ -245,20 +269,24 @@
 
 
 def _schedule_renewal(state: State, now: Millis) -> WakeAt:
-    """Wake when the newest snapshot is due for renewal, spread among nodes.
+    """Schedule a wake-up for when the newest snapshot is due for renewal.
 
-    All nodes find a snapshot due at the same time; the spread lets the first
-    one append it and the others see it before their own turn.
+    A snapshot becomes due on all nodes at the same time. The random delay lets one
+    node append the new snapshot and the others read it before they are due.
     """
     made = state.configuration.snapshot_made
     due = now if made is None else made + _renewal_period(state)
-    spread = state.retention // SPREAD_DIVISOR
-    at = max(now, due) + state.rng.randrange(max(1, spread))
+    jitter = state.retention // JITTER_DIVISOR
+    at = max(now, due) + state.rng.randrange(max(1, jitter))
     return WakeAt(SnapshotTimer(), Millis(at))
 
 
 def needs_snapshot(state: State, now: Millis) -> bool:
-    """Tell whether the log should hold a newer snapshot."""
+    """Return whether the log should get a newer snapshot.
+
+    That is so if there is none, if ``SNAPSHOT_RECORDS`` or more were folded after
+    it, or if it is older than the renewal period.
+    """
     fold = state.configuration
     if fold.snapshot_made is None:
         return True
@@ -268,21 +296,26 @@
 
 
 def renew_snapshot(state: State, now: Millis) -> list[Effect]:
-    """Append a snapshot unless another node did; look again later."""
+    """Append a snapshot if the log needs a newer one, and schedule the next check."""
     fold = state.configuration
     wake = _schedule_renewal(state, now)
     if fold.current is None or fold.stalled or not needs_snapshot(state, now):
         return [wake]
     record = encode_snapshot(fold.current, fold.position)
     return [
-        AppendRecords(CONFIGURATION, UNASKED_APPEND, [record]),
+        AppendRecords(CONFIGURATION, SNAPSHOT_APPEND_KEY, [record]),
         Count("configuration.snapshots"),
         wake,
     ]
 
 
 def encode_snapshot(current: Checkpoint, position: int) -> dict[str, Any]:
-    """Return the record of a checkpoint after folding up to ``position``."""
+    """Return the snapshot record of a checkpoint.
+
+    Args:
+        current: Checkpoint of the edit in force.
+        position: Last offset that was folded, which the snapshot covers.
+    """
     return {
         "kind": SNAPSHOT,
         "accepted": current.accepted,
@@ -296,7 +329,7 @@
 
 
 def apply_policy(state: State, inventory: Inventory) -> None:
-    """Take the load policy and the customers' shares from the rules."""
+    """Apply the load policy of the rules and the shares of the customers."""
     state.shares = {c.name: c.share for c in inventory.customers}
     policy = find_policy(inventory.rules.routing)
     if isinstance(policy, Figstep):
@@ -305,7 +338,7 @@
 
 
 def set_policy(state: State, policy: Policy) -> None:
-    """Decide by ``policy`` from now on."""
+    """Set the load policy and order the queue accordingly."""
     state.policy = policy
     match policy:
         case Figstep(fair=fair, shortest_first=shortest_first):
--- a/figstep/core/datagrams.py
+++ b/figstep/core/datagrams.py
@@ -1,4 +1,4 @@
-"""Choice of what goes into one bounded datagram."""
+"""Selection of the content of one gossip datagram of bounded size."""
 
 from figstep.core.clock import Millis
 from figstep.core.gossip import (
@@ -14,25 +14,36 @@
 from figstep.core.state import State
 
 MAX_BYTES = 500
-"""Longest datagram; the estimates below are upper bounds."""
+"""Longest datagram, in bytes.
+
+The sizes of its parts below are upper bounds of their encoded sizes, in bytes.
+"""
 HEADER_BYTES = 136
+"""Upper bound for the fixed part, without the sender's name and address."""
 MEMBER_BYTES = 40
+"""Upper bound for the news of one entry, without its name and address."""
 MARK_BYTES = 24
+"""Upper bound for one leaving mark, without the target's name."""
 COUNT_BYTES = 9
+"""Upper bound for the attempt count of one target."""
 DIGEST_BYTES = 20
-MOST_COUNTS = 16
-MOST_FRESH_MARKS = 8
-MOST_DIGESTS = 2
+"""Upper bound for one quarantined digest, without the digest itself."""
+MAX_COUNTS = 16
+"""Most attempt counts in one datagram."""
+MAX_FRESH_MARKS = 8
+"""Most leaving marks in one datagram that are sent ahead of other content."""
+MAX_DIGESTS = 2
+"""Most quarantined digests in one datagram."""
 
 
-class _Room:
-    """Bytes that are left in a datagram."""
+class _FreeSpace:
+    """Free bytes of a datagram."""
 
     def __init__(self, left: int) -> None:
         self._left = left
 
-    def take(self, size: int) -> bool:
-        """Take ``size`` bytes; return whether they were there."""
+    def consume(self, size: int) -> bool:
+        """Reserve ``size`` bytes; return False and reserve none if fewer are free."""
         if size > self._left:
             return False
         self._left -= size
@@ -42,16 +53,26 @@
 def build_gossip(
     state: State, receiver: Member | None, now: Millis, wants_answer: bool
 ) -> Gossip:
-    """Return the next message for a peer, the most urgent news first."""
+    """Return the next message for a peer, filled in order of urgency.
+
+    Args:
+        state: State of this entry; its sequence number, cursors and remaining sends
+            are advanced.
+        receiver: The receiving entry, or None if only its address is known.
+        now: Monotonic time, in milliseconds.
+        wants_answer: Whether the receiver should acknowledge the message.
+    """
     membership = state.membership
     membership.sequence += 1
-    room = _Room(MAX_BYTES - HEADER_BYTES - len(state.node) - len(membership.address))
-    marks = _pick_fresh_marks(state, room)
-    members = _pick_fresh_members(state, receiver, room)
-    quarantined = _pick_quarantined(state, room, now)
-    counts, whole = _pick_counts(state, room)
-    members += _pick_any_members(state, room, {news.name for news in members})
-    marks += _pick_old_marks(state, room, {mark.target for mark in marks})
+    free_space = _FreeSpace(
+        MAX_BYTES - HEADER_BYTES - len(state.node) - len(membership.address)
+    )
+    marks = _pick_fresh_marks(state, free_space)
+    members = _pick_fresh_members(state, receiver, free_space)
+    quarantined = _pick_quarantined(state, free_space, now)
+    counts, whole = _pick_counts(state, free_space)
+    members += _pick_random_member(state, free_space, {news.name for news in members})
+    marks += _pick_old_marks(state, free_space, {mark.target for mark in marks})
     return Gossip(
         sender=state.node,
         address=membership.address,
@@ -69,7 +90,7 @@
     )
 
 
-def _pick_fresh_marks(state: State, room: _Room) -> list[LeavingMark]:
+def _pick_fresh_marks(state: State, free_space: _FreeSpace) -> list[LeavingMark]:
     picked: list[LeavingMark] = []
     for name, mark in list(state.membership.marks.items()):
         if not _is_current(state, name, mark.incarnation):
@@ -77,7 +98,9 @@
             continue
         if mark.sends_left <= 0:
             continue
-        if len(picked) == MOST_FRESH_MARKS or not room.take(MARK_BYTES + len(name)):
+        if len(picked) == MAX_FRESH_MARKS or not free_space.consume(
+            MARK_BYTES + len(name)
+        ):
             break
         mark.sends_left -= 1
         picked.append(LeavingMark(name, mark.incarnation))
@@ -89,23 +112,25 @@
     return target is not None and target.leaving and target.incarnation == incarnation
 
 
-def _pick_old_marks(state: State, room: _Room, taken: set[str]) -> list[LeavingMark]:
-    """Fill with a window of marks that are no news, for who missed them."""
+def _pick_old_marks(
+    state: State, free_space: _FreeSpace, already_picked: set[str]
+) -> list[LeavingMark]:
+    """Fill free space with a window of older marks, for entries that missed them."""
     membership = state.membership
     names = list(membership.marks)
     picked: list[LeavingMark] = []
     for step in range(len(names)):
         name = names[(membership.marks_cursor + step) % len(names)]
-        if name in taken:
+        if name in already_picked:
             continue
-        if not room.take(MARK_BYTES + len(name)):
+        if not free_space.consume(MARK_BYTES + len(name)):
             membership.marks_cursor += step
             break
         picked.append(LeavingMark(name, membership.marks[name].incarnation))
     return picked
 
 
-def _tell(member: Member) -> MemberNews:
+def _describe_member(member: Member) -> MemberNews:
     return MemberNews(member.name, member.address, member.incarnation, member.status)
 
 
@@ -114,44 +139,48 @@
 
 
 def _pick_fresh_members(
-    state: State, receiver: Member | None, room: _Room
+    state: State, receiver: Member | None, free_space: _FreeSpace
 ) -> list[MemberNews]:
     picked: list[MemberNews] = []
     if receiver is not None and receiver.status is not MemberStatus.ALIVE:
-        # The receiver learns that it is thought dead, and refutes it.
-        room.take(_size_member(receiver))
-        picked.append(_tell(receiver))
+        # The receiver learns that it is suspected or thought dead, and refutes it.
+        free_space.consume(_size_member(receiver))
+        picked.append(_describe_member(receiver))
     for member in state.membership.members.values():
         if member.sends_left <= 0 or member is receiver:
             continue
-        if not room.take(_size_member(member)):
+        if not free_space.consume(_size_member(member)):
             break
         member.sends_left -= 1
-        picked.append(_tell(member))
+        picked.append(_describe_member(member))
     return picked
 
 
-def _pick_any_members(state: State, room: _Room, taken: set[str]) -> list[MemberNews]:
-    """Add one random entry, so that every table becomes whole in time."""
+def _pick_random_member(
+    state: State, free_space: _FreeSpace, already_picked: set[str]
+) -> list[MemberNews]:
+    """Return one random entry, so that all member tables become complete eventually."""
     members = state.membership.members
     if not members:
         return []
     member = members[state.rng.choice(list(members))]
-    if member.name in taken or not member.reachable:
+    if member.name in already_picked or not member.reachable:
         return []
-    if not room.take(_size_member(member)):
+    if not free_space.consume(_size_member(member)):
         return []
-    return [_tell(member)]
+    return [_describe_member(member)]
 
 
-def _pick_counts(state: State, room: _Room) -> tuple[list[TargetCount], bool]:
+def _pick_counts(
+    state: State, free_space: _FreeSpace
+) -> tuple[list[TargetCount], bool]:
     used = [(n, t.in_flight) for n, t in state.targets.items() if t.in_flight > 0]
-    whole = len(used) <= MOST_COUNTS
+    whole = len(used) <= MAX_COUNTS
     picked: list[TargetCount] = []
     cursor = 0 if whole else state.membership.counts_cursor
-    for step in range(min(len(used), MOST_COUNTS)):
+    for step in range(min(len(used), MAX_COUNTS)):
         name, count = used[(cursor + step) % len(used)]
-        if not room.take(COUNT_BYTES):
+        if not free_space.consume(COUNT_BYTES):
             whole = False
             break
         picked.append(TargetCount(hash_target(name), min(count, 65_535)))
@@ -159,13 +188,15 @@
     return picked, whole
 
 
-def _pick_quarantined(state: State, room: _Room, now: Millis) -> list[QuarantineMark]:
+def _pick_quarantined(
+    state: State, free_space: _FreeSpace, now: Millis
+) -> list[QuarantineMark]:
     current = [(d, u) for d, u in state.quarantine.until.items() if u > now]
     picked: list[QuarantineMark] = []
     cursor = state.membership.quarantine_cursor
-    for step in range(min(MOST_DIGESTS, len(current))):
+    for step in range(min(MAX_DIGESTS, len(current))):
         digest, until = current[(cursor + step) % len(current)]
-        if not room.take(DIGEST_BYTES + len(digest)):
+        if not free_space.consume(DIGEST_BYTES + len(digest)):
             break
         picked.append(QuarantineMark(digest, Millis(until - now)))
     state.membership.quarantine_cursor = cursor + len(picked)
--- a/figstep/core/leases.py
+++ b/figstep/core/leases.py
@@ -1,8 +1,8 @@
-"""Leases recorded in the log: who may give orders, and with which number.
+"""Leases recorded in the log: which node may send orders, and its fencing number.
 
-The fold reads nothing but the records and the times that the log service
-stamped on them, so every reader names the same holder. The offset of the
-record that took a lease is its fencing number.
+The fold uses only the records and the times that the log service assigned to
+them, so all readers agree on the holder. The offset of the record that acquired a
+lease is the lease's fencing number.
 """
 
 from dataclasses import dataclass, field
@@ -12,20 +12,23 @@
 from figstep.core.records import LogRecord
 
 TERM = Millis(10_000)
+"""Time that a lease lasts after its last renewal, in milliseconds."""
 MARGIN = Millis(1_000)
+"""Time before the end of the term at which a holder stops acting, in milliseconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRecord:
-    """A record of the lease stream.
+    """Record of the lease stream.
 
     Attributes:
         lease: Name of the lease.
-        holder: Node that wants it.
-        session: Tells two runs of a node apart.
-        record: Id of this record, to find it again after a lost answer.
-        term: How long it lasts, in milliseconds.
-        release: Whether the holder gives it up.
+        holder: Name of the node that acquires, renews or releases the lease.
+        session: Identifier that distinguishes the runs of a node.
+        record: Id of this record, by which the node recognizes it when it is read
+            back, also if the append went unanswered.
+        term: Time that the lease lasts, in milliseconds.
+        release: Whether the holder releases the lease.
     """
 
     lease: str
@@ -48,7 +51,7 @@
 
 
 def parse_lease_record(data: dict[str, Any]) -> LeaseRecord | None:
-    """Return the record, or None where it is not one of a lease."""
+    """Parse a record of the lease stream; return None if it is malformed."""
     try:
         return LeaseRecord(
             lease=str(data["lease"]),
@@ -64,16 +67,18 @@
 
 @dataclass(slots=True)
 class Lease:
-    """A lease as the log tells it.
+    """State of a lease, as folded from the log.
 
     Attributes:
-        holder: Node that holds it.
-        session: Run of that node.
-        fencing: Offset of the record that took it.
-        time: Log time of the last renewal, in milliseconds since the epoch.
-        term: How long it lasts from there, in milliseconds.
-        released: Whether the holder gave it up.
-        seen: When this node read the last renewal (monotonic).
+        holder: Name of the node that holds the lease.
+        session: Session of that node.
+        fencing: Fencing number: offset of the record that acquired the lease.
+        time: Time of the last renewal, in milliseconds since the epoch by the
+            log's clock.
+        term: Time that the lease lasts from ``time`` on, in milliseconds.
+        released: Whether the holder released the lease.
+        last_read: Time at which this node read the last renewal, in monotonic
+            milliseconds.
     """
 
     holder: str
@@ -82,31 +87,33 @@
     time: int
     term: Millis
     released: bool
-    seen: Millis
+    last_read: Millis
 
 
 @dataclass(slots=True)
 class Holding:
-    """This node's own hold on a lease.
+    """Lease that this node holds.
 
     Attributes:
-        fencing: Number for its orders.
-        taken: When the record that took it was appended (monotonic).
-        until: When this node stops acting on it (monotonic).
+        fencing: Fencing number that the node's orders carry.
+        acquired: Time at which the record that acquired the lease was appended, in
+            monotonic milliseconds.
+        until: Time at which this node stops acting on the lease, in monotonic
+            milliseconds.
     """
 
     fencing: int
-    taken: Millis
+    acquired: Millis
     until: Millis
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """A record of this node's that was not read back yet.
+class PendingAppend:
+    """Record that this node appended and has not read back yet.
 
     Attributes:
-        lease: Lease that it takes or renews.
-        at: When it was appended (monotonic).
+        lease: Name of the lease that the record acquires or renews.
+        at: Time just before the append, in monotonic milliseconds.
     """
 
     lease: str
@@ -115,37 +122,49 @@
 
 @dataclass(slots=True)
 class LeaseTable:
-    """All leases, and what this node holds of them.
+    """All leases, and those that this node holds.
 
     Attributes:
-        session: This run of this node.
-        leases: Leases by name, as folded.
-        holdings: This node's holds, by lease.
-        asked: This node's open records that take or renew a lease, by id.
+        session: Identifier of the current run of this node.
+        leases: Leases by name, as folded from the log.
+        holdings: Holds of this node, by name of the lease.
+        pending: Records of this node that acquire or renew a lease and are not read
+            back yet, by id of the record.
         next_record: Number of this node's next record.
     """
 
     session: str = ""
     leases: dict[str, Lease] = field(default_factory=dict)
     holdings: dict[str, Holding] = field(default_factory=dict)
-    asked: dict[str, Asked] = field(default_factory=dict)
+    pending: dict[str, PendingAppend] = field(default_factory=dict)
     next_record: int = 1
 
 
 def fold_lease(
     leases: dict[str, Lease], record: LeaseRecord, position: LogRecord, now: Millis
 ) -> bool:
-    """Apply a record to the leases; tell whether it took effect."""
+    """Apply a record to the leases.
+
+    Args:
+        leases: Leases by name, changed in place.
+        record: The parsed record.
+        position: Record as read, with the offset and time that the log assigned.
+        now: Time of the reading, in monotonic milliseconds.
+
+    Returns:
+        Whether the record took effect; it does not if another holder or session has
+        the lease, or if it releases a lease that nobody holds.
+    """
     current = leases.get(record.lease)
     if current is not None and _is_held(current, position.time):
-        mine = (current.holder, current.session) == (record.holder, record.session)
-        if not mine:
+        is_own = (current.holder, current.session) == (record.holder, record.session)
+        if not is_own:
             return False
-        # The log's clock may step back; a lease then lasts longer, never less.
+        # If the log's clock steps back, the lease lasts longer, never shorter.
         current.time = max(current.time, position.time)
         current.term = record.term
         current.released = record.release
-        current.seen = now
+        current.last_read = now
         return True
     if record.release:
         return False
@@ -156,7 +175,7 @@
         time=position.time,
         term=record.term,
         released=False,
-        seen=now,
+        last_read=now,
     )
     return True
 
@@ -165,58 +184,75 @@
     return not lease.released and time < lease.time + lease.term
 
 
-def ask_lease(
+def request_lease(
     table: LeaseTable, lease: str, node: str, now: Millis, release: bool = False
 ) -> LeaseRecord:
-    """Return the record that takes, renews or releases a lease for ``node``.
+    """Return the record that acquires, renews or releases a lease for ``node``.
+
+    The time is stored before the append. A holder that was paused between the
+    append and its answer would otherwise count a term that is already over.
 
-    Its time is noted before the append: a holder that was paused between the
-    append and its answer would otherwise count a term that has passed already.
+    Args:
+        table: Table of leases; the record is added to the pending appends, or, for
+            a release, the node's hold and pending appends are dropped.
+        lease: Name of the lease.
+        node: Name of this node.
+        now: Monotonic time, in milliseconds.
+        release: Whether the lease is released.
     """
     name = f"{node}.{table.session}.{table.next_record}"
     table.next_record += 1
     if release:
         table.holdings.pop(lease, None)
-        _forget_asked(table, lease)
+        _discard_pending(table, lease)
     else:
-        table.asked[name] = Asked(lease, now)
+        table.pending[name] = PendingAppend(lease, now)
     return LeaseRecord(lease, node, table.session, name, release=release)
 
 
-def _forget_asked(table: LeaseTable, lease: str) -> None:
-    # A renewal that went out before the release and is read back after it would
-    # make this node hold the lease anew, while the log has let another take it.
-    for name, asked in list(table.asked.items()):
-        if asked.lease == lease:
-            del table.asked[name]
+def _discard_pending(table: LeaseTable, lease: str) -> None:
+    # A renewal that was appended before the release and read back after it would
+    # make this node hold the lease again while another node may have acquired it.
+    for name, pending in list(table.pending.items()):
+        if pending.lease == lease:
+            del table.pending[name]
+
 
+def apply_record(
+    table: LeaseTable, node: str, position: LogRecord, now: Millis
+) -> None:
+    """Fold a record read from the lease stream and update this node's own hold.
 
-def take_record(table: LeaseTable, node: str, position: LogRecord, now: Millis) -> None:
-    """Fold a record that was read, and update this node's own hold."""
+    Args:
+        table: Table of leases, changed in place.
+        node: Name of this node.
+        position: Record as read, with the offset and time that the log assigned.
+        now: Time of the reading, in monotonic milliseconds.
+    """
     record = parse_lease_record(position.data)
     if record is None:
         return
     effective = fold_lease(table.leases, record, position, now)
-    mine = (record.holder, record.session) == (node, table.session)
-    if not mine:
+    is_own = (record.holder, record.session) == (node, table.session)
+    if not is_own:
         if effective:
             table.holdings.pop(record.lease, None)
         return
-    asked = table.asked.pop(record.record, None)
-    if not effective or asked is None or record.release:
+    pending = table.pending.pop(record.record, None)
+    if not effective or pending is None or record.release:
         return
     fencing = table.leases[record.lease].fencing
-    held = table.holdings.get(record.lease)
-    fresh = held is None or held.fencing != fencing
+    previous = table.holdings.get(record.lease)
+    is_new = previous is None or previous.fencing != fencing
     table.holdings[record.lease] = Holding(
         fencing=fencing,
-        taken=asked.at if fresh or held is None else held.taken,
-        until=Millis(asked.at + record.term - MARGIN),
+        acquired=pending.at if is_new or previous is None else previous.acquired,
+        until=Millis(pending.at + record.term - MARGIN),
     )
 
 
 def find_holding(table: LeaseTable, lease: str, now: Millis) -> Holding | None:
-    """Return this node's hold on a lease if it may still act on it."""
+    """Return this node's hold on a lease, or None if it may not act on it now."""
     holding = table.holdings.get(lease)
     if holding is None or now >= holding.until:
         return None
@@ -224,12 +260,12 @@
 
 
 def is_free(table: LeaseTable, lease: str, now: Millis) -> bool:
-    """Tell whether a lease looks free from here.
+    """Return whether a lease is free as far as this node knows.
 
-    A renewal is read after it was written, so counting the term from then is
+    A renewal is read after it was written, so a term counted from the reading ends
     late, never early.
     """
     current = table.leases.get(lease)
     if current is None or current.released:
         return True
-    return now >= current.seen + current.term
+    return now >= current.last_read + current.term
--- a/figstep/core/membership.py
+++ b/figstep/core/membership.py
@@ -1,7 +1,8 @@
-"""Which entries and targets live, leave or are gone.
+"""Gossip-based membership and failure detection for entries and targets.
 
-Each entry sends to a few others each period, whatever their number, and takes
-the acknowledgement as a sign of life. News rides on these messages.
+In every period each entry sends a message to a fixed number of other entries,
+however many there are, and treats the acknowledgement as proof that the receiver
+is alive. News of members and targets is piggybacked on these messages.
 """
 
 from figstep.core import quarantine
@@ -20,7 +21,7 @@
     GossipReceived,
     GossipTimer,
     InstancesListed,
-    PeersOpened,
+    PeerListenerOpened,
 )
 from figstep.core.gossip import (
     Gossip,
@@ -33,21 +34,37 @@
 )
 from figstep.core.state import State
 
-PERIOD = Millis(1_000)
+GOSSIP_INTERVAL = Millis(1_000)
+"""Mean time between two periodic rounds, in milliseconds; jittered by 10 percent."""
 FANOUT = 2
+"""Entries that each periodic round sends to."""
 URGENT_FANOUT = 3
+"""Most entries that one urgent broadcast sends to."""
 URGENT_RATE = 1.0
-"""Messages a second that may go out besides the periodic ones, on average."""
+"""Average rate limit of urgent messages, in messages a second.
+
+Periodic messages and acknowledgements do not count against it.
+"""
 URGENT_BURST = 12.0
+"""Most urgent messages that may be sent in one burst."""
 ACK_TIMEOUT = Millis(2_000)
-SUSPECT_PERIOD = Millis(5_000)
-FORGET_AFTER = Millis(60_000)
-COUNTS_KEPT = Millis(6_000)
-FETCH_PAUSE = Millis(400)
+"""Time without an acknowledgement after which an entry is silent, in milliseconds."""
+SUSPECT_TIMEOUT = Millis(5_000)
+"""Time that a suspected entry has to refute the suspicion, in milliseconds."""
+REMOVAL_DELAY = Millis(60_000)
+"""Time that a gone entry stays in the member table, in milliseconds."""
+COUNTS_TTL = Millis(6_000)
+"""Time that the attempt counts of a peer stay valid, in milliseconds."""
+FETCH_DELAY = Millis(400)
+"""Longest random delay before a document is fetched from a peer, in milliseconds.
+
+It is also the least time between the due time of one fetch and the planning of
+the next.
+"""
 
 
-def open_peers(state: State, event: PeersOpened, now: Millis) -> list[Effect]:
-    """Start to gossip."""
+def open_peers(state: State, event: PeerListenerOpened, now: Millis) -> list[Effect]:
+    """Set the peer address and incarnation of this entry and start to gossip."""
     membership = state.membership
     membership.address = event.address
     membership.incarnation = event.incarnation
@@ -59,19 +76,19 @@
 
 
 def run_period(state: State, now: Millis) -> list[Effect]:
-    """Judge silent entries and send to the next few."""
+    """Run one gossip round: detect silent entries and send to the next partners."""
     effects: list[Effect] = []
     _refill_allowance(state, now)
     for member in list(state.membership.members.values()):
-        effects += _judge_silence(state, member, now)
+        effects += _check_silence(state, member, now)
     estimate_peer_counts(state, now)
     for member in _choose_partners(state, FANOUT):
-        if member.probed is None:
-            member.probed = now
+        if member.unacknowledged_since is None:
+            member.unacknowledged_since = now
         effects.append(_send(state, member.address, member, now))
     effects += _send_to_seed(state, now)
-    jitter = state.rng.randrange(PERIOD // 5) - PERIOD // 10
-    effects.append(WakeAt(GossipTimer(), Millis(now + PERIOD + jitter)))
+    jitter = state.rng.randrange(GOSSIP_INTERVAL // 5) - GOSSIP_INTERVAL // 10
+    effects.append(WakeAt(GossipTimer(), Millis(now + GOSSIP_INTERVAL + jitter)))
     return effects
 
 
@@ -83,20 +100,20 @@
 
 
 def _choose_partners(state: State, count: int) -> list[Member]:
-    """Return the next entries of a shuffled round.
+    """Return the next ``count`` entries of a shuffled round-robin order.
 
-    A round visits every entry once, so a dead one is probed within as many
-    periods as it takes, not only with luck.
+    A round visits every entry once. This bounds the number of periods until a
+    dead entry is probed, which independent random choices would not.
     """
     membership = state.membership
     chosen: list[Member] = []
-    for _ in range(len(membership.members) + len(membership.round)):
+    for _ in range(len(membership.members) + len(membership.unvisited)):
         if len(chosen) == count:
             break
-        if not membership.round:
-            membership.round = list(membership.members)
-            state.rng.shuffle(membership.round)
-        member = membership.members.get(membership.round.pop())
+        if not membership.unvisited:
+            membership.unvisited = list(membership.members)
+            state.rng.shuffle(membership.unvisited)
+        member = membership.members.get(membership.unvisited.pop())
         if member is None or not member.reachable or member in chosen:
             continue
         chosen.append(member)
@@ -104,10 +121,10 @@
 
 
 def _send_to_seed(state: State, now: Millis) -> list[Effect]:
-    """Try one listed address that no living entry answers from.
+    """Send to one random seed address that no reachable entry has.
 
-    After a long partition each side has forgotten the other; the seeds join
-    them again.
+    After a long partition each side has removed the other from its member table;
+    messages to the seeds merge the two sides again.
     """
     membership = state.membership
     known = {m.address for m in membership.members.values() if m.reachable}
@@ -127,73 +144,84 @@
     return SendGossip(address, build_gossip(state, receiver, now, wants_answer))
 
 
-def _judge_silence(state: State, member: Member, now: Millis) -> list[Effect]:
+def _check_silence(state: State, member: Member, now: Millis) -> list[Effect]:
     match member.status:
         case MemberStatus.ALIVE if _is_silent(member, now):
             _set_status(state, member, MemberStatus.SUSPECT, now)
             return [Count("membership.suspected")]
-        case MemberStatus.SUSPECT if now >= member.changed + SUSPECT_PERIOD:
+        case MemberStatus.SUSPECT if now >= member.status_changed_at + SUSPECT_TIMEOUT:
             _set_status(state, member, MemberStatus.GONE, now)
             return [Count("membership.gone"), Note("entry gone", {"node": member.name})]
         case MemberStatus.LEAVING if _is_silent(member, now):
             _set_status(state, member, MemberStatus.GONE, now)
-        case MemberStatus.GONE if now >= member.changed + FORGET_AFTER:
+        case MemberStatus.GONE if now >= member.status_changed_at + REMOVAL_DELAY:
             del state.membership.members[member.name]
     return []
 
 
 def _is_silent(member: Member, now: Millis) -> bool:
-    return member.probed is not None and now >= member.probed + ACK_TIMEOUT
+    return (
+        member.unacknowledged_since is not None
+        and now >= member.unacknowledged_since + ACK_TIMEOUT
+    )
 
 
 def _set_status(
     state: State, member: Member, status: MemberStatus, now: Millis
 ) -> None:
     member.status = status
-    member.changed = now
-    member.probed = None
+    member.status_changed_at = now
+    member.unacknowledged_since = None
     member.sends_left = count_sends(state)
 
 
 def count_sends(state: State) -> int:
-    """Return how often a piece of news is sent on.
+    """Return how many messages of this entry carry one piece of news.
 
-    Logarithmic in the number of entries: enough for it to reach all of them
-    with high probability; windows of old news catch the rest.
+    The number is logarithmic in the number of entries, which is enough for the
+    news to reach all of them with high probability. The windows of older news in
+    each datagram reach the rest.
     """
     return 3 * (len(state.membership.members) + 2).bit_length()
 
 
-def take_gossip(state: State, event: GossipReceived, now: Millis) -> list[Effect]:
-    """Take a peer's message and acknowledge it."""
+def handle_gossip(state: State, event: GossipReceived, now: Millis) -> list[Effect]:
+    """Apply a peer's message and acknowledge it if the peer asks for that.
+
+    A message that brings urgent news is followed by an urgent broadcast.
+    """
     gossip = event.gossip
     if gossip.sender == state.node:
         return []
-    member = _meet_sender(state, gossip, now)
+    member = _update_sender(state, gossip, now)
     if member is None:
         return [Count("membership.stale")]
     effects: list[Effect] = []
     news = False
     for item in gossip.members:
-        news |= _take_news(state, item, now)
+        news |= _apply_news(state, item, now)
     for mark in gossip.marks:
         news |= mark_leaving(state, mark)
     member.counts = _merge_counts(member, gossip)
-    member.counted = now
+    member.counts_received_at = now
     for quarantined in gossip.quarantined:
-        quarantine.hold_digest(
+        quarantine.quarantine_digest(
             state.quarantine, quarantined.digest, quarantined.remaining, now
         )
-    effects += _plan_fetch(state, now)
+    effects += _schedule_fetch(state, now)
     if gossip.wants_answer:
         effects.append(_send(state, member.address, member, now, False))
     if news:
-        effects += spread_urgently(state, now)
+        effects += broadcast_urgently(state, now)
     return effects
 
 
-def _meet_sender(state: State, gossip: Gossip, now: Millis) -> Member | None:
-    """Return the sender, or None if the message is old or repeated."""
+def _update_sender(state: State, gossip: Gossip, now: Millis) -> Member | None:
+    """Update the table with the sender of a message.
+
+    Returns:
+        The sender's member, or None if the message is outdated or repeated.
+    """
     members = state.membership.members
     status = MemberStatus.LEAVING if gossip.leaving else MemberStatus.ALIVE
     member = members.get(gossip.sender)
@@ -208,14 +236,14 @@
     elif status.value > member.status.value:
         _set_status(state, member, status, now)
     member.sequence = gossip.sequence
-    member.probed = None
+    member.unacknowledged_since = None
     member.accepted = gossip.accepted
     member.position = gossip.position
     return member
 
 
-def _take_news(state: State, news: MemberNews, now: Millis) -> bool:
-    """Take what a peer says of a third entry; return whether it is urgent."""
+def _apply_news(state: State, news: MemberNews, now: Millis) -> bool:
+    """Apply a peer's news of a third entry; return whether the news is urgent."""
     if news.name == state.node:
         return _refute(state, news)
     members = state.membership.members
@@ -242,10 +270,13 @@
 
 
 def _refute(state: State, news: MemberNews) -> bool:
-    """Take a new incarnation where peers think this entry dead.
+    """Raise this entry's incarnation if peers believe that it is dead.
+
+    A pause or a lossy link makes peers suspect a live entry; without the
+    refutation they would remove it from their tables although it still serves.
 
-    A pause or a lossy link makes peers suspect a living entry; without the
-    refutation they would drop it although it serves.
+    Returns:
+        Whether the incarnation was raised.
     """
     membership = state.membership
     if news.incarnation < membership.incarnation:
@@ -257,10 +288,13 @@
 
 
 def mark_leaving(state: State, mark: LeavingMark) -> bool:
-    """Give a target no new work; return whether that is news.
+    """Mark a target as leaving, so that it gets no new work.
 
-    The union of all sources counts, so a source that lags never clears the
-    mark: only a newer incarnation of the target does.
+    The marks of all sources are combined by union, so a source that lags behind
+    never clears a mark: only a newer incarnation of the target does.
+
+    Returns:
+        Whether the mark is news to this entry.
     """
     target = state.targets.get(mark.target)
     if target is None or mark.incarnation < target.incarnation:
@@ -268,8 +302,8 @@
     known = target.leaving and mark.incarnation == target.incarnation
     target.incarnation = mark.incarnation
     target.leaving = True
-    kept = state.membership.marks.get(mark.target)
-    if known and kept is not None and kept.incarnation == mark.incarnation:
+    existing = state.membership.marks.get(mark.target)
+    if known and existing is not None and existing.incarnation == mark.incarnation:
         return False
     state.membership.marks[mark.target] = MarkState(
         mark.incarnation, count_sends(state)
@@ -277,21 +311,22 @@
     return True
 
 
-def spread_leaving(state: State, target: str, now: Millis) -> list[Effect]:
-    """Tell peers at once if ``target`` has just been found leaving."""
+def broadcast_leaving(state: State, target: str, now: Millis) -> list[Effect]:
+    """Announce to peers at once that ``target`` is leaving, if that is news."""
     found = state.targets.get(target)
     if found is None or not found.leaving:
         return []
     if not mark_leaving(state, LeavingMark(target, found.incarnation)):
         return []
-    return spread_urgently(state, now)
+    return broadcast_urgently(state, now)
 
 
-def spread_urgently(state: State, now: Millis) -> list[Effect]:
-    """Send to a few random peers now, as far as the allowance goes.
+def broadcast_urgently(state: State, now: Millis) -> list[Effect]:
+    """Send to a few random peers now, within the allowance for urgent messages.
 
-    Every receiver to whom it is news does the same, so it crosses the fleet in
-    a few round trips; the periodic messages reach whom this missed.
+    Every receiver to which the message is news broadcasts it too, so it crosses
+    the fleet in a few round trips. The periodic messages reach the entries that
+    the broadcasts missed.
     """
     membership = state.membership
     _refill_allowance(state, now)
@@ -312,58 +347,66 @@
 
 
 def estimate_peer_counts(state: State, now: Millis) -> None:
-    """Set what other entries run on each target.
+    """Estimate the number of attempts that other entries run on each target.
 
-    The sum over those heard lately is scaled to the number of entries. Where
-    fewer than half were heard, one entry's count would stand for many: a target
-    that one of them uses would look full. The load policy then goes by the
-    targets' own reports.
+    The counts received within the last ``COUNTS_TTL`` are summed and scaled up to
+    the number of reachable entries. If fewer than half of these have reported,
+    the estimate is 0 and the load policy relies on the targets' own reports:
+    otherwise one entry's count would stand for many, and a target that this entry
+    uses would look full.
     """
-    alive, heard = 0, 0
+    alive, reporters = 0, 0
     sums: dict[int, int] = {}
     for member in state.membership.members.values():
         if not member.reachable:
             continue
         alive += 1
-        if member.counted is None or now >= member.counted + COUNTS_KEPT:
+        if (
+            member.counts_received_at is None
+            or now >= member.counts_received_at + COUNTS_TTL
+        ):
             continue
-        heard += 1
+        reporters += 1
         for target, count in member.counts.items():
             sums[target] = sums.get(target, 0) + count
-    scale = alive / heard if 2 * heard >= alive > 0 else 0.0
+    scale = alive / reporters if 2 * reporters >= alive > 0 else 0.0
     for name, target_state in state.targets.items():
         total = sums.get(hash_target(name), 0)
         target_state.peers_in_flight = round(total * scale)
 
 
-def _plan_fetch(state: State, now: Millis) -> list[Effect]:
-    """Plan to take a newer document from a peer.
+def _schedule_fetch(state: State, now: Millis) -> list[Effect]:
+    """Schedule a fetch if a peer has a newer document than this entry.
 
-    The log usually brings it first; the pause spares the fetch. An entry
-    without a document does not wait.
+    The log usually delivers the document first, and the random delay then saves
+    the fetch. An entry without any document fetches without delay.
     """
     membership = state.membership
-    if membership.fetch_at is not None and now < membership.fetch_at + FETCH_PAUSE:
+    if membership.fetch_at is not None and now < membership.fetch_at + FETCH_DELAY:
         return []
-    if _find_ahead(state) is None:
+    if _choose_fetch_source(state) is None:
         return []
     pause = 0
     if state.configuration.current is not None:
-        pause = FETCH_PAUSE // 2 + state.rng.randrange(FETCH_PAUSE // 2)
+        pause = FETCH_DELAY // 2 + state.rng.randrange(FETCH_DELAY // 2)
     membership.fetch_at = Millis(now + pause)
     return [WakeAt(FetchTimer(), membership.fetch_at)]
 
 
-def _find_ahead(state: State) -> Member | None:
-    """Return a random one of the peers that hold the newest document."""
+def _choose_fetch_source(state: State) -> Member | None:
+    """Return a random peer among those that hold the newest document.
+
+    Peers with the same document qualify only if this entry's fold has stalled and
+    they have folded further. None is returned if no peer qualifies.
+    """
     best: list[Member] = []
     stalled = bool(state.configuration.stalled)
-    ahead = (state.configuration_offset, state.configuration.position)
+    own_progress = (state.configuration_offset, state.configuration.position)
     for member in state.membership.members.values():
         if not member.reachable:
             continue
-        newer = member.accepted > ahead[0]
-        if not newer and not (stalled and member.position > ahead[1]):
+        newer = member.accepted > own_progress[0]
+        if not newer and not (stalled and member.position > own_progress[1]):
             continue
         if best and member.accepted < best[0].accepted:
             continue
@@ -374,20 +417,21 @@
 
 
 def fetch_document(state: State, now: Millis) -> list[Effect]:
-    """Fetch from a peer unless the log was quicker."""
+    """Fetch a newer document from a peer unless the log has delivered it already."""
     state.membership.fetch_at = None
-    member = _find_ahead(state)
+    member = _choose_fetch_source(state)
     if member is None:
         return []
     return [Count("configuration.fetches"), FetchCheckpoint(member.address)]
 
 
 def record_instances(state: State, event: InstancesListed, now: Millis) -> list[Effect]:
-    """Join the platform's list with what is known.
+    """Merge the platform's instance list into the known targets and seeds.
 
-    The list lags, so a live line never clears a mark that another source set.
-    A line without an incarnation cannot be told from one of an earlier start;
-    it counts for as long as the list says so, and is not spread.
+    The list lags behind, so a line that shows a target alive never clears a mark
+    that another source set. A leaving line without an incarnation (0) may belong
+    to an earlier start of the target; it is honoured only for as long as the list
+    holds it, and it is not sent to peers.
     """
     effects: list[Effect] = []
     for instance in event.instances:
@@ -404,7 +448,7 @@
             target.leaving = False
         if instance.leaving and instance.incarnation >= target.incarnation:
             target.leaving = True
-            effects += spread_leaving(state, instance.name, now)
+            effects += broadcast_leaving(state, instance.name, now)
     listed = {i.peers for i in event.instances if i.kind == "entry" and i.peers}
     if listed:
         state.membership.seeds &= listed | state.membership.start
--- a/figstep/core/recovery.py
+++ b/figstep/core/recovery.py
@@ -1,4 +1,4 @@
-"""Tokens on their way to the caller, and what follows when they stop."""
+"""Forwarding of tokens to callers, and recovery of lost attempts."""
 
 from figstep.core import (
     attempts,
@@ -45,28 +45,36 @@
 
 
 def forward_tokens(state: State, event: TokensArrived, now: Millis) -> list[Effect]:
-    """Hand the caller the events that come next for it, and no others."""
+    """Deliver the events that the caller has not received yet, in order.
+
+    Events that were delivered before are dropped. A gap before the first event, or
+    events of another generation, count as a lost attempt.
+    """
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
         return [Count("tokens.late", len(event.frames))]
     request = state.requests[attempt.request]
     if event.generation != attempt.generation:
-        # Two answers crossed on their way: another caller's text would be
-        # shown here. Dropping the connection and reattaching by generation
-        # brings the right events.
-        lost = AttemptLost(event.attempt, Loss.CROSSED, detail=event.generation)
+        # The connection carries the answer to another request, so another caller's
+        # text would be delivered. Closing the connection and reattaching by
+        # generation id brings the right events.
+        lost = AttemptLost(
+            event.attempt, Loss.WRONG_GENERATION, detail=event.generation
+        )
         return [
             Count("tokens.crossed", len(event.frames)),
             *recover_attempt(state, lost, now),
         ]
-    seen = request.delivered + 1 - event.first
-    if seen < 0:
+    already_delivered = request.delivered + 1 - event.first
+    if already_delivered < 0:
         lost = AttemptLost(event.attempt, Loss.BROKEN, detail="gap in the stream")
         return [Count("tokens.gap"), *recover_attempt(state, lost, now)]
     effects = _record_progress(state, attempt, now)
-    frames = event.frames[seen:] if seen else event.frames
-    if seen:
-        effects.append(Count("tokens.repeated", min(seen, len(event.frames))))
+    frames = event.frames[already_delivered:] if already_delivered else event.frames
+    if already_delivered:
+        effects.append(
+            Count("tokens.repeated", min(already_delivered, len(event.frames)))
+        )
     if not frames:
         return effects
     request.ran = Ran.YES
@@ -86,15 +94,15 @@
     if target is not None:
         target.dead = False
         if attempt.tokens:
-            silence.learn_gap(target, now - attempt.last_progress)
+            silence.update_read_gap(target, now - attempt.last_progress)
         if attempt.probing:
             effects = _replace_pool(state, attempt, target, now)
     attempt.tokens += 1
     attempt.last_progress = now
     if attempt.tokens == 1:
-        # The timer was set with the patience for a first token; left so, a
-        # stream that went silent early would be found only seconds later.
-        limit = silence.compute_limit(target, attempt)
+        # The timer still has the limit for the first event. Without a reset
+        # a stream that goes silent early would be detected seconds later.
+        limit = silence.compute_silence_limit(target, attempt)
         effects.append(WakeAt(AttemptTimer(attempt.attempt), Millis(now + limit)))
     return effects
 
@@ -102,10 +110,10 @@
 def _replace_pool(
     state: State, probe: AttemptState, target: TargetState, now: Millis
 ) -> list[Effect]:
-    # Something between the two ends has lost track of the old connections:
-    # they stay open and bring nothing, while a new one works. All that were
-    # silent since before the probe are as dead as the one that it replaced;
-    # what has delivered since then is sound and stays.
+    # A device between entry and target has lost the state of the old connections:
+    # they stay open and bring nothing, while a new one works. Connections that
+    # were silent since before the probe was opened are treated as lost, like the
+    # one that the probe replaced; those that have delivered since then are kept.
     probe.probing = False
     effects: list[Effect] = [
         ReplacePool(probe.target),
@@ -125,8 +133,10 @@
     return effects
 
 
-def note_answered(state: State, event: AttemptAnswered, now: Millis) -> list[Effect]:
-    """The target accepted the attempt: it lives, though it may be slow."""
+def handle_attempt_answered(
+    state: State, event: AttemptAnswered, now: Millis
+) -> list[Effect]:
+    """Handle response headers: the target accepted the attempt and is alive."""
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
         return [Count("attempts.late")]
@@ -142,21 +152,23 @@
 
 
 def check_attempt(state: State, timer: AttemptTimer, now: Millis) -> list[Effect]:
-    """Probe an attempt that went silent; the timer is re-armed only here.
+    """Recover an attempt that was silent for longer than its limit.
 
-    A timer for each token would cost more than the token.
+    Events only update the time of the last progress; after the first event the
+    timer is set again only here, since setting a timer for each token would cost
+    more than handling the token.
     """
     attempt = state.attempts.get(timer.attempt)
     if attempt is None:
         return []
     target = state.targets.get(attempt.target)
-    limit = silence.compute_limit(target, attempt)
+    limit = silence.compute_silence_limit(target, attempt)
     due = Millis(attempt.last_progress + limit)
     if now < due:
         return [WakeAt(timer, due)]
     if attempt.resuming and attempt.answered and attempt.tokens == 0:
-        # The target answered on a new connection and still has nothing: it is
-        # slow, not silent. Probing again would only add load to it.
+        # The target answered on a new connection and has sent no event yet: it is
+        # slow, not silent. Another probe would only add load.
         attempt.probing = False
         attempt.last_progress = now
         return [Count("attempts.slow"), WakeAt(timer, Millis(now + limit))]
@@ -165,10 +177,11 @@
 
 
 def finish_attempt(state: State, event: AttemptEnded, now: Millis) -> list[Effect]:
-    """The end marker came; the answer is whole only if its last event says so.
+    """Handle the end marker; the answer is whole only with a finish reason.
 
-    An engine that fails may close its stream with the marker all the same; its
-    caller would take the first part of a plan for all of it.
+    An engine that fails may still close its stream with the end marker, and the
+    caller would take a truncated answer for a whole one. So a stream whose last
+    event has no finish reason counts as truncated, and one without events as empty.
     """
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
@@ -179,29 +192,33 @@
     if finishes.is_unfinished(request.last_frame):
         lost = AttemptLost(event.attempt, Loss.TRUNCATED, detail="no finish reason")
         return recover_attempt(state, lost, now)
-    return requests.end_attempt(state, event, now)
+    return requests.complete_attempt(state, event, now)
 
 
 def recover_attempt(state: State, event: AttemptLost, now: Millis) -> list[Effect]:
-    """Resume, restart or give up after a lost attempt."""
-    attempt = attempts.forget_attempt(state, event.attempt)
+    """Handle a lost attempt: resume, restart or refuse its request.
+
+    The target also gets no new generations for a growing time. The loss may count
+    as the death of the target, or as a broken call of a plain service.
+    """
+    attempt = attempts.remove_attempt(state, event.attempt)
     if attempt is None:
         return [Count("attempts.late")]
     request = state.requests[attempt.request]
     target = state.targets.get(attempt.target)
-    request.ran = retries.combine_ran(request.ran, retries.judge_ran(event.loss))
+    request.ran = retries.combine_ran(request.ran, retries.classify_ran(event.loss))
     recovery = retries.decide_recovery(_describe_loss(request, attempt, target, event))
     effects: list[Effect] = [
         Count("attempts.lost"),
         CloseAttempt(event.attempt),
-        _note_loss(attempt, event, recovery),
+        _log_loss(attempt, event, recovery),
     ]
     if target is not None:
-        targets.note_loss(target, now)
+        targets.record_loss(target, now)
     if _proves_death(request, attempt, event, recovery):
         effects += suspects.record_death(state, attempt, now)
     if event.loss is Loss.BROKEN and isinstance(request.spec.work, ServiceWork):
-        effects += suspects.note_broken_call(state, request, attempt, now)
+        effects += suspects.record_broken_call(state, request, attempt, now)
     match recovery:
         case retries.Recovery.RESUME if target is not None:
             effects += _schedule_resume(state, request, attempt, event, now)
@@ -230,12 +247,12 @@
         resumes=request.resumes,
         resuming=attempt.resuming,
         resumable=resumable,
-        reached=request.reached,
+        reached_caller=request.reached_caller,
         non_idempotent=request.non_idempotent,
     )
 
 
-def _note_loss(
+def _log_loss(
     attempt: AttemptState, event: AttemptLost, recovery: retries.Recovery
 ) -> Note:
     return Note(
@@ -258,8 +275,9 @@
     event: AttemptLost,
     recovery: retries.Recovery,
 ) -> bool:
-    # A returned caller's generation may have left the target's memory, and one
-    # that no target took may never have reached it: neither is a death.
+    # The generation of a returned caller may have left the target's memory, and
+    # one that no target accepted may never have reached a target. Neither shows
+    # that the target died.
     if recovery is retries.Recovery.RESUME or not request.accepted:
         return False
     if attempt.resuming:
@@ -275,7 +293,7 @@
     now: Millis,
 ) -> list[Effect]:
     target = state.targets[attempt.target]
-    pause = retries.compute_pause(request.resumes, state.rng)
+    pause = retries.compute_backoff(request.resumes, state.rng)
     if event.loss is Loss.REFUSED and event.retry_after is not None:
         pause = max(pause, event.retry_after)
     request.resumes += 1
@@ -289,7 +307,7 @@
 
 
 def retry_request(state: State, timer: RetryTimer, now: Millis) -> list[Effect]:
-    """Resume a request whose pause is over."""
+    """Resume a request when the backoff before its next attempt is over."""
     request = state.requests.get(timer.request)
     if request is None or request.phase is not Phase.WAITING:
         return []
@@ -309,21 +327,25 @@
     avoidance = retries.compute_avoidance(event.loss, event.retry_after)
     request.failed_targets[attempt.target] = Millis(now + avoidance)
     effects: list[Effect] = []
-    if retries.judge_ran(event.loss) is not Ran.NO:
+    if retries.classify_ran(event.loss) is not Ran.NO:
         effects += _cancel_generation(request, attempt)
     effects.append(DiscardDelivered(attempt.request))
     if request.delivered:
-        # Its deadline was for a first byte that did come; the new start gets
-        # as long as the first one had.
+        # The deadline was for a first byte, which arrived. The restart gets as much
+        # time as the first start had.
         request.deadline = Millis(now + request.deadline - request.arrived)
         effects.append(WakeAt(RequestTimer(attempt.request), request.deadline))
     request.delivered = 0
     request.resumes = 0
     request.accepted = False
-    if request.caller_gone or suspects.exhausted(state, request):
+    if request.caller_gone or suspects.reached_death_limit(state, request):
         return effects + _give_up(state, request, now)
-    # What did not run cost the target nothing and is free to try elsewhere.
-    if retries.judge_ran(event.loss) is not Ran.NO and not state.retry_budget.spend():
+    # An attempt that did not run cost no target anything, so a restart after it is
+    # not charged to the retry budget.
+    if (
+        retries.classify_ran(event.loss) is not Ran.NO
+        and not state.retry_budget.spend()
+    ):
         return [*effects, Count("retries.denied"), *_give_up(state, request, now)]
     return effects + requests.start_request(state, request, now)
 
@@ -340,7 +362,7 @@
 
 
 def _build_lost_problem(state: State, request: RequestState) -> Problem:
-    if request.returned == request.delivered:
+    if request.returned_index == request.delivered:
         return requests.build_gone_problem()
     if request.non_idempotent and request.ran is not Ran.NO:
         return ownership.build_unknown_problem(request.ran)
@@ -350,15 +372,15 @@
             "no_target",
             "every target that was tried refused or could not be reached;"
             " come back after Retry-After",
-            retry_after=retries.spread_pause(2_000, state.rng),
+            retry_after=retries.jitter_pause(2_000, state.rng),
         )
-    if not request.reached:
+    if not request.reached_caller:
         return Problem(
             502,
             "generation_lost",
             "the targets that ran it were lost; send the request again",
             ran=request.ran,
-            retry_after=retries.spread_pause(1_000, state.rng),
+            retry_after=retries.jitter_pause(1_000, state.rng),
         )
     return Problem(
         502,
--- a/figstep/core/reducer.py
+++ b/figstep/core/reducer.py
@@ -1,4 +1,4 @@
-"""The reducer: one match over all events, each arm one call."""
+"""The reducer: dispatches each event to its handler."""
 
 from figstep.core import (
     configuration,
@@ -34,7 +34,7 @@
     LoadReported,
     OrderAnswered,
     OutcomeTimer,
-    PeersOpened,
+    PeerListenerOpened,
     PlacementTimer,
     QueueTimer,
     RecordsRead,
@@ -61,72 +61,72 @@
     """Apply one event.
 
     Args:
-        state: State of this entry; changed in place, here only.
-        event: What happened.
+        state: State of this entry. It is changed in place, and only here.
+        event: The event.
         now: Monotonic time, in milliseconds.
 
     Returns:
-        What the edges have to do, in order.
+        Effects for the edges to carry out, in order.
     """
     match event:
         case TokensArrived():
             return recovery.forward_tokens(state, event, now)
         case AttemptAnswered():
-            return recovery.note_answered(state, event, now)
+            return recovery.handle_attempt_answered(state, event, now)
         case RequestArrived():
             return requests.admit_request(state, event, now)
         case AttemptEnded():
             return recovery.finish_attempt(state, event, now)
         case ServiceAnswered():
-            return requests.answer_service(state, event, now)
+            return requests.complete_service_call(state, event, now)
         case AttemptLost():
             return recovery.recover_attempt(state, event, now)
         case TargetDown(target=target):
-            return suspects.note_down(state, target, now)
+            return suspects.handle_target_down(state, target, now)
         case AttemptRejected():
             return requests.reject_attempt(state, event, now)
         case CallerGone():
             return requests.drop_caller(state, event, now)
         case CallerReturned():
-            return requests.return_caller(state, event, now)
+            return requests.reattach_caller(state, event, now)
         case TimerFired(timer=timer):
-            return _fire_timer(state, timer, now)
+            return _handle_timer(state, timer, now)
         case LoadReported():
-            effects = suspects.note_report(state, event, now)
+            effects = suspects.detect_restart(state, event, now)
             effects += targets.record_load(state, event, now)
-            return effects + membership.spread_leaving(state, event.target, now)
+            return effects + membership.broadcast_leaving(state, event.target, now)
         case ConfigurationRead() | SnapshotRead() | CheckpointOffered():
-            return _read_configuration(state, event, now)
+            return _apply_configuration(state, event, now)
         case InstancesListed():
             return membership.record_instances(state, event, now)
         case GossipReceived():
-            return membership.take_gossip(state, event, now)
-        case PeersOpened():
+            return membership.handle_gossip(state, event, now)
+        case PeerListenerOpened():
             return membership.open_peers(state, event, now)
         case RecordsRead(stream=records.LEASES):
-            return placement.take_lease_records(state, event, now)
+            return placement.apply_lease_records(state, event, now)
         case OrderAnswered():
-            return placement.take_answer(state, event, now)
+            return placement.handle_answer(state, event, now)
         case RecordsRead():
-            return settlement.take_records(state, event, now)
+            return settlement.apply_records(state, event, now)
         case AppendConfirmed():
-            return settlement.note_confirmed(state, event)
+            return settlement.handle_confirmed(state, event)
         case AppendUncertain():
-            return settlement.note_uncertain(state, event, now)
+            return settlement.handle_uncertain(state, event, now)
         case StreamCaughtUp():
-            return settlement.note_caught_up(state, event)
+            return settlement.handle_caught_up(state, event)
         case StreamUnavailable():
-            return settlement.note_unavailable(state, event)
+            return settlement.handle_unavailable(state, event)
         case Started():
             return [WakeAt(PlacementTimer(), now)]
         case ShutdownRequested():
             state.shutting_down = True
-            return membership.spread_urgently(state, now)
+            return membership.broadcast_urgently(state, now)
         case ShutdownForced():
             return requests.abort_requests(state)
 
 
-def _read_configuration(
+def _apply_configuration(
     state: State,
     event: ConfigurationRead | SnapshotRead | CheckpointOffered,
     now: Millis,
@@ -138,13 +138,13 @@
         case SnapshotRead():
             effects = configuration.fold_snapshot(state, event, now)
         case CheckpointOffered():
-            effects = configuration.take_checkpoint(state, event.checkpoint, now)
+            effects = configuration.apply_checkpoint(state, event.checkpoint, now)
     if state.configuration_offset > offset:
-        effects += membership.spread_urgently(state, now)
+        effects += membership.broadcast_urgently(state, now)
     return effects
 
 
-def _fire_timer(state: State, timer: Timer, now: Millis) -> list[Effect]:
+def _handle_timer(state: State, timer: Timer, now: Millis) -> list[Effect]:
     match timer:
         case QueueTimer():
             return requests.start_queued(state, now)
--- a/figstep/core/requests.py
+++ b/figstep/core/requests.py
@@ -1,4 +1,4 @@
-"""Life cycle of a request: arrival, start, end."""
+"""Life cycle of a request: arrival, queueing, start, completion and failure."""
 
 from dataclasses import replace
 
@@ -33,17 +33,28 @@
 from figstep.core.specs import GenerationWork
 from figstep.core.state import Phase, RequestState, State, TargetState
 
-QUEUE_PAUSE = Millis(100)
+QUEUE_RETRY_INTERVAL = Millis(100)
+"""Time between two attempts to start queued requests, in milliseconds."""
 
 
 def admit_request(state: State, event: RequestArrived, now: Millis) -> list[Effect]:
-    """Take a request in and start, claim or queue it."""
+    """Handle the arrival of a request: reject, claim, start or queue it.
+
+    Args:
+        state: The entry's state.
+        event: The request that arrived.
+        now: Monotonic time, in milliseconds.
+
+    Returns:
+        The effects; a ``Refuse`` where the entry is shutting down, has no
+        configuration, or has quarantined the request's digest.
+    """
     spec = event.spec
     if state.shutting_down:
         return [Refuse(spec.request, _leaving_problem())]
     if state.inventory is None:
         return [Refuse(spec.request, _unconfigured_problem())]
-    quarantined = quarantine.judge_digest(state.quarantine, spec, now)
+    quarantined = quarantine.check_digest(state.quarantine, spec, now)
     if quarantined is not None:
         return [Refuse(spec.request, quarantined), Count("requests.quarantined")]
     deadline = spec.deadline or Millis(now + state.inventory.rules.deadline)
@@ -59,15 +70,15 @@
 
 
 def start_request(state: State, request: RequestState, now: Millis) -> list[Effect]:
-    """Open an attempt on the best target, or queue the request."""
-    _forgive_targets(request, now)
-    quarantined = quarantine.judge_digest(state.quarantine, request.spec, now)
+    """Open an attempt on the chosen target, or queue or reject the request."""
+    _expire_failed_targets(request, now)
+    quarantined = quarantine.check_digest(state.quarantine, request.spec, now)
     if quarantined is not None:
         return end_request(state, request, quarantined)
     match admission.decide_admission(state, request, now):
         case admission.Start(target=target):
             return _dispatch_request(state, request, target, now)
-        case admission.TurnAway(problem=problem):
+        case admission.Reject(problem=problem):
             return end_request(state, request, problem)
         case admission.Wait():
             return _queue_request(state, request, now)
@@ -82,7 +93,7 @@
     return attempts.open_attempt(state, request, target, now)
 
 
-def _forgive_targets(request: RequestState, now: Millis) -> None:
+def _expire_failed_targets(request: RequestState, now: Millis) -> None:
     for name, until in list(request.failed_targets.items()):
         if until <= now:
             del request.failed_targets[name]
@@ -92,60 +103,60 @@
     request.phase = Phase.QUEUED
     admission.queue_request(state, request)
     if len(state.queue) > 1:
-        # The timer runs already; setting it again with each arrival would put
-        # it off for as long as requests come faster than the pause.
+        # The queue timer is running already. Resetting it with each arrival would
+        # postpone it for as long as requests arrive faster than the interval.
         return []
-    return [WakeAt(QueueTimer(), Millis(now + QUEUE_PAUSE))]
+    return [WakeAt(QueueTimer(), Millis(now + QUEUE_RETRY_INTERVAL))]
 
 
 def start_queued(state: State, now: Millis) -> list[Effect]:
-    """Start queued requests, pool by pool, until the next one finds no room."""
+    """Start queued requests of each pool until the next one finds no target."""
     effects: list[Effect] = []
     for pool in state.queue.list_pools():
         effects += _start_pool(state, pool, now)
     if len(state.queue):
-        effects.append(WakeAt(QueueTimer(), Millis(now + QUEUE_PAUSE)))
+        effects.append(WakeAt(QueueTimer(), Millis(now + QUEUE_RETRY_INTERVAL)))
     return effects
 
 
 def _start_pool(state: State, pool: str, now: Millis) -> list[Effect]:
     effects: list[Effect] = []
-    passed_over: list[RequestState] = []
+    skipped: list[RequestState] = []
     while (spec := state.queue.peek(pool)) is not None:
         request = state.requests.get(spec.request)
         if request is None or request.phase is not Phase.QUEUED:
             state.queue.remove(spec.request)
             continue
-        _forgive_targets(request, now)
-        quarantined = quarantine.judge_digest(state.quarantine, spec, now)
+        _expire_failed_targets(request, now)
+        quarantined = quarantine.check_digest(state.quarantine, spec, now)
         if quarantined is not None:
             effects += end_request(state, request, quarantined)
             continue
         target = admission.choose_for_queued(state, request, now)
-        if target is None and not _is_restricted(state, request):
+        if target is None and not _avoids_targets(state, request):
             break
         state.queue.remove(spec.request)
         if target is None:
-            # It has targets of its own to avoid; were it to stay at the head,
-            # all behind it would wait for those as well.
-            passed_over.append(request)
+            # This request avoids certain targets. If it stayed at the head of
+            # the queue, the requests behind it would wait for its targets too.
+            skipped.append(request)
             continue
         effects += _dispatch_request(state, request, target, now)
-    for request in passed_over:
+    for request in skipped:
         admission.queue_request(state, request)
     return effects
 
 
-def _is_restricted(state: State, request: RequestState) -> bool:
+def _avoids_targets(state: State, request: RequestState) -> bool:
     suspect = suspects.is_suspect(state, request.spec.digest)
     return suspect or bool(request.failed_targets)
 
 
-def tell_ran(state: State, request: RequestState) -> Ran:
-    """Return what may be said of whether the request ran.
+def determine_ran(state: State, request: RequestState) -> Ran:
+    """Return whether the request ran, as far as this entry can know.
 
-    While an attempt is open its bytes may be on their way, so "no" would be a
-    guess until the attempt ends with a loss that proves it.
+    While an attempt is open its bytes may be in transit, so ``Ran.NO`` is returned
+    only once the attempt has ended with a loss that proves it.
     """
     if request.ran is Ran.NO and request.attempt in state.attempts:
         return Ran.UNKNOWN
@@ -155,16 +166,16 @@
 def end_request(
     state: State, request: RequestState, problem: Problem, cancel: bool = True
 ) -> list[Effect]:
-    """Give a request its final answer and stop whatever runs for it.
+    """Refuse a request with a problem and stop whatever runs for it.
 
     Args:
         state: The entry's state.
         request: The request.
-        problem: Its final answer.
-        cancel: Whether its generation is cancelled at the target.
+        problem: Final answer to the caller; whether the request ran is added.
+        cancel: Whether the generation is cancelled at the target.
     """
     name = request.spec.request
-    ran = retries.combine_ran(problem.ran, tell_ran(state, request))
+    ran = retries.combine_ran(problem.ran, determine_ran(state, request))
     problem = replace(problem, ran=ran)
     effects: list[Effect] = [Refuse(name, problem)]
     effects += attempts.abandon_attempt(state, request, cancel)
@@ -174,14 +185,14 @@
     return effects
 
 
-def end_attempt(state: State, event: AttemptEnded, now: Millis) -> list[Effect]:
-    """The end marker came: the caller has its whole answer."""
+def complete_attempt(state: State, event: AttemptEnded, now: Millis) -> list[Effect]:
+    """Complete the request of an attempt that delivered a whole generation."""
     request = _complete_request(state, event.attempt, now)
     if request is None:
         return [Count("attempts.late")]
     work = request.spec.work
     if isinstance(work, GenerationWork):
-        state.lengths.learn(request.spec.customer, work, request.delivered)
+        state.lengths.record_length(request.spec.customer, work, request.delivered)
     return [
         Complete(request.spec.request, event.attempt),
         Count("requests.completed"),
@@ -190,8 +201,10 @@
     ]
 
 
-def answer_service(state: State, event: ServiceAnswered, now: Millis) -> list[Effect]:
-    """A plain service answered: hand the answer over and record it."""
+def complete_service_call(
+    state: State, event: ServiceAnswered, now: Millis
+) -> list[Effect]:
+    """Complete a plain service request: deliver its answer and record it."""
     request = _complete_request(state, event.attempt, now)
     if request is None:
         return [Count("attempts.late")]
@@ -204,21 +217,25 @@
 
 
 def _complete_request(state: State, number: int, now: Millis) -> RequestState | None:
-    """Forget an attempt that ended whole, and its request; returns the request."""
-    attempt = attempts.forget_attempt(state, number)
+    """Remove a completed attempt and its request from the state.
+
+    Returns:
+        The request, or None if the attempt was removed earlier.
+    """
+    attempt = attempts.remove_attempt(state, number)
     if attempt is None:
         return None
     request = state.requests.pop(attempt.request)
     request.ran = Ran.YES
     state.retry_budget.earn()
-    suspects.note_answer(state, attempt)
+    suspects.clear_lost_calls(state, attempt)
     suspects.clear_suspect(state, request.spec.digest, now)
     return request
 
 
 def reject_attempt(state: State, event: AttemptRejected, now: Millis) -> list[Effect]:
-    """The target found the request itself wrong: the caller must mend it."""
-    attempt = attempts.forget_attempt(state, event.attempt)
+    """Pass on the target's answer that the request itself is invalid (4xx)."""
+    attempt = attempts.remove_attempt(state, event.attempt)
     if attempt is None:
         return [Count("attempts.late")]
     request = state.requests[attempt.request]
@@ -226,8 +243,14 @@
     return [*effects, Count("requests.rejected")]
 
 
-def return_caller(state: State, event: CallerReturned, now: Millis) -> list[Effect]:
-    """Reattach a caller to its generation, whichever entry started it."""
+def reattach_caller(state: State, event: CallerReturned, now: Millis) -> list[Effect]:
+    """Reattach a returning caller to its generation, at any entry.
+
+    The generation id names the target and a digest of the customer, so the entry
+    needs no state of the first request. The request is refused if the customer is
+    another one, if the target is not known here, or if the entry is shutting down
+    or has no configuration.
+    """
     spec = event.spec
     if state.shutting_down:
         return [Refuse(spec.request, _leaving_problem())]
@@ -247,7 +270,7 @@
         ran=Ran.YES,
         generation=event.generation,
         delivered=event.index,
-        returned=event.index,
+        returned_index=event.index,
     )
     state.requests[spec.request] = request
     return [
@@ -258,11 +281,12 @@
 
 
 def drop_caller(state: State, event: CallerGone, now: Millis) -> list[Effect]:
-    """The caller is gone: free what its request holds.
+    """Handle a caller that disconnected: release what its request holds.
 
-    A non-idempotent call that is out goes on without it. Closing it would not
-    stop a service that has begun, and the caller that sends the same key
-    again, as after a time-out of its own, could then be told no outcome.
+    A non-idempotent call that was already sent continues without its caller.
+    Closing the connection would not stop a service that has begun, and a caller
+    that sends the same key again, for example after its own time-out, could then
+    not be given the outcome.
     """
     request = state.requests.get(event.request)
     if request is None:
@@ -270,38 +294,38 @@
     if ownership.outlives_caller(state, request):
         request.caller_gone = True
         return [Count("callers.gone")]
-    ran = tell_ran(state, request)
+    ran = determine_ran(state, request)
     del state.requests[event.request]
     state.queue.remove(event.request)
     effects: list[Effect] = [Count("callers.gone")]
     effects += attempts.abandon_attempt(state, request, event.cancel)
-    effects += ownership.drop_claim(state, request, ran)
+    effects += ownership.abandon_claim(state, request, ran)
     return effects
 
 
 def expire_request(state: State, timer: RequestTimer, now: Millis) -> list[Effect]:
-    """Refuse at once what brought no first byte before its deadline."""
+    """Refuse a request that got no first byte before its deadline."""
     request = state.requests.get(timer.request)
-    if request is None or request.delivered > (request.returned or 0):
+    if request is None or request.delivered > (request.returned_index or 0):
         return []
     if now < request.deadline:
         return [WakeAt(timer, request.deadline)]
-    ran = tell_ran(state, request)
+    ran = determine_ran(state, request)
     problem = Problem(
         503 if ran is Ran.NO else 504,
         "no_target_in_time" if ran is Ran.NO else "no_answer_in_time",
         "no answer began before the deadline; come back after Retry-After",
         ran=ran,
-        retry_after=retries.spread_pause(2_000, state.rng),
+        retry_after=retries.jitter_pause(2_000, state.rng),
     )
     return [*end_request(state, request, problem), Count("requests.expired")]
 
 
 def abort_requests(state: State) -> list[Effect]:
-    """Give every caller its final answer: the process ends now.
+    """Refuse all open requests because the process ends now.
 
-    Streams are not cancelled at their targets, so that a caller can return
-    through another entry for the rest.
+    Streams are not cancelled at their targets, so that their callers can resume
+    them through another entry.
     """
     state.shutting_down = True
     effects: list[Effect] = []
@@ -312,7 +336,7 @@
             "this entry was ended before the answer was whole; a stream goes on"
             " from its last event through another entry, else send the request"
             " again",
-            ran=tell_ran(state, request),
+            ran=determine_ran(state, request),
             retry_after=Millis(1_000),
         )
         cancel = not request.spec.stream
@@ -339,7 +363,7 @@
 
 
 def build_gone_problem() -> Problem:
-    """Return the answer to a caller whose generation cannot be resumed."""
+    """Build the 410 problem for a caller whose generation cannot be resumed."""
     return Problem(
         410,
         "generation_gone",
--- a/figstep/core/routing.py
+++ b/figstep/core/routing.py
@@ -1,4 +1,4 @@
-"""Choice of the target for a request."""
+"""Choice of the target that runs a request."""
 
 import hashlib
 
@@ -11,23 +11,24 @@
 from figstep.core.specs import GenerationWork, RequestSpec, ServiceWork
 from figstep.core.state import RequestState, State, TargetState
 from figstep.core.targets import (
-    count_others,
     estimate_footprint,
-    size_others,
-    start_pace,
+    estimate_others_memory,
+    estimate_others_running,
+    initialize_gaps,
 )
 
-PREFILL_PER_GAP = 1 / 250
-"""Time to prefill a token, as a share of the gap of an idle target."""
+PREFILL_GAP_FRACTION = 1 / 250
+"""Time to prefill one token, as a share of the gap between tokens when idle."""
 
-SHARED_PREFIX = 0.5
-"""Share of a prompt that a cached prefix is taken to cover."""
+SHARED_PREFIX_FRACTION = 0.5
+"""Assumed share of a prompt that a cached prefix covers."""
 
-PREFIX_FRESH = Millis(60_000)
+PREFIX_LIFETIME = Millis(60_000)
+"""Time for which a prefix is assumed to stay in a target's cache, in milliseconds."""
 
 
 def serves(target: TargetState, spec: RequestSpec) -> bool:
-    """Tell whether ``target`` can run the request at all."""
+    """Return whether a target offers the request's model or service at all."""
     match (target.info, spec.work):
         case (EngineInfo(models=models), GenerationWork(model=model)):
             return model in models
@@ -38,10 +39,10 @@
 
 
 def has_loaded(target: TargetState, spec: RequestSpec) -> bool:
-    """Tell whether the target reports some version of the model, or none at all.
+    """Return whether a target has a version of the request's model loaded.
 
-    An engine that was never given orders reports no models and serves what its
-    inventory entry says.
+    An engine that never received an order reports no models and serves those of its
+    inventory entry, so an empty report counts as loaded.
     """
     if not target.models or not isinstance(spec.work, GenerationWork):
         return True
@@ -50,18 +51,23 @@
 
 
 def rank_target(node: str, target: str) -> bytes:
-    """Return the rendezvous rank of a target for an entry; higher is nearer."""
+    """Return the rendezvous hash of a target for an entry; higher is preferred."""
     return hashlib.sha256(f"{node}/{target}".encode()).digest()[:8]
 
 
 def choose_subset(
     node: str, targets: list[TargetState], size: int
 ) -> list[TargetState]:
-    """Return the targets that an entry talks to, spread over failure domains.
+    """Return the targets that an entry uses, evenly from all failure domains.
 
-    Each entry takes its own highest ranked targets of each failure domain, so
-    a target that comes or goes moves only its own place, and the loss of a
-    failure domain leaves every entry the same share.
+    Each entry takes the targets that rank highest for it in each failure domain. A
+    target that is added or removed therefore changes only one place, and the loss of
+    a failure domain leaves every entry the same share.
+
+    Args:
+        node: Name of the entry.
+        targets: Targets to choose from.
+        size: Number of targets to return; all of them if 0 or less.
     """
     if size <= 0 or len(targets) <= size:
         return targets
@@ -71,8 +77,9 @@
     for members in domains.values():
         members.sort(key=lambda t: rank_target(node, t.info.name), reverse=True)
     chosen: list[TargetState] = []
-    # Where the size is no multiple of the domains, some give one target more;
-    # in an order that is the same for all entries it would always be the same.
+    # If the size is not a multiple of the number of domains, some domains give one
+    # target more. Each entry has its own order of the domains, so that these are
+    # not the same for all entries.
     order = sorted(domains, key=lambda name: rank_target(node, name))
     place = 0
     while len(chosen) < size:
@@ -85,7 +92,7 @@
 
 
 def list_pool(state: State, spec: RequestSpec) -> list[TargetState]:
-    """Return the targets of this entry that serve the request, cached."""
+    """Return the targets that this entry uses for the request's pool, from a cache."""
     cache = state.pools
     if cache.targets is not state.targets:
         cache.targets = state.targets
@@ -104,10 +111,14 @@
 def list_candidates(
     state: State, request: RequestState, now: Millis = Millis(0)
 ) -> list[TargetState]:
-    """Return the targets that may take the request now."""
+    """Return the targets that may run the request now, whatever their load.
+
+    Left out are targets that get no new work, lack the model, lost the request a
+    short time ago, or run another suspect while this request is one.
+    """
     candidates = []
-    for target in _sample(state, list_pool(state, request.spec)):
-        if not target.takes_work:
+    for target in _sample_pool(state, list_pool(state, request.spec)):
+        if not target.accepts_work:
             continue
         if not has_loaded(target, request.spec):
             continue
@@ -119,7 +130,7 @@
     return candidates
 
 
-def _sample(state: State, pool: list[TargetState]) -> list[TargetState]:
+def _sample_pool(state: State, pool: list[TargetState]) -> list[TargetState]:
     match state.policy:
         case Figstep(choices=choices) if len(pool) > choices:
             return state.rng.sample(pool, choices)
@@ -130,7 +141,7 @@
 def choose_target(
     state: State, request: RequestState, now: Millis = Millis(0)
 ) -> TargetState | None:
-    """Return the target that should run the request, or None for no room."""
+    """Return the target for the request by the policy, or None if none has capacity."""
     candidates = list_candidates(state, request, now)
     if not candidates:
         return None
@@ -139,17 +150,17 @@
             state.pools.turn += 1
             return candidates[state.pools.turn % len(candidates)]
         case LeastInFlight():
-            return _choose_least(state, candidates)
+            return _choose_least_in_flight(state, candidates)
         case TwoChoices():
             pair = state.rng.sample(candidates, min(2, len(candidates)))
             return min(pair, key=lambda t: t.running + t.waiting)
         case Figstep() as policy:
             if not isinstance(request.spec.work, GenerationWork):
-                return _choose_least(state, candidates)
+                return _choose_least_in_flight(state, candidates)
             return _choose_by_pace(state, policy, candidates, request, now)
 
 
-def _choose_least(state: State, candidates: list[TargetState]) -> TargetState:
+def _choose_least_in_flight(state: State, candidates: list[TargetState]) -> TargetState:
     return min(candidates, key=lambda t: (t.in_flight, state.rng.random()))
 
 
@@ -166,8 +177,8 @@
     for target in candidates:
         if now < target.pace.avoid_until:
             continue
-        others = count_others(target, now) if policy.others else 0.0
-        if not has_room(policy, target, footprint, others):
+        others = estimate_others_running(target, now) if policy.others else 0.0
+        if not has_capacity(policy, target, footprint, others):
             continue
         score = _score_target(policy, target, request.spec, footprint, others, now)
         score *= 1.0 + 0.01 * state.rng.random()
@@ -176,16 +187,22 @@
     return best
 
 
-def has_room(
+def has_capacity(
     policy: Figstep,
     target: TargetState,
     footprint: Footprint,
     others: float = 0.0,
 ) -> bool:
-    """Tell whether a target can take a generation without pushing others off.
+    """Return whether a target can accept a generation without preempting others.
+
+    An idle target accepts any generation; otherwise a request larger than the memory
+    of every target would wait forever.
 
-    An empty target takes anything, or a request larger than every memory
-    would wait for ever.
+    Args:
+        policy: Policy in force.
+        target: The target.
+        footprint: Memory that the generation needs, in tokens.
+        others: Number of generations that other entries run on the target.
     """
     pace, info = target.pace, target.info
     if not isinstance(info, EngineInfo):
@@ -203,7 +220,7 @@
         return True
     predicted = pace.predict_memory(footprint, policy.growth, policy.deviations)
     if others:
-        predicted += others * size_others(target)
+        predicted += others * estimate_others_memory(target)
     return predicted <= (target.memory_total or info.memory_tokens)
 
 
@@ -220,11 +237,11 @@
     if not policy.pace:
         return running + 1.0
     if pace.gaps.weight == 0.0:
-        start_pace(target)
+        initialize_gaps(target)
     gap = pace.gaps.predict(running + 1)
-    prefill = footprint.held * pace.gaps.predict(1.0) * PREFILL_PER_GAP
+    prefill = footprint.held * pace.gaps.predict(1.0) * PREFILL_GAP_FRACTION
     if policy.affinity and _has_prefix(target, spec, now):
-        prefill *= 1.0 - SHARED_PREFIX
+        prefill *= 1.0 - SHARED_PREFIX_FRACTION
     return footprint.mean * gap + prefill
 
 
@@ -232,4 +249,4 @@
     if not isinstance(spec.work, GenerationWork):
         return False
     sent = target.pace.prefixes.get(spec.work.prefix)
-    return sent is not None and now - sent < PREFIX_FRESH
+    return sent is not None and now - sent < PREFIX_LIFETIME
--- a/figstep/core/settlement.py
+++ b/figstep/core/settlement.py
@@ -1,7 +1,14 @@
-"""What the claims stream and its follower mean for waiting requests."""
+"""Settlement of waiting requests by records and events of the claims stream."""
 
 from figstep.core import claims, ownership, requests
-from figstep.core.claims import Finished, Freed, Lost, OwnClaim, OwnState, Won
+from figstep.core.claims import (
+    ClaimLost,
+    ClaimWon,
+    IdentityReleased,
+    OutcomeRecorded,
+    OwnClaim,
+    OwnClaimState,
+)
 from figstep.core.clock import SECOND, Millis
 from figstep.core.effects import Count, Effect, Refuse, WakeAt
 from figstep.core.events import (
@@ -17,26 +24,32 @@
 from figstep.core.records import CLAIMS
 from figstep.core.state import Phase, RequestState, State
 
-READ_BACK_LIMIT = Millis(2 * SECOND)
-OUTCOME_PAUSE = Millis(1 * SECOND)
-OUTCOME_LIMIT = Millis(60 * SECOND)
+READ_BACK_TIMEOUT = Millis(2 * SECOND)
+"""Longest wait to read back a claim whose append went unanswered, in milliseconds."""
+OUTCOME_RETRY_DELAY = Millis(1 * SECOND)
+"""Delay before an unanswered outcome or release is appended again, in milliseconds."""
+OUTCOME_RETRY_TIMEOUT = Millis(60 * SECOND)
+"""Time after which an unconfirmed outcome or release is dropped, in milliseconds.
+
+It is counted from the first append that went unanswered.
+"""
 
 
-def take_records(state: State, event: RecordsRead, now: Millis) -> list[Effect]:
-    """Fold records and let the requests that they settle go on."""
+def apply_records(state: State, event: RecordsRead, now: Millis) -> list[Effect]:
+    """Fold records of the claims stream and continue the requests that they settle."""
     effects: list[Effect] = []
     if event.stream != CLAIMS:
         return effects
     for record in event.records:
         match claims.fold_record(state.claims, record, now):
-            case Won(record=identifier, time=time):
+            case ClaimWon(record=identifier, time=time):
                 effects += _settle_won(state, identifier, time, now)
-            case Lost(record=identifier, name=name):
+            case ClaimLost(record=identifier, name=name):
                 effects += _settle_lost(state, identifier, name, now)
-            case Freed(name=name):
-                effects += _settle_freed(state, name)
-            case Finished(name=name, outcome=outcome):
-                effects += _settle_finished(state, name, outcome)
+            case IdentityReleased(name=name):
+                effects += _settle_released(state, name)
+            case OutcomeRecorded(name=name, outcome=outcome):
+                effects += _settle_outcome(state, name, outcome)
             case claims.Unchanged():
                 continue
     return effects
@@ -44,15 +57,15 @@
 
 def _settle_won(state: State, record: str, time: int, now: Millis) -> list[Effect]:
     own = state.claims.own.get(record)
-    if own is None or own.state is OwnState.OWNED:
-        # A record that the log holds twice wins again once its window has
-        # passed; what it stands for was started by the first.
+    if own is None or own.state is OwnClaimState.OWNED:
+        # A record that the log holds twice owns the identity again once its
+        # window is over; its request was started by the first copy.
         return []
-    abandoned = own.state is OwnState.ABANDONED
-    own.state = OwnState.OWNED
+    abandoned = own.state is OwnClaimState.ABANDONED
+    own.state = OwnClaimState.OWNED
     request = state.requests.get(own.request)
     if abandoned or request is None:
-        # The append took effect after its caller had been told "not run".
+        # The append took effect after the caller was answered with "not run".
         return ownership.release_claim(state, own)
     key_time = own.identity.time
     if key_time is not None and time - key_time > own.identity.window:
@@ -72,7 +85,7 @@
 
 def _settle_lost(state: State, record: str, name: str, now: Millis) -> list[Effect]:
     own = state.claims.own.get(record)
-    if own is None or own.state is OwnState.OWNED:
+    if own is None or own.state is OwnClaimState.OWNED:
         return []
     del state.claims.own[record]
     owner = state.claims.owners[name]
@@ -85,7 +98,7 @@
     return effects
 
 
-def _settle_freed(state: State, name: str) -> list[Effect]:
+def _settle_released(state: State, name: str) -> list[Effect]:
     problem = Problem(
         503,
         "first_not_run",
@@ -93,80 +106,82 @@
         retry_after=Millis(1_000),
     )
     effects: list[Effect] = []
-    for request_id in ownership.take_waiters(state, name):
+    for request_id in ownership.pop_waiters(state, name):
         effects.append(Refuse(request_id, problem))
     return effects
 
 
-def _settle_finished(state: State, name: str, outcome: claims.Outcome) -> list[Effect]:
+def _settle_outcome(state: State, name: str, outcome: claims.Outcome) -> list[Effect]:
     effects: list[Effect] = []
-    for request_id in ownership.take_waiters(state, name):
+    for request_id in ownership.pop_waiters(state, name):
         effects.append(ownership.answer_duplicate(request_id, outcome))
         effects.append(Count("claims.replayed"))
     return effects
 
 
-def note_caught_up(state: State, event: StreamCaughtUp) -> list[Effect]:
-    """The claims stream is read to its end: claims can be settled."""
+def handle_caught_up(state: State, event: StreamCaughtUp) -> list[Effect]:
+    """Record that the claims stream is read to its end, so claims can be settled."""
     if event.stream == CLAIMS:
         state.claims.caught_up = True
     return []
 
 
-def note_unavailable(state: State, event: StreamUnavailable) -> list[Effect]:
-    """Refuse at once what waits for a read-back that cannot come."""
+def handle_unavailable(state: State, event: StreamUnavailable) -> list[Effect]:
+    """Refuse the requests whose claims cannot be read back, as the stream is down."""
     if event.stream != CLAIMS:
         return []
     state.claims.caught_up = False
     effects: list[Effect] = []
     for own in list(state.claims.own.values()):
-        if own.state is OwnState.PENDING:
+        if own.state is OwnClaimState.PENDING:
             effects += _refuse_unsettled(state, own)
     return effects
 
 
-def note_uncertain(state: State, event: AppendUncertain, now: Millis) -> list[Effect]:
-    """Settle an append without an answer by reading, for a short while.
+def handle_uncertain(state: State, event: AppendUncertain, now: Millis) -> list[Effect]:
+    """Handle an append that went unanswered.
 
-    Appending again under a new id could leave two claims, the first of which
-    comes to light after the caller was refused.
+    A claim is settled by reading it back within ``READ_BACK_TIMEOUT``. Appending it
+    again under a new id could leave two claims in the log, the first of which might
+    be read only after the caller was refused. An outcome or release is appended
+    again after ``OUTCOME_RETRY_DELAY``.
     """
-    held = state.claims.unconfirmed.get(event.key)
-    if held is not None:
-        held.uncertain = True
-        held.since = now if held.since is None else held.since
-        return [WakeAt(OutcomeTimer(), Millis(now + OUTCOME_PAUSE))]
+    unconfirmed = state.claims.unconfirmed.get(event.key)
+    if unconfirmed is not None:
+        unconfirmed.uncertain = True
+        unconfirmed.since = now if unconfirmed.since is None else unconfirmed.since
+        return [WakeAt(OutcomeTimer(), Millis(now + OUTCOME_RETRY_DELAY))]
     for own in list(state.claims.own.values()):
-        if own.key != event.key or own.state is not OwnState.PENDING:
+        if own.key != event.key or own.state is not OwnClaimState.PENDING:
             continue
         if not state.claims.caught_up:
             return _refuse_unsettled(state, own)
-        due = Millis(now + READ_BACK_LIMIT)
+        due = Millis(now + READ_BACK_TIMEOUT)
         return [Count("claims.uncertain"), WakeAt(ClaimTimer(own.request), due)]
     return []
 
 
-def note_confirmed(state: State, event: AppendConfirmed) -> list[Effect]:
-    """Forget an outcome or release that the log has."""
+def handle_confirmed(state: State, event: AppendConfirmed) -> list[Effect]:
+    """Discard an outcome or release that the log has confirmed."""
     state.claims.unconfirmed.pop(event.key, None)
     return []
 
 
 def append_outcomes(state: State, now: Millis) -> list[Effect]:
-    """Append again what may not be in the log, for a bounded time.
+    """Append unanswered outcomes and releases again, for a bounded time.
 
-    A lost outcome leaves other entries' duplicates with "unknown". The fold
-    takes the first record of an id, so a second one does no harm.
+    If an outcome is lost, duplicates at other entries are answered with "unknown".
+    The fold applies only the first record of an id, so a second one is harmless.
     """
     effects: list[Effect] = []
-    for key, held in list(state.claims.unconfirmed.items()):
-        if not held.uncertain or held.since is None:
+    for key, unconfirmed in list(state.claims.unconfirmed.items()):
+        if not unconfirmed.uncertain or unconfirmed.since is None:
             continue
         del state.claims.unconfirmed[key]
-        if now - held.since >= OUTCOME_LIMIT:
+        if now - unconfirmed.since >= OUTCOME_RETRY_TIMEOUT:
             effects.append(Count("claims.outcome_dropped"))
             continue
-        effects.append(ownership.append_again(state, held))
+        effects.append(ownership.append_unconfirmed(state, unconfirmed))
     return effects
 
 
@@ -179,7 +194,7 @@
 
 
 def expire_claim(state: State, timer: ClaimTimer) -> list[Effect]:
-    """End a wait for a read-back, or for another entry's outcome."""
+    """End the wait of a request for its read-back or for another request's outcome."""
     request = state.requests.get(timer.request)
     if request is None or request.phase is not Phase.CLAIMING:
         return []
--- a/figstep/core/suspects.py
+++ b/figstep/core/suspects.py
@@ -1,4 +1,4 @@
-"""Deaths of targets, and the requests that may have caused them."""
+"""Handling of deaths of targets, and of the requests that may have caused them."""
 
 from figstep.core import quarantine
 from figstep.core.clock import Millis
@@ -8,53 +8,56 @@
 from figstep.core.state import AttemptState, RequestState, State, TargetState
 
 MAX_DEATHS = 3
-"""Deaths after which a request is given up on, though another may have caused them."""
+"""Number of deaths of its targets after which a request is not retried, even if another
+request may have caused them."""
 
-LOST_KEPT = Millis(6_000)
-"""How long a call whose connection broke may have been the end of its target."""
+LOST_CALL_RETENTION = Millis(6_000)
+"""Time for which a call whose connection broke is a suspect if its target is then found
+dead, in milliseconds."""
 
-PROBE_PERIOD = Millis(200)
-"""Time between two probes of a target."""
+PROBE_INTERVAL = Millis(200)
+"""Shortest time between two probes of a target, in milliseconds."""
 
 
 def record_death(state: State, attempt: AttemptState, now: Millis) -> list[Effect]:
-    """Make every request in flight on the dead target a suspect.
+    """Make every request in flight on a target that died a suspect.
 
-    The losses of one death come one by one. The first counts it for all that
-    were there; a later one of the same death finds its generation counted.
+    The attempts that one death ends are reported as lost one by one. The first loss
+    counts the death for all requests on the target; at a later loss of the same death
+    the request's generation is already counted.
     """
     target = state.targets.get(attempt.target)
     if target is None:
         return []
-    victims = _list_victims(state, attempt)
-    return _count_victims(state, target, victims, now)
+    affected = _list_affected(state, attempt)
+    return _count_affected(state, target, affected, now)
 
 
-def note_report(state: State, event: LoadReported, now: Millis) -> list[Effect]:
-    """Take a newer incarnation as the death of the one before."""
+def detect_restart(state: State, event: LoadReported, now: Millis) -> list[Effect]:
+    """Count a newer incarnation in a load report as the death of the one before."""
     target = state.targets.get(event.target)
     if target is None or target.incarnation == 0:
         return []
     if event.incarnation <= target.incarnation:
         return []
     if target.death_incarnation == target.incarnation:
-        # Its streams have told of this death already; what runs there now was
-        # started on the new incarnation and is innocent.
+        # Lost streams have reported this death already. The requests that run there
+        # now were started on the new incarnation and cannot have caused it.
         return []
-    victims = []
+    affected = []
     for request in state.requests.values():
         if request.target == event.target and request.accepted:
-            victims.append(request)
-    return _count_victims(state, target, victims, now) if victims else []
+            affected.append(request)
+    return _count_affected(state, target, affected, now) if affected else []
 
 
-def note_broken_call(
+def record_broken_call(
     state: State, request: RequestState, attempt: AttemptState, now: Millis
 ) -> list[Effect]:
-    """Keep a call whose connection broke, until its target answers or has ended.
+    """Record a call whose connection broke, until its target answers or is found dead.
 
-    A plain service names no incarnation and resumes nothing: only a probe tells one
-    that has ended from one that resets connections.
+    A plain service reports no incarnation and resumes nothing, so only a probe can
+    distinguish a service that has ended from one that resets connections.
     """
     target = state.targets.get(attempt.target)
     if target is None:
@@ -62,30 +65,33 @@
     digest = request.spec.digest
     if target.dead and attempt.opened <= target.died_at:
         return _count_death(state, target, [digest], now)
-    # It took a connection since it was last found dead: another life has begun.
+    # The target accepted a connection since it was last found dead, so it restarted.
     target.dead = False
     target.lost[digest] = now
-    if now - target.probed_at < PROBE_PERIOD:
+    if now - target.probed_at < PROBE_INTERVAL:
         return []
     target.probed_at = now
     return [ProbeTarget(attempt.target)]
 
 
-def note_down(state: State, name: str, now: Millis) -> list[Effect]:
-    """Take in that nobody listens at a target: calls that broke there are suspects."""
+def handle_target_down(state: State, name: str, now: Millis) -> list[Effect]:
+    """Handle a probe that found no listener: make recent lost calls suspects."""
     target = state.targets.get(name)
     if target is None:
         return []
     recent = []
     for digest, lost_at in target.lost.items():
-        if now - lost_at < LOST_KEPT:
+        if now - lost_at < LOST_CALL_RETENTION:
             recent.append(digest)
     target.lost.clear()
     return _count_death(state, target, recent, now) if recent else []
 
 
-def note_answer(state: State, attempt: AttemptState) -> None:
-    """Take in that a target answered: it lived when it was asked."""
+def clear_lost_calls(state: State, attempt: AttemptState) -> None:
+    """Mark a target that answered an attempt as alive, and clear its older lost calls.
+
+    The target accepted the attempt after those calls were lost, so it had not died.
+    """
     target = state.targets.get(attempt.target)
     if target is None:
         return
@@ -95,35 +101,35 @@
             del target.lost[digest]
 
 
-def _list_victims(state: State, attempt: AttemptState) -> list[RequestState]:
-    victims = [state.requests[attempt.request]]
+def _list_affected(state: State, attempt: AttemptState) -> list[RequestState]:
+    affected = [state.requests[attempt.request]]
     for request in state.requests.values():
         if request.target != attempt.target or not request.accepted:
             continue
         if request.spec.request != attempt.request:
-            victims.append(request)
-    return victims
+            affected.append(request)
+    return affected
 
 
-def _count_victims(
-    state: State, target: TargetState, victims: list[RequestState], now: Millis
+def _count_affected(
+    state: State, target: TargetState, affected: list[RequestState], now: Millis
 ) -> list[Effect]:
     digests = []
-    for victim in victims:
-        if victim.died_with == victim.generation:
-            # A late loss of a death that was counted, at a target that lives again.
+    for affected_request in affected:
+        if affected_request.died_with == affected_request.generation:
+            # A late loss from a death that is counted, while the target runs again.
             continue
-        victim.died_with = victim.generation
-        digests.append(victim.spec.digest)
+        affected_request.died_with = affected_request.generation
+        digests.append(affected_request.spec.digest)
     return _count_death(state, target, digests, now)
 
 
 def _count_death(
     state: State, target: TargetState, digests: list[str], now: Millis
 ) -> list[Effect]:
-    """Count a target's death for the requests that were there, and judge them."""
+    """Count a target's death for the requests on it, and quarantine them if due."""
     crashes = state.quarantine.crashes
-    crashes.forget_old(now)
+    crashes.remove_expired(now)
     if not target.dead:
         target.dead = True
         target.died_at = now
@@ -131,30 +137,30 @@
         target.death_incarnation = target.incarnation
     life = f"{target.info.name}#{target.deaths}"
     for digest in digests:
-        crashes.note(Suspicion(digest, life), now)
+        crashes.record_suspicion(Suspicion(digest, life), now)
     effects: list[Effect] = [Count("targets.deaths")]
     for digest in digests:
-        effects += _judge_digest(state, digest, now)
+        effects += _quarantine_if_refused(state, digest, now)
     return effects
 
 
-def _judge_digest(state: State, digest: str, now: Millis) -> list[Effect]:
-    held = state.quarantine
-    if digest in held.until or not held.crashes.is_refused(digest, now):
+def _quarantine_if_refused(state: State, digest: str, now: Millis) -> list[Effect]:
+    table = state.quarantine
+    if digest in table.until or not table.crashes.is_refused(digest, now):
         return []
-    quarantine.hold_digest(held, digest, quarantine.QUARANTINE_FOR, now)
+    quarantine.quarantine_digest(table, digest, quarantine.QUARANTINE_DURATION, now)
     fields: dict[str, str | int] = {
         "digest": digest,
-        "deaths": held.crashes.count(digest),
+        "deaths": table.crashes.count(digest),
     }
     return [Count("quarantine.added"), Note("request quarantined", fields)]
 
 
 def blocks_target(state: State, request: RequestState, target: str) -> bool:
-    """Tell whether a suspect has to keep away from where another one runs.
+    """Return whether a suspect must avoid a target because another suspect runs there.
 
-    A suspect that shares a target with another would leave it open which of
-    the two killed it, and innocent ones would be quarantined with it.
+    If the target died with two suspects on it, it would not be known which of them
+    caused the death, and one that did not would be quarantined too.
     """
     digest = request.spec.digest
     if not is_suspect(state, digest):
@@ -168,15 +174,15 @@
 
 
 def is_suspect(state: State, digest: str) -> bool:
-    """Tell whether a request was in flight where a target died."""
+    """Return whether a request was in flight on a target that died."""
     return state.quarantine.crashes.is_suspected(digest)
 
 
 def clear_suspect(state: State, digest: str, now: Millis) -> None:
-    """Forget the deaths of a request that ran to its end."""
+    """Drop the suspicions of a request that was answered."""
     state.quarantine.crashes.clear(digest, now, now)
 
 
-def exhausted(state: State, request: RequestState) -> bool:
-    """Tell whether a suspect was in so many deaths that it is not retried."""
+def reached_death_limit(state: State, request: RequestState) -> bool:
+    """Return whether a suspect was at too many deaths to be retried."""
     return state.quarantine.crashes.count(request.spec.digest) >= MAX_DEATHS
--- a/figstep/core/targets.py
+++ b/figstep/core/targets.py
@@ -1,4 +1,4 @@
-"""What targets report of themselves, and the ledger of what they are given."""
+"""Load reports of targets, and the accounting of what this entry runs on them."""
 
 from figstep.core.clock import Millis
 from figstep.core.effects import Effect
@@ -10,32 +10,59 @@
 from figstep.core.specs import GenerationWork, RequestSpec
 from figstep.core.state import AttemptState, RequestState, State, TargetState
 
-REVIEW_EVERY = 8
-ESTIMATE_STEP = 0.25
-AVOID_FIRST = Millis(500)
-AVOID_LONGEST = Millis(8_000)
-GAP_GAIN = 0.1
-OUTLIER = 4.0
-REPORT_FRESH = Millis(10_000)
-MOSTLY_OWN = 0.8
-"""Above this share of a report the rest is taken for an error of timing."""
+REVIEW_INTERVAL = 8
+"""Number of events between two reviews of an attempt's footprint."""
 
-MOST_ENTRIES = 8.0
-OTHERS_GROWTH = 1.25
-DEFAULT_HELD = 700.0
-PREFIXES_KEPT = 64
-NEVER = 1 << 62
+ESTIMATE_GROWTH = 0.25
+"""Share by which an answer grows, beyond ``REVIEW_INTERVAL`` events, before its
+estimate is renewed."""
+
+INITIAL_AVOIDANCE = Millis(500)
+"""Time without new generations after a target's first lost attempt, in milliseconds; it
+doubles with each further loss in a row."""
+
+MAX_AVOIDANCE = Millis(8_000)
+"""Longest time without new generations after a lost attempt, in milliseconds."""
+
+GAP_SMOOTHING = 0.1
+"""Weight of a new gap between tokens in the smoothed gap."""
+
+OUTLIER_FACTOR = 4.0
+"""Multiple of the smoothed gap at which a new gap is cut off."""
+
+REPORT_LIFETIME = Millis(10_000)
+"""Age up to which a load report is used to estimate other entries' load, in
+milliseconds."""
+
+OWN_SHARE_THRESHOLD = 0.8
+"""Share of the reported generations that are this entry's own from which the rest is
+ignored as an error of timing."""
+
+MAX_ENTRIES = 8.0
+"""Largest number of other entries that is assumed from a load report."""
+
+OTHERS_MEMORY_FACTOR = 1.25
+"""Factor on the average memory of a generation, for its growth."""
+
+DEFAULT_OTHERS_MEMORY = 700.0
+"""Assumed memory of a generation where none is known to run, in tokens."""
+
+MAX_PREFIXES = 64
+"""Largest number of prompt prefixes that are remembered for a target."""
+
+NO_REVIEW = 1 << 62
+"""Index of an event that no answer reaches, for attempts without a footprint."""
 
 
 def record_load(state: State, event: LoadReported, now: Millis) -> list[Effect]:
-    """Keep a load report; one of an older incarnation is stale."""
+    """Record a load report, unless it is of an older incarnation."""
     target = state.targets.get(event.target)
     if target is None or event.incarnation < target.incarnation:
         return []
     if event.incarnation > target.incarnation:
         target.incarnation = event.incarnation
-        # The pause was for the one that died; were it kept, callers would wait
-        # in the queue of an idle engine that has just come back.
+        # The avoidance was for the incarnation that ended. If it were kept, requests
+        # would wait in the queue while the restarted engine is idle.
         target.pace.avoid_until = Millis(0)
         target.pace.losses = 0
         target.leaving = False
@@ -46,45 +73,54 @@
     target.memory_total = event.memory_total
     target.models = event.models
     target.reported = Millis(now - event.age)
-    target.pace.note_running(now)
-    target.pace.own_then = target.pace.count_then(target.reported)
+    target.pace.record_running(now)
+    target.pace.own_at_report = target.pace.count_running_at(target.reported)
     return []
 
 
-def count_others(target: TargetState, now: Millis) -> float:
-    """Return how many generations other entries run on a target.
+def estimate_others_running(target: TargetState, now: Millis) -> float:
+    """Return the estimated number of generations of other entries on a target.
 
-    Peers tell it; where they don't, the last report less what this entry ran
-    at that time does. A report is old and every entry sees the same room in
-    it: what this entry added since, the others are taken to have added each.
+    The counts that peers report are used if there are any. Otherwise it is the number
+    in the last load report less what this entry ran at the time of the report. As the
+    report is old and shows all entries the same free capacity, each other entry is
+    assumed to have added as many generations since then as this one has. The estimate
+    is 0 if the report is too old or shows almost only this entry's generations.
     """
     if target.peers_in_flight:
         return float(target.peers_in_flight)
-    if target.reported is None or now - target.reported > REPORT_FRESH:
+    if target.reported is None or now - target.reported > REPORT_LIFETIME:
         return 0.0
     pace = target.pace
     total = target.running + target.waiting
-    if pace.own_then >= MOSTLY_OWN * total:
+    if pace.own_at_report >= OWN_SHARE_THRESHOLD * total:
         return 0.0
-    others = total - pace.own_then
-    added = max(0, pace.running - pace.own_then)
-    entries = min(MOST_ENTRIES, others / max(1, pace.own_then))
+    others = total - pace.own_at_report
+    added = max(0, pace.running - pace.own_at_report)
+    entries = min(MAX_ENTRIES, others / max(1, pace.own_at_report))
     return others + entries * added
 
 
-def size_others(target: TargetState) -> float:
-    """Return the tokens that another entry's generation is taken to hold."""
+def estimate_others_memory(target: TargetState) -> float:
+    """Return the assumed memory of one generation of another entry, in tokens."""
     if target.running:
-        return OTHERS_GROWTH * target.memory_used / target.running
+        return OTHERS_MEMORY_FACTOR * target.memory_used / target.running
     if target.pace.running:
-        return OTHERS_GROWTH * target.pace.held / target.pace.running
-    return DEFAULT_HELD
+        return OTHERS_MEMORY_FACTOR * target.pace.held / target.pace.running
+    return DEFAULT_OTHERS_MEMORY
 
 
 def estimate_footprint(
     state: State, spec: RequestSpec, produced: int, now: Millis
 ) -> Footprint | None:
-    """Return what a generation holds and needs; None for a plain service."""
+    """Return the footprint of a generation, or None for a plain service.
+
+    Args:
+        state: The entry's state.
+        spec: The request.
+        produced: Tokens of the answer so far.
+        now: Monotonic time, in milliseconds.
+    """
     if not isinstance(spec.work, GenerationWork):
         return None
     remaining = state.lengths.estimate(spec.customer, spec.work, produced)
@@ -95,18 +131,18 @@
         review_at=produced + 1,
         reviewed=now,
         produced=produced,
-        next_estimate=produced + REVIEW_EVERY,
+        next_estimate=produced + REVIEW_INTERVAL,
     )
 
 
-def enter_target(
+def reserve_target(
     state: State,
     target: TargetState,
     attempt: AttemptState,
     request: RequestState,
     now: Millis,
 ) -> None:
-    """Count an attempt on a target that it is about to run on."""
+    """Add an attempt that is about to start to the counts of its target."""
     target.in_flight += 1
     spec = request.spec
     footprint = estimate_footprint(state, spec, request.delivered, now)
@@ -115,17 +151,17 @@
     attempt.footprint = footprint
     attempt.review_at = footprint.review_at
     target.pace.add(footprint)
-    target.pace.note_running(now)
+    target.pace.record_running(now)
     if isinstance(spec.work, GenerationWork) and spec.work.prefix:
         prefixes = target.pace.prefixes
         prefixes.pop(spec.work.prefix, None)
         prefixes[spec.work.prefix] = now
-        if len(prefixes) > PREFIXES_KEPT:
+        if len(prefixes) > MAX_PREFIXES:
             del prefixes[next(iter(prefixes))]
 
 
-def leave_target(state: State, target: TargetState, attempt: AttemptState) -> None:
-    """Forget an attempt that ended."""
+def release_target(state: State, target: TargetState, attempt: AttemptState) -> None:
+    """Remove an attempt that ended from the counts of its target."""
     target.in_flight -= 1
     if attempt.footprint is not None:
         target.pace.remove(attempt.footprint)
@@ -134,19 +170,20 @@
 def review_attempt(
     state: State, attempt: AttemptState, request: RequestState, now: Millis
 ) -> None:
-    """Bring an attempt's footprint and its target's pace up to date.
+    """Update an attempt's footprint and the speed of its target.
 
-    Runs once in several tokens, so that a token costs one comparison.
+    It runs once in ``REVIEW_INTERVAL`` events, so that other events cost only one
+    comparison.
     """
     footprint, target = attempt.footprint, state.targets.get(attempt.target)
     work = request.spec.work
     if footprint is None or target is None or not isinstance(work, GenerationWork):
-        attempt.review_at = NEVER
+        attempt.review_at = NO_REVIEW
         return
     produced = request.delivered
     grown = produced - footprint.produced
     if footprint.review_at > footprint.produced + 1 and grown > 0:
-        _learn_gap(state, target, (now - footprint.reviewed) / grown, now)
+        _record_gap(state, target, (now - footprint.reviewed) / grown, now)
     target.pace.losses = 0
     pace = target.pace
     pace.held -= footprint.held
@@ -159,26 +196,26 @@
             request.spec.customer, work, produced
         )
         footprint.mean, footprint.variance = remaining.mean, remaining.variance
-        footprint.next_estimate = produced + REVIEW_EVERY
-        footprint.next_estimate += int(produced * ESTIMATE_STEP)
+        footprint.next_estimate = produced + REVIEW_INTERVAL
+        footprint.next_estimate += int(produced * ESTIMATE_GROWTH)
     footprint.produced = produced
     footprint.reviewed = now
-    footprint.review_at = attempt.review_at = produced + REVIEW_EVERY
+    footprint.review_at = attempt.review_at = produced + REVIEW_INTERVAL
     pace.held += footprint.held
     pace.mean += footprint.mean
     pace.variance += footprint.variance
 
 
-def _learn_gap(state: State, target: TargetState, gap: float, now: Millis) -> None:
+def _record_gap(state: State, target: TargetState, gap: float, now: Millis) -> None:
     pace = target.pace
-    # A stream that was pushed off shows one huge gap, which tells nothing of
-    # the pace of the others.
-    bounded = min(gap, OUTLIER * pace.gap) if pace.gap else gap
-    pace.gap += GAP_GAIN * (bounded - pace.gap) if pace.gap else bounded
+    # A preempted generation shows one very long gap, which says nothing about the
+    # speed of the others.
+    bounded = min(gap, OUTLIER_FACTOR * pace.gap) if pace.gap else gap
+    pace.gap += GAP_SMOOTHING * (bounded - pace.gap) if pace.gap else bounded
     if pace.gaps.weight == 0.0:
-        start_pace(target)
-    running = pace.running + count_others(target, now)
-    pace.gaps.learn(running, gap)
+        initialize_gaps(target)
+    running = pace.running + estimate_others_running(target, now)
+    pace.gaps.add_sample(running, gap)
     match state.policy:
         case Figstep(limit=True, gap_goal=goal):
             pace.adapt_limit(pace.gap, goal, running, now)
@@ -186,15 +223,15 @@
             pass
 
 
-def start_pace(target: TargetState) -> None:
-    """Begin a target's expected gap from its inventory entry."""
+def initialize_gaps(target: TargetState) -> None:
+    """Initialize the gap regression of an engine from its speed in the inventory."""
     if isinstance(target.info, EngineInfo):
         target.pace.gaps.start(target.info.speed)
 
 
-def note_loss(target: TargetState, now: Millis) -> None:
-    """Give a target that lost an attempt a growing pause."""
+def record_loss(target: TargetState, now: Millis) -> None:
+    """Record a lost attempt: the target gets no new generation for a growing time."""
     pace = target.pace
-    pause = min(AVOID_LONGEST, AVOID_FIRST << min(10, pace.losses))
+    pause = min(MAX_AVOIDANCE, INITIAL_AVOIDANCE << min(10, pace.losses))
     pace.losses += 1
     pace.avoid_until = Millis(now + pause)
--- a/figstep/core/watch.py
+++ b/figstep/core/watch.py
@@ -1,4 +1,4 @@
-"""Engines whose load reports an entry reads."""
+"""Selection of the engines whose load reports an entry reads."""
 
 from figstep.core import leases
 from figstep.core.clock import Millis
@@ -10,17 +10,21 @@
 
 
 def list_watched(state: State, now: Millis) -> list[EngineInfo]:
-    """Return the engines that this entry sends work or orders to.
+    """Return the engines to which this entry sends work or orders.
 
-    Reading the reports of all engines would cost an entry of a large fleet
-    many times its budget for control.
+    In a large fleet, reading the reports of all engines would cost an entry many
+    times its budget for control traffic.
+
+    Args:
+        state: State of this entry.
+        now: Monotonic time, in milliseconds.
     """
     if state.inventory is None:
         return []
     watched: dict[str, EngineInfo] = {}
     for model in state.inventory.models:
-        probe = RequestSpec("", "", GenerationWork(model.name))
-        for target in list_pool(state, probe):
+        sample_spec = RequestSpec("", "", GenerationWork(model.name))
+        for target in list_pool(state, sample_spec):
             if isinstance(target.info, EngineInfo):
                 watched[target.info.name] = target.info
     held = _list_held_domains(state, now)
--- a/figstep/gateway/attempts.py
+++ b/figstep/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: opening, closing and what they take at their targets."""
+"""Opens and closes attempts, and accounts for their load at targets."""
 
 from figstep.core.clock import Millis
 from figstep.gateway import crashes, limits, placement, warmups
@@ -15,41 +15,45 @@
 from figstep.gateway.state import Attempt, Request, State
 from figstep.gateway.targets import Target
 
-FIRST_PRIORITY = 4
-"""Urgency at an engine of the most urgent route, of 0 to 9. Runs that go on
-elsewhere get a better one, less urgent routes a worse one."""
+BASE_PRIORITY = 4
+"""Engine priority of a run of the most urgent route, from 0 to 9; 0 is the most urgent.
+
+Runs that resume on another engine get a more urgent one, less urgent routes a less
+urgent one.
+"""
 
 RESUMED_PRIORITY = 1
-"""Urgency of a run that goes on: its caller is waiting in mid-answer."""
+"""Engine priority of a run that resumes from a copy: its caller waits in mid-answer."""
 
-LEAST_PRIORITY = 9
+LOWEST_PRIORITY = 9
+"""Least urgent engine priority."""
 
 
 def start_attempt(
     state: State, request: Request, target: Target, now: Millis
 ) -> list[Effect]:
     """Send a request to a target as a run from its start."""
-    forecast: dict[str, str | int | float | None] = {}
+    choice_fields: dict[str, str | int | float | None] = {}
     if request.spec.prompt is not None:
-        # As it was when the choice was made.
-        forecast = placement.describe_choice(state, request, target, now)
+        # The fields describe the engine as it was when it was chosen.
+        choice_fields = placement.describe_choice(state, request, target, now)
     attempt = _add_attempt(state, request, target, None, now)
     request.current = attempt
     after = request.delivered or request.spec.after
     effects: list[Effect] = [
-        _open(state, request, attempt, after),
-        _note(request, attempt, now, forecast),
+        _build_open(state, request, attempt, after),
+        _describe_attempt(request, attempt, now, choice_fields),
     ]
-    if request.spec.prompt is not None and _is_shared_far(state, target):
+    if request.spec.prompt is not None and _is_remote_in_large_fleet(state, target):
         effects.append(AnnounceTarget(target.name))
     return effects
 
 
-def _is_shared_far(state: State, target: Target) -> bool:
-    """Tell whether other failure domains choose a target without knowing of this.
+def _is_remote_in_large_fleet(state: State, target: Target) -> bool:
+    """Return whether peers must learn at once of an attempt at a target.
 
-    Those that have few engines of their own use those of others. Told a moment
-    later, all of them would pick the same engine meanwhile.
+    In a large fleet, failure domains with few engines of their own use those of others.
+    Told a moment later, all of them would choose the same engine meanwhile.
     """
     if not state.is_large:
         return False
@@ -59,7 +63,10 @@
 def start_standby(
     state: State, request: Request, copy: RunCopy, now: Millis
 ) -> list[Effect]:
-    """Go on with a run from its copy, beside the attempt that has it now."""
+    """Resume a run from its copy, beside the attempt that runs it now.
+
+    Returns no effects if the copy's holder is unknown.
+    """
     target = state.targets.find(copy.holder)
     if target is None:
         return []
@@ -68,13 +75,13 @@
     request.standby = attempt
     request.copy = None
     return [
-        _open(state, request, attempt, request.delivered),
-        _note(request, attempt, now),
+        _build_open(state, request, attempt, request.delivered),
+        _describe_attempt(request, attempt, now),
     ]
 
 
 def end_attempt(state: State, attempt: Attempt) -> None:
-    """Forget an attempt and what it took at its targets."""
+    """Remove an attempt, and its load from its targets."""
     if state.attempts.pop(attempt.number, None) is None:
         return
     request = state.requests.get(attempt.request)
@@ -94,52 +101,52 @@
 def reserve_copy(
     state: State, request: Request, source: Target, holder: Target
 ) -> None:
-    """Count what a copy on order takes of its holder's memory and of both links."""
-    copied = request.copied_tokens if request.copy_place is holder else 0
+    """Count a copy on order in its holder's memory and on the links of both engines."""
+    copied = request.copied_tokens if request.copy_destination is holder else 0
     release_copy(request)
     memory = placement.estimate_memory(state, request)
     request.copying = True
-    request.copy_place = holder
+    request.copy_destination = holder
     request.copy_memory = memory
     holder.memory += memory
     request.copy_source = source
-    request.copy_tokens = max(0, memory - copied)
-    source.outgoing += request.copy_tokens
-    holder.incoming += request.copy_tokens
+    request.copying_tokens = max(0, memory - copied)
+    source.outgoing += request.copying_tokens
+    holder.incoming += request.copying_tokens
 
 
 def end_copying(request: Request) -> None:
-    """Stop counting a copy on its links: it is made, or never will be."""
-    if request.copy_source is not None and request.copy_place is not None:
-        request.copy_source.outgoing -= request.copy_tokens
-        request.copy_place.incoming -= request.copy_tokens
+    """Stop counting a copy on its links: it is complete, or will never be."""
+    if request.copy_source is not None and request.copy_destination is not None:
+        request.copy_source.outgoing -= request.copying_tokens
+        request.copy_destination.incoming -= request.copying_tokens
     request.copying = False
     request.copy_source = None
-    request.copy_tokens = 0
+    request.copying_tokens = 0
 
 
 def release_copy(request: Request) -> None:
     """Stop counting a copy on order: it failed, was used, or is dropped."""
     end_copying(request)
-    if request.copy_place is not None:
-        request.copy_place.memory -= request.copy_memory
-    request.copy_place = None
+    if request.copy_destination is not None:
+        request.copy_destination.memory -= request.copy_memory
+    request.copy_destination = None
     request.copy_memory = 0
     request.copied_tokens = 0
 
 
-def note_read(attempt: Attempt, now: Millis) -> None:
-    """Note that an attempt's first event came: its prompt has been read."""
+def record_prompt_read(attempt: Attempt, now: Millis) -> None:
+    """Record that an attempt's first event arrived: its prompt has been read."""
     if not attempt.reading:
         return
-    took = now - attempt.opened
-    attempt.target.learn_reading(attempt.reading + attempt.reading_ahead, took)
+    elapsed = now - attempt.opened
+    attempt.target.update_read_rate(attempt.reading + attempt.reading_ahead, elapsed)
     attempt.target.reading -= attempt.reading
     attempt.reading = 0
 
 
-def note_growth(state: State, request: Request, attempt: Attempt) -> None:
-    """Count what a run has come to need, at its engine and in its copy."""
+def update_memory(state: State, request: Request, attempt: Attempt) -> None:
+    """Update the expected memory of a run, at its engine and in its backup."""
     memory = placement.estimate_memory(state, request)
     grown = memory - attempt.memory
     attempt.memory = memory
@@ -156,12 +163,12 @@
     effects: list[Effect] = [CloseAttempt(attempt.number)]
     request = state.requests.get(attempt.request)
     if request is not None:
-        effects += crashes.note_lost(state, request, attempt, now)
+        effects += crashes.record_lost(state, request, attempt, now)
     return effects
 
 
 def close_request(state: State, request: Request, now: Millis) -> list[Effect]:
-    """Forget a request; what still runs for it is ended."""
+    """Remove a request and end everything that still runs for it."""
     effects = close_attempt(state, request.current, now)
     effects += close_attempt(state, request.standby, now)
     state.requests.pop(request.spec.number, None)
@@ -171,8 +178,8 @@
         request.queued = False
     copy = request.copy
     if copy is not None and copy.owner != copy.holder:
-        # A copy made on order would hold its memory for seconds; a running
-        # backup ends with its run.
+        # A copy made on order would hold its memory for seconds; a running backup ends
+        # with its run.
         effects.append(DropCopy(copy))
     return effects
 
@@ -182,17 +189,17 @@
 ) -> Target | None:
     pool = placement.find_engine_pool(state, request.service)
     if pool is None or not pool.backups or request.route.idempotent:
-        # A stream that may start anew elsewhere needs no copy.
+        # A stream that may restart on another engine needs no copy.
         return None
     if pool.moves:
-        # Copies on order protect a run as well, and only while there is room: a
-        # running backup takes memory from the first token on, prompts wait for
-        # it, and other runs are preempted.
+        # Copies on order protect a run as well, and only while there is free memory. A
+        # running backup takes memory from the first token on: prompts wait for it, and
+        # other runs are preempted.
         return None
     if request.route.kind is not RouteKind.STREAM:
         return None
     return placement.choose_copy_holder(
-        state, request, source.name, now, placement.BACKUP_ROOM
+        state, request, source.name, now, placement.BACKUP_MAX_MEMORY_FRACTION
     )
 
 
@@ -222,24 +229,24 @@
         source=source,
     )
     state.attempts[number] = attempt
-    warmups.note_send(target, now)
-    limits.note_send(target, now)
+    warmups.record_send(target, now)
+    limits.record_send(target, now)
     target.calls += 1
     target.memory += memory
     target.reading += reading
     if holder is not None:
         holder.memory += memory
-    request.sent += 1
-    request.tried.add(target.name)
+    request.attempts_sent += 1
+    request.tried_targets.add(target.name)
     return attempt
 
 
-def _open(
+def _build_open(
     state: State, request: Request, attempt: Attempt, after: int | None
 ) -> OpenAttempt:
     priority = None
     if request.spec.prompt is not None:
-        priority = min(LEAST_PRIORITY, FIRST_PRIORITY + request.priority)
+        priority = min(LOWEST_PRIORITY, BASE_PRIORITY + request.priority)
         if attempt.source is not None:
             priority = RESUMED_PRIORITY
     return OpenAttempt(
@@ -249,22 +256,22 @@
         request.customer,
         request.deadline,
         priority=priority,
-        backup=_name(attempt.holder),
+        backup=_name_or_empty(attempt.holder),
         source=attempt.source,
         after=after,
         stream=request.route.kind is RouteKind.STREAM,
     )
 
 
-def _name(target: Target | None) -> str:
+def _name_or_empty(target: Target | None) -> str:
     return "" if target is None else target.name
 
 
-def _note(
+def _describe_attempt(
     request: Request,
     attempt: Attempt,
     now: Millis,
-    forecast: dict[str, str | int | float | None] | None = None,
+    choice_fields: dict[str, str | int | float | None] | None = None,
 ) -> Note:
     return Note(
         "attempt opened",
@@ -272,10 +279,10 @@
             "request": request.spec.id,
             "attempt": attempt.number,
             "target": attempt.target.name,
-            "backup": _name(attempt.holder),
+            "backup": _name_or_empty(attempt.holder),
             "goes_on_from": attempt.source.owner if attempt.source else "",
             "after": request.delivered,
             "waited_ms": now - request.arrived,
-            **(forecast or {}),
+            **(choice_fields or {}),
         },
     )
--- a/figstep/gateway/copies.py
+++ b/figstep/gateway/copies.py
@@ -1,4 +1,4 @@
-"""Copies of running generations, and going on from them when an engine leaves."""
+"""Copies running generations and resumes them on another engine when theirs leaves."""
 
 from figstep.core.clock import Millis
 from figstep.gateway import attempts, eligibility, limits, peers, placement
@@ -14,42 +14,58 @@
 from figstep.gateway.state import Attempt, Request, State
 from figstep.gateway.targets import Standing, Target
 
-QUIET_WAIT = Millis(800)
-"""How long after the notice a run waits for its holder to have read all prompts:
-its events take three times as long while it reads one, and the change-over costs
-two of them. The notice leaves 0.7 s for what fails then."""
+SWITCH_WAIT_TIMEOUT = Millis(800)
+"""Milliseconds after the notice for which a switch waits for its holder.
 
-COPY_ARRIVES = Millis(400)
-"""How long after a run's first event its running backup may not be there yet. One
-tried too early is spoiled, and a whole copy has to be made in its place."""
+The holder is to have read all its prompts first: while it reads one, the run's events
+take three times as long, and the switch costs two of them. The notice then leaves
+0.7 s for a switch that fails.
+"""
 
-REFRESH_SHARE = 0.6
-"""Part of the time that a copy on order is kept after which it is brought up to
-date: a second try still comes before it is dropped."""
+BACKUP_ARRIVAL_DELAY = Millis(400)
+"""Milliseconds after a run's first event in which its running backup may be missing.
 
-LEAST_LEFT = 250
-"""Expected tokens still to come below which a run gets no copy on order: it ends
-in a second and a half, and engines leave every few seconds."""
+A backup that is tried too early becomes unusable, and a whole copy has to be made in
+its place.
+"""
 
-STALE_AFTER = Millis(300)
-"""Age of a copy from which it is brought up to date before a change-over."""
+REFRESH_AGE_FRACTION = 0.6
+"""Fraction of a copy's retention after which a copy on order is refreshed.
 
-REFRESH_PATIENCE = Millis(400)
-"""How long that may take: links carry the copies of all runs one after another,
-and a run of which there is a copy must not be lost for a newer one."""
+If the refresh fails, a second one still comes before the copy is dropped.
+"""
 
-LAST_ORDER = Millis(900)
-"""How long after the notice a copy that is ordered still arrives in time: it takes
-up to half a second, and engines are gone 1.5 s after their notice at the earliest."""
+MIN_REMAINING_TOKENS = 250
+"""Expected remaining tokens below which a run gets no proactive copy.
 
+Such a run ends within 1.5 s, and engines leave every few seconds.
+"""
 
-def take_copy(state: State, event: RunCopied, now: Millis) -> list[Effect]:
-    """A copy is complete: go on there if the run's engine leaves."""
+STALE_COPY_AGE = Millis(300)
+"""Age of a copy, in milliseconds, from which it is refreshed before a switch."""
+
+REFRESH_TIMEOUT = Millis(400)
+"""Milliseconds that a refresh may take before the switch uses the older copy.
+
+Links carry the copies of all runs one after another, and a run that has a copy must
+not be lost while it waits for a newer one.
+"""
+
+LAST_COPY_ORDER_DELAY = Millis(900)
+"""Milliseconds after the notice until which an ordered copy still arrives in time.
+
+A copy takes up to half a second, and engines end 1.5 s after their notice at the
+earliest.
+"""
+
+
+def handle_copy_made(state: State, event: RunCopied, now: Millis) -> list[Effect]:
+    """Record a complete copy, and switch to it if the run's engine leaves."""
     copy = RunCopy(event.holder, event.source, event.handle)
     request = state.requests.get(event.number)
     current = None if request is None else request.current
     if request is None or current is None or current.target.name != event.source:
-        # Its run ended or went on elsewhere meanwhile.
+        # The run has ended or has resumed on another engine meanwhile.
         return [DropCopy(copy)]
     request.copied_tokens = request.copy_memory
     attempts.end_copying(request)
@@ -64,16 +80,16 @@
             "took_ms": now - request.copy_ordered_at,
         },
     )
-    return [note, *evacuate_request(state, request, now)]
+    return [note, *migrate_request(state, request, now)]
 
 
-def note_not_copied(state: State, event: RunNotCopied, now: Millis) -> list[Effect]:
-    """A copy could not be made: try another engine."""
+def handle_copy_failed(state: State, event: RunNotCopied, now: Millis) -> list[Effect]:
+    """Record that a holder could not take a copy, and try another engine."""
     request = state.requests.get(event.number)
     if request is None:
         return []
     attempts.release_copy(request)
-    request.no_copy_at[event.holder] = now
+    request.copy_refused_at[event.holder] = now
     note = Note(
         "copy failed",
         {
@@ -83,29 +99,34 @@
             "detail": event.detail,
         },
     )
-    return [note, *evacuate_request(state, request, now)]
+    return [note, *migrate_request(state, request, now)]
 
 
-def evacuate_streams(state: State, now: Millis) -> list[Effect]:
-    """Move streams away from engines that leave, the most valuable first."""
-    hit = []
+def migrate_streams(state: State, now: Millis) -> list[Effect]:
+    """Move streams away from engines that leave, the longest remaining ones first."""
+    affected = []
     for request in state.requests.values():
         current = request.current
-        if current is None or not request.begun:
+        if current is None or not request.stream_begun:
             continue
         if current.target.standing is Standing.READY:
             continue
-        hit.append(request)
-    # What has most left to come loses most if it is cut.
-    hit.sort(key=lambda request: count_left(state, request), reverse=True)
+        affected.append(request)
+    # The run with the most remaining tokens loses most if it is cut.
+    affected.sort(
+        key=lambda request: count_remaining_tokens(state, request), reverse=True
+    )
     effects: list[Effect] = []
-    for request in hit:
-        effects += evacuate_request(state, request, now)
+    for request in affected:
+        effects += migrate_request(state, request, now)
     return effects
 
 
-def count_left(state: State, request: Request) -> int:
-    """Return how many tokens a run is expected to generate yet."""
+def count_remaining_tokens(state: State, request: Request) -> int:
+    """Return how many tokens a run is expected to generate still; 0 without a prompt.
+
+    The number is negative for a run that has exceeded its expected length.
+    """
     prompt = request.spec.prompt
     if prompt is None:
         return 0
@@ -114,34 +135,38 @@
     return prompt.expected_output - event_tokens * request.pieces
 
 
-def evacuate_request(state: State, request: Request, now: Millis) -> list[Effect]:
-    """Go on elsewhere with a run whose engine leaves."""
+def migrate_request(state: State, request: Request, now: Millis) -> list[Effect]:
+    """Move a run off an engine that leaves: refresh or order its copy, or switch to it.
+
+    Returns no effects if there is nothing to do now.
+    """
     current = request.current
     if current is None or request.standby is not None:
         return []
-    if request.copying and not _is_refresh_late(request, now):
+    if request.copying and not _has_refresh_timed_out(request, now):
         return []
-    if current.target.standing is Standing.READY or not request.begun:
+    if current.target.standing is Standing.READY or not request.stream_begun:
         return []
     if request.route.resumable:
-        # Short ones end before their engine does; the rest go on anew.
+        # Short streams end before their engine does; the others restart elsewhere.
         return []
-    forget_unusable_copy(state, request)
+    discard_unusable_copy(state, request)
     if request.copy is not None:
-        if _is_worth_waiting(state, request, now):
+        if _should_delay_switch(state, request, now):
             return []
         holder = state.targets.find(request.copy.holder)
-        if holder is not None and _is_worth_refreshing(request, current, now):
+        if holder is not None and _should_refresh_copy(request, current, now):
             return _order_copy_to(state, request, current, holder, now)
         return switch_to_copy(state, request, now)
     return _order_copy(state, request, now)
 
 
-def _is_worth_refreshing(request: Request, current: Attempt, now: Millis) -> bool:
-    """Tell whether a copy is brought up to date before the run goes on from it.
+def _should_refresh_copy(request: Request, current: Attempt, now: Millis) -> bool:
+    """Return whether a copy is refreshed before the run resumes from it.
 
-    What it lacks has to be read at its holder while the other engine goes on, and
-    then generated again: the caller sees a pause of both. It is tried once.
+    Tokens that the copy lacks have to be read at its holder while the other engine
+    continues, and are then generated again: the caller sees a pause of both. A refresh
+    is tried once in a notice.
     """
     copy = request.copy
     left_at = current.target.left_at
@@ -149,51 +174,51 @@
         return False
     if request.copying or request.copy_ordered_at >= left_at:
         return False
-    if now - left_at >= LAST_ORDER:
+    if now - left_at >= LAST_COPY_ORDER_DELAY:
         return False
-    return now - request.copied_at >= STALE_AFTER
+    return now - request.copied_at >= STALE_COPY_AGE
 
 
-def _is_refresh_late(request: Request, now: Millis) -> bool:
-    """Tell whether a run goes on from an older copy: the newer one takes too long."""
+def _has_refresh_timed_out(request: Request, now: Millis) -> bool:
+    """Return whether a refresh takes too long: the run resumes from an older copy."""
     if request.copy is None:
         return False
-    return now - request.copy_ordered_at >= REFRESH_PATIENCE
+    return now - request.copy_ordered_at >= REFRESH_TIMEOUT
 
 
-def _is_worth_waiting(state: State, request: Request, now: Millis) -> bool:
-    """Tell whether a change-over goes better a little later in the notice."""
+def _should_delay_switch(state: State, request: Request, now: Millis) -> bool:
+    """Return whether a switch is cheaper a little later in the notice."""
     current = request.current
     copy = request.copy
     if current is None or copy is None or current.target.left_at is None:
         return False
-    if now - current.target.left_at >= QUIET_WAIT:
+    if now - current.target.left_at >= SWITCH_WAIT_TIMEOUT:
         return False
-    if copy.owner == copy.holder and _is_young(current, now):
+    if copy.owner == copy.holder and _may_lack_backup(current, now):
         return True
     holder = state.targets.find(copy.holder)
     return holder is not None and holder.reading_load > 0
 
 
-def _is_young(attempt: Attempt, now: Millis) -> bool:
-    since = attempt.delivers_since
-    return since is None or now - since < COPY_ARRIVES
+def _may_lack_backup(attempt: Attempt, now: Millis) -> bool:
+    since = attempt.first_delivery_at
+    return since is None or now - since < BACKUP_ARRIVAL_DELAY
 
 
-def is_last_chance(source: Target, now: Millis) -> bool:
-    """Tell whether an engine is gone before one more copy of a run could be made.
+def is_too_late_to_copy(source: Target, now: Millis) -> bool:
+    """Return whether an engine ends before one more copy of a run could be made.
 
-    A copy is used up as a holder is asked to go on from it. One that is busy may
-    take longer than a run may be open at both; to give up on it then would lose
-    the stream with its engine.
+    A copy is used up once its holder is asked to resume from it. A busy holder may take
+    longer to start than `streams.MAX_OVERLAP`; abandoning it when no other copy can be
+    made would lose the stream with its engine.
     """
     if source.left_at is None:
         return False
-    return now - source.left_at >= LAST_ORDER
+    return now - source.left_at >= LAST_COPY_ORDER_DELAY
 
 
-def forget_unusable_copy(state: State, request: Request) -> None:
-    """Drop what is known of a copy whose holder takes no more work of its run."""
+def discard_unusable_copy(state: State, request: Request) -> None:
+    """Discard the record of a copy whose holder accepts no more work of the run."""
     if request.copy is None:
         return
     holder = state.targets.find(request.copy.holder)
@@ -202,7 +227,10 @@
 
 
 def switch_to_copy(state: State, request: Request, now: Millis) -> list[Effect]:
-    """Open the run's copy beside its present engine, within the retry budget."""
+    """Open the run's copy beside its present engine, within the retry budget.
+
+    Does nothing if the holder's rate or pause permits no request now.
+    """
     copy = request.copy
     if copy is None:
         return []
@@ -210,7 +238,7 @@
     if holder is not None and not limits.may_send(state, holder, now):
         return []
     if not peers.spend_repeat(state, request.service, now, urgent=True):
-        return peers.note_denied(state, request, now)
+        return peers.record_denied(state, request, now)
     return attempts.start_standby(state, request, copy, now)
 
 
@@ -220,7 +248,11 @@
     if pool is None or not pool.moves or current is None:
         return []
     holder = placement.choose_copy_holder(
-        state, request, current.target.name, now, placement.MOVE_ROOM
+        state,
+        request,
+        current.target.name,
+        now,
+        placement.MIGRATION_MAX_MEMORY_FRACTION,
     )
     if holder is None:
         return []
@@ -249,49 +281,50 @@
     ]
 
 
-def protect_streams(state: State, now: Millis) -> list[Effect]:
-    """Have copies made of long runs whose engine stays, while there is room.
+def order_proactive_copies(state: State, now: Millis) -> list[Effect]:
+    """Order copies of long runs whose engine stays, while there is free memory.
 
-    In the notice all runs of an engine are copied at once: copies queue on its
-    link, and the last of six or seven are not made before it is gone. Without a
-    copy made ahead a run is also lost with an engine that leaves without notice.
-    One run of each engine is copied at a time, so that none of a notice waits.
+    In a notice all runs of an engine are copied at once: copies queue on its link, and
+    the last of six or seven are not made before it ends. A run without a proactive copy
+    is also lost with an engine that leaves without notice. One run of each engine is
+    copied at a time, so that no copy of a notice has to wait.
     """
     effects: list[Effect] = []
-    busy = _list_copying(state)
+    copy_sources = _list_copy_sources(state)
     for request in sorted(
         state.requests.values(),
-        key=lambda request: count_left(state, request),
+        key=lambda request: count_remaining_tokens(state, request),
         reverse=True,
     ):
         current = request.current
-        if current is None or current.target.name in busy:
+        if current is None or current.target.name in copy_sources:
             continue
         if not _needs_copy(state, request, now):
             continue
-        order = _order_protection(state, request, current, now)
+        order = _order_proactive_copy(state, request, current, now)
         if not order:
             continue
-        busy.add(current.target.name)
+        copy_sources.add(current.target.name)
         effects += order
     return effects
 
 
-def yield_copies(state: State, now: Millis) -> list[Effect]:
-    """Drop copies made ahead at engines that are expected to run out of memory.
+def drop_copies_for_memory(state: State, now: Millis) -> list[Effect]:
+    """Drop proactive copies at engines that are expected to run out of memory.
 
-    An engine that does so preempts a run, whose caller then sees a pause of the
-    half second that its prompt takes to be read again. A copy dropped costs
-    something only if its run's engine leaves before the next one is made. One
-    of each engine goes at a time, as other entries drop theirs as well.
+    An engine that runs out of memory preempts a run, whose caller sees a pause of the
+    half second in which its prompt is read again. A dropped copy costs something only
+    if its run's engine leaves before the next one is made. One copy per holder is
+    dropped at a time, as other entries drop theirs as well.
     """
     effects: list[Effect] = []
-    relieved: set[str] = set()
+    relieved_holders: set[str] = set()
     for request in sorted(
-        state.requests.values(), key=lambda request: count_left(state, request)
+        state.requests.values(),
+        key=lambda request: count_remaining_tokens(state, request),
     ):
         copy = request.copy
-        if copy is None or copy.owner == copy.holder or copy.holder in relieved:
+        if copy is None or copy.owner == copy.holder or copy.holder in relieved_holders:
             continue
         current = request.current
         if current is None or current.target.standing is not Standing.READY:
@@ -299,18 +332,18 @@
         holder = state.targets.find(copy.holder)
         if holder is None or request.copying:
             continue
-        if holder.memory_load <= placement.read_memory(state, request.service):
+        if holder.memory_load <= placement.find_engine_memory(state, request.service):
             continue
-        relieved.add(copy.holder)
-        effects += _drop_spare(request, copy, holder, now)
+        relieved_holders.add(copy.holder)
+        effects += _drop_proactive_copy(request, copy, holder, now)
     return effects
 
 
-def _drop_spare(
+def _drop_proactive_copy(
     request: Request, copy: RunCopy, holder: Target, now: Millis
 ) -> list[Effect]:
     request.copy = None
-    request.no_copy_at[holder.name] = now
+    request.copy_refused_at[holder.name] = now
     attempts.release_copy(request)
     note = Note(
         "copy dropped for lack of room",
@@ -323,7 +356,7 @@
     return [DropCopy(copy), note]
 
 
-def _list_copying(state: State) -> set[str]:
+def _list_copy_sources(state: State) -> set[str]:
     return {
         request.current.target.name
         for request in state.requests.values()
@@ -333,59 +366,66 @@
 
 def _needs_copy(state: State, request: Request, now: Millis) -> bool:
     current = request.current
-    if current is None or not request.begun or request.standby is not None:
+    if current is None or not request.stream_begun or request.standby is not None:
         return False
     if request.copying or request.route.resumable:
         return False
     if request.route.kind is not RouteKind.STREAM:
         return False
-    if not current.target.takes_work or limits.is_limited(current.target):
-        # One in need is spared the copies that its runs may never use.
+    if not current.target.accepts_work or limits.is_limited(current.target):
+        # A rate-limited target is not loaded with copies that may never be used.
         return False
     pool = placement.find_engine_pool(state, request.service)
     if pool is None or not pool.moves:
         return False
     if _has_backup(current):
         return False
-    forget_unusable_copy(state, request)
-    if now - request.copied_at >= pool.copy_kept:
+    discard_unusable_copy(state, request)
+    if now - request.copied_at >= pool.copy_retention:
         request.copy = None
     if request.copy is not None:
-        if placement.was_refused_copy(request, request.copy.holder, now, ahead=True):
+        if placement.was_refused_copy(
+            request, request.copy.holder, now, proactive=True
+        ):
             return False
-        return now - request.copied_at >= REFRESH_SHARE * pool.copy_kept
-    return count_left(state, request) >= LEAST_LEFT
+        return now - request.copied_at >= REFRESH_AGE_FRACTION * pool.copy_retention
+    return count_remaining_tokens(state, request) >= MIN_REMAINING_TOKENS
 
 
 def _has_backup(attempt: Attempt) -> bool:
     holder = attempt.holder
-    if holder is None or attempt.holder_spoiled:
+    if holder is None or attempt.backup_unusable:
         return False
-    return holder.takes_work
+    return holder.accepts_work
 
 
-def _order_protection(
+def _order_proactive_copy(
     state: State, request: Request, current: Attempt, now: Millis
 ) -> list[Effect]:
     holder = None
     if request.copy is not None:
-        # Only what is new is copied to where the rest is already.
+        # The holder already has the rest of the run: only new tokens are copied.
         holder = state.targets.find(request.copy.holder)
     elif not state.queue:
-        # A prompt that waits is worth more than a copy that may not be needed.
+        # A queued prompt matters more than a copy that may not be needed.
         holder = placement.choose_copy_holder(
-            state, request, current.target.name, now, placement.AHEAD_ROOM, ahead=True
+            state,
+            request,
+            current.target.name,
+            now,
+            placement.PROACTIVE_MAX_MEMORY_FRACTION,
+            proactive=True,
         )
-    if holder is None or _is_copying(current.target, holder):
+    if holder is None or _is_link_busy(current.target, holder):
         return []
     return _order_copy_to(state, request, current, holder, now)
 
 
-def _is_copying(source: Target, holder: Target) -> bool:
-    """Tell whether a link that a copy made ahead would take is in use.
+def _is_link_busy(source: Target, holder: Target) -> bool:
+    """Return whether a link that a proactive copy would use carries another copy.
 
-    Links carry copies one after another. As a new engine comes, all entries have
-    runs to copy to it; those of an engine whose notice comes then would wait
-    behind them for longer than the notice lasts, and be lost.
+    Links carry copies one after another. When a new engine joins, all entries have
+    runs to copy to it; if another engine's notice came then, its runs would queue
+    behind those for longer than the notice lasts, and be lost.
     """
     return bool(source.outgoing_load or holder.incoming_load)
--- a/figstep/gateway/crashes.py
+++ b/figstep/gateway/crashes.py
@@ -1,9 +1,10 @@
-"""Crashes of targets as this entry and the others see them, and what was there.
+"""Crashes of targets that this entry and its peers know, and the requests involved.
 
-The load that this answers is a request that crashes each target that runs it, and
-comes again and again, to any entry, among requests that do no harm. A lost attempt
-alone proves no crash: targets also fail, reset and garble while they live on. So what
-was lost at a target is kept until the target answers, or is found to have ended.
+The case handled here is a request that crashes every target that runs it and is sent
+again and again, to any entry, among harmless requests. A lost attempt alone proves no
+crash: targets also fail, reset connections and send garbled answers while they keep
+running. What was lost at a target is therefore kept until the target answers or is
+found to have ended.
 """
 
 from collections.abc import Iterable
@@ -15,37 +16,41 @@
 from figstep.gateway.state import Attempt, Request, State
 from figstep.gateway.targets import Registration, Standing, Target
 
-LOST_KEPT = Millis(6_000)
-"""How long a target may take to be found to have ended: its registration lapses
-after three heartbeats, and it is back after some seconds."""
+LOST_RETENTION = Millis(6_000)
+"""How long, in milliseconds, lost attempts at a target are kept for its end to be
+found. Its registration lapses after three heartbeats, and it is back after some
+seconds."""
 
-SOONEST_RETURN = Millis(1_000)
-"""A target that answers sooner than this after nobody listened at its address has
-not started again: it had turned connections away."""
+MIN_RESTART_TIME = Millis(1_000)
+"""Shortest time, in milliseconds, in which a target restarts. A target that answers
+sooner after nothing listened at its address has not restarted: it had rejected
+connections."""
 
-PROBE_PERIOD = Millis(200)
-"""Time between two probes of a target."""
+PROBE_INTERVAL = Millis(200)
+"""Least time, in milliseconds, between two probes of a target."""
 
-SETTLING_RETURN = Millis(400)
-"""Pause of a request that is refused while others may still tell who else was there."""
+SETTLING_RETRY_AFTER = Millis(400)
+"""Retry delay, in milliseconds, of a request that is refused while other entries may
+still report which other requests were at the crashed targets."""
 
-REFUSED_RETURN = Millis(60_000)
-"""A request that crashes targets is refused for minutes."""
+REFUSED_RETRY_AFTER = Millis(60_000)
+"""Retry delay, in milliseconds, of a request known to crash targets. Such a request is
+refused for minutes."""
 
-_ENDS = frozenset({Loss.BROKEN, Loss.GARBLED})
-"""Losses that a target's end may cause, and that come as it ends."""
+_CRASH_LOSSES = frozenset({Loss.BROKEN, Loss.GARBLED})
+"""Losses that the end of a target may cause, and that arrive as it ends."""
 
 
-def note_lost(
+def record_lost(
     state: State, request: Request, attempt: Attempt, now: Millis
 ) -> list[Effect]:
-    """Take in that an attempt which may have run ended without an answer.
+    """Record that an attempt which may have run ended without an answer.
 
     A request crashes its target as it begins to run; one whose answer had begun was
-    only there. A target that leaves ends all that is left.
+    only present. A target that leaves ends everything that is still there.
     """
     target = attempt.target
-    if request.begun or target.standing is not Standing.READY:
+    if request.stream_begun or target.standing is not Standing.READY:
         return []
     digest = request.spec.digest
     if target.ended_at is not None and attempt.opened <= target.ended_at:
@@ -55,17 +60,23 @@
 
 
 def probe_target(target: Target, loss: Loss, now: Millis) -> list[Effect]:
-    """Find out at once whether a target has ended that broke a connection."""
-    if loss not in _ENDS or not target.lost or target.ended_at is not None:
+    """Return a probe that finds whether a target ended as it broke a connection."""
+    if loss not in _CRASH_LOSSES or not target.lost or target.ended_at is not None:
         return []
-    if now - target.probed_at < PROBE_PERIOD:
+    if now - target.probed_at < PROBE_INTERVAL:
         return []
     target.probed_at = now
     return [ProbeTarget(target.name)]
 
 
-def note_answer(state: State, target: Target, asked: Millis) -> None:
-    """Take in that a target answered what it was asked at some time: it lived then."""
+def record_answer(state: State, target: Target, asked: Millis) -> None:
+    """Record that a target answered a request, so it was running when asked.
+
+    Args:
+        state: The gateway's state.
+        target: The target.
+        asked: When the answered request was sent.
+    """
     if target.lost:
         for digest, lost_at in list(target.lost.items()):
             if lost_at <= asked:
@@ -74,63 +85,65 @@
     if ended_at is None or asked < ended_at:
         return
     target.ended_at = None
-    if asked - ended_at < SOONEST_RETURN:
-        state.crashes.forget_life(_name_life(target))
+    if asked - ended_at < MIN_RESTART_TIME:
+        state.crashes.discard_crash(_format_incarnation(target))
 
 
-def note_end(state: State, target: Target, now: Millis) -> list[Effect]:
-    """Take in that a target's life has ended: what was lost there is suspected."""
+def record_end(state: State, target: Target, now: Millis) -> list[Effect]:
+    """Record that an incarnation of a target has ended; suspect what was lost there."""
     if target.standing is not Standing.READY or target.ended_at is not None:
         return []
     target.ended_at = now
-    state.crashes.note_crash(_name_life(target), now)
+    state.crashes.record_crash(_format_incarnation(target), now)
     return _suspect_lost(state, target, now)
 
 
-def note_departure(state: State, target: Target, now: Millis) -> list[Effect]:
-    """Take in that a target's registration has gone.
+def record_departure(state: State, target: Target, now: Millis) -> list[Effect]:
+    """Record that a target's registration is gone.
 
-    One that goes without a word may serve on for a while, so what is open there may
-    yet be answered.
+    A target whose registration goes without an announcement may keep serving for some
+    time, so its open attempts may still be answered.
     """
     if target.standing is not Standing.READY:
         return []
     return _suspect_lost(state, target, now)
 
 
-def note_successor(state: State, info: Registration, now: Millis) -> list[Effect]:
-    """Take in that a target starts: another had its id or its address before."""
+def record_successor(state: State, info: Registration, now: Millis) -> list[Effect]:
+    """Record that a target starts whose id or address another one had before."""
     effects: list[Effect] = []
     for target in state.targets.targets.values():
         known = target.info
         if known.born >= info.born:
             continue
         if known.target == info.target or known.address == info.address:
-            effects += note_end(state, target, now)
+            effects += record_end(state, target, now)
     return effects
 
 
-def take_suspicions(
+def apply_suspicions(
     state: State, suspicions: Iterable[Suspicion], source: str, now: Millis
 ) -> list[Effect]:
-    """Take in what another entry tells of crashes."""
+    """Apply the suspicions that another entry reports."""
     effects: list[Effect] = []
     for suspicion in suspicions:
         if _has_answered_since(state, suspicion, now):
             continue
-        if state.crashes.note(suspicion, now):
-            effects.append(_note_suspicion(state, suspicion, source))
+        if state.crashes.record_suspicion(suspicion, now):
+            effects.append(_describe_suspicion(state, suspicion, source))
     return effects
 
 
-def take_clearances(state: State, clearances: Iterable[Clearance], now: Millis) -> None:
-    """Take in which suspected requests have run at other entries."""
+def apply_clearances(
+    state: State, clearances: Iterable[Clearance], now: Millis
+) -> None:
+    """Apply the clearances of suspected requests that ran at other entries."""
     for clearance in clearances:
         state.crashes.clear(clearance.digest, Millis(now - clearance.age), now)
 
 
 def clear_request(state: State, request: Request, now: Millis) -> list[Effect]:
-    """Take in that a request has run to an answer, or into a stream."""
+    """Clear a request that has run to an answer, or into a stream."""
     if not state.crashes.clear(request.spec.digest, now, now):
         return []
     fields: dict[str, str | int | float | None] = {
@@ -140,16 +153,18 @@
     return [Announce(), Note("request cleared", fields)]
 
 
-def choose_return(state: State, digest: str, now: Millis) -> Millis:
-    """Return when a request that was refused for its crashes may come again."""
+def choose_retry_after(state: State, digest: str, now: Millis) -> Millis:
+    """Return the retry delay of a request that is refused for its crashes."""
     if state.crashes.is_settled(digest, now):
-        return REFUSED_RETURN
-    return SETTLING_RETURN
+        return REFUSED_RETRY_AFTER
+    return SETTLING_RETRY_AFTER
 
 
 def _suspect_lost(state: State, target: Target, now: Millis) -> list[Effect]:
     recent = [
-        digest for digest, lost_at in target.lost.items() if now - lost_at < LOST_KEPT
+        digest
+        for digest, lost_at in target.lost.items()
+        if now - lost_at < LOST_RETENTION
     ]
     target.lost.clear()
     return _suspect(state, target, recent, now, now)
@@ -160,30 +175,33 @@
 ) -> list[Effect]:
     effects: list[Effect] = []
     for digest in digests:
-        suspicion = Suspicion(digest, _name_life(target), Millis(now - ended_at))
-        if state.crashes.note(suspicion, now):
-            effects.append(_note_suspicion(state, suspicion, "itself"))
+        suspicion = Suspicion(
+            digest, _format_incarnation(target), Millis(now - ended_at)
+        )
+        if state.crashes.record_suspicion(suspicion, now):
+            effects.append(_describe_suspicion(state, suspicion, "itself"))
     return [Announce(), *effects] if effects else []
 
 
 def _has_answered_since(state: State, suspicion: Suspicion, now: Millis) -> bool:
-    """Tell whether a target that is said to have crashed has answered since.
+    """Return whether a target that is said to have crashed has answered since.
 
-    Later answers may be those of a target that has started again under its id.
+    A crash that is at least MIN_RESTART_TIME old is not checked: later answers may come
+    from a target that has restarted under the same id.
     """
-    if suspicion.age >= SOONEST_RETURN:
+    if suspicion.age >= MIN_RESTART_TIME:
         return False
     target = state.targets.find(suspicion.life.rpartition("@")[0])
-    if target is None or _name_life(target) != suspicion.life:
+    if target is None or _format_incarnation(target) != suspicion.life:
         return False
     return target.answered_at > now - suspicion.age
 
 
-def _name_life(target: Target) -> str:
+def _format_incarnation(target: Target) -> str:
     return f"{target.name}@{target.info.born}"
 
 
-def _note_suspicion(state: State, suspicion: Suspicion, source: str) -> Note:
+def _describe_suspicion(state: State, suspicion: Suspicion, source: str) -> Note:
     return Note(
         "request suspected",
         {
--- a/figstep/gateway/departures.py
+++ b/figstep/gateway/departures.py
@@ -1,9 +1,10 @@
-"""Targets that have said that they leave.
+"""Targets that have announced that they leave.
 
-The load that this answers is a fleet that can't read the store while targets leave:
-their registrations stay as they were, and only the targets themselves know. What one
-has told any entry holds for all of them, and for good: registrations from before are
-read again and again, from the store as it comes back and from copies of other entries.
+The case handled here is a fleet that cannot read the store while targets leave: their
+registrations stay as they were, and only the targets themselves know. What a target has
+announced to any entry holds for all entries, and permanently: earlier registrations are
+read again and again, from the store as it comes back and from copies that other entries
+hold.
 """
 
 from collections.abc import Iterable
@@ -11,57 +12,57 @@
 from figstep.core.clock import Millis
 from figstep.gateway import copies
 from figstep.gateway.effects import Announce, Effect, Note
-from figstep.gateway.state import LEAVING_KEPT, Departure, State
+from figstep.gateway.state import LEAVING_RETENTION, Departure, State
 from figstep.gateway.targets import Incarnation, Registration, Standing, Target
 
 
-def take_word(state: State, incarnation: Incarnation, now: Millis) -> list[Effect]:
-    """Take in that a target has told this entry that it leaves."""
+def handle_leaving(state: State, incarnation: Incarnation, now: Millis) -> list[Effect]:
+    """Handle a target's announcement to this entry that it leaves."""
     state.departures[incarnation] = Departure(now, own=True)
     target = state.targets.find(incarnation.target)
     if target is None or target.info.incarnation != incarnation:
         return []
-    if target.said_leaving:
+    if target.announced_leaving:
         return []
-    target.said_leaving = True
-    effects = _note_leaving(state, target, "itself", now)
+    target.announced_leaving = True
+    effects = _apply_leaving(state, target, "itself", now)
     return [Announce(), *effects] if effects else []
 
 
-def take_words(
+def apply_leaving_reports(
     state: State, leaving: Iterable[Incarnation], source: str, now: Millis
 ) -> list[Effect]:
-    """Take in which targets have told another entry that they leave."""
+    """Apply another entry's report of targets that leave."""
     effects: list[Effect] = []
     for incarnation in leaving:
         state.departures.setdefault(incarnation, Departure(now, own=False))
         target = state.targets.find(incarnation.target)
         if target is not None and target.info.incarnation == incarnation:
-            effects += _note_leaving(state, target, source, now)
+            effects += _apply_leaving(state, target, source, now)
     return effects
 
 
-def _note_leaving(
+def _apply_leaving(
     state: State, target: Target, source: str, now: Millis
 ) -> list[Effect]:
     if target.standing is not Standing.READY:
         return []
-    state.targets.note_departure(target.name, now)
+    state.targets.record_departure(target.name, now)
     fields: dict[str, str | int | float | None] = {
         "target": target.name,
         "told_by": source,
     }
     note = Note("target says that it leaves", fields)
-    return [note, *copies.evacuate_streams(state, now)]
+    return [note, *copies.migrate_streams(state, now)]
 
 
-def has_left(state: State, info: Registration) -> bool:
-    """Tell whether a registration is of a target that has said that it leaves."""
+def has_announced_leaving(state: State, info: Registration) -> bool:
+    """Return whether a registration's incarnation has announced that it leaves."""
     return info.incarnation in state.departures
 
 
-def forget_old(state: State, now: Millis) -> None:
-    """Drop words of which no record can be read any more."""
+def remove_expired(state: State, now: Millis) -> None:
+    """Remove announcements of which no earlier registration can be read any more."""
     for incarnation, departure in list(state.departures.items()):
-        if now - departure.at >= LEAVING_KEPT:
+        if now - departure.at >= LEAVING_RETENTION:
             del state.departures[incarnation]
--- a/figstep/gateway/eligibility.py
+++ b/figstep/gateway/eligibility.py
@@ -1,26 +1,28 @@
-"""Which targets a request may be sent to, whatever their load."""
+"""Selection of the targets that a request may be sent to, whatever their load."""
 
 from figstep.gateway.routes import Customer, Route, RoutingTable
 from figstep.gateway.state import Request, State
 from figstep.gateway.targets import Target
 
 
-def find_homes(route: Route, customer: Customer | None) -> frozenset[str] | None:
-    """Return the regions that a request is bound to; None for any.
+def find_allowed_regions(
+    route: Route, customer: Customer | None
+) -> frozenset[str] | None:
+    """Return the regions that a request is bound to; None for any region.
 
-    Where both its route and its customer are bound to regions, both hold.
+    Where both its route and its customer are bound to regions, both bounds hold.
     """
-    if customer is None or customer.homes is None:
-        return route.homes
-    if route.homes is None:
-        return customer.homes
-    return route.homes & customer.homes
+    if customer is None or customer.allowed_regions is None:
+        return route.allowed_regions
+    if route.allowed_regions is None:
+        return customer.allowed_regions
+    return route.allowed_regions & customer.allowed_regions
 
 
-def renew_homes(table: RoutingTable, request: Request) -> None:
-    """Bind a request that waits or runs to the regions of a newer configuration.
+def update_allowed_regions(table: RoutingTable, request: Request) -> None:
+    """Bind a waiting or running request to the regions of a newer configuration.
 
-    One whose route or key was dropped meanwhile keeps what it was bound to.
+    A request whose route or key has been dropped keeps its earlier regions.
     """
     spec = request.spec
     route = table.find_route(spec.host, spec.path)
@@ -31,23 +33,23 @@
         customer = table.customers.get(spec.key or "")
         if customer is None:
             return
-    request.homes = find_homes(route, customer)
+    request.allowed_regions = find_allowed_regions(route, customer)
 
 
 def is_eligible(state: State, request: Request, target: Target) -> bool:
-    """Tell whether anything of a request may be sent to a target now."""
-    return target.takes_work and _is_at_home(state, request, target)
+    """Return whether anything of a request may be sent to a target now."""
+    return target.accepts_work and _is_in_allowed_region(state, request, target)
 
 
 def list_eligible(state: State, request: Request) -> list[Target]:
-    """Return the targets of a request's service that may get it now."""
+    """Return the targets of a request's service that it may be sent to now."""
     ready = state.targets.list_ready(request.service)
-    if request.homes is None:
+    if request.allowed_regions is None:
         return ready
-    return [target for target in ready if _is_at_home(state, request, target)]
+    return [target for target in ready if _is_in_allowed_region(state, request, target)]
 
 
-def explain_none(state: State, request: Request) -> str:
+def explain_no_target(state: State, request: Request) -> str:
     """Return the reason of a refusal where no target is eligible."""
     if list_eligible(state, request):
         return "no_room"
@@ -58,9 +60,9 @@
     return "no_room"
 
 
-def _is_at_home(state: State, request: Request, target: Target) -> bool:
-    if request.homes is None:
+def _is_in_allowed_region(state: State, request: Request, target: Target) -> bool:
+    if request.allowed_regions is None:
         return True
-    # A failure domain of unknown region is nobody's home.
+    # A failure domain of unknown region is in no allowed region.
     region = state.regions.get(target.info.failure_domain)
-    return region is not None and region in request.homes
+    return region is not None and region in request.allowed_regions
--- a/figstep/gateway/limits.py
+++ b/figstep/gateway/limits.py
@@ -1,12 +1,14 @@
-"""What targets ask for in their answers: a rate, or a pause.
+"""Rates and pauses that targets ask for in their answers.
 
-A pause is for the entry that was turned away; a rate is for all entries together.
+A pause holds for the entry whose request was rejected; a rate holds for all entries
+together.
 
-The load that this answers is a target in need before a fleet of entries. It names its
-rate to those that it answers only, and each of them sees no more than its own requests:
-entries that keep to the rate one by one send it many times over. So entries tell each
-other what a target has named, and split it. A rate may be lower than one request a
-second for each entry, so that whole requests are split over some seconds.
+The case handled here is an overloaded target that serves a fleet of entries. It names
+its rate only to the entries that it answers, and each of them knows no more than its
+own requests: entries that kept to the rate one by one would send it many times over.
+Entries therefore report to each other what a target has named, and split it. A rate may
+be lower than one request per second for each entry, so whole requests are split over
+some seconds.
 """
 
 from figstep.core.clock import Millis
@@ -16,59 +18,60 @@
 from figstep.gateway.state import State
 from figstep.gateway.targets import RateLimit, Target
 
-WINDOW = Millis(4_100)
-"""Time over which a rate is split into whole requests. What was sent four seconds
-apart may arrive a little closer."""
+RATE_SPLIT_WINDOW = Millis(4_100)
+"""Time, in milliseconds, over which a rate is split into whole requests. It exceeds
+four seconds, as requests sent four seconds apart may arrive a little closer."""
 
-LONGEST_WINDOW = Millis(10_000)
-"""The same for the lowest rates, also for none at all: only an answer tells that a
-target takes more again."""
+MAX_RATE_SPLIT_WINDOW = Millis(10_000)
+"""Window, in milliseconds, for the lowest rates. At a rate of zero, too, one request is
+allowed in it, as only an answer shows that a target accepts more again."""
 
-TURN = Millis(10_000)
-"""Time without any answer of a target after which its rate passes to other entries:
-those that had it may have no callers, and nobody would learn that the need is over."""
+TURN_DURATION = Millis(10_000)
+"""Time, in milliseconds, without any answer of a target after which its rate passes to
+other entries. Those that had it may have no callers, and no entry would learn that the
+target accepts more again."""
 
 
-def take_rate(state: State, event: RateNamed, now: Millis) -> list[Effect]:
-    """Take in the rate that a target's answer named, or that it named none."""
+def handle_rate(state: State, event: RateNamed, now: Millis) -> list[Effect]:
+    """Handle the rate that a target's answer named, or that it named none."""
     target = state.targets.find(event.target)
     if target is None:
         return []
     limit = target.limit
-    if event.rate is None and (limit is None or event.asked < limit.said_at):
-        # An answer that was under way as the target began to name a rate.
+    if event.rate is None and (limit is None or event.asked < limit.stated_at):
+        # The answered request was sent before the target began to name a rate.
         return []
     if limit is None:
         limit = target.limit = RateLimit()
-    limit.heard_at = now
-    effects = _note_rate(state, target, event.rate, now, now, "itself")
+    limit.received_at = now
+    effects = _record_rate(state, target, event.rate, now, now, "itself")
     return [Announce(), *effects] if effects else []
 
 
-def take_reports(
+def apply_rate_reports(
     state: State, reports: tuple[RateReport, ...], source: str, now: Millis
 ) -> list[Effect]:
-    """Take in what targets have named to another entry."""
+    """Apply the rates that targets have named to another entry."""
     effects: list[Effect] = []
     for report in reports:
         target = state.targets.find(report.incarnation.target)
         if target is None or target.info.incarnation != report.incarnation:
             continue
-        said_at = Millis(now - report.age)
+        stated_at = Millis(now - report.age)
         if target.limit is None:
             target.limit = RateLimit()
-        if said_at <= target.limit.said_at:
+        if stated_at <= target.limit.stated_at:
             continue
-        effects += _note_rate(state, target, report.rate, said_at, now, source)
+        effects += _record_rate(state, target, report.rate, stated_at, now, source)
         target.limit.turn = max(target.limit.turn, report.turn)
     return effects
 
 
-def _note_rate(
+def _record_rate(
     state: State,
     target: Target,
     rate: float | None,
-    said_at: Millis,
+    stated_at: Millis,
     now: Millis,
     source: str,
 ) -> list[Effect]:
@@ -77,55 +80,56 @@
         return []
     before = limit.rate
     if before is not None:
-        limit.turn += _count_turns(limit, said_at)
-    limit.said_at = said_at
+        limit.turn += _count_turns(limit, stated_at)
+    limit.stated_at = stated_at
     limit.rate = rate
     if rate == before:
         return []
     if rate is not None and before is None:
         limit.sends.clear()
         limit.opens_at = now
-        if _estimate_flow(state, target, now) > rate:
-            # What it got before it named the rate has used up the first window. At
-            # its end the entries must not all begin at once, and go on so.
-            rest = WINDOW * (0.5 + state.rng.random())
-            limit.opens_at = Millis(round(now + rest))
+        if _estimate_request_rate(state, target, now) > rate:
+            # Requests from before the target named the rate have used up the first
+            # window. The entries must not all begin at once when it ends, as they
+            # would then send in step in every later window.
+            delay = RATE_SPLIT_WINDOW * (0.5 + state.rng.random())
+            limit.opens_at = Millis(round(now + delay))
     message = "target takes any rate" if rate is None else "target names a rate"
     fields = {"target": target.name, "rate": rate, "before": before, "told_by": source}
     return [Note(message, fields)]
 
 
-def _estimate_flow(state: State, target: Target, now: Millis) -> float:
-    """Return the requests a second that a target has got, if all got alike."""
+def _estimate_request_rate(state: State, target: Target, now: Millis) -> float:
+    """Return the requests per second that a target got, if all targets got alike."""
     service = target.info.service
     fleet = peers.sum_uses(state, service)
     requests = state.budget.count_requests(service, now) + fleet.requests
     ready = max(1, len(state.targets.list_ready(service)))
-    return requests / fleet.part / ready * 1_000 / state.budget.window
+    return requests / fleet.fleet_fraction / ready * 1_000 / state.budget.window
 
 
-def note_pause(target: Target, pause: Millis, now: Millis) -> None:
-    """Take in that a target turned this entry away and wants a pause."""
+def record_pause(target: Target, pause: Millis, now: Millis) -> None:
+    """Record that a target rejected a request of this entry and asked for a pause."""
     target.paused_until = Millis(max(target.paused_until, now + pause))
 
 
 def is_limited(target: Target) -> bool:
-    """Tell whether a target names a rate now."""
+    """Return whether a target currently names a rate."""
     return target.limit is not None and target.limit.rate is not None
 
 
 def may_send(state: State, target: Target, now: Millis) -> bool:
-    """Tell whether a target may be sent one more request now."""
-    return find_opening(state, target, now) <= now
+    """Return whether a target may be sent one more request now."""
+    return find_send_time(state, target, now) <= now
 
 
-def find_opening(state: State, target: Target, now: Millis) -> Millis:
-    """Return when this entry may send a target a request at the earliest."""
-    opening = _find_rate_opening(state, target, now)
-    return Millis(max(opening, target.paused_until))
+def find_send_time(state: State, target: Target, now: Millis) -> Millis:
+    """Return the earliest time at which this entry may send a target a request."""
+    send_time = _find_rate_send_time(state, target, now)
+    return Millis(max(send_time, target.paused_until))
 
 
-def _find_rate_opening(state: State, target: Target, now: Millis) -> Millis:
+def _find_rate_send_time(state: State, target: Target, now: Millis) -> Millis:
     limit = target.limit
     if limit is None or limit.rate is None:
         return now
@@ -134,35 +138,37 @@
     key = f"{target.name} {limit.turn + turns}"
     share = shares.share_requests(state, key, requests, now)
     if share == 0:
-        return Millis(max(limit.opens_at, limit.said_at + (turns + 1) * TURN))
-    _forget_old(limit, window, now)
+        return Millis(
+            max(limit.opens_at, limit.stated_at + (turns + 1) * TURN_DURATION)
+        )
+    _drop_old_sends(limit, window, now)
     if len(limit.sends) < share:
         return Millis(max(limit.opens_at, now))
     return Millis(max(limit.opens_at, limit.sends[-share] + window))
 
 
-def note_send(target: Target, now: Millis) -> None:
+def record_send(target: Target, now: Millis) -> None:
     """Count a request that is sent to a target."""
     limit = target.limit
     if limit is None or limit.rate is None:
         return
-    _forget_old(limit, LONGEST_WINDOW, now)
+    _drop_old_sends(limit, MAX_RATE_SPLIT_WINDOW, now)
     limit.sends.append(now)
 
 
 def _count_turns(limit: RateLimit, now: Millis) -> int:
-    return max(0, now - limit.said_at) // TURN
+    return max(0, now - limit.stated_at) // TURN_DURATION
 
 
 def split_rate(rate: float) -> tuple[Millis, int]:
-    """Return a time, and the whole requests that a rate allows within it."""
-    if rate * WINDOW >= 1_000:
-        return WINDOW, int(rate * WINDOW / 1_000)
-    if rate * LONGEST_WINDOW <= 1_000:
-        return LONGEST_WINDOW, 1
+    """Return a window and the whole requests that a rate allows within it."""
+    if rate * RATE_SPLIT_WINDOW >= 1_000:
+        return RATE_SPLIT_WINDOW, int(rate * RATE_SPLIT_WINDOW / 1_000)
+    if rate * MAX_RATE_SPLIT_WINDOW <= 1_000:
+        return MAX_RATE_SPLIT_WINDOW, 1
     return Millis(round(1_000 / rate)), 1
 
 
-def _forget_old(limit: RateLimit, window: Millis, now: Millis) -> None:
+def _drop_old_sends(limit: RateLimit, window: Millis, now: Millis) -> None:
     while limit.sends and now - limit.sends[0] >= window:
         limit.sends.popleft()
