--- a/figstep/gateway/peers.py
+++ b/figstep/gateway/peers.py
@@ -1,4 +1,4 @@
-"""What entries tell each other: open work by target, crashes, leaving."""
+"""Messages between entries: open work by target, crashes and leaving targets."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
@@ -10,87 +10,89 @@
 from figstep.gateway.events import PeerHeard, PeerLoad, RateReport
 from figstep.gateway.state import DomainLoads, Peer, Request, State
 
-SILENT_AFTER = Millis(3_000)
-"""Silence after which a peer's work no longer counts. Messages come at least
-once a second, and one in a hundred datagrams is lost."""
+PEER_TIMEOUT = Millis(3_000)
+"""Silence, in milliseconds, after which a peer's loads no longer count. Peers send a
+message at least once a second, and one in a hundred datagrams is lost."""
 
-MISSED_FOR = Millis(20_000)
-"""How long a peer that fell silent may still be at work behind a cut, spending
-from the budget of the fleet; two windows of that budget."""
+MISSING_PEER_DURATION = Millis(20_000)
+"""How long, in milliseconds, a peer that fell silent is assumed to be running behind a
+network partition and spending from the fleet's retry budget. It is two windows of that
+budget."""
 
-FAR_KEPT = Millis(4_000)
-"""How long the sums of another failure domain count; they are told whole
-every two seconds, and some messages are lost."""
+REMOTE_LOADS_TIMEOUT = Millis(4_000)
+"""How long, in milliseconds, the load sums of another failure domain count without a
+new message. They are sent in full every two seconds, and some messages are lost."""
 
-MEMORY_TOLD = 1_000
-"""Tokens by which the runs at an engine grow before others are told of it."""
+MEMORY_REPORT_STEP = 1_000
+"""Growth of the runs at an engine, in tokens, that is reported to other entries before
+the next full message."""
 
 
-def take_message(state: State, event: PeerHeard, now: Millis) -> list[Effect]:
-    """Take in a peer's message; returns what is to be logged of it."""
-    _take_peer(state, event, now)
-    notes = crashes.take_suspicions(state, event.suspicions, event.node, now)
-    crashes.take_clearances(state, event.clearances, now)
+def handle_message(state: State, event: PeerHeard, now: Millis) -> list[Effect]:
+    """Apply a peer's message; return the log lines on suspected requests."""
+    _record_peer(state, event, now)
+    notes = crashes.apply_suspicions(state, event.suspicions, event.node, now)
+    crashes.apply_clearances(state, event.clearances, now)
     return notes
 
 
-def _take_peer(state: State, event: PeerHeard, now: Millis) -> None:
+def _record_peer(state: State, event: PeerHeard, now: Millis) -> None:
     for refusal in event.refused:
-        state.refused.note_told(refusal, now)
+        state.refused.record_announced(refusal, now)
     peer = Peer(
         now,
         uses=event.uses,
         address=event.address,
         configuration=event.configuration,
         position=event.position,
-        store_well=event.store_well,
+        receives_records=event.receives_records,
         answered=event.answered,
-        well_since=sources.find_well_since(state, event, now),
+        healthy_since=sources.find_healthy_since(state, event, now),
         far=event.far,
         reading=event.reading,
         leaving=event.leaving,
         rates=event.rates,
     )
     if event.far and event.failure_domain == state.failure_domain:
-        # It asked for this entry's failure domain before it knew that it shares
-        # it; its own loads come with its next message.
+        # The peer did not yet know that it is in this entry's failure domain when
+        # it sent these sums; its own loads come with its next message.
         return
     if event.far:
-        state.far_peers[event.node] = peer
-        _take_domain(state, event, now)
+        state.remote_peers[event.node] = peer
+        _apply_domain_loads(state, event, now)
     elif event.closing:
         known = state.peers.pop(event.node, None)
         _replace_loads(state, () if known is None else known.loads.values(), ())
-        state.missed.pop(event.node, None)
+        state.silent_peers.pop(event.node, None)
     else:
-        _take_loads(state, peer, event)
+        _apply_loads(state, peer, event)
         for name in event.unreached:
             target = state.targets.find(name)
             if target is not None:
-                target.note_told_unreached(event.node, now)
+                target.record_unreached_report(event.node, now)
         state.peers[event.node] = peer
-        state.missed.pop(event.node, None)
+        state.silent_peers.pop(event.node, None)
 
 
-def _take_loads(state: State, peer: Peer, event: PeerHeard) -> None:
-    """Take in loads of an entry of this failure domain.
+def _apply_loads(state: State, peer: Peer, event: PeerHeard) -> None:
+    """Apply the loads of an entry of this failure domain.
 
-    Those that are not told whole differ from what was last told whole; a load that
-    is as it was then is not told any more.
+    A partial message holds the loads that differ from those of the last full message; a
+    load that is again as it was then is no longer sent.
     """
     known = state.peers.get(event.node)
     before = {} if known is None else known.loads
-    told = {load.target: load for load in event.loads}
+    reported = {load.target: load for load in event.loads}
     if not event.partial:
-        peer.loads = peer.whole = told
-        _replace_loads(state, before.values(), told.values())
+        peer.loads = peer.full_loads = reported
+        _replace_loads(state, before.values(), reported.values())
         return
-    renewed = frozenset(told)
+    renewed = frozenset(reported)
     if known is not None:
-        peer.whole = known.whole
-        renewed |= known.changed
-    peer.changed = frozenset(told)
-    peer.loads = {**peer.whole, **told}
+        peer.full_loads = known.full_loads
+        renewed |= known.changed_targets
+    peer.changed_targets = frozenset(reported)
+    peer.loads = {**peer.full_loads, **reported}
     _replace_loads(
         state,
         [before[target] for target in renewed if target in before],
@@ -98,9 +100,9 @@
     )
 
 
-def _take_domain(state: State, event: PeerHeard, now: Millis) -> None:
-    domain = state.far_loads.setdefault(event.failure_domain, DomainLoads(now))
-    domain.heard = now
+def _apply_domain_loads(state: State, event: PeerHeard, now: Millis) -> None:
+    domain = state.remote_loads.setdefault(event.failure_domain, DomainLoads(now))
+    domain.last_received_at = now
     if not event.partial:
         _replace_loads(state, domain.loads.values(), event.loads)
         domain.loads = {load.target: load for load in event.loads}
@@ -114,9 +116,9 @@
 def _replace_loads(
     state: State, before: Iterable[PeerLoad], loads: Iterable[PeerLoad]
 ) -> None:
-    """Count loads in place of those that the same peer told before.
+    """Count some loads in place of those that the same peer reported before.
 
-    Summing up all peers anew for each message would cost several times as much.
+    Summing up the loads of all peers for each message would cost several times as much.
     """
     for load in before:
         _add_load(state, load, -1)
@@ -124,27 +126,31 @@
         _add_load(state, load, 1)
 
 
-def forget_silent(state: State, now: Millis) -> None:
-    """Drop peers that have not been heard for long."""
-    for name in _list_silent(state.peers, now):
+def expire_peers(state: State, now: Millis) -> None:
+    """Remove peers whose messages stopped, and loads that are too old."""
+    for name in _list_expired(state.peers, now):
         _replace_loads(state, state.peers.pop(name).loads.values(), ())
-        state.missed[name] = now
-    for name in _list_silent(state.far_peers, now):
-        del state.far_peers[name]
-    for domain, far in list(state.far_loads.items()):
-        if now - far.heard >= FAR_KEPT:
-            _replace_loads(state, state.far_loads.pop(domain).loads.values(), ())
-    for name, since in list(state.missed.items()):
-        if now - since >= MISSED_FOR:
-            del state.missed[name]
+        state.silent_peers[name] = now
+    for name in _list_expired(state.remote_peers, now):
+        del state.remote_peers[name]
+    for domain, far in list(state.remote_loads.items()):
+        if now - far.last_received_at >= REMOTE_LOADS_TIMEOUT:
+            _replace_loads(state, state.remote_loads.pop(domain).loads.values(), ())
+    for name, since in list(state.silent_peers.items()):
+        if now - since >= MISSING_PEER_DURATION:
+            del state.silent_peers[name]
 
 
-def _list_silent(peers: dict[str, Peer], now: Millis) -> list[str]:
-    return [name for name, peer in peers.items() if now - peer.heard >= SILENT_AFTER]
+def _list_expired(peers: dict[str, Peer], now: Millis) -> list[str]:
+    return [
+        name
+        for name, peer in peers.items()
+        if now - peer.last_received_at >= PEER_TIMEOUT
+    ]
 
 
 def recount_loads(state: State) -> None:
-    """Sum up anew what the others have open: a target is new here."""
+    """Sum up the loads of all other entries again, after a target was added."""
     for target in state.targets.targets.values():
         target.peer_calls = 0
         target.peer_memory = 0
@@ -153,10 +159,10 @@
         target.peer_rate_count = 0
         target.peer_incoming = 0
         target.peer_outgoing = 0
-    told: list[Iterable[PeerLoad]] = []
-    told += [peer.loads.values() for peer in state.peers.values()]
-    told += [far.loads.values() for far in state.far_loads.values()]
-    for loads in told:
+    reported: list[Iterable[PeerLoad]] = []
+    reported += [peer.loads.values() for peer in state.peers.values()]
+    reported += [far.loads.values() for far in state.remote_loads.values()]
+    for loads in reported:
         for load in loads:
             _add_load(state, load, 1)
 
@@ -179,7 +185,7 @@
     """Return what this entry has open, by target."""
     loads = []
     for target in state.targets.targets.values():
-        if not (target.calls or target.memory or target.read_rate_own):
+        if not (target.calls or target.memory or target.own_read_rate):
             continue
         loads.append(
             PeerLoad(
@@ -187,7 +193,7 @@
                 target.calls,
                 target.memory,
                 target.reading,
-                target.read_rate_own,
+                target.own_read_rate,
                 target.incoming,
                 target.outgoing,
             )
@@ -203,25 +209,25 @@
             if use.service == service:
                 requests += use.requests
                 repeats += use.repeats
-    sharing = 1 + len(state.peers) + len(state.missed)
-    part = min(1.0, sharing / max(1, state.entries))
-    return FleetUse(requests, repeats, sharing, not state.missed, part)
+    sharing = 1 + len(state.peers) + len(state.silent_peers)
+    known_fraction = min(1.0, sharing / max(1, state.entries))
+    return FleetUse(requests, repeats, sharing, not state.silent_peers, known_fraction)
 
 
 def spend_repeat(state: State, service: str, now: Millis, urgent: bool = False) -> bool:
-    """Take one repeat from the fleet's budget; False if none is left."""
+    """Take one repeat from the fleet's retry budget; return False if none is left."""
     if not state.budget.can_repeat(service, sum_uses(state, service), now, urgent):
         return False
-    state.budget.note_repeat(service, now)
+    state.budget.record_repeat(service, now)
     return True
 
 
-def note_denied(state: State, request: Request, now: Millis) -> list[Effect]:
-    """Return the count of a denied repeat; the first of a request is logged."""
+def record_denied(state: State, request: Request, now: Millis) -> list[Effect]:
+    """Return the count of a denied repeat, and a log line for a request's first."""
     counted: list[Effect] = [Count("repeats_denied", (request.route.name,))]
-    if request.denied:
+    if request.retry_denied:
         return counted
-    request.denied = True
+    request.retry_denied = True
     fleet = sum_uses(state, request.service)
     note = Note(
         "repeat denied by the fleet's budget",
@@ -231,15 +237,15 @@
             "own_repeats": state.budget.count_repeats(request.service, now),
             "fleet_repeats": fleet.repeats,
             "fleet_requests": fleet.requests,
-            "part": fleet.part,
+            "part": fleet.fleet_fraction,
             "complete": fleet.complete,
         },
     )
     return [*counted, note]
 
 
-def describe_own(state: State, now: Millis) -> PeerHeard:
-    """Return what this entry tells the others."""
+def describe_entry(state: State, now: Millis) -> PeerHeard:
+    """Return the message in which this entry describes itself to the others."""
     return PeerHeard(
         state.node,
         list_loads(state),
@@ -247,15 +253,15 @@
         suspicions=state.crashes.list_suspicions(now),
         clearances=state.crashes.list_clearances(now),
         closing=state.closes_at is not None,
-        configuration=sources.read_version(state),
+        configuration=sources.get_configuration_version(state),
         position=state.position,
         failure_domain=state.failure_domain,
         entries=state.entries,
-        store_well=not state.store_away,
+        receives_records=not state.store_unreachable,
         answered=not state.read_failed,
         reading=sources.reads_store(state, now),
         leaving=tuple(state.list_leaving(now)),
-        refused=state.refused.list_told(now),
+        refused=state.refused.list_announced(now),
         evacuations=state.evacuations,
         unreached=tuple(state.list_unreached(now)),
         rates=tuple(state.list_rates(now)),
@@ -263,28 +269,28 @@
 
 
 def describe_domain(state: State, now: Millis) -> PeerHeard:
-    """Return what the entries of this failure domain have open, in sums."""
-    told = [*list_loads(state)]
+    """Return a message with the summed loads of this failure domain's entries."""
+    reported = [*list_loads(state)]
     for peer in state.peers.values():
-        told += peer.loads.values()
-    return _describe_domain(state, _sum_loads(told), now)
+        reported += peer.loads.values()
+    return _describe_domain(state, _sum_loads(reported), now)
 
 
 def describe_domain_at(state: State, target: str, now: Millis) -> PeerHeard:
-    """Return what the entries of this failure domain have open at one target."""
-    told = [load for load in list_loads(state) if load.target == target]
+    """Return a partial message with this failure domain's summed load at one target."""
+    reported = [load for load in list_loads(state) if load.target == target]
     for peer in state.peers.values():
         load = peer.loads.get(target)
         if load is not None:
-            told.append(load)
-    message = _describe_domain(state, _sum_loads(told), now)
+            reported.append(load)
+    message = _describe_domain(state, _sum_loads(reported), now)
     return replace(message, partial=True)
 
 
 def _describe_domain(
     state: State, loads: tuple[PeerLoad, ...], now: Millis
 ) -> PeerHeard:
-    own = describe_own(state, now)
+    own = describe_entry(state, now)
     leaving = {*own.leaving}
     for peer in state.peers.values():
         leaving.update(peer.leaving)
@@ -301,11 +307,13 @@
 
 
 def _list_domain_rates(state: State, now: Millis) -> tuple[RateReport, ...]:
-    """Return the newest that targets have named to any entry of this domain."""
+    """Return the newest rates that targets named to any entry of this domain."""
     newest = {report.incarnation: report for report in state.list_rates(now)}
     for peer in state.peers.values():
-        for told in peer.rates:
-            report = replace(told, age=Millis(told.age + now - peer.heard))
+        for reported in peer.rates:
+            report = replace(
+                reported, age=Millis(reported.age + now - peer.last_received_at)
+            )
             known = newest.get(report.incarnation)
             if known is None or report.age < known.age:
                 newest[report.incarnation] = report
@@ -313,39 +321,39 @@
 
 
 def select_changed(
-    told: Mapping[str, PeerLoad], loads: Iterable[PeerLoad]
+    reported: Mapping[str, PeerLoad], loads: Iterable[PeerLoad]
 ) -> tuple[PeerLoad, ...]:
-    """Return the loads that others have to hear of before they are told all again.
+    """Return the loads that others must learn of before the next full message.
 
-    Runs grow with every event; what decides where prompts go are prompts that
-    came, were read or ended, and growth that adds up.
+    Runs grow with every event. What matters to the placement of prompts is prompts that
+    arrived, were read or ended, and growth that adds up.
 
     Args:
-        told: What was told last, by target.
-        loads: What is so now.
+        reported: Loads as they were last reported, by target.
+        loads: Loads as they are now.
     """
     changed = []
-    left = dict(told)
+    remaining = dict(reported)
     for load in loads:
-        before = left.pop(load.target, None)
+        before = remaining.pop(load.target, None)
         if before is None or _differs(before, load):
             changed.append(load)
-    for name, before in left.items():
+    for name, before in remaining.items():
         if before.calls or before.memory:
             changed.append(PeerLoad(name, 0, 0))
     return tuple(changed)
 
 
 def _differs(one: PeerLoad, other: PeerLoad) -> bool:
-    if abs(one.memory - other.memory) >= MEMORY_TOLD:
+    if abs(one.memory - other.memory) >= MEMORY_REPORT_STEP:
         return True
     counted = (one.calls, one.reading, one.incoming, one.outgoing)
     return counted != (other.calls, other.reading, other.incoming, other.outgoing)
 
 
-def speaks_for_domain(state: State, now: Millis) -> bool:
-    """Tell whether this entry tells other failure domains of its own."""
-    return not any(name < state.node for name in sources.list_heard(state, now))
+def is_domain_representative(state: State, now: Millis) -> bool:
+    """Return whether this entry reports its domain's loads to other domains."""
+    return not any(name < state.node for name in sources.list_live_peers(state, now))
 
 
 def _sum_loads(loads: Iterable[PeerLoad]) -> tuple[PeerLoad, ...]:
@@ -360,7 +368,7 @@
 
 @dataclass(slots=True)
 class _Sum:
-    """What several entries have open at a target."""
+    """Sum of what several entries have open at a target."""
 
     calls: int = 0
     memory: int = 0
--- a/figstep/gateway/recovery.py
+++ b/figstep/gateway/recovery.py
@@ -1,4 +1,4 @@
-"""What follows a lost attempt."""
+"""Recovers requests whose attempt was lost: switch, resume, retry or refuse."""
 
 from figstep.core.clock import Millis
 from figstep.gateway import (
@@ -17,97 +17,112 @@
 from figstep.gateway.state import Attempt, Request, State
 from figstep.gateway.targets import Target
 
-MOST_SENDS = 4
-"""Targets that one request reaches, refusals included. Under overload each
-further one would refuse as well, at the price of its caller's time."""
+MAX_SENDS = 4
+"""Most targets that one request reaches, refusals included.
+
+Under overload each further target would refuse as well, at the cost of the caller's
+time.
+"""
 
 NOT_RUN = frozenset({Loss.UNREACHED, Loss.REFUSED, Loss.MISDIRECTED})
-"""Losses that prove that the target ran nothing."""
+"""Losses that prove that the target did not run the request."""
 
 
 def recover_attempt(state: State, event: AttemptLost, now: Millis) -> list[Effect]:
-    """Decide how a request goes on whose attempt was lost."""
+    """Decide how a request continues after it lost an attempt.
+
+    Args:
+        state: The gateway's state.
+        event: The loss; ignored if its attempt is no longer open.
+        now: Monotonic time in milliseconds.
+
+    Returns:
+        Effects that record the loss and continue or end the request.
+    """
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
         return []
     request = state.requests[attempt.request]
     was_current = request.current is attempt
-    was_known = attempt.target.is_unreached(now)
+    was_unreached = attempt.target.is_unreached(now)
     attempts.end_attempt(state, attempt)
-    found = _judge_target(state, attempt, event, now)
+    target_effects = _update_target(state, attempt, event, now)
     if event.loss not in NOT_RUN:
         request.may_have_run = True
-        request.runs += 1
+        request.lost_runs += 1
         if event.loss is not Loss.FAILED:
             request.lost_domains.add(attempt.target.info.failure_domain)
-        found += crashes.note_lost(state, request, attempt, now)
-        found += crashes.probe_target(attempt.target, event.loss, now)
+        target_effects += crashes.record_lost(state, request, attempt, now)
+        target_effects += crashes.probe_target(attempt.target, event.loss, now)
     if event.loss is Loss.UNREACHED:
         request.unreached += 1
     effects: list[Effect] = [
         Count("lost", (request.route.name, event.loss.value)),
-        _note_loss(request, attempt, event, now),
-        *found,
+        _describe_loss(request, attempt, event, now),
+        *target_effects,
     ]
-    if event.loss is Loss.UNREACHED and not was_known:
-        # Until the others know, they try it as well, or copy runs to it.
+    if event.loss is Loss.UNREACHED and not was_unreached:
+        # Until peers know, they also try this target, or copy runs to it.
         effects.append(Announce())
     if not was_current and request.current is not None:
-        # The run goes on where it was; its copy was used up or never there.
-        request.current.holder_spoiled = True
+        # The run continues where it was; its copy was used up or never arrived.
+        request.current.backup_unusable = True
         return effects
     if request.standby is not None:
         request.current = request.standby
         request.standby = None
         return effects
-    return effects + _go_on(state, request, attempt, event, now)
+    return effects + _continue_request(state, request, attempt, event, now)
 
 
-def _judge_target(
+def _update_target(
     state: State, attempt: Attempt, event: AttemptLost, now: Millis
 ) -> list[Effect]:
     target = attempt.target
     if event.retry_after is not None:
-        limits.note_pause(target, event.retry_after, now)
+        limits.record_pause(target, event.retry_after, now)
     match event.loss:
         case Loss.REFUSED:
-            crashes.note_answer(state, target, attempt.opened)
+            crashes.record_answer(state, target, attempt.opened)
         case Loss.CUT:
             return []
         case Loss.FAILED:
-            target.note_failure()
-            crashes.note_answer(state, target, attempt.opened)
+            target.record_failure()
+            crashes.record_answer(state, target, attempt.opened)
         case Loss.MISDIRECTED:
-            # Another target has its address: this one is gone for good.
-            found = crashes.note_end(state, target, now)
-            state.targets.note_departure(target.name, now)
-            return found
+            # Another target has its address: this one has ended for good.
+            target_effects = crashes.record_end(state, target, now)
+            state.targets.record_departure(target.name, now)
+            return target_effects
         case Loss.UNREACHED:
-            return _note_unreached(state, target, event.down, now)
+            return _record_unreached(state, target, event.down, now)
         case _:
-            target.note_loss(now, True)
+            target.record_loss(now, True)
     return []
 
 
-def _note_unreached(
+def _record_unreached(
     state: State, target: Target, down: bool, now: Millis
 ) -> list[Effect]:
-    target.note_loss(now, False)
-    # It may start again under its old registration, and be cold then.
-    warmups.assume_cold(state, target, target.avoid_until)
-    return crashes.note_end(state, target, now) if down else []
+    target.record_loss(now, False)
+    # It may restart under its old registration, and be cold then.
+    warmups.assume_cold(state, target, target.backoff_until)
+    return crashes.record_end(state, target, now) if down else []
+
 
+def handle_target_down(state: State, event: TargetDown, now: Millis) -> list[Effect]:
+    """Record that a probe found no listener at a target's address, and tell peers.
 
-def take_down(state: State, event: TargetDown, now: Millis) -> list[Effect]:
-    """Take in that a probe found nobody at a target's address."""
+    A probe of an earlier incarnation is ignored.
+    """
     target = state.targets.find(event.incarnation.target)
     if target is None or target.info.incarnation != event.incarnation:
         return []
-    # Until the others know, they try it as well.
-    return [Announce(), *_note_unreached(state, target, True, now)]
+    # Until peers know, they also try this target.
+    return [Announce(), *_record_unreached(state, target, True, now)]
 
 
-def _go_on(
+def _continue_request(
     state: State, request: Request, attempt: Attempt, event: AttemptLost, now: Millis
 ) -> list[Effect]:
     effects: list[Effect] = []
@@ -115,19 +130,19 @@
         effects = _resume_from_copy(state, request, now)
         if request.current is not None:
             return effects
-    return effects + _start_anew(state, request, attempt, event, now)
+    return effects + _retry_or_refuse(state, request, attempt, event, now)
 
 
-def _start_anew(
+def _retry_or_refuse(
     state: State, request: Request, attempt: Attempt, event: AttemptLost, now: Millis
 ) -> list[Effect]:
-    if event.loss in NOT_RUN and not request.begun:
+    if event.loss in NOT_RUN and not request.stream_begun:
         return _try_elsewhere(state, request, event, now)
     if request.route.idempotent and _may_run_again(request):
-        effects = _repeat(state, request, event, now)
+        effects = _run_again(state, request, event, now)
         if effects:
             return effects
-    if event.status is not None and not request.begun:
+    if event.status is not None and not request.stream_begun:
         return requests.deliver_answer(
             state, request, attempt.number, event.status, now
         )
@@ -146,7 +161,7 @@
         request.copy = None
         return []
     if not peers.spend_repeat(state, request.service, now, urgent=True):
-        return peers.note_denied(state, request, now)
+        return peers.record_denied(state, request, now)
     effects = attempts.start_standby(state, request, copy, now)
     request.current, request.standby = request.standby, None
     return effects
@@ -155,9 +170,12 @@
 def _try_elsewhere(
     state: State, request: Request, event: AttemptLost, now: Millis
 ) -> list[Effect]:
-    """Send a request that did not run to another target."""
-    # One that was not reached took no time of anybody's but the caller's.
-    if request.sent - request.unreached >= MOST_SENDS or now >= request.deadline:
+    """Send a request that did not run to another target, within the retry budget."""
+    # A target without a connection cost only the caller's time, so it doesn't count.
+    if (
+        request.attempts_sent - request.unreached >= MAX_SENDS
+        or now >= request.deadline
+    ):
         return requests.refuse_request(state, request, f"lost_{event.loss.value}", now)
     arrived = event.loss is not Loss.UNREACHED
     if arrived and not peers.spend_repeat(state, request.service, now):
@@ -166,14 +184,17 @@
 
 
 def _may_run_again(request: Request) -> bool:
-    # Runs count against the route's attempts, refusals don't.
-    return request.runs < request.route.attempts
+    # Runs count against the route's attempts; refusals don't.
+    return request.lost_runs < request.route.attempts
 
 
-def _repeat(
+def _run_again(
     state: State, request: Request, event: AttemptLost, now: Millis
 ) -> list[Effect]:
-    """Run an idempotent request again, if budget, time and room allow."""
+    """Run an idempotent request again, if budget, deadline and free capacity permit.
+
+    Returns no effects if it can't be run again.
+    """
     if now >= request.deadline:
         return []
     if state.crashes.is_refused(request.spec.digest, now):
@@ -186,16 +207,20 @@
     return attempts.start_attempt(state, request, target, now)
 
 
-def watch_attempts(state: State, now: Millis) -> list[Effect]:
-    """Give up on attempts of idempotent requests whose target keeps silent."""
+def abandon_silent_attempts(state: State, now: Millis) -> list[Effect]:
+    """Abandon attempts of idempotent requests whose target is silent for too long.
+
+    An attempt is kept if it is the last that the route allows, if its stream has begun,
+    or if the retry budget has no repeat left.
+    """
     effects: list[Effect] = []
     for attempt in list(state.attempts.values()):
         request = state.requests[attempt.request]
         if not request.route.idempotent or attempt is not request.current:
             continue
-        if request.begun or request.runs + 1 >= request.route.attempts:
+        if request.stream_begun or request.lost_runs + 1 >= request.route.attempts:
             continue
-        if now - attempt.opened < choose_patience(request):
+        if now - attempt.opened < choose_silence_timeout(request):
             continue
         fleet = peers.sum_uses(state, request.service)
         if not state.budget.can_repeat(request.service, fleet, now):
@@ -206,13 +231,13 @@
     return effects
 
 
-def choose_patience(request: Request) -> Millis:
-    """Return how long an attempt may stay silent before another is made.
+def choose_silence_timeout(request: Request) -> Millis:
+    """Return how long an attempt may be silent before another is made, in milliseconds.
 
-    Half of the deadline leaves the second attempt as long as the first, and a
-    target's usual answer takes a small part of it. A prompt that is being read
-    slowly gets all of that: read elsewhere it would be late as well, and what
-    was read of it lost.
+    Half of the time to the deadline leaves the second attempt as long as the first, and
+    a target's usual answer takes a small part of it. A stream gets all of that half
+    while its prompt is read slowly: reading it on another engine would be late as well,
+    and lose what was read. Other requests wait for three objectives at most.
     """
     total = request.deadline - request.arrived
     if request.route.kind is RouteKind.STREAM:
@@ -220,7 +245,7 @@
     return Millis(min(total // 2, 3 * request.route.objective))
 
 
-def _note_loss(
+def _describe_loss(
     request: Request, attempt: Attempt, event: AttemptLost, now: Millis
 ) -> Note:
     return Note(
--- a/figstep/gateway/reducer.py
+++ b/figstep/gateway/reducer.py
@@ -1,4 +1,4 @@
-"""The gateway's reducer: one match over all events."""
+"""Reducer of the gateway: applies each event to the state."""
 
 from figstep.core.clock import Millis
 from figstep.gateway import (
@@ -48,37 +48,39 @@
 from figstep.gateway.state import State
 from figstep.gateway.targets import Registration, Standing, is_new_incarnation
 
-DEPARTED_KEPT = Millis(30_000)
-"""How long a departed target is remembered: a lapsed registration comes back
-within seconds, and a log line may still name it."""
+DEPARTED_RETENTION = Millis(30_000)
+"""How long, in milliseconds, a departed target is kept. A lapsed registration comes
+back within seconds, and a log line may still name the target."""
 
-LAPSE = Millis(2_300)
-"""How long a registration that is missing after the store was away is not
-taken for gone: live targets are back within two seconds of its return, and
-dropping them would leave callers without any target meanwhile."""
+LAPSE_GRACE = Millis(2_300)
+"""How long, in milliseconds, a registration may be missing after an outage of the store
+before its target is treated as departed. Running targets are back within two seconds of
+the store's return, and dropping them would leave callers without any target
+meanwhile."""
 
-MASS_LAPSE = Millis(1_700)
-"""The same where most targets depart at once without an outage that was noticed.
-Should they be gone all the same, work must stop going there two seconds after
-the store took note, less what the record needed to get here."""
+MASS_LAPSE_GRACE = Millis(1_700)
+"""How long, in milliseconds, registrations may be missing if most targets of a service
+depart at once without a known outage of the store. If the targets are really gone, work
+must stop going there two seconds after the store recorded it, less the time that the
+record took to arrive here."""
 
 
 def reduce(state: State, event: Event, now: Millis) -> list[Effect]:
-    """Apply one event.
+    """Apply one event to the state.
 
     Args:
-        state: State of this gateway; changed in place, here only.
+        state: State of this gateway; changed in place, and only by the reducer.
         event: What happened.
         now: Monotonic time, in milliseconds.
 
     Returns:
-        What the edges have to do, in order.
+        Effects that the edges have to perform, in order.
     """
     match event:
         case PiecesArrived():
             return streams.deliver_pieces(state, event, now)
         case StreamOpened():
-            return streams.note_opened(state, event)
+            return streams.handle_stream_opened(state, event)
         case RequestArrived():
             return requests.admit_request(state, event, now)
         case StreamEnded():
@@ -88,51 +90,53 @@
         case AttemptLost():
             return recovery.recover_attempt(state, event, now)
         case TargetDown():
-            return recovery.take_down(state, event, now)
+            return recovery.handle_target_down(state, event, now)
         case CallerGone():
             return requests.drop_caller(state, event, now)
         case RunCopied():
-            return copies.take_copy(state, event, now)
+            return copies.handle_copy_made(state, event, now)
         case RunNotCopied():
-            return copies.note_not_copied(state, event, now)
+            return copies.handle_copy_failed(state, event, now)
         case EngineReported():
-            return reports.take_report(state, event, now)
+            return reports.handle_report(state, event, now)
         case TargetLeaving(incarnation=incarnation):
-            return departures.take_word(state, incarnation, now)
+            return departures.handle_leaving(state, incarnation, now)
         case RateNamed():
-            return limits.take_rate(state, event, now)
+            return limits.handle_rate(state, event, now)
         case ConfigurationRead():
-            return _take_configuration(state, event)
+            return _apply_configuration(state, event)
         case TargetRegistered(info=info):
             return [
-                *_note_registration(state, info, now),
-                *copies.evacuate_streams(state, now),
+                *_apply_registration(state, info, now),
+                *copies.migrate_streams(state, now),
             ]
         case TargetDeparted():
-            return _take_departure(state, event, now)
+            return _handle_departure(state, event, now)
         case TargetsListed():
-            return _take_list(state, event, now)
+            return _apply_target_list(state, event, now)
         case PositionRead(position=position):
             state.position = max(state.position, position)
             return []
-        case EvacuationsRead(evacuations=told):
-            return evacuations.take_evacuations(state, told, "store", now)
+        case EvacuationsRead(evacuations=received):
+            return evacuations.apply_evacuations(state, received, "store", now)
         case StoreLost():
             state.read_failed = True
-            sources.watch_store(state, now)
+            sources.update_store_state(state, now)
             return []
         case StoreRegained():
             state.read_failed = False
-            sources.watch_store(state, now)
+            sources.update_store_state(state, now)
             return []
         case PeerHeard():
             return [
-                *peers.take_message(state, event, now),
-                *evacuations.take_evacuations(
+                *peers.handle_message(state, event, now),
+                *evacuations.apply_evacuations(
                     state, event.evacuations, event.node, now
                 ),
-                *departures.take_words(state, event.leaving, event.node, now),
-                *limits.take_reports(state, event.rates, event.node, now),
+                *departures.apply_leaving_reports(
+                    state, event.leaving, event.node, now
+                ),
+                *limits.apply_rate_reports(state, event.rates, event.node, now),
             ]
         case EntriesCounted(entries=entries):
             state.entries = entries
@@ -150,30 +154,30 @@
             return []
 
 
-def _take_configuration(state: State, event: ConfigurationRead) -> list[Effect]:
+def _apply_configuration(state: State, event: ConfigurationRead) -> list[Effect]:
     table = event.table
     if state.table is not None and table.version <= state.table.version:
-        # A read may bring what a peer had brought before; going back would let
-        # a route or key that was dropped work again.
+        # A read may return a version that a peer has sent before; going back to an
+        # older one would let a dropped route or key work again.
         return []
     state.table = table
     for request in state.requests.values():
-        eligibility.renew_homes(table, request)
-    routes = sum(len(found) for found in table.routes.values())
+        eligibility.update_allowed_regions(table, request)
+    routes = sum(len(crash_effects) for crash_effects in table.routes.values())
     return [
         Note("configuration in force", {"version": table.version, "routes": routes})
     ]
 
 
-def _note_registration(state: State, info: Registration, now: Millis) -> list[Effect]:
+def _apply_registration(state: State, info: Registration, now: Millis) -> list[Effect]:
     before = state.targets.find(info.target)
     standing = None if before is None else before.standing
-    if departures.has_left(state, info):
+    if departures.has_announced_leaving(state, info):
         return []
-    found: list[Effect] = []
+    crash_effects: list[Effect] = []
     if before is None or is_new_incarnation(before.info, info):
-        found = crashes.note_successor(state, info, now)
-    target = state.targets.note_registration(info, now)
+        crash_effects = crashes.record_successor(state, info, now)
+    target = state.targets.record_registration(info, now)
     target.evacuated = info.failure_domain in state.evacuations.domains
     if target is not before:
         peers.recount_loads(state)
@@ -189,44 +193,46 @@
             "standing": target.standing.value,
         },
     )
-    return [note, *found]
+    return [note, *crash_effects]
 
 
-def _take_departure(state: State, event: TargetDeparted, now: Millis) -> list[Effect]:
+def _handle_departure(state: State, event: TargetDeparted, now: Millis) -> list[Effect]:
     target = state.targets.find(event.target)
     if target is None or target.standing is not Standing.READY:
-        # Each list of a peer's lacks it anew; counted again, it would make the
-        # next departure look like a lapse of all registrations, and prompts go
-        # to an engine that leaves.
+        # The target is missing from each further list that a peer sends. Counted
+        # again, it would make the next departure look like a lapse of all
+        # registrations, and prompts would go to an engine that leaves.
         return []
-    if target.seems_gone:
-        return _note_departure(state, event.target, now)
-    returning = state.store_away or now < state.store_back_at + LAPSE
-    if returning and not sources.has_store_been_well(state):
-        state.targets.doubt(event.target, Millis(state.store_back_at + LAPSE))
+    if target.appears_unreachable:
+        return _apply_departure(state, event.target, now)
+    returning = state.store_unreachable or now < state.store_regained_at + LAPSE_GRACE
+    if returning and not sources.was_store_available(state):
+        state.targets.defer_departure(
+            event.target, Millis(state.store_regained_at + LAPSE_GRACE)
+        )
         return []
-    if state.targets.looks_lapsed(event.target, now):
-        state.targets.doubt(event.target, Millis(now + MASS_LAPSE))
+    if state.targets.is_mass_departure(event.target, now):
+        state.targets.defer_departure(event.target, Millis(now + MASS_LAPSE_GRACE))
         return []
-    return _note_departure(state, event.target, now)
+    return _apply_departure(state, event.target, now)
 
 
-def _note_departure(state: State, name: str, now: Millis) -> list[Effect]:
+def _apply_departure(state: State, name: str, now: Millis) -> list[Effect]:
     target = state.targets.find(name)
     if target is None:
         return []
-    found = crashes.note_departure(state, target, now)
-    state.targets.note_departure(name, now)
+    crash_effects = crashes.record_departure(state, target, now)
+    state.targets.record_departure(name, now)
     note = Note(
         "target departed",
         {"target": name, "service": target.info.service, "calls": target.calls},
     )
-    return [note, *found, *copies.evacuate_streams(state, now)]
+    return [note, *crash_effects, *copies.migrate_streams(state, now)]
 
 
-def _take_list(state: State, event: TargetsListed, now: Millis) -> list[Effect]:
+def _apply_target_list(state: State, event: TargetsListed, now: Millis) -> list[Effect]:
     if state.position >= 0 and event.position < state.position:
-        # A peer's copy that the store has overtaken meanwhile.
+        # A peer's copy that is older than what was read from the store meanwhile.
         return []
     state.position = event.position
     listed = {info.target for info in event.registrations}
@@ -237,30 +243,30 @@
         )
     ]
     for info in event.registrations:
-        effects += _note_registration(state, info, now)
+        effects += _apply_registration(state, info, now)
     for name in list(state.targets.targets):
         if name not in listed:
-            effects += _take_departure(state, TargetDeparted(name), now)
-    return effects + copies.evacuate_streams(state, now)
+            effects += _handle_departure(state, TargetDeparted(name), now)
+    return effects + copies.migrate_streams(state, now)
 
 
 def _tick(state: State, now: Millis) -> list[Effect]:
     effects: list[Effect] = []
-    for name in state.targets.list_lapsed(now):
-        effects += _note_departure(state, name, now)
+    for name in state.targets.pop_due_departures(now):
+        effects += _apply_departure(state, name, now)
     effects += requests.expire_requests(state, now)
-    effects += copies.evacuate_streams(state, now)
-    effects += streams.watch_streams(state, now)
-    effects += reports.ask_engines(state, now)
-    effects += copies.yield_copies(state, now)
-    effects += copies.protect_streams(state, now)
-    effects += recovery.watch_attempts(state, now)
+    effects += copies.migrate_streams(state, now)
+    effects += streams.check_streams(state, now)
+    effects += reports.query_engines(state, now)
+    effects += copies.drop_copies_for_memory(state, now)
+    effects += copies.order_proactive_copies(state, now)
+    effects += recovery.abandon_silent_attempts(state, now)
     effects += requests.start_queued(state, now)
-    peers.forget_silent(state, now)
-    sources.watch_store(state, now)
+    peers.expire_peers(state, now)
+    sources.update_store_state(state, now)
     effects += sources.catch_up(state, now)
-    state.targets.forget_departed(now, DEPARTED_KEPT)
-    departures.forget_old(state, now)
-    state.crashes.forget_old(now)
-    state.refused.forget_old(now)
+    state.targets.remove_departed(now, DEPARTED_RETENTION)
+    departures.remove_expired(state, now)
+    state.crashes.remove_expired(now)
+    state.refused.remove_expired(now)
     return effects
--- a/figstep/gateway/refusals.py
+++ b/figstep/gateway/refusals.py
@@ -1,17 +1,23 @@
-"""Requests that were refused for want of room, so that their return is known."""
+"""Requests that were refused for lack of capacity, so that retries are recognized."""
 
 from dataclasses import dataclass, field
 
 from figstep.core.clock import Millis
 
-REMEMBERED_FOR = Millis(15_000)
-"""Callers come back within a third of the time that they have."""
+REFUSAL_RETENTION = Millis(15_000)
+"""Milliseconds for which a refusal is remembered.
 
-TOLD_FOR = Millis(2_000)
-"""How long others are told: twice at least, as a datagram may be lost."""
+Callers retry within a third of the time to their deadline.
+"""
 
-MOST_TOLD = 16
-"""Refusals in a message."""
+REFUSAL_ANNOUNCE_DURATION = Millis(2_000)
+"""Milliseconds for which peers are told of a refusal.
+
+They are told at least twice, as a datagram may be lost.
+"""
+
+MAX_ANNOUNCED_REFUSALS = 16
+"""Most refusals in one message to peers."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,8 +25,8 @@
     """A request that was refused.
 
     Attributes:
-        digest: Digest of the request; the same when it comes again.
-        age: Time since its caller first came with it.
+        digest: Digest of the request; a retry has the same.
+        age: Milliseconds since the caller first sent the request.
     """
 
     digest: str
@@ -28,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class _Known:
+class _KnownRefusal:
     first_arrived: Millis
     refused_at: Millis
     own: bool
@@ -36,37 +42,38 @@
 
 @dataclass(slots=True)
 class RefusalTable:
-    """Refused requests of this entry and of those that it hears."""
+    """Requests refused by this entry and by peers that announced them."""
 
-    _known: dict[str, _Known] = field(default_factory=dict)
+    _known: dict[str, _KnownRefusal] = field(default_factory=dict)
 
-    def note_own(self, digest: str, first_arrived: Millis, now: Millis) -> None:
-        """Remember a request that this entry refuses."""
-        self._known[digest] = _Known(first_arrived, now, True)
+    def record_own(self, digest: str, first_arrived: Millis, now: Millis) -> None:
+        """Record a request that this entry refuses."""
+        self._known[digest] = _KnownRefusal(first_arrived, now, True)
 
-    def note_told(self, refusal: Refusal, now: Millis) -> None:
-        """Remember a request that another entry refused."""
-        known = _Known(Millis(now - refusal.age), now, False)
+    def record_announced(self, refusal: Refusal, now: Millis) -> None:
+        """Record a request that a peer refused, unless it is known already."""
+        known = _KnownRefusal(Millis(now - refusal.age), now, False)
         self._known.setdefault(refusal.digest, known)
 
-    def take(self, digest: str) -> Millis | None:
-        """Return when a caller first came with a request that was refused.
+    def pop_first_arrival(self, digest: str) -> Millis | None:
+        """Remove a refused request and return when its caller first sent it.
 
-        It is forgotten with that, as callers may send the same anew later.
+        Returns None for a request that is not known as refused. The record is removed
+        because callers may send the same request anew later.
         """
         known = self._known.pop(digest, None)
         return None if known is None else known.first_arrived
 
-    def list_told(self, now: Millis) -> tuple[Refusal, ...]:
-        """Return what others are told, the newest last."""
-        told = []
+    def list_announced(self, now: Millis) -> tuple[Refusal, ...]:
+        """Return the refusals that peers are told, the newest last."""
+        announced = []
         for digest, known in self._known.items():
-            if known.own and now - known.refused_at < TOLD_FOR:
-                told.append(Refusal(digest, Millis(now - known.first_arrived)))
-        return tuple(told[-MOST_TOLD:])
+            if known.own and now - known.refused_at < REFUSAL_ANNOUNCE_DURATION:
+                announced.append(Refusal(digest, Millis(now - known.first_arrived)))
+        return tuple(announced[-MAX_ANNOUNCED_REFUSALS:])
 
-    def forget_old(self, now: Millis) -> None:
-        """Drop refusals whose callers won't come any more."""
+    def remove_expired(self, now: Millis) -> None:
+        """Remove refusals whose callers are not expected to retry any more."""
         for digest, known in list(self._known.items()):
-            if now - known.refused_at >= REMEMBERED_FOR:
+            if now - known.refused_at >= REFUSAL_RETENTION:
                 del self._known[digest]
--- a/figstep/gateway/reports.py
+++ b/figstep/gateway/reports.py
@@ -1,4 +1,4 @@
-"""What engines say of themselves when they are asked."""
+"""Queries of engines for their state, and the engines' reports."""
 
 from figstep.core.clock import Millis
 from figstep.gateway import crashes, departures, placement, shares, sources
@@ -7,58 +7,63 @@
 from figstep.gateway.state import State
 from figstep.gateway.targets import Target
 
-ASK_PERIOD = Millis(400)
-"""How often an engine is asked: its state is half a second old, and it is gone
-1.5 s after its notice."""
+QUERY_INTERVAL = Millis(400)
+"""Least time, in milliseconds, between two queries of an engine. The reported state is
+half a second old, and an engine is gone 1.5 s after its notice."""
 
-UNCLAIMED_FOR = Millis(1_200)
-"""How long an answer counts: three questions, of which two may stay unanswered."""
+UNCLAIMED_TIMEOUT = Millis(1_200)
+"""How long, in milliseconds, a report counts: three queries, two of which may stay
+unanswered."""
 
-SETTLED_AFTER = Millis(1_000)
-"""How much longer than copies are kept a process asks after its start: one that
-was ordered just before the kill is kept from when it arrives."""
+RESTART_QUERY_MARGIN = Millis(1_000)
+"""How much longer than copies are kept, in milliseconds, a process queries engines
+after a restart. A copy ordered just before the kill is kept from when it arrives."""
 
 
-def ask_engines(state: State, now: Millis) -> list[Effect]:
-    """Ask engines for their state where nobody else tells it.
+def query_engines(state: State, now: Millis) -> list[Effect]:
+    """Query engines for their state where no other source reports it.
 
-    Without the store an engine's notice reaches nobody, and its streams are lost
-    with it; the engine itself knows. After a restart nobody knows what copies the
-    killed processes left: prompts sent on the belief that an engine is empty
-    waited there for four seconds.
+    Without the store an engine's notice reaches no entry, and its streams are lost with
+    it; only the engine itself knows that it leaves. After a restart no entry knows
+    which copies the killed processes left: prompts sent on the assumption that an
+    engine is empty waited there for four seconds.
     """
     effects: list[Effect] = []
-    heard = [state.node, *sources.list_heard(state, now)]
+    live_entries = [state.node, *sources.list_live_peers(state, now)]
     for target in state.targets.targets.values():
-        if target.unclaimed and now - target.reported_at >= UNCLAIMED_FOR:
+        if target.unclaimed and now - target.reported_at >= UNCLAIMED_TIMEOUT:
             target.unclaimed = 0
-        if not target.takes_work:
+        if not target.accepts_work:
             continue
-        if now - target.asked_at < ASK_PERIOD:
+        if now - target.queried_at < QUERY_INTERVAL:
             continue
-        asked = state.store_away and _asks_for(state, target, heard, now)
-        if not asked and not _may_hold_unclaimed(state, target, now):
+        needed = state.store_unreachable and _is_querier(
+            state, target, live_entries, now
+        )
+        if not needed and not _may_hold_unclaimed(state, target, now):
             continue
-        _note_question(target, now)
+        _record_query(target, now)
         effects.append(ReadReport(target.name))
     return effects
 
 
-def _note_question(target: Target, now: Millis) -> None:
-    # An answer is as old as the time between two questions: it is compared with
-    # what was counted at the one before, or now if that was long ago.
-    recent = now - target.asked_at < UNCLAIMED_FOR
+def _record_query(target: Target, now: Millis) -> None:
+    # A report is as old as the time between two queries: it is compared with the
+    # memory claimed at the previous query, or now if that was long ago.
+    recent = now - target.queried_at < UNCLAIMED_TIMEOUT
     claimed = target.claimed_memory
-    target.counted_memory = target.claimed_when_asked if recent else claimed
-    target.claimed_when_asked = claimed
-    target.asked_at = now
+    target.claimed_baseline = target.claimed_at_query if recent else claimed
+    target.claimed_at_query = claimed
+    target.queried_at = now
 
 
-def _asks_for(state: State, target: Target, heard: list[str], now: Millis) -> bool:
-    """Tell whether this entry asks an engine whether it leaves.
+def _is_querier(
+    state: State, target: Target, live_entries: list[str], now: Millis
+) -> bool:
+    """Return whether this entry queries an engine on whether it leaves.
 
-    In a large fleet one entry asks for its whole failure domain: were each to
-    ask, questions would grow with the square of the fleet.
+    In a large fleet one entry queries for its whole failure domain: if every entry did,
+    the number of queries would grow with the square of the fleet.
     """
     if not target.load:
         return False
@@ -66,10 +71,13 @@
         return False
     if not state.is_large:
         return _runs_at(state, target)
-    if target.asked_for_at + ASK_PERIOD > now:
+    if target.querier_drawn_at + QUERY_INTERVAL > now:
         return False
-    target.asked_for_at = now
-    return min(heard, key=lambda name: shares.draw(name, target.name)) == state.node
+    target.querier_drawn_at = now
+    return (
+        min(live_entries, key=lambda name: shares.hash_rank(name, target.name))
+        == state.node
+    )
 
 
 def _runs_at(state: State, target: Target) -> bool:
@@ -84,32 +92,32 @@
 
 def _may_hold_unclaimed(state: State, target: Target, now: Millis) -> bool:
     pool = placement.find_engine_pool(state, target.info.service)
-    if pool is None or state.budget.fresh:
+    if pool is None or state.budget.first_start:
         return False
     if state.is_large:
-        # Questions of all entries to all engines would grow with the square of
-        # the fleet, and there a few engines of dozens hold such copies.
+        # Queries of all entries to all engines would grow with the square of the
+        # fleet, and there a few engines of dozens hold such copies.
         return False
-    return now - state.budget.started < pool.copy_kept + SETTLED_AFTER
+    return now - state.budget.started < pool.copy_retention + RESTART_QUERY_MARGIN
 
 
-def take_report(state: State, event: EngineReported, now: Millis) -> list[Effect]:
-    """Take in how full an engine is, and its own word that it leaves."""
+def handle_report(state: State, event: EngineReported, now: Millis) -> list[Effect]:
+    """Handle an engine's report of its memory in use and of whether it leaves."""
     target = state.targets.find(event.target)
     if target is None:
         return []
-    crashes.note_answer(state, target, target.asked_at)
+    crashes.record_answer(state, target, target.queried_at)
     if event.memory is not None:
-        _count_unclaimed(target, event.memory, now)
+        _update_unclaimed(target, event.memory, now)
     if not event.leaving:
         return []
-    if not event.ending and sources.is_unread(state, now):
-        # One that is drained serves on until the store has taken its word, and no
-        # other can be known to take its place.
+    if not event.ending and sources.is_store_unread(state, now):
+        # A drained engine keeps serving until the store has recorded that it
+        # leaves, and without the store no replacement for it can be known.
         return []
-    return departures.take_word(state, target.info.incarnation, now)
+    return departures.handle_leaving(state, target.info.incarnation, now)
 
 
-def _count_unclaimed(target: Target, used: int, now: Millis) -> None:
-    target.unclaimed = max(0, used - target.counted_memory)
+def _update_unclaimed(target: Target, used: int, now: Millis) -> None:
+    target.unclaimed = max(0, used - target.claimed_baseline)
     target.reported_at = now
--- a/figstep/gateway/requests.py
+++ b/figstep/gateway/requests.py
@@ -1,4 +1,4 @@
-"""Life of a request: arrival, wait for room, answer, refusal, end."""
+"""Handles a request from its arrival to its end: queue, answer, refusal, deadline."""
 
 from figstep.core.clock import Millis
 from figstep.core.problems import Problem, Ran
@@ -16,11 +16,17 @@
 from figstep.gateway.routes import Customer, Route, RouteKind
 from figstep.gateway.state import Request, State
 
-CLOSING_RETURN = Millis(50)
-"""A leaving entry's refusals: another entry can take the request at once."""
+SHUTDOWN_RETRY_AFTER = Millis(50)
+"""Retry-After in milliseconds of a refusal by an entry that shuts down.
 
-UNCONFIGURED_RETURN = Millis(500)
-"""Reading the configuration after a start takes a few hundred milliseconds."""
+It is short because another entry can accept the request at once.
+"""
+
+UNCONFIGURED_RETRY_AFTER = Millis(500)
+"""Retry-After in milliseconds of a refusal by an entry without a configuration.
+
+Reading the configuration after a start takes a few hundred milliseconds.
+"""
 
 _DETAILS = {
     "no_configuration": "no configuration is in force yet; come back soon",
@@ -36,45 +42,49 @@
     "retry_budget": "targets refused it; come back after Retry-After",
     "deadline": "no answer came in time; it may have run if it was sent",
 }
-"""What a caller can do, by the reason of its refusal."""
+"""Detail of a problem by reason: what the caller can do."""
 
 _LOST_DETAIL = "its target was lost; where it may have run, ask before sending again"
 
 
 def admit_request(state: State, event: RequestArrived, now: Millis) -> list[Effect]:
-    """Find the route and customer of a request and start, queue or refuse it."""
+    """Find the route and customer of a request, then start, queue or refuse it."""
     spec = event.request
     table = state.table
     if table is None:
-        return _turn_away(
-            spec.number, spec.id, 503, "no_configuration", UNCONFIGURED_RETURN
+        return _reject_request(
+            spec.number, spec.id, 503, "no_configuration", UNCONFIGURED_RETRY_AFTER
         )
     route = table.find_route(spec.host, spec.path)
     if route is None:
-        return _turn_away(spec.number, spec.id, 404, "no_route", version=table.version)
+        return _reject_request(
+            spec.number, spec.id, 404, "no_route", version=table.version
+        )
     customer = None
     if table.customers is not None and not route.public:
         customer = table.customers.get(spec.key or "")
         if customer is None:
-            return _turn_away(
+            return _reject_request(
                 spec.number, spec.id, 401, "unknown_key", version=table.version
             )
     if spec.body_bytes > table.limits.body_bytes:
-        return _turn_away(spec.number, spec.id, 413, "body_too_large")
+        return _reject_request(spec.number, spec.id, 413, "body_too_large")
     if state.crashes.is_refused(spec.digest, now):
-        return _turn_away(
+        return _reject_request(
             spec.number,
             spec.id,
             503,
             "crashes_targets",
-            crashes.choose_return(state, spec.digest, now),
+            crashes.choose_retry_after(state, spec.digest, now),
             digest=spec.digest,
         )
-    if state.closes_at is not None and _is_long(route):
-        return _turn_away(spec.number, spec.id, 503, "entry_leaving", CLOSING_RETURN)
+    if state.closes_at is not None and _must_finish_here(route):
+        return _reject_request(
+            spec.number, spec.id, 503, "entry_leaving", SHUTDOWN_RETRY_AFTER
+        )
     request = _build_request(state, event, route, customer, now)
     state.requests[spec.number] = request
-    state.budget.note_request(request.service, now)
+    state.budget.record_request(request.service, now)
     return [Count("arrived", (route.name,)), *place_request(state, request, now)]
 
 
@@ -86,9 +96,9 @@
     now: Millis,
 ) -> Request:
     spec = event.request
-    patience = route.timeout
-    if spec.patience is not None:
-        patience = Millis(min(patience, spec.patience))
+    time_limit = route.timeout
+    if spec.max_wait is not None:
+        time_limit = Millis(min(time_limit, spec.max_wait))
     priority = route.priority
     if customer is not None and customer.priority is not None:
         priority = customer.priority
@@ -100,33 +110,33 @@
         priority,
         now,
         _find_first_arrival(state, spec.digest, now),
-        Millis(now + patience),
+        Millis(now + time_limit),
         delivered=spec.after or 0,
-        homes=eligibility.find_homes(route, customer),
+        allowed_regions=eligibility.find_allowed_regions(route, customer),
     )
 
 
 def _find_first_arrival(state: State, digest: str, now: Millis) -> Millis:
-    # A caller counts its wait from its first try, wherever that was refused.
-    refused = state.refused.take(digest)
+    # A caller counts its wait from its first try, whichever entry refused it.
+    refused = state.refused.pop_first_arrival(digest)
     return now if refused is None else refused
 
 
-def _is_long(route: Route) -> bool:
-    # A stream that can't go on elsewhere would be cut when the process ends.
+def _must_finish_here(route: Route) -> bool:
+    # A stream that can't resume on another engine is cut when the process ends.
     return route.kind is RouteKind.STREAM and not route.resumable
 
 
 def place_request(state: State, request: Request, now: Millis) -> list[Effect]:
-    """Start a request where there is room, else queue or refuse it."""
+    """Start a request if a target has free capacity, else queue or refuse it."""
     if state.crashes.is_refused(request.spec.digest, now):
         return refuse_request(state, request, "crashes_targets", now)
     target = placement.choose_target(state, request, now)
     if target is not None:
-        admission.note_start(state, request, now)
+        admission.record_start(state, request, now)
         return attempts.start_attempt(state, request, target, now)
     if not placement.has_untried_target(state, request):
-        reason = eligibility.explain_none(state, request)
+        reason = eligibility.explain_no_target(state, request)
         return refuse_request(state, request, reason, now)
     if not admission.can_wait(state, request, now):
         return refuse_request(state, request, "no_room_in_time", now)
@@ -140,36 +150,37 @@
 
 
 def start_queued(state: State, now: Millis) -> list[Effect]:
-    """Start what has room by now, the most urgent and oldest first.
+    """Start queued requests that now fit, the most urgent and oldest first.
 
-    At most one request of a service starts in a call, so that the others learn
-    of it before theirs do: when an engine comes, all entries have requests
-    that waited for it, and together they would fill it at once.
+    At most one request of a service starts in a call, so that other entries learn of
+    it before they start theirs: when an engine joins, all entries have requests that
+    waited for it, and together they would fill it at once. Requests that have waited
+    for too long, or have no eligible target left, are refused.
     """
     if not state.queue:
         return []
     effects: list[Effect] = []
     waiting = [state.requests[number] for number in state.queue]
     waiting.sort(key=lambda request: _rank(request, now))
-    asked: set[str] = set()
+    considered_services: set[str] = set()
     for request in waiting:
         if state.crashes.is_refused(request.spec.digest, now):
             effects += refuse_request(state, request, "crashes_targets", now)
             continue
-        if request.service in asked:
+        if request.service in considered_services:
             continue
-        asked.add(request.service)
+        considered_services.add(request.service)
         target = placement.choose_target(state, request, now)
         if target is None:
-            # It holds up those behind it: were smaller ones to go ahead, a
-            # large one would never find room under load.
+            # It blocks the requests behind it: if smaller ones overtook it, a large
+            # request would never find free memory under load.
             continue
         _leave_queue(state, request)
-        admission.note_start(state, request, now)
+        admission.record_start(state, request, now)
         effects += attempts.start_attempt(state, request, target, now)
     for request in waiting:
         if request.queued and not eligibility.list_eligible(state, request):
-            reason = eligibility.explain_none(state, request)
+            reason = eligibility.explain_no_target(state, request)
             if reason != "no_room":
                 effects += refuse_request(state, request, reason, now)
                 continue
@@ -188,13 +199,13 @@
 
 
 def finish_answer(state: State, event: AnswerArrived, now: Millis) -> list[Effect]:
-    """A target gave a whole answer: it goes to the caller as it came."""
+    """Pass a target's whole answer to the caller unchanged."""
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
         return []
     request = state.requests[attempt.request]
-    attempt.target.note_success(now)
-    crashes.note_answer(state, attempt.target, attempt.opened)
+    attempt.target.record_success(now)
+    crashes.record_answer(state, attempt.target, attempt.opened)
     attempts.end_attempt(state, attempt)
     return [
         *crashes.clear_request(state, request, now),
@@ -205,9 +216,12 @@
 def deliver_answer(
     state: State, request: Request, attempt: int, status: int, now: Millis
 ) -> list[Effect]:
-    """Hand on the whole answer that an attempt got."""
-    if request.begun:
-        # A stream that has begun can't become another answer.
+    """Deliver the whole answer that an attempt received, and end the request.
+
+    A stream that has begun is cut instead.
+    """
+    if request.stream_begun:
+        # A stream that has begun can't be replaced by another answer.
         return break_stream(state, request, "answered_in_mid_stream", now)
     effects = attempts.close_request(state, request, now)
     duration = now - request.arrived
@@ -216,24 +230,24 @@
         Answer(request.spec.number, attempt),
         Count("answered", (request.route.name, str(status))),
         Observe("answer_time", duration, request.route.name),
-        note_end(request, "answered", str(status), now),
+        describe_end(request, "answered", str(status), now),
     ]
 
 
 def refuse_request(
     state: State, request: Request, reason: str, now: Millis
 ) -> list[Effect]:
-    """Give a request its final answer of our own.
+    """End a request with a problem answer of this entry.
 
-    "Not run" is said only where no target can have begun to run it; what may
-    be repeated is refused in the same way where it has begun nowhere.
+    "Not run" is reported only if no target can have begun to run the request. A
+    stream that has begun is cut instead.
     """
     effects = attempts.close_request(state, request, now)
-    if request.begun:
+    if request.stream_begun:
         return [*effects, *break_stream(state, request, reason, now)]
     if request.spec.prompt is not None:
-        effects.append(_note_refusal(state, request, reason, now))
-        state.refused.note_own(request.spec.digest, request.first_arrived, now)
+        effects.append(_describe_refusal(state, request, reason, now))
+        state.refused.record_own(request.spec.digest, request.first_arrived, now)
     if request.may_have_run:
         status, retry_after, ran = 502, None, Ran.UNKNOWN
         if now >= request.deadline:
@@ -248,17 +262,17 @@
         *effects,
         Refuse(request.spec.number, problem),
         Count("refused", (request.route.name, reason)),
-        note_end(request, "refused", reason, now),
+        describe_end(request, "refused", reason, now),
     ]
 
 
 def _choose_return(state: State, request: Request, reason: str, now: Millis) -> Millis:
     if reason == "crashes_targets":
-        return crashes.choose_return(state, request.spec.digest, now)
-    return admission.choose_return(state, request, now)
+        return crashes.choose_retry_after(state, request.spec.digest, now)
+    return admission.choose_retry_after(state, request, now)
 
 
-def _note_refusal(state: State, request: Request, reason: str, now: Millis) -> Note:
+def _describe_refusal(state: State, request: Request, reason: str, now: Millis) -> Note:
     return Note(
         "generation refused",
         {
@@ -274,40 +288,40 @@
 def break_stream(
     state: State, request: Request, reason: str, now: Millis
 ) -> list[Effect]:
-    """Cut the caller's stream: it can't go on and must not look whole."""
+    """Cut the caller's connection: the stream can't go on and must not look whole."""
     effects = attempts.close_request(state, request, now)
     return [
         *effects,
         BreakStream(request.spec.number),
         Count("broken", (request.route.name, reason)),
-        note_end(request, "broken", reason, now),
+        describe_end(request, "broken", reason, now),
     ]
 
 
 def drop_caller(state: State, event: CallerGone, now: Millis) -> list[Effect]:
-    """The caller is gone: end what runs for it."""
+    """End all work for a caller that has closed its connection."""
     request = state.requests.get(event.number)
     if request is None:
         return []
     return [
         *attempts.close_request(state, request, now),
         Count("callers_gone", (request.route.name,)),
-        note_end(request, "caller gone", "", now),
+        describe_end(request, "caller gone", "", now),
     ]
 
 
 def expire_requests(state: State, now: Millis) -> list[Effect]:
-    """End at once what has outlived its deadline."""
+    """End the requests whose deadline has passed."""
     effects: list[Effect] = []
     for request in list(state.requests.values()):
         if now < request.deadline:
             continue
-        request.may_have_run = request.may_have_run or request.sent > 0
+        request.may_have_run = request.may_have_run or request.attempts_sent > 0
         effects += refuse_request(state, request, "deadline", now)
     return effects
 
 
-def _turn_away(
+def _reject_request(
     number: int,
     name: str,
     status: int,
@@ -333,8 +347,8 @@
     ]
 
 
-def note_end(request: Request, outcome: str, reason: str, now: Millis) -> Note:
-    """Return the log line of a request's final answer."""
+def describe_end(request: Request, outcome: str, reason: str, now: Millis) -> Note:
+    """Return the log line of a request's end."""
     return Note(
         "request ended",
         {
@@ -343,9 +357,9 @@
             "customer": request.customer,
             "outcome": outcome,
             "reason": reason,
-            "sent": request.sent,
+            "sent": request.attempts_sent,
             "events": request.pieces,
-            "first_ms": request.first_after,
+            "first_ms": request.time_to_first_event,
             "longest_pause_ms": request.longest_pause,
             "took_ms": now - request.arrived,
         },
--- a/figstep/gateway/sources.py
+++ b/figstep/gateway/sources.py
@@ -1,4 +1,4 @@
-"""Who reads the platform's store, and what is known while nobody can."""
+"""Selection of the entries that read the store, and the state known in an outage."""
 
 import zlib
 
@@ -7,120 +7,125 @@
 from figstep.gateway.events import PeerHeard
 from figstep.gateway.state import Peer, State
 
-LEAST_READERS = 3
-"""Entries of a large fleet that read the store, in as many failure domains as
-there are: any two of them may die in the same moment."""
+MIN_READERS = 3
+"""Entries of a large fleet that read the store, split over its failure domains. There
+are three, as any two of them may fail in the same moment."""
 
-MOST_UNWELL = 6
-"""Entries of the fleet that go without the store's answers before the others don't ask
-it. Where the store turns a third of the entries away, one of these gets through."""
+MAX_UNHEALTHY_READERS = 6
+"""Entries of the fleet that try to read the store without getting its records, from
+which on no others try. Where the store rejects a third of the entries, one of this many
+gets through."""
 
-READER_SILENT = Millis(1_500)
-"""Silence after which another entry reads in a reader's place."""
+READER_TIMEOUT = Millis(1_500)
+"""Silence of a reader, in milliseconds, after which another entry reads in its
+place."""
 
-TOLD_AFTER = Millis(150)
-"""How long an entry that doesn't read the store waits to be told a record."""
+RELAY_DELAY = Millis(150)
+"""How long, in milliseconds, an entry that does not read the store waits for a record
+to be relayed to it before it fetches the record from a peer."""
 
-CATCH_UP_AFTER = Millis(400)
-"""How long a peer may know newer records before they are asked of it. Entries
-that read the store themselves learn of a record within some milliseconds of
-each other; a store that turns this entry away may never tell it."""
+CATCH_UP_DELAY = Millis(400)
+"""How long, in milliseconds, a peer may know newer records before a reader fetches them
+from it. Entries that read the store themselves receive a record within some
+milliseconds of each other; a store that rejects this entry may never send it."""
 
-COPIES_AT_ONCE = 2
-"""Entries that ask one peer for its records at the same time."""
+MAX_CONCURRENT_FETCHES = 2
+"""Entries that fetch records from one peer at the same time."""
 
 
-def list_heard(state: State, now: Millis) -> dict[str, Peer]:
-    """Return the entries of this failure domain that were heard of late."""
-    heard = {}
+def list_live_peers(state: State, now: Millis) -> dict[str, Peer]:
+    """Return the entries of this failure domain that recently sent a message."""
+    live = {}
     for name, peer in state.peers.items():
-        if now - peer.heard < READER_SILENT:
-            heard[name] = peer
-    return heard
+        if now - peer.last_received_at < READER_TIMEOUT:
+            live[name] = peer
+    return live
 
 
 def reads_store(state: State, now: Millis) -> bool:
-    """Tell whether this entry reads the store's records as they come.
+    """Return whether this entry reads the store's records as they are written.
 
-    Calls to the store are dear in a large fleet: there a few entries read them
-    and tell the others. One that began and fails goes on, so that it learns when
-    the store is back.
+    Calls to the store are expensive in a large fleet: there a few entries read the
+    records and relay them to the others. An entry that began to read and fails keeps
+    trying, so that it learns when the store is back.
     """
     if not state.is_large or state.read_failed:
         return True
-    well = unwell = 0
-    for name, peer in list_heard(state, now).items():
+    healthy = unhealthy = 0
+    for name, peer in list_live_peers(state, now).items():
         if name > state.node:
             continue
-        if peer.store_well:
-            well += 1
+        if peer.receives_records:
+            healthy += 1
         else:
-            # It reads too, or is about to. Were its word of that awaited, all would
-            # begin to read in vain as the store is lost.
-            unwell += 1
-    most_unwell = _share_readers(state, MOST_UNWELL)
-    return well < _share_readers(state, LEAST_READERS) and unwell < most_unwell
+            # The peer also tries to read, or is about to. If this entry waited for
+            # the peer to report that, all entries would begin to read in vain when
+            # the store is lost.
+            unhealthy += 1
+    max_unhealthy = _share_readers(state, MAX_UNHEALTHY_READERS)
+    return healthy < _share_readers(state, MIN_READERS) and unhealthy < max_unhealthy
 
 
 def _share_readers(state: State, readers: int) -> int:
     """Return how many of the fleet's readers each failure domain has."""
-    domains = 1 + len(state.far_loads)
+    domains = 1 + len(state.remote_loads)
     return -(-readers // domains)
 
 
-def watch_store(state: State, now: Millis) -> None:
-    """Note whether records of the store reach this entry in any way.
+def update_store_state(state: State, now: Millis) -> None:
+    """Update whether records of the store reach this entry, directly or relayed.
 
-    One that doesn't read them itself would else take registrations that lapsed
-    in an outage for departures, and never ask engines whether they leave.
+    An entry that does not read the store itself would otherwise treat registrations
+    that lapsed in an outage as departures, and never query engines on whether they
+    leave.
     """
     away = state.read_failed
     if state.is_large and (away or not reads_store(state, now)):
-        away = not _hears_reader(state, now)
-    if away and not state.store_away:
+        away = not _has_live_reader(state, now)
+    if away and not state.store_unreachable:
         state.store_lost_at = now
-    if state.store_away and not away:
-        state.store_back_at = now
-    state.store_away = away
+    if state.store_unreachable and not away:
+        state.store_regained_at = now
+    state.store_unreachable = away
 
 
-def _hears_reader(state: State, now: Millis) -> bool:
-    # Readers that fail together must not take each other's word that records reach
-    # them: only one that is answered itself has any.
-    for peer in [*state.peers.values(), *state.far_peers.values()]:
-        if now - peer.heard >= READER_SILENT:
+def _has_live_reader(state: State, now: Millis) -> bool:
+    # Readers that fail together must not rely on each other's reports that records
+    # reach them: only a reader that the store answers has any.
+    for peer in [*state.peers.values(), *state.remote_peers.values()]:
+        if now - peer.last_received_at >= READER_TIMEOUT:
             continue
-        if peer.reading and peer.answered and peer.store_well:
+        if peer.reading and peer.answered and peer.receives_records:
             return True
     return False
 
 
-def is_unread(state: State, now: Millis) -> bool:
-    """Tell whether no entry that is heard is answered by the store."""
-    return state.store_away and not _hears_reader(state, now)
+def is_store_unread(state: State, now: Millis) -> bool:
+    """Return whether the store answers no entry that this one has contact with."""
+    return state.store_unreachable and not _has_live_reader(state, now)
 
 
-def find_well_since(state: State, event: PeerHeard, now: Millis) -> Millis | None:
+def find_healthy_since(state: State, event: PeerHeard, now: Millis) -> Millis | None:
     """Return since when the store has answered a peer that reads it, or None."""
-    if not (event.reading and event.answered and event.store_well):
+    if not (event.reading and event.answered and event.receives_records):
         return None
-    known = (state.far_peers if event.far else state.peers).get(event.node)
-    if known is None or known.well_since is None:
+    known = (state.remote_peers if event.far else state.peers).get(event.node)
+    if known is None or known.healthy_since is None:
         return now
-    return known.well_since
+    return known.healthy_since
 
 
-def has_store_been_well(state: State) -> bool:
-    """Tell whether a peer read the store all the while that this entry could not."""
-    for peer in [*state.peers.values(), *state.far_peers.values()]:
-        if peer.well_since is not None and peer.well_since < state.store_lost_at:
+def was_store_available(state: State) -> bool:
+    """Return whether a peer read the store throughout this entry's outage."""
+    for peer in [*state.peers.values(), *state.remote_peers.values()]:
+        if peer.healthy_since is not None and peer.healthy_since < state.store_lost_at:
             return True
     return False
 
 
 def catch_up(state: State, now: Millis) -> list[Effect]:
-    """Ask a peer for records that the store has not told this entry."""
-    known = [*state.peers.values(), *state.far_peers.values()]
+    """Fetch from a peer the records that the store has not sent to this entry."""
+    known = [*state.peers.values(), *state.remote_peers.values()]
     ahead = [peer for peer in known if _is_ahead(state, peer)]
     if not ahead:
         state.behind_since = None
@@ -128,17 +133,17 @@
     if state.behind_since is None:
         state.behind_since = now
     waited = Millis(now - state.behind_since)
-    patience = CATCH_UP_AFTER if reads_store(state, now) else TOLD_AFTER
-    if waited < patience or not _is_turn(state, ahead, waited):
+    delay = CATCH_UP_DELAY if reads_store(state, now) else RELAY_DELAY
+    if waited < delay or not _may_fetch(state, ahead, waited):
         return []
     state.behind_since = now
-    near = [peer for peer in ahead if not peer.far]
-    peer = state.rng.choice(near or ahead)
+    local = [peer for peer in ahead if not peer.far]
+    peer = state.rng.choice(local or ahead)
     note = Note(
         "records asked of a peer",
         {
             "peer": peer.address,
-            "configuration": read_version(state),
+            "configuration": get_configuration_version(state),
             "peer_configuration": peer.configuration,
             "position": state.position,
             "peer_position": peer.position,
@@ -148,29 +153,29 @@
 
 
 def _is_ahead(state: State, peer: Peer) -> bool:
-    if peer.configuration > read_version(state):
+    if peer.configuration > get_configuration_version(state):
         return True
     return peer.position > state.position
 
 
-def read_version(state: State) -> int:
+def get_configuration_version(state: State) -> int:
     """Return the version of the configuration in force; -1 for none."""
     return -1 if state.table is None else state.table.version
 
 
-def _is_turn(state: State, ahead: list[Peer], waited: Millis) -> bool:
-    """Tell whether this entry may ask now for records that only some peers have.
+def _may_fetch(state: State, ahead: list[Peer], waited: Millis) -> bool:
+    """Return whether this entry may now fetch records that only some peers have.
 
-    Were a whole failure domain to ask the few that know them at once, all would
-    get them late over a slow link. Each entry that has them serves the next ones.
+    If a whole failure domain fetched from the few peers that have them at once, all
+    would get them late over a slow link. Each entry that has them serves the next ones.
     """
     newest = max((peer.configuration, peer.position) for peer in ahead)
     behind = [name for name, peer in state.peers.items() if not _is_ahead(state, peer)]
-    own = _draw_turn(newest, state.node)
-    before = sum(1 for name in behind if _draw_turn(newest, name) < own)
-    doublings = waited // CATCH_UP_AFTER
-    return before < COPIES_AT_ONCE * len(ahead) << doublings
+    own = _draw_fetch_order(newest, state.node)
+    before = sum(1 for name in behind if _draw_fetch_order(newest, name) < own)
+    doublings = waited // CATCH_UP_DELAY
+    return before < MAX_CONCURRENT_FETCHES * len(ahead) << doublings
 
 
-def _draw_turn(newest: tuple[int, int], name: str) -> int:
+def _draw_fetch_order(newest: tuple[int, int], name: str) -> int:
     return zlib.crc32(f"{newest} {name}".encode())
--- a/figstep/gateway/streams.py
+++ b/figstep/gateway/streams.py
@@ -1,4 +1,4 @@
-"""Streams: delivery in order, each event once."""
+"""Delivers streams in order, each event once, and detects stalls."""
 
 from figstep.core.clock import Millis
 from figstep.gateway import attempts, copies, crashes, requests
@@ -16,37 +16,51 @@
 from figstep.gateway.routes import RouteKind
 from figstep.gateway.state import Attempt, Request, State
 
-STALL = Millis(400)
-"""Silence after which a stream that is late in any case goes on from its copy
-although its engine has not been found dead. Engines of a full batch pause up to
-200 ms between events; a caller gives up after two seconds."""
+STALL_TIMEOUT = Millis(400)
+"""Silence in milliseconds after which any stream switches to its copy.
 
-STALL_SHARE = 0.6
-"""Part of a route's longest pause after which a stream goes on from its copy so
-that it stays in time: the rest is for going on."""
+A stream that is on time may switch earlier, so that it stays so. The engine need not
+have been found dead. Engines with a full batch pause up to 200 ms between events;
+callers abandon a stream after two seconds.
+"""
 
-STALL_PAUSES = 2.5
-"""The same in usual pauses of the stream: a slow engine is no stalled one."""
+STALL_PAUSE_FRACTION = 0.6
+"""Fraction of a route's longest pause after which a stream on time switches.
 
-PAUSE_STEP = 0.2
-"""Weight of the newest pause in a stream's usual one."""
+The remaining time is for the switch.
+"""
 
-LATE_TICK = Millis(150)
-"""Time between two looks at the streams after which this entry itself stood
-still. What came meanwhile is read first: all its streams would else go on
-elsewhere at once, for events that wait in its sockets."""
+STALL_SMOOTHED_PAUSES = 2.5
+"""Least silence, in smoothed pauses, at which a stream switches to stay on time.
 
-GROWTH_EVENTS = 8
-"""Events after which a run's memory is counted anew; the others are told of it
-as of any change of loads, so that each event would cost a message."""
+A slow engine is not a stalled one.
+"""
 
-OVERLAP = Millis(300)
-"""Longest that a run may be open at two engines while it changes over. Both
-generate meanwhile; after it the one that has not delivered is closed."""
+PAUSE_SMOOTHING = 0.2
+"""Weight of the newest pause in a stream's smoothed pause, from 0 to 1."""
 
+LATE_TICK_INTERVAL = Millis(150)
+"""Milliseconds between two checks from which this entry itself was stalled.
 
-def note_opened(state: State, event: StreamOpened) -> list[Effect]:
-    """Note that a target accepted a stream."""
+Events that arrived meanwhile are read first. Otherwise all its streams would switch
+at once, for events that wait in its sockets.
+"""
+
+MEMORY_UPDATE_EVENTS = 8
+"""Events after which a run's expected memory is updated.
+
+Peers are told of any change of loads, so an update per event would cost a message each.
+"""
+
+MAX_OVERLAP = Millis(300)
+"""Longest time in milliseconds that a run is open at two engines during a switch.
+
+Both generate meanwhile; afterwards the one that has not delivered is closed.
+"""
+
+
+def handle_stream_opened(state: State, event: StreamOpened) -> list[Effect]:
+    """Record that a target accepted a stream."""
     attempt = state.attempts.get(event.attempt)
     if attempt is not None:
         attempt.answered = True
@@ -54,12 +68,16 @@
 
 
 def deliver_pieces(state: State, event: PiecesArrived, now: Millis) -> list[Effect]:
-    """Hand events on, each once and in order."""
+    """Deliver events to the caller, each once and in order.
+
+    The first events of a standby attempt complete the switch to it. A gap between
+    events breaks the stream.
+    """
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
         return []
     request = state.requests[attempt.request]
-    attempts.note_read(attempt, now)
+    attempts.record_prompt_read(attempt, now)
     effects: list[Effect] = []
     if attempt is request.standby:
         effects += _promote_standby(state, request, attempt, now)
@@ -67,41 +85,44 @@
     last = request.delivered
     for piece in event.pieces:
         if piece.index <= last and request.pieces + request.delivered:
-            # The engine that went on repeats what the other had sent meanwhile.
+            # The resumed run repeats events that the other engine had sent meanwhile.
             continue
-        if request.begun and piece.index != last + 1:
+        if request.stream_begun and piece.index != last + 1:
             return effects + _break_out_of_order(state, request, piece.index, now)
         data.append(piece.data)
         last = piece.index
     if not data:
         return effects
-    if attempt.delivers_since is None:
-        attempt.delivers_since = now
-    if request.begun:
+    if attempt.first_delivery_at is None:
+        attempt.first_delivery_at = now
+    if request.stream_begun:
         pause = Millis(now - request.delivered_at)
         request.longest_pause = max(request.longest_pause, pause)
-        request.usual_pause += PAUSE_STEP * (pause - request.usual_pause)
+        request.smoothed_pause += PAUSE_SMOOTHING * (pause - request.smoothed_pause)
     else:
-        effects += _begin(state, request, attempt, now)
+        effects += _begin_stream(state, request, attempt, now)
     request.delivered = last
     request.delivered_at = now
     request.pieces += len(data)
     request.may_have_run = True
-    if request.pieces // GROWTH_EVENTS > (request.pieces - len(data)) // GROWTH_EVENTS:
-        attempts.note_growth(state, request, attempt)
+    if (
+        request.pieces // MEMORY_UPDATE_EVENTS
+        > (request.pieces - len(data)) // MEMORY_UPDATE_EVENTS
+    ):
+        attempts.update_memory(state, request, attempt)
     if request.standby is None:
-        _note_backup(request, attempt)
+        _record_backup(request, attempt)
     effects.append(Deliver(request.spec.number, b"".join(data)))
     return effects
 
 
-def _begin(
+def _begin_stream(
     state: State, request: Request, attempt: Attempt, now: Millis
 ) -> list[Effect]:
-    request.begun = True
-    request.first_after = Millis(now - request.arrived)
-    attempt.target.note_success(now)
-    crashes.note_answer(state, attempt.target, attempt.opened)
+    request.stream_begun = True
+    request.time_to_first_event = Millis(now - request.arrived)
+    attempt.target.record_success(now)
+    crashes.record_answer(state, attempt.target, attempt.opened)
     number = request.spec.number
     return [
         *crashes.clear_request(state, request, now),
@@ -110,11 +131,11 @@
     ]
 
 
-def _note_backup(request: Request, attempt: Attempt) -> None:
+def _record_backup(request: Request, attempt: Attempt) -> None:
     holder = attempt.holder
-    if attempt.holder_spoiled:
+    if attempt.backup_unusable:
         return
-    if holder is None or not holder.takes_work:
+    if holder is None or not holder.accepts_work:
         return
     if request.copy is None:
         request.copy = RunCopy(holder.name, holder.name, request.spec.id)
@@ -123,15 +144,15 @@
 def _promote_standby(
     state: State, request: Request, standby: Attempt, now: Millis
 ) -> list[Effect]:
-    before = request.current
-    effects = attempts.close_attempt(state, before, now)
+    previous = request.current
+    effects = attempts.close_attempt(state, previous, now)
     request.current = standby
     request.standby = None
-    # Whatever was kept was of the run that has ended: left in place it would
-    # hide the backup of the one that goes on.
+    # The recorded copy belongs to the run that has ended: left in place it would hide
+    # the backup of the one that continues.
     request.copy = None
-    standby.target.note_success(now)
-    crashes.note_answer(state, standby.target, standby.opened)
+    standby.target.record_success(now)
+    crashes.record_answer(state, standby.target, standby.opened)
     pause = now - request.delivered_at
     effects += [
         Count("switched", (request.route.name,)),
@@ -140,7 +161,7 @@
             "stream goes on elsewhere",
             {
                 "request": request.spec.id,
-                "from": before.target.name if before else "",
+                "from": previous.target.name if previous else "",
                 "to": standby.target.name,
                 "after": request.delivered,
                 "pause_ms": pause,
@@ -166,7 +187,7 @@
 
 
 def finish_stream(state: State, event: StreamEnded, now: Millis) -> list[Effect]:
-    """The target ended its stream as whole: so does the caller's."""
+    """End the caller's stream as complete, as its target has done."""
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
         return []
@@ -174,8 +195,8 @@
     effects: list[Effect] = []
     if attempt is request.standby:
         effects += _promote_standby(state, request, attempt, now)
-    if not request.begun:
-        effects += _begin(state, request, attempt, now)
+    if not request.stream_begun:
+        effects += _begin_stream(state, request, attempt, now)
     if event.tail:
         effects.append(Deliver(request.spec.number, event.tail))
     attempts.end_attempt(state, attempt)
@@ -185,46 +206,48 @@
         FinishStream(request.spec.number),
         Count("answered", (request.route.name, "200")),
         Observe("answer_time", now - request.arrived, request.route.name),
-        requests.note_end(request, "whole stream", "", now),
+        requests.describe_end(request, "whole stream", "", now),
     ]
 
 
-def watch_streams(state: State, now: Millis) -> list[Effect]:
-    """Look after streams that stall or are in the middle of a change."""
+def check_streams(state: State, now: Millis) -> list[Effect]:
+    """Switch stalled streams to their copies, and end overlaps that last too long."""
     effects: list[Effect] = []
-    stood_still = now - state.watched_at >= LATE_TICK
-    state.watched_at = now
+    entry_stalled = now - state.streams_checked_at >= LATE_TICK_INTERVAL
+    state.streams_checked_at = now
     for request in list(state.requests.values()):
         if request.route.kind is not RouteKind.STREAM:
             continue
         standby = request.standby
         if standby is not None:
-            effects += _watch_standby(state, request, standby, now)
+            effects += _check_standby(state, request, standby, now)
             continue
-        if not stood_still and _is_stalled(request, now):
-            copies.forget_unusable_copy(state, request)
+        if not entry_stalled and _is_stalled(request, now):
+            copies.discard_unusable_copy(state, request)
             effects += copies.switch_to_copy(state, request, now)
     return effects
 
 
 def _is_stalled(request: Request, now: Millis) -> bool:
-    if not request.begun:
+    if not request.stream_begun:
         return False
-    limit = float(STALL)
+    limit = float(STALL_TIMEOUT)
     if request.longest_pause <= request.route.longest_pause:
-        in_time = STALL_SHARE * request.route.longest_pause
-        limit = min(limit, max(in_time, STALL_PAUSES * request.usual_pause))
+        on_time_limit = STALL_PAUSE_FRACTION * request.route.longest_pause
+        limit = min(
+            limit, max(on_time_limit, STALL_SMOOTHED_PAUSES * request.smoothed_pause)
+        )
     return now - request.delivered_at >= limit
 
 
-def _watch_standby(
+def _check_standby(
     state: State, request: Request, standby: Attempt, now: Millis
 ) -> list[Effect]:
-    if now - standby.opened < OVERLAP or request.current is None:
+    if now - standby.opened < MAX_OVERLAP or request.current is None:
         return []
-    if standby.answered or copies.is_last_chance(request.current.target, now):
-        # It was accepted and will deliver, or there is no time for another copy:
-        # the run must not go on at both.
+    if standby.answered or copies.is_too_late_to_copy(request.current.target, now):
+        # The standby was accepted and will deliver, or no other copy could be made in
+        # time: the run must not continue at both engines.
         return attempts.close_attempt(state, request.current, now)
-    request.current.holder_spoiled = True
+    request.current.backup_unusable = True
     return attempts.close_attempt(state, standby, now)
--- a/figstep/net/links.py
+++ b/figstep/net/links.py
@@ -13,9 +13,9 @@
 from figstep.core.clock import Millis
 from figstep.errors import PeerMessageError
 from figstep.gateway.events import PeerHeard, PeerLoad
-from figstep.gateway.news import LoadNews, forget_ages
+from figstep.gateway.news import LoadUpdates, strip_ages
 from figstep.gateway.peers import select_changed
-from figstep.gateway.state import FULL_MESH
+from figstep.gateway.state import FULL_MESH_MAX_ENTRIES
 from figstep.net.hellos import (
     MOST_COPY_BYTES,
     Hello,
@@ -69,7 +69,7 @@
     """What a link asks of the entry that it belongs to."""
 
     @abstractmethod
-    def describe_own(self) -> PeerHeard:
+    def describe_entry(self) -> PeerHeard:
         """Return what the entries that hear all of each other are told."""
 
     @abstractmethod
@@ -81,7 +81,7 @@
         """Return what other failure domains are told of one target."""
 
     @abstractmethod
-    def speaks_for_domain(self) -> bool:
+    def is_domain_representative(self) -> bool:
         """Tell whether this entry tells other failure domains of its own."""
 
     @abstractmethod
@@ -125,7 +125,7 @@
         self._sequence = 0
         self._neighbors = NeighborTable(self._own, failure_domain)
         self._told = _Told()
-        self._news = LoadNews()
+        self._news = LoadUpdates()
         self._told_far = -1e9
         self._spoke_at = -1e9
         self._told_bare: PeerHeard | None = None
@@ -161,7 +161,7 @@
     @property
     def is_large(self) -> bool:
         """Whether the fleet is too large for all to hear all."""
-        return len(self._neighbors) >= FULL_MESH
+        return len(self._neighbors) >= FULL_MESH_MAX_ENTRIES
 
     @Service.task
     async def _run(self) -> None:
@@ -169,9 +169,9 @@
             now = loop_time()
             for seed in self._seeds:
                 self._neighbors.add(seed, now)
-            self._neighbors.forget_old(now)
+            self._neighbors.remove_expired(now)
             self._entry.count_entries(1 + len(self._neighbors))
-            own = self._entry.describe_own()
+            own = self._entry.describe_entry()
             if self._is_due(own, now):
                 self._tell_near(now)
             await self.sleep(LARGE_POLL_SECONDS if self.is_large else POLL_SECONDS)
@@ -180,15 +180,15 @@
         if now - self._told.at >= HELLO_SECONDS:
             return True
         if self.is_large:
-            return self._news.has_news(own)
+            return self._news.has_urgent_changes(own)
         told = self._told.content
-        return told is None or forget_ages(own) != forget_ages(told)
+        return told is None or strip_ages(own) != strip_ages(told)
 
     @Service.task
     async def _run_far(self) -> None:
         while not self.should_stop:
             await self.sleep(FAR_SECONDS)
-            if self.is_large and self._entry.speaks_for_domain():
+            if self.is_large and self._entry.is_domain_representative():
                 self._tell_far(loop_time())
 
     def announce(self) -> None:
@@ -214,7 +214,7 @@
         self._send(hello, self._neighbors.pick_far(loop_time()))
 
     def _tell_near(self, now: float) -> None:
-        own = self._entry.describe_own()
+        own = self._entry.describe_entry()
         strangers = now - self._told.at >= HELLO_SECONDS
         self._told = _Told(now, own)
         near = self._neighbors.list_all()
@@ -237,7 +237,7 @@
         else:
             changed = select_changed(self._told_loads, domain.loads)
             domain = replace(domain, loads=changed, partial=True)
-            bare = forget_ages(replace(domain, loads=()))
+            bare = strip_ages(replace(domain, loads=()))
             is_known = not changed and bare == self._told_bare
             if is_known and now - self._spoke_at < HELLO_SECONDS:
                 return
@@ -307,7 +307,7 @@
 
     def _greet(self, address: str, failure_domain: str, now: float) -> None:
         """Answer an entry that has just started: it knows nobody's loads yet."""
-        content = self._entry.describe_own()
+        content = self._entry.describe_entry()
         if self.is_large and failure_domain != self._failure_domain:
             content = self._entry.describe_domain()
         members = self._neighbors.pick_members(now)
--- a/tests/core/test_configuration.py
+++ b/tests/core/test_configuration.py
@@ -1,4 +1,4 @@
-"""The fold of the configuration stream."""
+"""Tests of folding the configuration stream into the document in force."""
 
 from dataclasses import replace
 from typing import Any
@@ -41,10 +41,10 @@
 
 
 def test_racing_edits_accept_exactly_one() -> None:
-    """Two operators start from the same document and both publish.
+    """Guards against two concurrent edits that are both accepted.
 
-    Both records are in the log; the first by offset is in force and the
-    second is refused with the winner named, at every node alike.
+    Two operators publish from the same document. Both records are in the log; the first
+    by offset comes into force, and every node refuses the second and names the first.
     """
     state = State("a")
     effects = feed(state, build_edit(0, -1), build_edit(1, 0), build_edit(2, 0))
@@ -60,11 +60,11 @@
 
 
 def test_unknown_validation_version_stalls_until_a_checkpoint() -> None:
-    """An older program reads an edit made for newer validation rules.
+    """Guards against an older program that diverges from newer nodes.
 
-    It cannot tell whether the others accepted it, so it keeps its document
-    and judges nothing after it; judging the next edit by its base could make
-    it differ from every newer node. A later checkpoint ends the wait.
+    The program reads an edit made for newer validation rules and cannot know whether
+    the others accepted it. It keeps its document and evaluates no later edit either,
+    since those depend on that one. A later checkpoint resolves the stall.
     """
     state = State("a")
     unknown = build_edit(1, 0, inventory=None, known=False, validation=2)
@@ -78,11 +78,11 @@
 
 
 def test_start_after_truncation_needs_a_snapshot_that_joins_on() -> None:
-    """A fresh node finds the log's beginning gone.
+    """Guards against a new node that takes a stale edit for the first document.
 
-    A stale edit made from nothing must not be taken as the first document.
-    The snapshot stands for offset 4 at position 5, so the node reads again
-    from 6 and judges the edit that came between snapshot and its record.
+    The beginning of the log is truncated, and an edit based on no document must not be
+    accepted. The snapshot stands for offset 4 at position 5, so the node reads again
+    from 6 and evaluates the edit between the snapshot's position and its record.
     """
     state = State("a")
     feed(state, build_edit(6, 4), build_edit(7, -1))
@@ -151,7 +151,7 @@
 
 
 class FoldMachine(RuleBasedStateMachine):
-    """Nodes that read one list late, lossily and past truncation."""
+    """Nodes that read one log late, with lost answers and after truncation."""
 
     NODES = 3
 
@@ -163,7 +163,7 @@
         self.history: list[int] = [-1]
         self.nodes = [State(f"n{number}") for number in range(self.NODES)]
         self.next = [0] * self.NODES
-        self.seen: list[list[int]] = [[-1] for _ in range(self.NODES)]
+        self.accepted_offsets: list[list[int]] = [[-1] for _ in range(self.NODES)]
 
     def append(self, record: ConfigurationRead | SnapshotRead) -> None:
         self.records.append(record)
@@ -176,12 +176,12 @@
         for effect in reduce(node, event, NOW):
             if isinstance(effect, ReadConfigurationFrom):
                 self.next[number] = effect.offset
-        if node.configuration_offset != self.seen[number][-1]:
-            self.seen[number].append(node.configuration_offset)
+        if node.configuration_offset != self.accepted_offsets[number][-1]:
+            self.accepted_offsets[number].append(node.configuration_offset)
 
     @rule(back=strategies.integers(0, 2), valid=strategies.booleans())
     def publish(self, back: int, valid: bool) -> None:
-        """An operator publishes from the document in force, or from a stale one."""
+        """Publish an edit based on the document in force, or on an older one."""
         base = self.history[max(0, len(self.history) - 1 - back)]
         offset = len(self.records)
         edit = build_edit(offset, base, inventory=Inventory() if valid else None)
@@ -189,17 +189,17 @@
 
     @rule(number=strategies.integers(0, NODES - 1))
     def snapshot(self, number: int) -> None:
-        """A node that may lag appends a snapshot."""
+        """Let a node, which may lag, append a snapshot."""
         fold = self.nodes[number].configuration
         if fold.current is None:
             return
         record = encode_snapshot(fold.current, fold.position)
-        held = replace(fold.current, position=record["position"])
-        self.append(SnapshotRead(len(self.records), held))
+        checkpoint = replace(fold.current, position=record["position"])
+        self.append(SnapshotRead(len(self.records), checkpoint))
 
     @rule(number=strategies.integers(0, NODES - 1), count=strategies.integers(1, 4))
     def read(self, number: int, count: int) -> None:
-        """A node reads on; what the log dropped is passed over."""
+        """Let a node read on; truncated records are skipped."""
         for _ in range(count):
             offset = max(self.next[number], self.earliest)
             if offset >= len(self.records):
@@ -209,38 +209,40 @@
 
     @rule(number=strategies.integers(0, NODES - 1))
     def read_again(self, number: int) -> None:
-        """A lost answer makes a node read what it has read."""
+        """Let a node read records again, as after a lost answer."""
         self.next[number] = max(self.earliest, self.next[number] - 2)
 
     @rule(keep=strategies.integers(0, 3))
     def truncate(self, keep: int) -> None:
-        """The log drops its oldest records."""
+        """Drop the oldest records of the log and keep the newest ``keep``."""
         self.earliest = max(self.earliest, len(self.records) - keep)
 
-    @rule(giver=strategies.integers(0, NODES - 1), taker=strategies.integers(0, 2))
-    def offer(self, giver: int, taker: int) -> None:
-        """A peer gives its checkpoint, perhaps an old one."""
-        fold = self.nodes[giver].configuration
+    @rule(
+        provider=strategies.integers(0, NODES - 1), recipient=strategies.integers(0, 2)
+    )
+    def offer(self, provider: int, recipient: int) -> None:
+        """Let a node offer its checkpoint, perhaps an old one, to another."""
+        fold = self.nodes[provider].configuration
         if fold.current is None:
             return
-        held = replace(fold.current, position=fold.position)
-        self.deliver(taker, CheckpointOffered(held))
+        checkpoint = replace(fold.current, position=fold.position)
+        self.deliver(recipient, CheckpointOffered(checkpoint))
 
     @rule(number=strategies.integers(0, NODES - 1))
     def restart(self, number: int) -> None:
-        """A node is replaced; the new one knows nothing."""
+        """Replace a node with one that has an empty state."""
         self.nodes[number] = State(f"n{number}")
         self.next[number] = 0
-        self.seen[number] = [-1]
+        self.accepted_offsets[number] = [-1]
 
     @precondition(lambda self: self.reference.configuration.current is not None)
     @rule(number=strategies.integers(0, NODES - 1))
     def settle(self, number: int) -> None:
-        """After a snapshot that joins on, every node reaches the same document."""
+        """Check that a node reaches the reference document after a fitting snapshot."""
         fold = self.reference.configuration
         assert fold.current is not None
-        held = replace(fold.current, position=fold.position)
-        self.append(SnapshotRead(len(self.records), held))
+        checkpoint = replace(fold.current, position=fold.position)
+        self.append(SnapshotRead(len(self.records), checkpoint))
         while max(self.next[number], self.earliest) < len(self.records):
             self.read(number, 1)
         node = self.nodes[number]
@@ -248,9 +250,9 @@
 
     @invariant()
     def accepted_sequence_is_the_same_and_never_goes_back(self) -> None:
-        for seen in self.seen:
-            assert seen == sorted(set(seen))
-            assert set(seen) <= set(self.history)
+        for accepted_offsets in self.accepted_offsets:
+            assert accepted_offsets == sorted(set(accepted_offsets))
+            assert set(accepted_offsets) <= set(self.history)
 
 
 TestFold = FoldMachine.TestCase
--- a/tests/core/test_generations_properties.py
+++ b/tests/core/test_generations_properties.py
@@ -1,4 +1,4 @@
-"""A caller sees indexes 1 to n of one generation, under any faults."""
+"""Property tests: a caller gets events 1 to n of one generation, under any faults."""
 
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
@@ -31,20 +31,22 @@
 from tests.core.entries import Entry, make_inventory
 
 LENGTH = 6
+"""Number of events in each complete generation."""
+
 picks = st.integers(0, 9)
 
 
 class Caller:
-    """What one caller has been handed."""
+    """The events that one caller has received."""
 
     def __init__(self, stream: bool) -> None:
         self.stream = stream
         self.frames: list[bytes] = []
-        self.whole = False
+        self.complete = False
 
 
 class GenerationsMachine(RuleBasedStateMachine):
-    """Several generations on targets that lose, repeat and cross events."""
+    """Generations on targets that lose, repeat and mix up events."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -64,7 +66,7 @@
                     (effect.attempt, effect.generation, effect.request)
                 )
             case Deliver(request=request, frames=frames):
-                assert not self.callers[request].whole
+                assert not self.callers[request].complete
                 self.callers[request].frames += frames
             case DiscardDelivered(request=request):
                 caller = self.callers[request]
@@ -73,7 +75,7 @@
             case Complete(request=request):
                 caller = self.callers.pop(request)
                 assert len(caller.frames) == LENGTH, "the answer is not whole"
-                caller.whole = True
+                caller.complete = True
             case Refuse(request=request, problem=problem):
                 caller = self.callers.pop(request)
                 assert problem.ran is not Ran.NO or not caller.frames
@@ -93,19 +95,21 @@
         self._feed(RequestArrived(spec))
 
     @rule(pick=picks, first=st.integers(1, LENGTH), count=st.integers(1, 4))
-    def events_come(self, pick: int, first: int, count: int) -> None:
+    def events_arrive(self, pick: int, first: int, count: int) -> None:
         if self.attempts:
             attempt, generation, _ = self._pick(pick)
             self._deliver(attempt, generation, first, count)
 
     @rule(pick=picks, other=picks, count=st.integers(1, 4))
     def answers_cross(self, pick: int, other: int, count: int) -> None:
+        """Deliver events of one generation over an attempt of another."""
         if self.attempts:
             attempt, generation = self._pick(pick)[0], self._pick(other)[1]
             self._deliver(attempt, generation, 1, count)
 
     @rule(pick=picks, count=st.integers(1, LENGTH))
-    def next_events_come(self, pick: int, count: int) -> None:
+    def next_events_arrive(self, pick: int, count: int) -> None:
+        """Deliver the events that follow those already delivered."""
         if not self.attempts:
             return
         attempt, generation, name = self._pick(pick)
@@ -121,7 +125,7 @@
         self._feed(TokensArrived(attempt, generation, first, frames))
 
     @rule(pick=picks)
-    def end_marker_comes(self, pick: int) -> None:
+    def end_marker_arrives(self, pick: int) -> None:
         if not self.attempts:
             return
         attempt, generation, name = self._pick(pick)
@@ -137,11 +141,12 @@
 
     @rule(stream=st.booleans(), count=st.integers(1, LENGTH))
     def target_dies(self, stream: bool, count: int) -> None:
+        """Start a request and lose it again and again, as when its target has died."""
         self.send(stream)
         if not self.attempts:
             return
         name = self.attempts[-1][2]
-        self.next_events_come(0, count)
+        self.next_events_arrive(0, count)
         for _ in range(6):
             request = self.entry.state.requests.get(name)
             if request is None:
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: liveness, leaving marks, counts and documents among entries."""
+"""Tests of membership: liveness, leaving marks, counts and documents of entries."""
 
 import random
 from dataclasses import replace
@@ -15,7 +15,7 @@
     InstanceInfo,
     InstancesListed,
     LoadReported,
-    PeersOpened,
+    PeerListenerOpened,
     ShutdownRequested,
     TimerFired,
 )
@@ -39,8 +39,8 @@
     encode_gossip,
 )
 
-LARGE = 0x7EDC_BA98_7654_3210
-"""A number without zero bytes, which the packing could leave out."""
+NUMBER_WITHOUT_ZERO_BYTES = 0x7EDC_BA98_7654_3210
+"""An integer without zero bytes, which a packed message cannot shorten."""
 
 
 def make_state(members: int = 0, targets: int = 2) -> State:
@@ -48,13 +48,16 @@
     for number in range(targets):
         name = f"engine-{number}"
         state.targets[name] = TargetState(EngineInfo(name, "http://h", "d", ("m",)))
-    feed(state, PeersOpened("127.0.0.1:1", 10))
+    feed(state, PeerListenerOpened("127.0.0.1:1", 10))
     for number in range(members):
-        feed(state, hear(f"n{number}", f"127.0.0.1:{number + 100}"))
+        feed(state, build_gossip_event(f"n{number}", f"127.0.0.1:{number + 100}"))
     return state
 
 
-def hear(sender: str, address: str = "127.0.0.1:2", **members: object) -> object:
+def build_gossip_event(
+    sender: str, address: str = "127.0.0.1:2", **members: object
+) -> object:
+    """Return the event of a received gossip message with the given members."""
     gossip = Gossip(sender, address, 5, 1, wants_answer=False)
     return GossipReceived(replace(gossip, **members))  # type: ignore[arg-type]
 
@@ -64,92 +67,102 @@
 
 
 def list_sent(effects: list[Effect]) -> list[SendGossip]:
+    """Return the gossip messages among some effects."""
     return [effect for effect in effects if isinstance(effect, SendGossip)]
 
 
 def test_silent_entry_is_suspected_then_gone_and_returns_when_it_speaks() -> None:
-    """A peer answers nothing for seconds, then its link comes back.
+    """Guards against a peer that stays removed after its connection is restored.
 
-    It is suspected, then gone. Its next message of the same incarnation does
-    not revive it; the answer tells it so, and it comes with a newer one.
+    A peer is silent for seconds; it is suspected and then gone. Its next message with
+    the same incarnation does not revive it. The answer reports its status to it, and it
+    returns with a newer incarnation.
     """
     state = make_state(members=1)
-    seen = []
+    statuses = []
     for now in range(0, 12_000, 1_000):
         feed(state, TimerFired(GossipTimer()), now)
-        seen.append(state.membership.members["n0"].status)
-    assert MemberStatus.SUSPECT in seen
-    assert seen[-1] is MemberStatus.GONE
-    effects = feed(state, hear("n0", sequence=2, wants_answer=True), 12_000)
-    told = list_sent(effects)[0].gossip.members[0]
-    assert (told.name, told.status) == ("n0", MemberStatus.GONE)
-    feed(state, hear("n0", incarnation=6), 12_001)
+        statuses.append(state.membership.members["n0"].status)
+    assert MemberStatus.SUSPECT in statuses
+    assert statuses[-1] is MemberStatus.GONE
+    effects = feed(
+        state, build_gossip_event("n0", sequence=2, wants_answer=True), 12_000
+    )
+    member = list_sent(effects)[0].gossip.members[0]
+    assert (member.name, member.status) == ("n0", MemberStatus.GONE)
+    feed(state, build_gossip_event("n0", incarnation=6), 12_001)
     assert state.membership.members["n0"].status is MemberStatus.ALIVE
 
 
 def test_suspected_entry_refutes_by_a_newer_incarnation() -> None:
     state = make_state()
     news = MemberNews("a", "127.0.0.1:1", 10, MemberStatus.SUSPECT)
-    effects = feed(state, hear("b", members=(news,)))
+    effects = feed(state, build_gossip_event("b", members=(news,)))
     assert list_sent(effects)[0].gossip.incarnation == 11
 
 
 def test_leaving_mark_is_sent_on_at_once_and_once() -> None:
-    """A target tells one entry that it leaves.
+    """Guards against work sent to a leaving target by entries that do not know it yet.
 
-    The others give it work until they know. The mark crosses the fleet in a
-    few datagrams' time because each entry to whom it is news sends it on; an
-    entry that knows it already stays silent, so the flood ends.
+    A target reports to one entry that it leaves. Each entry to which the mark is new
+    forwards it at once, so it crosses the fleet in a few messages' time. An entry that
+    already has the mark does not forward it, which ends the flood.
     """
     state = make_state(members=8)
     mark = LeavingMark("engine-1", 3)
-    effects = feed(state, hear("n0", sequence=2, marks=(mark,)))
+    effects = feed(state, build_gossip_event("n0", sequence=2, marks=(mark,)))
     sent = list_sent(effects)
     assert len(sent) == membership.URGENT_FANOUT
     assert all(mark in s.gossip.marks for s in sent)
     assert state.targets["engine-1"].leaving
-    assert not list_sent(feed(state, hear("n1", sequence=2, marks=(mark,))))
+    assert not list_sent(
+        feed(state, build_gossip_event("n1", sequence=2, marks=(mark,)))
+    )
 
 
 def test_leaving_ends_only_by_a_newer_incarnation() -> None:
     state = make_state(members=1)
     target = state.targets["engine-1"]
-    feed(state, hear("n0", sequence=2, marks=(LeavingMark("engine-1", 3),)))
+    feed(
+        state, build_gossip_event("n0", sequence=2, marks=(LeavingMark("engine-1", 3),))
+    )
     live = InstanceInfo("engine-1", "target", "", "d", incarnation=3)
     feed(state, InstancesListed((live,)))
     feed(state, LoadReported("engine-1", incarnation=3))
     assert target.leaving
     feed(state, LoadReported("engine-1", incarnation=4))
     assert not target.leaving
-    feed(state, hear("n0", sequence=3, marks=(LeavingMark("engine-1", 3),)))
+    feed(
+        state, build_gossip_event("n0", sequence=3, marks=(LeavingMark("engine-1", 3),))
+    )
     assert not target.leaving
 
 
-def test_own_shutdown_is_told_to_peers() -> None:
+def test_own_shutdown_is_announced_to_peers() -> None:
     state = make_state(members=4)
     sent = list_sent(feed(state, ShutdownRequested()))
     assert sent
     assert all(s.gossip.leaving for s in sent)
 
 
-def test_counts_of_peers_are_summed_and_scaled_to_the_unheard() -> None:
+def test_counts_of_peers_are_summed_and_scaled_to_silent_ones() -> None:
     state = make_state(members=3)
     counts = (TargetCount(hash_target("engine-0"), 4),)
-    feed(state, hear("n0", sequence=2, counts=counts), 10_000)
-    feed(state, hear("n1", sequence=2, counts=counts), 10_000)
+    feed(state, build_gossip_event("n0", sequence=2, counts=counts), 10_000)
+    feed(state, build_gossip_event("n1", sequence=2, counts=counts), 10_000)
     membership.estimate_peer_counts(state, Millis(10_000))
     assert state.targets["engine-0"].peers_in_flight == 12
-    feed(state, hear("n2", sequence=2, counts=counts), 16_000)
+    feed(state, build_gossip_event("n2", sequence=2, counts=counts), 16_000)
     membership.estimate_peer_counts(state, Millis(16_000))
     assert state.targets["engine-0"].peers_in_flight == 0
     membership.estimate_peer_counts(state, Millis(30_000))
     assert state.targets["engine-0"].peers_in_flight == 0
 
 
-def test_quarantine_is_taken_and_given_on() -> None:
+def test_quarantine_is_received_and_forwarded() -> None:
     state = make_state(members=1)
     mark = QuarantineMark("ab" * 32, Millis(5_000))
-    feed(state, hear("n0", sequence=2, quarantined=(mark,)), 1_000)
+    feed(state, build_gossip_event("n0", sequence=2, quarantined=(mark,)), 1_000)
     assert state.quarantine.until[mark.digest] == 6_000
     gossip = datagrams.build_gossip(state, None, Millis(2_000), True)
     assert gossip.quarantined == (QuarantineMark(mark.digest, Millis(4_000)),)
@@ -157,7 +170,10 @@
 
 def test_newer_document_is_fetched_from_the_peer_that_holds_it() -> None:
     state = make_state(members=2)
-    feed(state, hear("n0", "127.0.0.1:100", sequence=2, accepted=4, position=4))
+    feed(
+        state,
+        build_gossip_event("n0", "127.0.0.1:100", sequence=2, accepted=4, position=4),
+    )
     effects = feed(state, TimerFired(FetchTimer()))
     assert FetchCheckpoint("127.0.0.1:100") in effects
 
@@ -168,9 +184,13 @@
         for target in state.targets.values():
             target.in_flight = 9
             target.leaving = True
-            membership.mark_leaving(state, LeavingMark(target.info.name, LARGE))
-        state.membership.incarnation = LARGE
-        state.configuration_offset = state.configuration.position = LARGE
+            membership.mark_leaving(
+                state, LeavingMark(target.info.name, NUMBER_WITHOUT_ZERO_BYTES)
+            )
+        state.membership.incarnation = NUMBER_WITHOUT_ZERO_BYTES
+        state.configuration_offset = state.configuration.position = (
+            NUMBER_WITHOUT_ZERO_BYTES
+        )
         for digest in range(50):
             state.quarantine.until[f"{digest:064x}"] = Millis(60_000)
         keys = Keyring("k" * 32)
@@ -197,16 +217,17 @@
 
 
 def test_a_list_without_incarnations_counts_while_it_says_so() -> None:
-    """The platform's list names no incarnations and calls a target leaving.
+    """Guards against new work for a target that the platform lists as leaving.
 
-    The target has told its own incarnation, so the line looks older than it;
-    were it passed over, the target would get new work until it is gone.
+    The platform's list has no incarnations. The target has reported its own, so the
+    listed line looks older; if it were ignored, the target would get new work until it
+    is gone.
     """
     state = make_state(members=1)
     target = state.targets["engine-0"]
     feed(state, LoadReported("engine-0", incarnation=3))
     line = InstanceInfo("engine-0", "target", "", "muc-a", leaving=True)
     feed(state, InstancesListed((line,)))
-    assert not target.takes_work
+    assert not target.accepts_work
     feed(state, InstancesListed((replace(line, leaving=False),)))
-    assert target.takes_work
+    assert target.accepts_work
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: what a holder orders, and when it holds back."""
+"""Tests of placement: the orders of a lease holder, and when it gives none."""
 
 import random
 
@@ -21,7 +21,7 @@
     OrderOutcome,
     UnloadModel,
 )
-from figstep.core.placement import EngineView, Placed, plan_orders
+from figstep.core.placement import EngineView, PlacedOrder, plan_orders
 from figstep.core.records import LEASES, LogRecord
 from figstep.core.state import State, TargetState
 
@@ -42,22 +42,22 @@
     return Inventory(domains, engines=engines, models=(model,), rules=rules)
 
 
-def plan(model: ModelInfo, replicas: int, *loaded: set[str]) -> list[Placed]:
+def plan(model: ModelInfo, replicas: int, *loaded: set[str]) -> list[PlacedOrder]:
     views = []
     for name, held in zip(NAMES, loaded, strict=False):
         views.append(EngineView(make_engine(name), frozenset(held), True))
     return plan_orders(make_inventory(model, replicas), "muc-a", views)
 
 
-def test_nothing_is_ordered_where_all_is_as_wanted() -> None:
+def test_no_orders_once_the_desired_state_is_reached() -> None:
     assert plan(ModelInfo("m", "1"), 2, {"m@1"}, {"m@1"}, set()) == []
 
 
 def test_an_old_version_is_kept_until_the_new_one_serves_everywhere() -> None:
-    """A model gets a new version.
+    """Guards against lost capacity while a model gets a new version.
 
-    Unloading the old one first would leave callers without capacity while the
-    weights load, so unloads wait until all wanted engines have the new one.
+    Unloading the old version first would leave callers without capacity while the
+    weights load. Unloads wait until all desired engines have the new version.
     """
     model = ModelInfo("m", "2")
     first = plan(model, 3, {"m@1"}, {"m@1"}, {"m@1"})
@@ -65,13 +65,13 @@
     partly = plan(model, 3, {"m@1", "m@2"}, {"m@1", "m@2"}, {"m@1"})
     assert [placed.order for placed in partly] == [LoadModel("m", "2")]
     fully = plan(model, 3, {"m@1", "m@2"}, {"m@2"}, {"m@2"})
-    assert fully == [Placed("e1", UnloadModel("m", "1"))]
+    assert fully == [PlacedOrder("e1", UnloadModel("m", "1"))]
 
 
 def test_adapters_are_loaded_where_the_version_serves() -> None:
     model = ModelInfo("m", "1", adapters=("menus",))
     assert plan(model, 1, {"m@1"}, set(), set()) == [
-        Placed("e1", LoadAdapter("m", "menus"))
+        PlacedOrder("e1", LoadAdapter("m", "menus"))
     ]
 
 
@@ -83,28 +83,29 @@
     return state
 
 
-def take_lease(state: State, now: int) -> int:
-    """Run rounds until the lease is asked for and read back; return the time."""
+def acquire_lease(state: State, now: int) -> int:
+    """Run rounds until the lease was requested and read back; return the time."""
     for _ in range(20):
         effects = placement.run_round(state, Millis(now))
         for effect in effects:
             if isinstance(effect, AppendRecords):
                 record = LogRecord(0, now, effect.records[0])
                 event = RecordsRead(LEASES, (record,))
-                placement.take_lease_records(state, event, Millis(now))
+                placement.apply_lease_records(state, event, Millis(now))
                 return now
-        now += placement.PERIOD
-    raise AssertionError("no lease was asked for")
+        now += placement.ROUND_INTERVAL
+    raise AssertionError("no lease was requested")
 
 
 def list_orders(state: State, now: int) -> list[SendOrder]:
+    """Run a round and return the orders that it gives."""
     effects = placement.run_round(state, Millis(now))
     return [effect for effect in effects if isinstance(effect, SendOrder)]
 
 
 def test_loads_are_staggered_by_the_weight_store_rate() -> None:
     state = make_state()
-    now = take_lease(state, 0)
+    now = acquire_lease(state, 0)
     sent = [list_orders(state, now + step) for step in (0, 500, 1_000, 2_000)]
     assert [len(orders) for orders in sent] == [1, 0, 1, 1]
     targets = {orders[0].target for orders in sent if orders}
@@ -117,32 +118,35 @@
 
 
 def test_a_new_holder_waits_for_engines_that_ignore_numbers() -> None:
-    """The last holder was paused in the middle of an order.
+    """Guards against a paused holder whose order overrides a newer one.
 
-    An engine that ignores fencing numbers obeys it when it wakes. The new
-    holder waits a whole term and the longest order, and only then orders, so
-    its own statement comes last.
+    The last holder was paused while giving an order, and an engine that ignores fencing
+    numbers obeys it when the holder resumes. The new holder waits for a whole lease
+    term and the longest order first, so that its own order comes last.
     """
     state = make_state(checks_fencing=False)
-    now = take_lease(state, 0)
+    now = acquire_lease(state, 0)
     assert list_orders(state, now) == []
-    quiet = now + leases.TERM + ORDER_TIMEOUT
-    renewal = leases.ask_lease(state.leases, "orders.muc-a", "n1", Millis(quiet - 1))
+    earliest = now + leases.TERM + ORDER_TIMEOUT
+    renewal = leases.request_lease(
+        state.leases, "orders.muc-a", "n1", Millis(earliest - 1)
+    )
     record = LogRecord(1, now + 1, renewal.to_json())
-    leases.take_record(state.leases, "n1", record, Millis(quiet))
-    assert len(list_orders(state, quiet)) == 1
+    leases.apply_record(state.leases, "n1", record, Millis(earliest))
+    assert len(list_orders(state, earliest)) == 1
 
 
-def test_a_stale_number_ends_the_hold() -> None:
-    """A holder's lease lapsed while it was paused; another has ordered since.
+def test_a_stale_fencing_number_ends_the_holding() -> None:
+    """Guards against a holder that gives orders after its lease was taken over.
 
-    The engine refuses its number. It must stop at once, not go on until its
-    own clock tells.
+    The holder was paused, its lease lapsed, and another one has given orders. When an
+    engine refuses its fencing number, it stops at once and does not wait for its own
+    clock to show that the lease has lapsed.
     """
     state = make_state()
-    now = take_lease(state, 0)
+    now = acquire_lease(state, 0)
     order = list_orders(state, now)[0]
-    placement.take_answer(
+    placement.handle_answer(
         state, OrderAnswered(order.number, OrderOutcome.STALE), Millis(now)
     )
     assert list_orders(state, now + 1_000) == []
@@ -150,7 +154,7 @@
 
 def test_shutdown_releases_the_lease() -> None:
     state = make_state()
-    now = take_lease(state, 0)
+    now = acquire_lease(state, 0)
     state.shutting_down = True
     effects = placement.run_round(state, Millis(now + 1))
     released = [e.records[0]["release"] for e in effects if not _timer(e)]
--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that kill targets, and their innocent neighbours."""
+"""Tests of quarantining requests that crash targets, and of clearing others."""
 
 from figstep.core import quarantine
 from figstep.core.clock import Millis
@@ -18,50 +18,52 @@
 from figstep.core.quarantine import Quarantine
 from figstep.core.specs import GenerationWork, RequestSpec
 from figstep.core.suspects import blocks_target
-from figstep.core.targets import AVOID_LONGEST
+from figstep.core.targets import MAX_AVOIDANCE
 from tests.core.entries import Entry, make_inventory
 from tests.core.test_recovery import lose_for_good
 
 
 def list_suspected(entry: Entry) -> set[str]:
-    """Return the requests that were in flight where a target died."""
+    """Return the digests of requests that were in flight where a target died."""
     return set(entry.state.quarantine.crashes.list_suspected())
 
 
-def note_death(entry: Entry, digest: str, death: str) -> None:
-    """Let a request be in flight at a target that died elsewhere."""
-    entry.state.quarantine.crashes.note(Suspicion(digest, death), entry.now)
+def record_crash(entry: Entry, digest: str, death: str) -> None:
+    """Record a request as in flight at a target that died at another entry."""
+    entry.state.quarantine.crashes.record_suspicion(Suspicion(digest, death), entry.now)
 
 
-def accept(entry: Entry, request: str) -> None:
+def answer_attempt(entry: Entry, request: str) -> None:
+    """Report that the target of a request's attempt has answered."""
     entry.feed(AttemptAnswered(entry.find_attempt(request)))
 
 
 def test_a_request_is_refused_after_it_killed_two_targets() -> None:
-    """A request crashes the engine that runs it, and its caller sends it again.
+    """Guards against a request that crashes engine after engine as it is retried.
 
-    The second death, where it was the only suspect, proves it; the third
-    sending is refused before it reaches a target.
+    The second crash, at which it is the only suspect, proves it; the third try is
+    refused before it reaches a target.
     """
     entry = Entry(inventory=make_inventory(engines=3))
     entry.start("r1", digest="killer", stream=False)
-    accept(entry, "r1")
+    answer_attempt(entry, "r1")
     lose_for_good(entry, "r1")
-    accept(entry, "r1")
+    answer_attempt(entry, "r1")
     lose_for_good(entry, "r1")
-    assert entry.take(Refuse).problem.code == "request_quarantined"
-    assert entry.list_kind(OpenAttempt) == []
+    assert entry.find_effect(Refuse).problem.code == "request_quarantined"
+    assert entry.find_effects(OpenAttempt) == []
     spec = RequestSpec("r2", "demo", GenerationWork("m"), digest="killer")
     entry.feed(RequestArrived(spec))
-    problem = entry.take(Refuse).problem
+    problem = entry.find_effect(Refuse).problem
     assert problem.retry_after == entry.state.quarantine.until["killer"] - entry.now
 
 
 def test_neighbours_of_a_killer_go_on_and_are_cleared() -> None:
-    """A killer and an innocent request share the engine that dies.
+    """Guards against quarantining an innocent request that shared an engine.
 
-    Both become suspects and are retried on different targets. The killer's
-    death there proves it; the innocent one ends whole and is forgotten.
+    A crashing and an innocent request run at the engine that dies. Both become suspects
+    and are retried on different targets. The crash there proves the first one; the
+    innocent one completes and is cleared.
     """
     entry = Entry(inventory=make_inventory(engines=3))
     entry.start("bad", digest="killer", stream=False)
@@ -72,13 +74,13 @@
         number += 1
         name = f"good{number}"
         entry.start(name, digest=name, stream=False)
-    accept(entry, "bad")
-    accept(entry, name)
+    answer_attempt(entry, "bad")
+    answer_attempt(entry, name)
     lose_for_good(entry, "bad")
     lose_for_good(entry, name)
     assert list_suspected(entry) == {"killer", name}
     assert entry.state.requests["bad"].target != entry.state.requests[name].target
-    accept(entry, "bad")
+    answer_attempt(entry, "bad")
     lose_for_good(entry, "bad")
     assert list(entry.state.quarantine.until) == ["killer"]
     entry.deliver(entry.find_attempt(name), 1)
@@ -89,43 +91,44 @@
 def test_suspects_keep_away_from_each_other() -> None:
     entry = Entry(inventory=make_inventory(engines=1))
     for digest in ("a", "b"):
-        note_death(entry, digest, "e9#1")
+        record_crash(entry, digest, "e9#1")
     entry.start("r1", digest="a")
     spec = RequestSpec("r2", "demo", GenerationWork("m"), digest="b")
     entry.feed(RequestArrived(spec))
     assert blocks_target(entry.state, entry.state.requests["r2"], "e1")
-    assert entry.list_kind(OpenAttempt) == []
+    assert entry.find_effects(OpenAttempt) == []
     entry.deliver(entry.find_attempt("r1"), 1)
     entry.feed(AttemptEnded(entry.find_attempt("r1")))
     entry.feed(TimerFired(QueueTimer()))
-    assert entry.take(OpenAttempt).request == "r2"
+    assert entry.find_effect(OpenAttempt).request == "r2"
 
 
-def test_two_suspects_that_die_together_are_not_proved() -> None:
+def test_two_suspects_at_the_same_crashes_are_not_proved() -> None:
     entry = Entry(inventory=make_inventory(engines=1))
     entry.start("r1", digest="a", stream=False)
     entry.start("r2", digest="b", stream=False)
     for digest in ("a", "b"):
-        note_death(entry, digest, "e9#1")
-    accept(entry, "r1")
-    accept(entry, "r2")
+        record_crash(entry, digest, "e9#1")
+    answer_attempt(entry, "r1")
+    answer_attempt(entry, "r2")
     lose_for_good(entry, "r1")
     assert entry.state.quarantine.until == {}
 
 
 def test_one_death_is_counted_once() -> None:
-    """A death shows by broken streams first and by a new incarnation later.
+    """Guards against counting one crash twice.
 
-    What was started on the new incarnation meanwhile had no part in it.
+    A crash shows first by broken streams and later by a new incarnation. Requests
+    started on the new incarnation in between were not part of it.
     """
     entry = Entry(inventory=make_inventory(engines=1))
     entry.feed(LoadReported("e1", incarnation=1))
     entry.start("r1", digest="a")
-    accept(entry, "r1")
+    answer_attempt(entry, "r1")
     lose_for_good(entry, "r1")
-    entry.feed(CallerGone("r1"), after=AVOID_LONGEST)
+    entry.feed(CallerGone("r1"), after=MAX_AVOIDANCE)
     entry.start("r2", digest="b")
-    accept(entry, "r2")
+    answer_attempt(entry, "r2")
     entry.feed(LoadReported("e1", incarnation=2))
     assert list_suspected(entry) == {"a"}
 
@@ -134,7 +137,7 @@
     entry = Entry(inventory=make_inventory(engines=1))
     entry.feed(LoadReported("e1", incarnation=1))
     entry.start("r1", digest="a")
-    accept(entry, "r1")
+    answer_attempt(entry, "r1")
     entry.feed(LoadReported("e1", incarnation=2))
     assert list_suspected(entry) == {"a"}
 
@@ -147,26 +150,31 @@
     assert list_suspected(entry) == set()
 
 
-def test_a_digest_that_a_peer_tells_is_refused_for_a_bounded_time() -> None:
+def test_a_digest_from_a_peer_is_refused_for_a_bounded_time() -> None:
     held = Quarantine({"d": Millis(900)})
-    quarantine.hold_digest(held, "d", Millis(100), Millis(400))
+    quarantine.quarantine_digest(held, "d", Millis(100), Millis(400))
     assert held.until == {"d": Millis(900)}
-    quarantine.hold_digest(held, "e", Millis(10**9), Millis(400))
-    assert held.until["e"] == 400 + quarantine.QUARANTINE_FOR
+    quarantine.quarantine_digest(held, "e", Millis(10**9), Millis(400))
+    assert held.until["e"] == 400 + quarantine.QUARANTINE_DURATION
 
 
 def test_shared_digests_end_everywhere() -> None:
-    """Two entries repeat to each other what they refuse, half a second late.
+    """Guards against a quarantine that lasts longer with each exchange.
 
-    The time on the way is added at each hop; were every longer time taken, the
-    digest would be refused for half as long again.
+    Two entries repeat to each other which digests they refuse, with a delay of half a
+    second that is added at each hop. If an entry adopted every longer time, a digest
+    would be refused for half as long again.
     """
     first, second = Quarantine(), Quarantine()
-    quarantine.hold_digest(first, "d", Millis(60_000), Millis(0))
+    quarantine.quarantine_digest(first, "d", Millis(60_000), Millis(0))
     for now in range(0, 60_000, 1_000):
-        for giver, taker in ((first, second), (second, first)):
-            remaining = Millis(giver.until["d"] - now if "d" in giver.until else 0)
+        for provider, recipient in ((first, second), (second, first)):
+            remaining = Millis(
+                provider.until["d"] - now if "d" in provider.until else 0
+            )
             if remaining > 0:
-                quarantine.hold_digest(taker, "d", remaining, Millis(now + 500))
+                quarantine.quarantine_digest(
+                    recipient, "d", remaining, Millis(now + 500)
+                )
     assert first.until["d"] == 60_000
     assert second.until["d"] == 60_500
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -1,4 +1,4 @@
-"""Choice of the target, and what bounds what it is given."""
+"""Tests of choosing a target and of the limits on its load."""
 
 import random
 from dataclasses import replace
@@ -16,13 +16,13 @@
     TokensArrived,
 )
 from figstep.core.inventory import EngineInfo, Inventory, Rules
-from figstep.core.pacing import Footprint, GapLine, Pace
+from figstep.core.pacing import Footprint, GapRegression, Pace
 from figstep.core.policies import POLICIES, Figstep
 from figstep.core.reducer import reduce
-from figstep.core.routing import choose_subset, has_loaded, has_room
+from figstep.core.routing import choose_subset, has_capacity, has_loaded
 from figstep.core.specs import GenerationWork, RequestSpec
 from figstep.core.state import State, TargetState
-from figstep.core.targets import count_others, note_loss
+from figstep.core.targets import estimate_others_running, record_loss
 from tests.core.entries import Entry, make_inventory
 
 INFO = EngineInfo("e1", "", "muc-a", ("m",), memory_tokens=1_000, max_running=8)
@@ -39,6 +39,7 @@
 
 
 def start(state: State, name: str, prompt: int = 10, now: int = 1_000) -> str:
+    """Let a request arrive and return its target, or "" if it does not start."""
     spec = RequestSpec(name, "c", GenerationWork("m", prompt), digest=name)
     for effect in reduce(state, RequestArrived(spec), Millis(now)):
         if isinstance(effect, OpenAttempt):
@@ -53,10 +54,10 @@
 @pytest.mark.parametrize(
     ("running", "held", "others", "added", "room"),
     [
-        (0, 0, 0, 5_000, True),  # an empty target takes anything
+        (0, 0, 0, 5_000, True),  # an empty target accepts any request
         (1, 500, 0, 400, True),
         (1, 500, 0, 600, False),
-        (4, 400, 4, 10, False),  # as many as it decodes at once
+        (4, 400, 4, 10, False),  # its batch is full
         (1, 100, 2, 100, True),
         (1, 100, 2, 900, False),
     ],
@@ -66,7 +67,7 @@
 ) -> None:
     target = TargetState(INFO, pace=Pace(running=running, held=held))
     footprint = make_footprint(added)
-    assert has_room(Figstep(), target, footprint, others) is room
+    assert has_capacity(Figstep(), target, footprint, others) is room
 
 
 def test_faster_target_is_filled_until_its_gap_is_no_better() -> None:
@@ -84,7 +85,7 @@
     assert "e2" not in [start(state, f"r{number}") for number in range(9)]
 
 
-def test_full_targets_make_requests_wait_here() -> None:
+def test_requests_are_queued_while_targets_are_full() -> None:
     state = make_state(1.0)
     assert start(state, "first", prompt=900) == "e1"
     assert start(state, "second", prompt=900) == ""
@@ -92,10 +93,10 @@
 
 
 def test_request_that_cannot_start_in_time_is_refused_at_once() -> None:
-    """The queue already holds more work than can start before the deadline.
+    """Guards against a caller that waits until its deadline for a refusal.
 
-    The caller is told so on arrival, that nothing ran, and when to come back;
-    not when its deadline has passed.
+    The queue already holds more work than can start before the deadline. The caller
+    learns on arrival that nothing ran and when to retry.
     """
     state = make_state(1.0)
     start(state, "running", prompt=900)
@@ -112,14 +113,14 @@
     waits = [r.problem.retry_after or 0 for r in refusals]
     assert all(r.problem.ran.value == "no" for r in refusals)
     assert min(waits) >= 1_000
-    assert len(set(waits)) == len(waits)  # spread, so that they don't return at once
+    assert len(set(waits)) == len(waits)  # spread, so that callers don't retry at once
 
 
 def test_lost_attempts_make_a_target_avoided_for_a_growing_time() -> None:
     target = TargetState(INFO)
     pauses = []
     for _ in range(8):
-        note_loss(target, Millis(0))
+        record_loss(target, Millis(0))
         pauses.append(target.pace.avoid_until)
     assert pauses == sorted(pauses)
     assert pauses[0] == 500
@@ -127,10 +128,10 @@
 
 
 def test_old_report_is_corrected_by_what_was_added_since() -> None:
-    """Several entries see the same room in the same late report.
+    """Guards against entries that together overfill a target after the same report.
 
-    Each that fills it alone would overfill the target together with the
-    others, so each takes the others to have added what it added itself.
+    Several entries learn of the same free capacity from one late report. Each therefore
+    assumes that the others have added as much as it added itself.
     """
     state = make_state(1.0)
     set_policy(state, Figstep(memory=False))
@@ -138,12 +139,12 @@
     start(state, "r1", now=1_000)
     report = LoadReported("e1", running=4, memory_total=1_000, age=Millis(900))
     reduce(state, report, Millis(3_000))
-    assert count_others(target, Millis(3_000)) == 3
+    assert estimate_others_running(target, Millis(3_000)) == 3
     start(state, "r2", now=3_100)
-    assert count_others(target, Millis(3_100)) == 6
-    assert count_others(target, Millis(60_000)) == 0  # too old to tell anything
+    assert estimate_others_running(target, Millis(3_100)) == 6
+    assert estimate_others_running(target, Millis(60_000)) == 0  # too old to be used
     target.peers_in_flight = 5
-    assert count_others(target, Millis(3_100)) == 5
+    assert estimate_others_running(target, Millis(3_100)) == 5
 
 
 def test_ledger_follows_tokens_and_empties_with_the_last_attempt() -> None:
@@ -159,14 +160,14 @@
 
 
 def test_gap_line_learns_slope_and_change_of_speed() -> None:
-    line = GapLine()
+    line = GapRegression()
     line.start(1.0)
     for _ in range(50):
         for running in (2.0, 10.0, 20.0):
-            line.learn(running, 10.0 + 2.0 * running)
+            line.add_sample(running, 10.0 + 2.0 * running)
     assert line.predict(15.0) == pytest.approx(40.0, rel=0.1)
     for _ in range(200):
-        line.learn(10.0, 300.0)
+        line.add_sample(10.0, 300.0)
     assert line.predict(10.0) > 250.0
 
 
@@ -210,10 +211,10 @@
 def test_an_engine_without_the_model_gets_no_request(
     reported: tuple[str, ...], loaded: bool
 ) -> None:
-    """Orders have moved a model off an engine whose entry still allows it.
+    """Guards against requests sent to an engine from which a model was unloaded.
 
-    The engine would refuse each request, and its caller would wait for a
-    second attempt elsewhere.
+    Orders have moved the model, but the inventory still allows it there. The engine
+    would refuse each request, and its caller would wait for a second attempt elsewhere.
     """
     engine = EngineInfo("e1", "http://x", "muc-a", ("m", "other"))
     target = TargetState(engine, models=reported)
@@ -221,17 +222,17 @@
 
 
 def test_a_new_incarnation_ends_the_pause_after_losses() -> None:
-    """An engine crashes, is left alone for a while, and comes back at once.
+    """Guards against callers queued while a restarted engine is idle.
 
-    Its pause was for the one that died. Were it kept, callers would wait in
-    the queue of an idle engine.
+    An engine crashes, is avoided for some time, and restarts at once. Its avoidance
+    period was meant for the incarnation that ended.
     """
     entry = Entry(inventory=make_inventory(engines=1))
     entry.feed(LoadReported("e1", incarnation=1))
-    note_loss(entry.state.targets["e1"], entry.now)
+    record_loss(entry.state.targets["e1"], entry.now)
     spec = RequestSpec("r1", "demo", GenerationWork("m"))
     entry.feed(RequestArrived(spec))
-    assert entry.list_kind(OpenAttempt) == []
+    assert entry.find_effects(OpenAttempt) == []
     entry.feed(LoadReported("e1", incarnation=2))
     entry.feed(TimerFired(QueueTimer()))
-    assert len(entry.list_kind(OpenAttempt)) == 1
+    assert len(entry.find_effects(OpenAttempt)) == 1
--- a/tests/core/test_suspects.py
+++ b/tests/core/test_suspects.py
@@ -1,4 +1,4 @@
-"""Calls that crash plain services, told from those at services that live."""
+"""Tests of calls that crash plain services, beside calls at live services."""
 
 import pytest
 
@@ -14,16 +14,17 @@
 )
 from figstep.core.inventory import Inventory, ServiceInfo
 from figstep.core.specs import RequestSpec, ServiceWork
-from figstep.core.suspects import LOST_KEPT
-from figstep.core.targets import AVOID_LONGEST
+from figstep.core.suspects import LOST_CALL_RETENTION
+from figstep.core.targets import MAX_AVOIDANCE
 from tests.core.entries import Entry
 
 SERVICES = 6
+"""Number of targets of the plain service."""
 
 
 @pytest.fixture
 def entry() -> Entry:
-    """An entry before six targets of one plain service."""
+    """Return an entry that knows six targets of one plain service."""
     services = tuple(
         ServiceInfo(f"s{number}", "shop", "http://x", "muc-a")
         for number in range(SERVICES)
@@ -31,7 +32,7 @@
     return Entry(inventory=Inventory(services=services))
 
 
-def call(entry: Entry, request: str, digest: str) -> None:
+def send_read(entry: Entry, request: str, digest: str) -> None:
     """Send a read to the service."""
     work = ServiceWork("shop", "GET", "/stock")
     spec = RequestSpec(request, "demo", work, stream=False, digest=digest)
@@ -43,19 +44,19 @@
     return entry.state.requests[request].target
 
 
-def call_beside(entry: Entry, target: str) -> str:
-    """Send reads until one runs at a target; returns that request, and its digest."""
+def start_at_target(entry: Entry, target: str) -> str:
+    """Send reads until one runs at a target; return its request, also its digest."""
     number = 0
     while True:
         name = f"beside-{number}"
-        call(entry, name, name)
+        send_read(entry, name, name)
         if find_target(entry, name) == target:
             return name
         number += 1
 
 
 def crash(entry: Entry, request: str) -> str:
-    """Let a request's target crash under it; returns the target."""
+    """Crash a request's target while it runs; return the target."""
     target = find_target(entry, request)
     entry.feed(AttemptLost(entry.find_attempt(request), Loss.BROKEN))
     entry.feed(TargetDown(target), after=2)
@@ -63,7 +64,7 @@
 
 
 def crash_all(entry: Entry, request: str) -> list[str]:
-    """Let each target that a request is sent to crash; returns them."""
+    """Crash each target to which a request is sent; return the targets."""
     crashed = []
     while request in entry.state.requests:
         crashed.append(crash(entry, request))
@@ -71,42 +72,42 @@
 
 
 def test_a_target_that_breaks_many_calls_is_probed_once(entry: Entry) -> None:
-    """Guards against a probe for each of the calls that a crash cuts."""
+    """Guards against a probe for each of the calls that a crash interrupts."""
     for number in range(2 * SERVICES):
-        call(entry, f"r{number}", f"d{number}")
+        send_read(entry, f"r{number}", f"d{number}")
     target = find_target(entry, "r0")
     lost = [name for name in entry.state.requests if find_target(entry, name) == target]
     probed = []
     for name in lost:
         entry.feed(AttemptLost(entry.find_attempt(name), Loss.BROKEN))
-        probed += entry.list_kind(ProbeTarget)
+        probed += entry.find_effects(ProbeTarget)
     assert len(lost) > 1
     assert probed == [ProbeTarget(target)]
 
 
 def test_a_call_that_crashes_services_is_kept_away_from_the_rest(entry: Entry) -> None:
-    """Guards against a read that ends all targets of a service in one attempt."""
-    call(entry, "r1", "killer")
+    """Guards against a read that crashes all targets of a service in one request."""
+    send_read(entry, "r1", "killer")
     assert len(crash_all(entry, "r1")) <= 3
-    call(entry, "r2", "killer")
-    assert entry.take(Refuse).problem.code == "request_quarantined"
+    send_read(entry, "r2", "killer")
+    assert entry.find_effect(Refuse).problem.code == "request_quarantined"
 
 
 def test_a_call_at_services_that_live_is_not_refused(entry: Entry) -> None:
-    """Guards against calls refused where connections break and services live."""
-    call(entry, "r1", "good")
+    """Guards against calls refused where connections break but services stay up."""
+    send_read(entry, "r1", "good")
     for _ in range(4):
         entry.feed(AttemptLost(entry.find_attempt("r1"), Loss.BROKEN))
     assert not entry.state.quarantine.until
     entry.feed(ServiceAnswered(entry.find_attempt("r1"), 200))
-    call(entry, "r2", "good")
-    assert entry.take(OpenAttempt).request == "r2"
+    send_read(entry, "r2", "good")
+    assert entry.find_effect(OpenAttempt).request == "r2"
 
 
 def test_a_neighbour_of_a_call_that_crashes_services_is_served(entry: Entry) -> None:
-    """Guards against calls refused for what crashed beside them."""
-    call(entry, "bad", "killer")
-    name = call_beside(entry, find_target(entry, "bad"))
+    """Guards against calls refused for a crash that another call caused."""
+    send_read(entry, "bad", "killer")
+    name = start_at_target(entry, find_target(entry, "bad"))
     entry.feed(AttemptLost(entry.find_attempt(name), Loss.BROKEN))
     crash_all(entry, "bad")
     assert list(entry.state.quarantine.until) == ["killer"]
@@ -115,11 +116,11 @@
 
 
 def test_a_service_that_answers_clears_what_broke_there_before(entry: Entry) -> None:
-    """Guards against a break that is taken for the cause of a later end."""
-    call(entry, "r1", "good")
+    """Guards against a broken connection taken for the cause of a later crash."""
+    send_read(entry, "r1", "good")
     target = find_target(entry, "r1")
     entry.feed(AttemptLost(entry.find_attempt("r1"), Loss.BROKEN))
-    name = call_beside(entry, target)
+    name = start_at_target(entry, target)
     entry.feed(ServiceAnswered(entry.find_attempt(name), 200))
     entry.feed(TargetDown(target))
     assert not entry.state.quarantine.crashes.is_suspected("good")
@@ -127,39 +128,39 @@
 
 def test_a_break_of_long_ago_is_no_part_of_a_crash(entry: Entry) -> None:
     """Guards against calls suspected for a service that ends much later."""
-    call(entry, "r1", "good")
+    send_read(entry, "r1", "good")
     target = find_target(entry, "r1")
     entry.feed(AttemptLost(entry.find_attempt("r1"), Loss.BROKEN))
-    entry.feed(TargetDown(target), after=Millis(LOST_KEPT + 1))
+    entry.feed(TargetDown(target), after=Millis(LOST_CALL_RETENTION + 1))
     assert not entry.state.quarantine.crashes.is_suspected("good")
 
 
-def test_a_call_whose_break_is_told_after_its_target_is_down_is_suspected(
+def test_a_call_whose_loss_is_reported_after_its_target_is_down_is_suspected(
     entry: Entry,
 ) -> None:
-    """Guards against the call that is lost first being blamed for the others."""
-    call(entry, "first", "first")
-    name = call_beside(entry, find_target(entry, "first"))
+    """Guards against blaming only the call whose loss is reported first."""
+    send_read(entry, "first", "first")
+    name = start_at_target(entry, find_target(entry, "first"))
     crash(entry, "first")
     entry.feed(AttemptLost(entry.find_attempt(name), Loss.BROKEN), after=10)
     assert entry.state.quarantine.crashes.count(name) == 1
 
 
 def test_a_call_that_crashes_the_only_target_again_is_refused() -> None:
-    """Guards against crashes of one target that all count as its first."""
+    """Guards against counting the crashes of a single target as one."""
     services = (ServiceInfo("s1", "shop", "http://x", "muc-a"),)
     entry = Entry(inventory=Inventory(services=services))
     for number in range(2):
-        call(entry, f"r{number}", "killer")
+        send_read(entry, f"r{number}", "killer")
         crash(entry, f"r{number}")
-        entry.feed(CallerGone(f"r{number}"), after=AVOID_LONGEST)
-    call(entry, "r3", "killer")
-    assert entry.take(Refuse).problem.code == "request_quarantined"
+        entry.feed(CallerGone(f"r{number}"), after=MAX_AVOIDANCE)
+    send_read(entry, "r3", "killer")
+    assert entry.find_effect(Refuse).problem.code == "request_quarantined"
 
 
 def test_breaks_of_one_crash_count_once(entry: Entry) -> None:
-    """Guards against a call refused after one crash that two probes found."""
-    call(entry, "r1", "good")
+    """Guards against a call refused after one crash that two probes reported."""
+    send_read(entry, "r1", "good")
     target = crash(entry, "r1")
     entry.feed(TargetDown(target))
     assert entry.state.quarantine.crashes.count("good") == 1
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of who waits, who is refused at once, and when refused callers return."""
+"""Tests of queueing, immediate refusals and the retry times of refused callers."""
 
 import heapq
 from dataclasses import dataclass, field
@@ -10,158 +10,175 @@
 from figstep.gateway.effects import OpenAttempt, Refuse
 from figstep.gateway.events import PiecesArrived, StreamEnded, StreamPiece, Ticked
 from figstep.gateway.prompts import Prompt
-from tests.gateway.worlds import PLAN, World
+from tests.gateway.worlds import PLAN, EntryHarness
 
-RUN = Millis(4_000)
-"""How long each run of the replays takes."""
+RUN_DURATION = Millis(4_000)
+"""Duration of each run in the simulation, in milliseconds."""
 
-READING = Millis(300)
-"""How long until its first event."""
+PREFILL_DURATION = Millis(300)
+"""Time from the start of a run to its first event, in milliseconds."""
 
-PER_ENGINE = 8
-"""Runs that fit into an engine's memory."""
+RUNS_PER_ENGINE = 8
+"""Number of concurrent runs that fit into an engine's memory."""
 
-TICK = Millis(30)
+TICK_INTERVAL = Millis(30)
+"""Time between two ticks of the gateway, in milliseconds."""
 
 
 @dataclass
 class Overload:
-    """Callers who come at a pool faster than it ends runs, and return once.
+    """Callers that arrive faster than a pool ends runs, and retry once.
 
     Attributes:
-        factor: Callers a second, in parts of what the pool can run.
-        refused_after: Waits of callers who were refused at their first try.
-        in_time: First tries that started before half their objective was over.
-        started: All starts.
-        returned: Callers who came back.
+        factor: Arrival rate, relative to the rate at which the pool can run requests.
+        seconds: Time during which new callers arrive.
+        engines: Number of engines in the pool.
+        harness: The entry that receives the requests.
+        arrived_at: Arrival time of each request, by its number.
+        digests: Digest of each request, by its number.
+        first_try: Whether a request is its caller's first try, by its number.
+        refusal_delays: Milliseconds that refused first tries had waited.
+        started_early: First tries that started within half of their objective.
+        started: Number of requests that started, with retries.
+        returned: Number of callers that retried.
     """
 
     factor: float
     seconds: int = 30
     engines: int = 2
-    world: World = field(default_factory=World)
-    came: dict[int, Millis] = field(default_factory=dict)
+    harness: EntryHarness = field(default_factory=EntryHarness)
+    arrived_at: dict[int, Millis] = field(default_factory=dict)
     digests: dict[int, str] = field(default_factory=dict)
     first_try: dict[int, bool] = field(default_factory=dict)
-    refused_after: list[int] = field(default_factory=list)
-    in_time: int = 0
+    refusal_delays: list[int] = field(default_factory=list)
+    started_early: int = 0
     started: int = 0
     returned: int = 0
 
-    def play(self) -> None:
-        """Play all callers."""
+    def simulate(self) -> None:
+        """Simulate all callers, runs and ticks."""
         names = [f"e-{number}" for number in range(self.engines)]
-        self.world.register(*names)
-        per_second = self.factor * self.engines * PER_ENGINE * 1_000 / RUN
-        gap = round(1_000 / per_second)
-        start = self.world.clock.now()
-        todo: list[tuple[Millis, int, str, object]] = []
-        for number, at in enumerate(range(0, self.seconds * 1_000, gap)):
+        self.harness.register(*names)
+        per_second = self.factor * self.engines * RUNS_PER_ENGINE * 1_000 / RUN_DURATION
+        interval = round(1_000 / per_second)
+        start = self.harness.clock.now()
+        schedule: list[tuple[Millis, int, str, object]] = []
+        for number, at in enumerate(range(0, self.seconds * 1_000, interval)):
             due = Millis(start + at)
-            heapq.heappush(todo, (due, number, "caller", (f"d-{number}", True)))
-        for number, at in enumerate(range(0, (self.seconds + 10) * 1_000, TICK)):
-            heapq.heappush(todo, (Millis(start + at), -1 - number, "tick", None))
-        order = len(todo)
-        while todo:
-            due, _, kind, what = heapq.heappop(todo)
-            self.world.clock.advance(due - self.world.clock.now())
-            order += 1
+            heapq.heappush(schedule, (due, number, "caller", (f"d-{number}", True)))
+        for number, at in enumerate(
+            range(0, (self.seconds + 10) * 1_000, TICK_INTERVAL)
+        ):
+            heapq.heappush(schedule, (Millis(start + at), -1 - number, "tick", None))
+        sequence = len(schedule)
+        while schedule:
+            due, _, kind, payload = heapq.heappop(schedule)
+            self.harness.clock.advance(due - self.harness.clock.now())
+            sequence += 1
             match kind:
                 case "caller":
-                    self._arrive(*what)  # type: ignore[misc]
+                    self._arrive(*payload)  # type: ignore[misc]
                 case "first":
                     piece = StreamPiece(1, b"id: 1\n\n")
-                    self.world.handle(PiecesArrived(what, [piece]))  # type: ignore[arg-type]
+                    self.harness.handle(PiecesArrived(payload, [piece]))  # type: ignore[arg-type]
                 case "end":
-                    self.world.handle(StreamEnded(what))  # type: ignore[arg-type]
+                    self.harness.handle(StreamEnded(payload))  # type: ignore[arg-type]
                 case _:
-                    self.world.handle(Ticked())
-            for later in self._take_effects(due):
-                order += 1
-                heapq.heappush(todo, (later[0], order, later[1], later[2]))
+                    self.harness.handle(Ticked())
+            for follow_up in self._collect_follow_ups(due):
+                sequence += 1
+                heapq.heappush(
+                    schedule, (follow_up[0], sequence, follow_up[1], follow_up[2])
+                )
 
     def _arrive(self, digest: str, first: bool) -> None:
-        number = self.world.next_number
-        self.came[number] = self.world.clock.now()
+        number = self.harness.next_number
+        self.arrived_at[number] = self.harness.clock.now()
         self.digests[number] = digest
         self.first_try[number] = first
         prompt = Prompt("m", 3_600, 2_000, 320)
-        self.world.arrive("/plan/a", prompt, digest=digest)
+        self.harness.receive_request("/plan/a", prompt, digest=digest)
 
-    def _take_effects(self, now: Millis) -> list[tuple[Millis, str, object]]:
-        later: list[tuple[Millis, str, object]] = []
-        for opened in self.world.find_all(OpenAttempt):
-            waited = now - self.came[opened.number]
+    def _collect_follow_ups(self, now: Millis) -> list[tuple[Millis, str, object]]:
+        follow_ups: list[tuple[Millis, str, object]] = []
+        for opened in self.harness.find_effects(OpenAttempt):
+            waited = now - self.arrived_at[opened.number]
             self.started += 1
             if self.first_try[opened.number] and waited <= PLAN.objective // 2:
-                self.in_time += 1
-            later.append((Millis(now + READING), "first", opened.attempt))
-            later.append((Millis(now + RUN), "end", opened.attempt))
-        for refused in self.world.find_all(Refuse):
+                self.started_early += 1
+            follow_ups.append((Millis(now + PREFILL_DURATION), "first", opened.attempt))
+            follow_ups.append((Millis(now + RUN_DURATION), "end", opened.attempt))
+        for refused in self.harness.find_effects(Refuse):
             pause = refused.problem.retry_after
             if not self.first_try[refused.number] or pause is None:
                 continue
-            self.refused_after.append(now - self.came[refused.number])
+            self.refusal_delays.append(now - self.arrived_at[refused.number])
             self.returned += 1
-            again = (self.digests[refused.number], False)
-            later.append((Millis(now + pause), "caller", again))
-        return later
+            retry = (self.digests[refused.number], False)
+            follow_ups.append((Millis(now + pause), "caller", retry))
+        return follow_ups
 
 
 @pytest.mark.parametrize("factor", [1.5, 2.5])
 def test_under_lasting_overload_most_refusals_come_at_once(factor: float) -> None:
-    """Guards against callers held for seconds who are then turned away."""
+    """Guards against callers that wait for seconds and are then refused."""
     load = Overload(factor)
-    load.play()
-    at_once = [waited for waited in load.refused_after if waited <= 225]
-    assert len(load.refused_after) > 20
-    assert len(at_once) >= 0.5 * len(load.refused_after)
+    load.simulate()
+    at_once = [waited for waited in load.refusal_delays if waited <= 225]
+    assert len(load.refusal_delays) > 20
+    assert len(at_once) >= 0.5 * len(load.refusal_delays)
 
 
 @pytest.mark.parametrize("factor", [1.5, 2.5])
 def test_under_lasting_overload_engines_stay_in_use(factor: float) -> None:
-    """Guards against callers who are turned away while engines have room."""
+    """Guards against callers refused while engines have free memory."""
     load = Overload(factor)
-    load.play()
-    possible = load.engines * PER_ENGINE * load.seconds * 1_000 / RUN
+    load.simulate()
+    possible = load.engines * RUNS_PER_ENGINE * load.seconds * 1_000 / RUN_DURATION
     assert load.started >= 0.9 * possible
 
 
-def test_a_request_waits_no_longer_than_its_caller_can_spare() -> None:
-    """Guards against callers with little time left who are held to its end."""
-    world = World()
-    world.register("e-1")
-    engine = world.state.targets.find("e-1")
+def test_queueing_time_is_bounded_by_the_callers_patience() -> None:
+    """Guards against callers queued until their patience has run out."""
+    harness = EntryHarness()
+    harness.register("e-1")
+    engine = harness.state.targets.find("e-1")
     assert engine is not None
     engine.peer_calls, engine.peer_memory = 8, 34_000
-    world.arrive("/plan/a", Prompt("m", 3_000, 2_000, 300), patience=Millis(2_000))
-    assert world.find_all(Refuse) == []
-    world.clock.advance(round(2_000 * admission.PATIENCE_SHARE))
-    world.handle(Ticked())
-    assert world.find(Refuse).problem.retry_after is not None
-
-
-def test_returns_are_told_one_after_another() -> None:
-    """Guards against callers who all come back to the room of one."""
-    world = World()
-    world.register("e-1")
-    engine = world.state.targets.find("e-1")
+    harness.receive_request(
+        "/plan/a", Prompt("m", 3_000, 2_000, 300), max_wait=Millis(2_000)
+    )
+    assert harness.find_effects(Refuse) == []
+    harness.clock.advance(round(2_000 * admission.WAIT_DEADLINE_FRACTION))
+    harness.handle(Ticked())
+    assert harness.find_effect(Refuse).problem.retry_after is not None
+
+
+def test_refused_callers_get_staggered_retry_times() -> None:
+    """Guards against refused callers that all retry for the same free capacity."""
+    harness = EntryHarness()
+    harness.register("e-1")
+    engine = harness.state.targets.find("e-1")
     assert engine is not None
     engine.peer_calls, engine.peer_memory = 8, 34_000
     pauses = []
-    for _ in range(admission.LEAST_QUEUE + 3):
-        world.arrive("/plan/a", Prompt("m", 3_000, 2_000, 300))
-        pauses += [refused.problem.retry_after for refused in world.find_all(Refuse)]
+    for _ in range(admission.MIN_QUEUE_LIMIT + 3):
+        harness.receive_request("/plan/a", Prompt("m", 3_000, 2_000, 300))
+        pauses += [
+            refused.problem.retry_after for refused in harness.find_effects(Refuse)
+        ]
     assert len(pauses) == 3
     assert len(set(pauses)) == 3
 
 
-def test_a_prompt_goes_to_no_engine_that_would_read_it_too_late() -> None:
-    """Guards against engines that read prompts whose callers have gone."""
-    world = World()
-    world.register("e-1")
-    engine = world.state.targets.find("e-1")
+def test_a_prompt_is_not_sent_to_an_engine_that_would_miss_its_deadline() -> None:
+    """Guards against engines that read prompts whose callers have left."""
+    harness = EntryHarness()
+    harness.register("e-1")
+    engine = harness.state.targets.find("e-1")
     assert engine is not None
-    engine.read_rate_own = 1.0
-    world.arrive("/plan/a", Prompt("m", 3_000, 2_000, 300), patience=Millis(2_000))
-    assert world.find_all(OpenAttempt) == []
+    engine.own_read_rate = 1.0
+    harness.receive_request(
+        "/plan/a", Prompt("m", 3_000, 2_000, 300), max_wait=Millis(2_000)
+    )
+    assert harness.find_effects(OpenAttempt) == []
--- a/tests/gateway/test_budgets.py
+++ b/tests/gateway/test_budgets.py
@@ -8,14 +8,15 @@
 
 
 def spend(budget: RetryBudget, fleet: FleetUse, urgent: bool = True) -> int:
+    """Spend repeats until the budget denies one, and return their number."""
     spent = 0
     while budget.can_repeat("engines", fleet, NOW, urgent):
-        budget.note_repeat("engines", NOW)
+        budget.record_repeat("engines", NOW)
         spent += 1
     return spent
 
 
-def test_eight_entries_that_hear_each_other_stay_within_the_bound() -> None:
+def test_eight_connected_entries_stay_within_the_bound() -> None:
     budgets = [RetryBudget(0.2, 56.0, WINDOW) for _ in range(8)]
     repeats = [0] * 8
     for number, budget in enumerate(budgets):
@@ -29,24 +30,24 @@
     assert spend(budget, FleetUse(0, 0, 8, complete=True)) > 56 / 8
 
 
-def test_entries_cut_apart_stay_within_the_bound_together() -> None:
-    """The fleet would send more repeats than a service can bear.
+def test_partitioned_entries_stay_within_the_bound_together() -> None:
+    """Guards against more repeats than a service can handle.
 
-    A cut leaves eight entries on their own. None hears what the others use,
-    and each could take the whole allowance for its own.
+    A network partition isolates eight entries. None receives the others' usage, and
+    each could spend the whole budget.
     """
     budgets = [RetryBudget(0.2, 56.0, WINDOW) for _ in range(8)]
     alone = FleetUse(0, 0, 8, complete=False)
     assert 0 < sum(spend(budget, alone) for budget in budgets) <= 56
 
 
-def test_a_restarted_entry_that_hears_nobody_repeats_nothing_at_first() -> None:
-    """A restart would give the whole allowance anew.
+def test_a_restarted_entry_without_peers_repeats_nothing_at_first() -> None:
+    """Guards against a restart that grants the whole budget again.
 
-    An entry uses its part, is killed and comes back within the window. It
-    remembers nothing; the service counts what both processes sent.
+    An entry spends its share, is killed and restarts within the window. It has lost its
+    counts, but the service receives the repeats of both processes.
     """
-    budget = RetryBudget(0.2, 56.0, WINDOW, started=NOW, fresh=False)
+    budget = RetryBudget(0.2, 56.0, WINDOW, started=NOW, first_start=False)
     alone = FleetUse(0, 0, 1, complete=True)
     assert spend(budget, alone) == 0
     later = Millis(NOW + WINDOW)
@@ -60,7 +61,7 @@
     assert spend(budget, fleet, urgent=True) > 0
 
 
-def test_repeats_leave_the_window() -> None:
+def test_repeats_expire_with_the_window() -> None:
     budget = RetryBudget(0.2, 10.0, WINDOW)
     fleet = FleetUse(0, 0, 2, complete=True)
     spend(budget, fleet)
@@ -69,14 +70,14 @@
 
 
 def test_streams_in_danger_may_use_more_of_the_bound_than_short_requests() -> None:
-    """Callers would lose long answers although their copies are there.
+    """Guards against long answers lost although their copies exist.
 
-    Four engines leave at once; a failure domain of 18 entries, a quarter of the
-    fleet, goes on with 45 streams in a window whose bound for it is 46 of 186.
+    Four engines leave at once. A failure domain of 18 entries, a quarter of the fleet,
+    resumes 45 streams within a window in which its share is 46 of 186 repeats.
     """
     budget = RetryBudget(0.0, 186.0, Millis(10_000))
-    fleet = FleetUse(0, 36, 18, True, part=0.25)
+    fleet = FleetUse(0, 36, 18, True, fleet_fraction=0.25)
     assert budget.can_repeat("engines", fleet, Millis(100_000), urgent=True)
     assert not budget.can_repeat("engines", fleet, Millis(100_000))
-    spent = FleetUse(0, 37, 18, True, part=0.25)
+    spent = FleetUse(0, 37, 18, True, fleet_fraction=0.25)
     assert not budget.can_repeat("engines", spent, Millis(100_000), urgent=True)
