--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -1,4 +1,4 @@
-"""Requests that crash their targets, before fleets that share what they see."""
+"""Tests of requests that crash their targets, in fleets that share suspicions."""
 
 from dataclasses import dataclass, field, replace
 from enum import Enum
@@ -9,10 +9,10 @@
 from figstep.core.crashes import Suspicion
 from figstep.gateway import peers
 from figstep.gateway.crashes import (
-    LOST_KEPT,
-    REFUSED_RETURN,
-    SETTLING_RETURN,
-    SOONEST_RETURN,
+    LOST_RETENTION,
+    MIN_RESTART_TIME,
+    REFUSED_RETRY_AFTER,
+    SETTLING_RETRY_AFTER,
 )
 from figstep.gateway.effects import Note, OpenAttempt, ProbeTarget, Refuse
 from figstep.gateway.events import (
@@ -28,63 +28,68 @@
     TargetRegistered,
     Ticked,
 )
-from figstep.gateway.news import LoadNews
+from figstep.gateway.news import LoadUpdates
 from figstep.gateway.prompts import Prompt
 from figstep.gateway.targets import Incarnation, Registration
 from tests.gateway.worlds import (
     BOOKINGS,
     ENGINES,
     LOOKUP,
-    World,
+    EntryHarness,
     build_fleet,
     build_table,
+    exchange_messages,
     start_with_backup,
-    tell_all,
 )
 
 DOMAINS = ("muc-a", "muc-b", "nue-a", "aug-a")
+"""Failure domains of the entries and targets."""
+
 KILLER = "killer"
-RETURN = 3_600
+"""Digest of the request that crashes its targets."""
+
+RETRY_DELAY = 3_600
 """Milliseconds after which a caller sends the same request again."""
 
-DOWN = 3_000
-"""Milliseconds for which a target that crashed is down."""
+RESTART_DELAY = 3_000
+"""Milliseconds for which a crashed target is down."""
 
-CONTACT = 3_000
-"""Milliseconds after the third crash from which on retries count."""
+PROPAGATION_DELAY = 3_000
+"""Milliseconds after the third crash from which runs count as late."""
 
-MOST_RETRIES = 3
-"""Retries later than that which are borne."""
+MAX_LATE_RUNS = 3
+"""Number of late runs of the request that are tolerated."""
 
 
-class Ending(Enum):
-    """How the end of a target shows."""
+class CrashEvidence(Enum):
+    """Observation that tells an entry that a target has crashed."""
 
     PROBE = "nobody listens at its address"
     LAPSE = "its registration goes"
-    NEW_LIFE = "it starts again under its id"
-    NEW_NAME = "another id starts at its address"
+    NEW_INCARNATION = "it starts again under its id"
+    NEW_ID = "another id starts at its address"
 
 
 @dataclass
 class Replay:
-    """A fleet before four targets that a read crashes.
+    """A fleet with four targets of a service, and a read that crashes them.
 
     Attributes:
-        size: Entries.
-        ending: How the end of a target shows.
-        loss: How the attempt that crashes a target is lost.
-        runs: When the read ran, and where.
-        lives: Start of each target's newest life.
-        down: Targets that are down, and until when.
+        size: Number of entries.
+        evidence: Observation that tells the entries that a target has crashed.
+        loss: Loss of the attempt that crashes a target.
+        domains: Failure domains of the entries and targets.
+        runs: Time and target of each run of the read.
+        registrations: Newest registration of each target.
+        down: Targets that are down, with the time at which they restart.
     """
 
     size: int = 8
-    ending: Ending = Ending.PROBE
+    evidence: CrashEvidence = CrashEvidence.PROBE
     loss: Loss = Loss.BROKEN
     domains: tuple[str, ...] = DOMAINS
     runs: list[tuple[Millis, str]] = field(default_factory=list)
-    lives: dict[str, Registration] = field(default_factory=dict)
+    registrations: dict[str, Registration] = field(default_factory=dict)
     down: dict[str, Millis] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
@@ -94,16 +99,16 @@
             domain = self.domains[number % len(self.domains)]
             name = f"b-{number}"
             self.register(Registration(name, BOOKINGS, f"{name}:80", domain, 6, born=1))
-        tell_all(self.fleet)
+        exchange_messages(self.fleet)
 
     def register(self, info: Registration) -> None:
-        """Let a target start."""
-        self.lives[info.target] = info
-        for world in self.fleet:
-            world.handle(TargetRegistered(info))
+        """Start a target and register it at all entries."""
+        self.registrations[info.target] = info
+        for harness in self.fleet:
+            harness.handle(TargetRegistered(info))
 
     def wait(self, millis: int) -> None:
-        """Let time pass; targets that were down start again."""
+        """Advance the clock by ``millis``; targets restart when due."""
         until = Millis(self.clock.now() + millis)
         for name, back in sorted(self.down.items(), key=lambda item: item[1]):
             if back > until:
@@ -112,192 +117,200 @@
             self.clock.advance(max(0, back - self.clock.now()))
             self._restart(name)
         self.clock.advance(until - self.clock.now())
-        for world in self.fleet:
-            world.handle(Ticked())
-        tell_all(self.fleet)
+        for harness in self.fleet:
+            harness.handle(Ticked())
+        exchange_messages(self.fleet)
 
     def _restart(self, name: str) -> None:
-        info = self.lives.pop(name)
+        info = self.registrations.pop(name)
         born = self.clock.now()
         new = info.target
-        if self.ending is not Ending.NEW_LIFE:
+        if self.evidence is not CrashEvidence.NEW_INCARNATION:
             new = f"b-{born}-{info.failure_domain}"
-        if self.ending is Ending.LAPSE:
-            for world in self.fleet:
-                world.handle(TargetDeparted(name))
+        if self.evidence is CrashEvidence.LAPSE:
+            for harness in self.fleet:
+                harness.handle(TargetDeparted(name))
         self.register(
             Registration(new, BOOKINGS, info.address, info.failure_domain, 6, born=born)
         )
 
-    def send(self, world: World, digest: str = KILLER, path: str = "/lookup/a") -> None:
-        """Send a request that crashes targets, and play what follows."""
-        world.arrive(path, digest=digest)
-        opened = world.find_all(OpenAttempt)
+    def send(
+        self, harness: EntryHarness, digest: str = KILLER, path: str = "/lookup/a"
+    ) -> None:
+        """Send a request that crashes targets, and follow all of its attempts."""
+        harness.receive_request(path, digest=digest)
+        opened = harness.find_effects(OpenAttempt)
         while opened:
-            opened = self.play_attempt(world, opened[0])
+            opened = self.crash_target(harness, opened[0])
 
-    def play_attempt(self, world: World, opened: OpenAttempt) -> list[OpenAttempt]:
-        """Let a target crash under an attempt; returns what is sent next."""
+    def crash_target(
+        self, harness: EntryHarness, opened: OpenAttempt
+    ) -> list[OpenAttempt]:
+        """Crash the target of an attempt; return the attempts opened next."""
         name = opened.target
-        if name not in self.lives:
-            world.handle(AttemptLost(opened.attempt, Loss.MISDIRECTED))
-            return world.find_all(OpenAttempt)
+        if name not in self.registrations:
+            harness.handle(AttemptLost(opened.attempt, Loss.MISDIRECTED))
+            return harness.find_effects(OpenAttempt)
         if name in self.down:
-            down = self.ending is Ending.PROBE
-            world.handle(AttemptLost(opened.attempt, Loss.UNREACHED, down=down))
-            return world.find_all(OpenAttempt)
+            down = self.evidence is CrashEvidence.PROBE
+            harness.handle(AttemptLost(opened.attempt, Loss.UNREACHED, down=down))
+            return harness.find_effects(OpenAttempt)
         self.clock.advance(60)
         self.runs.append((self.clock.now(), name))
-        self.down[name] = Millis(self.clock.now() + DOWN)
-        self.lose(world, opened.attempt)
-        return world.find_all(OpenAttempt)
-
-    def lose(self, world: World, attempt: int) -> None:
-        """End an attempt as its target crashes; the effects of the loss stay."""
-        world.handle(AttemptLost(attempt, self.loss))
-        effects = list(world.effects)
-        for probe in world.find_all(ProbeTarget):
-            if self.ending is Ending.PROBE:
-                info = self.lives[probe.target]
-                world.handle(TargetDown(info.incarnation))
-        world.effects = effects
-
-    def count_late(self) -> int:
-        """Return the runs that began after the third crash was known to all."""
+        self.down[name] = Millis(self.clock.now() + RESTART_DELAY)
+        self.lose_attempt(harness, opened.attempt)
+        return harness.find_effects(OpenAttempt)
+
+    def lose_attempt(self, harness: EntryHarness, attempt: int) -> None:
+        """Lose an attempt to a crash; only the effects of the loss are kept."""
+        harness.handle(AttemptLost(attempt, self.loss))
+        effects = list(harness.effects)
+        for probe in harness.find_effects(ProbeTarget):
+            if self.evidence is CrashEvidence.PROBE:
+                info = self.registrations[probe.target]
+                harness.handle(TargetDown(info.incarnation))
+        harness.effects = effects
+
+    def count_late_runs(self) -> int:
+        """Return the number of runs begun after all entries knew of the third crash."""
         if len(self.runs) < 3:
             return 0
-        known = self.runs[2][0] + CONTACT
+        known = self.runs[2][0] + PROPAGATION_DELAY
         return sum(at - 60 > known for at, _ in self.runs)
 
 
-def has_turned_away(world: World) -> bool:
-    """Tell whether the last request was refused for its crashes."""
+def was_rejected(harness: EntryHarness) -> bool:
+    """Return whether the last request was refused because it crashes targets."""
     return any(
-        effect.problem.code == "crashes_targets" for effect in world.find_all(Refuse)
+        effect.problem.code == "crashes_targets"
+        for effect in harness.find_effects(Refuse)
     )
 
 
-def refuses(world: World, digest: str = KILLER) -> bool:
-    """Tell whether an entry refuses a read for its crashes."""
-    world.arrive("/lookup/a", digest=digest)
-    return has_turned_away(world)
+def rejects_request(harness: EntryHarness, digest: str = KILLER) -> bool:
+    """Return whether an entry refuses a read because it crashes targets."""
+    harness.receive_request("/lookup/a", digest=digest)
+    return was_rejected(harness)
 
 
-def return_often(replay: Replay, times: int = 6) -> None:
-    """Let the caller come back to one entry after another."""
+def retry_repeatedly(replay: Replay, times: int = 6) -> None:
+    """Let the caller retry at one entry after another."""
     for number in range(times):
         replay.send(replay.fleet[number % len(replay.fleet)])
-        replay.wait(RETURN)
+        replay.wait(RETRY_DELAY)
 
 
 @pytest.mark.parametrize("size", [8, 73])
-@pytest.mark.parametrize("ending", list(Ending))
+@pytest.mark.parametrize("evidence", list(CrashEvidence))
 @pytest.mark.parametrize("loss", [Loss.BROKEN, Loss.GARBLED, Loss.SILENT, Loss.FAILED])
 def test_a_read_that_crashes_its_targets_is_kept_away(
-    size: int, ending: Ending, loss: Loss
+    size: int, evidence: CrashEvidence, loss: Loss
 ) -> None:
-    """Guards against targets that crash one after another under one read."""
-    replay = Replay(size, ending, loss)
-    return_often(replay)
-    assert replay.count_late() <= MOST_RETRIES
+    """Guards against a read that crashes one target after another."""
+    replay = Replay(size, evidence, loss)
+    retry_repeatedly(replay)
+    assert replay.count_late_runs() <= MAX_LATE_RUNS
     assert len(replay.runs) <= 4
-    assert refuses(replay.fleet[5])
+    assert rejects_request(replay.fleet[5])
 
 
 def test_entries_of_a_large_fleet_keep_a_read_away() -> None:
-    """Guards against crashes that only one failure domain hears of."""
+    """Guards against crashes that only one failure domain learns of."""
     replay = Replay(300)
-    return_often(replay, 3)
+    retry_repeatedly(replay, 3)
     assert len(replay.runs) == 2
-    assert all(refuses(world) for world in replay.fleet[::37])
+    assert all(rejects_request(harness) for harness in replay.fleet[::37])
 
 
 @pytest.mark.parametrize("loss", [Loss.REFUSED, Loss.UNREACHED])
-def test_what_did_not_run_is_not_suspected(loss: Loss) -> None:
-    """Guards against requests blamed for targets that never began them."""
+def test_a_request_that_did_not_run_is_not_suspected(loss: Loss) -> None:
+    """Guards against requests suspected for targets that never started them."""
     replay = Replay(loss=loss)
-    return_often(replay)
-    assert not refuses(replay.fleet[5])
+    retry_repeatedly(replay)
+    assert not rejects_request(replay.fleet[5])
     assert not replay.fleet[5].state.crashes.is_suspected(KILLER)
 
 
 @pytest.mark.parametrize("loss", [Loss.BROKEN, Loss.GARBLED, Loss.SILENT, Loss.FAILED])
 def test_losses_at_targets_that_live_refuse_nobody(loss: Loss) -> None:
-    """Guards against reads refused for targets that reset, garble or fail."""
+    """Guards against reads refused for resets, garbled answers or failures."""
     replay = Replay(loss=loss)
     for number in range(6):
-        world = replay.fleet[number]
-        world.arrive("/lookup/a", digest=KILLER)
-        while opened := world.find_all(OpenAttempt):
-            world.handle(AttemptLost(opened[0].attempt, loss))
+        harness = replay.fleet[number]
+        harness.receive_request("/lookup/a", digest=KILLER)
+        while opened := harness.find_effects(OpenAttempt):
+            harness.handle(AttemptLost(opened[0].attempt, loss))
         replay.clock.advance(100)
-        for name in replay.lives:
-            answer_at(world, name)
-        replay.wait(RETURN)
-    for name in list(replay.lives):
-        for world in replay.fleet:
-            world.handle(TargetDeparted(name))
+        for name in replay.registrations:
+            answer_from(harness, name)
+        replay.wait(RETRY_DELAY)
+    for name in list(replay.registrations):
+        for harness in replay.fleet:
+            harness.handle(TargetDeparted(name))
     assert not replay.fleet[0].state.crashes.is_suspected(KILLER)
 
 
-def answer_at(world: World, name: str) -> None:
-    """Let a target answer some request of an entry."""
+def answer_from(harness: EntryHarness, name: str) -> None:
+    """Send requests to an entry until the named target has answered one."""
     for _ in range(20):
-        world.arrive("/lookup/other")
-        opened = world.find(OpenAttempt)
-        world.handle(AnswerArrived(opened.attempt, 200))
+        harness.receive_request("/lookup/other")
+        opened = harness.find_effect(OpenAttempt)
+        harness.handle(AnswerArrived(opened.attempt, 200))
         if opened.target == name:
             return
 
 
-def start_beside(
+def start_at_target(
     replay: Replay, target: str, count: int, path: str = "/lookup/a"
-) -> list[tuple[World, OpenAttempt]]:
-    """Start requests until some run at a target, at any entry."""
-    found: list[tuple[World, OpenAttempt]] = []
+) -> list[tuple[EntryHarness, OpenAttempt]]:
+    """Start ``count`` requests at a target, each at some entry.
+
+    Requests that are sent to another target are answered and not returned.
+    """
+    found: list[tuple[EntryHarness, OpenAttempt]] = []
     number = 0
     while len(found) < count:
-        world = replay.fleet[number % len(replay.fleet)]
-        world.arrive(path, digest=f"good-{number}")
+        harness = replay.fleet[number % len(replay.fleet)]
+        harness.receive_request(path, digest=f"good-{number}")
         number += 1
-        opened = world.find(OpenAttempt)
+        opened = harness.find_effect(OpenAttempt)
         if opened.target == target:
-            found.append((world, opened))
+            found.append((harness, opened))
         else:
-            world.handle(AnswerArrived(opened.attempt, 200))
+            harness.handle(AnswerArrived(opened.attempt, 200))
     return found
 
 
 @pytest.mark.parametrize("size", [8, 73])
 def test_a_read_beside_the_killer_at_two_crashes_is_served(size: int) -> None:
-    """Guards against an innocent read that is sent on to where the killer goes."""
+    """Guards against refusing a read that shared two crashed targets with another."""
     replay = Replay(size)
     first, second = replay.fleet[:2]
-    first.arrive("/lookup/a", digest=KILLER)
-    killer = first.find(OpenAttempt)
-    [(second, good)] = start_beside(replay, killer.target, 1)
+    first.receive_request("/lookup/a", digest=KILLER)
+    killer = first.find_effect(OpenAttempt)
+    [(second, good)] = start_at_target(replay, killer.target, 1)
     digest = second.state.requests[good.number].spec.digest
     for _ in range(2):
-        [next_killer] = replay.play_attempt(first, killer) or [None]
-        replay.lose(second, good.attempt)
-        again = second.find_all(OpenAttempt)
-        tell_all(replay.fleet)
+        [next_killer] = replay.crash_target(first, killer) or [None]
+        replay.lose_attempt(second, good.attempt)
+        again = second.find_effects(OpenAttempt)
+        exchange_messages(replay.fleet)
         if next_killer is None:
             break
         killer = next_killer
         [good] = again
         if good.target != killer.target:
-            # Send it to where the killer goes, as happens in one case of three.
+            # Send it to the same target, which happens by chance in one case of three.
             attempt = second.state.attempts[good.attempt]
             attempt.target = second.state.targets.targets[killer.target]
-    replay.wait(RETURN)
-    world = replay.fleet[3]
-    world.arrive("/lookup/a", digest=digest)
-    assert world.find_all(OpenAttempt)
-    world.handle(AnswerArrived(world.find(OpenAttempt).attempt, 200))
-    return_often(replay, 4)
-    assert refuses(replay.fleet[3])
-    assert replay.count_late() <= MOST_RETRIES
+    replay.wait(RETRY_DELAY)
+    harness = replay.fleet[3]
+    harness.receive_request("/lookup/a", digest=digest)
+    assert harness.find_effects(OpenAttempt)
+    harness.handle(AnswerArrived(harness.find_effect(OpenAttempt).attempt, 200))
+    retry_repeatedly(replay, 4)
+    assert rejects_request(replay.fleet[3])
+    assert replay.count_late_runs() <= MAX_LATE_RUNS
 
 
 @pytest.mark.parametrize(
@@ -312,244 +325,248 @@
 def test_nobody_is_refused_after_a_failure_domain_is_lost(
     size: int, domains: tuple[str, ...]
 ) -> None:
-    """Guards against requests refused that were at targets of a lost domain."""
+    """Guards against refusing requests that ran in a failure domain that was lost."""
     replay = Replay(size, domains=domains)
     lost = [
-        name for name, info in replay.lives.items() if info.failure_domain == "muc-a"
+        name
+        for name, info in replay.registrations.items()
+        if info.failure_domain == "muc-a"
     ]
-    running: list[tuple[World, OpenAttempt]] = []
+    running: list[tuple[EntryHarness, OpenAttempt]] = []
     for number in range(80):
-        world = replay.fleet[number % len(replay.fleet)]
-        world.arrive("/lookup/a", digest=f"good-{number}")
-        running.append((world, world.find(OpenAttempt)))
+        harness = replay.fleet[number % len(replay.fleet)]
+        harness.receive_request("/lookup/a", digest=f"good-{number}")
+        running.append((harness, harness.find_effect(OpenAttempt)))
     assert sum(opened.target in lost for _, opened in running) >= 40
-    # Those that are sent on may meet the next target as it goes.
+    # Retried requests may reach the next target just before it goes down.
     for name in lost:
-        replay.down[name] = Millis(replay.clock.now() + DOWN)
-        for world, opened in list(running):
+        replay.down[name] = Millis(replay.clock.now() + RESTART_DELAY)
+        for harness, opened in list(running):
             if opened.target != name:
                 continue
-            running.remove((world, opened))
-            replay.lose(world, opened.attempt)
-            running += [(world, again) for again in world.find_all(OpenAttempt)]
+            running.remove((harness, opened))
+            replay.lose_attempt(harness, opened.attempt)
+            running += [(harness, again) for again in harness.find_effects(OpenAttempt)]
         replay.clock.advance(30)
-        tell_all(replay.fleet)
-    for world, opened in running[::2]:
-        world.handle(AnswerArrived(opened.attempt, 200))
-    replay.wait(RETURN)
+        exchange_messages(replay.fleet)
+    for harness, opened in running[::2]:
+        harness.handle(AnswerArrived(opened.attempt, 200))
+    replay.wait(RETRY_DELAY)
     for number in range(80):
-        world = replay.fleet[(number + 1) % len(replay.fleet)]
-        assert not refuses(world, f"good-{number}")
-
-
-def test_a_request_that_waits_is_refused_as_its_crashes_are_told() -> None:
-    """Guards against a killer in a queue that is started all the same."""
-    world = World()
-    world.register("e-1", slots=1)
-    world.arrive("/question/a", Prompt("m", 100, 50, 50))
-    running = world.find(OpenAttempt)
-    world.arrive("/question/a", Prompt("m", 100, 50, 50), digest=KILLER)
-    assert world.find_all(OpenAttempt) == []
+        harness = replay.fleet[(number + 1) % len(replay.fleet)]
+        assert not rejects_request(harness, f"good-{number}")
+
+
+def test_a_queued_request_is_refused_once_its_crashes_are_reported() -> None:
+    """Guards against starting a queued request that is known to crash targets."""
+    harness = EntryHarness()
+    harness.register("e-1", slots=1)
+    harness.receive_request("/question/a", Prompt("m", 100, 50, 50))
+    running = harness.find_effect(OpenAttempt)
+    harness.receive_request("/question/a", Prompt("m", 100, 50, 50), digest=KILLER)
+    assert harness.find_effects(OpenAttempt) == []
     for number in range(2):
         suspicion = Suspicion(KILLER, f"e-{number + 7}@1")
-        world.state.crashes.note(suspicion, world.clock.now())
-    world.handle(AnswerArrived(running.attempt, 200))
-    world.handle(Ticked())
-    assert world.find_all(OpenAttempt) == []
-    assert has_turned_away(world)
-    assert world.find(Refuse).problem.status == 503
+        harness.state.crashes.record_suspicion(suspicion, harness.clock.now())
+    harness.handle(AnswerArrived(running.attempt, 200))
+    harness.handle(Ticked())
+    assert harness.find_effects(OpenAttempt) == []
+    assert was_rejected(harness)
+    assert harness.find_effect(Refuse).problem.status == 503
 
 
-def test_a_request_is_not_sent_on_once_others_tell_of_its_crashes() -> None:
-    """Guards against a killer at two entries at once that goes on at both."""
+def test_a_request_is_not_retried_once_peers_report_its_crashes() -> None:
+    """Guards against a crashing request that is retried by two entries at once."""
     replay = Replay()
     first, second = replay.fleet[:2]
-    first.arrive("/lookup/a", digest=KILLER)
-    here = first.find(OpenAttempt)
-    second.arrive("/lookup/a", digest=KILLER)
-    there = second.find(OpenAttempt)
-    if there.target == here.target:
-        attempt = second.state.attempts[there.attempt]
-        other = next(name for name in replay.lives if name != here.target)
+    first.receive_request("/lookup/a", digest=KILLER)
+    first_opened = first.find_effect(OpenAttempt)
+    second.receive_request("/lookup/a", digest=KILLER)
+    second_opened = second.find_effect(OpenAttempt)
+    if second_opened.target == first_opened.target:
+        attempt = second.state.attempts[second_opened.attempt]
+        other = next(
+            name for name in replay.registrations if name != first_opened.target
+        )
         attempt.target = second.state.targets.targets[other]
-    replay.lose(first, here.attempt)
-    tell_all(replay.fleet)
-    replay.lose(second, there.attempt)
-    tell_all(replay.fleet)
+    replay.lose_attempt(first, first_opened.attempt)
+    exchange_messages(replay.fleet)
+    replay.lose_attempt(second, second_opened.attempt)
+    exchange_messages(replay.fleet)
     assert first.state.crashes.is_refused(KILLER, replay.clock.now())
-    sent = first.state.requests[here.number].current
+    sent = first.state.requests[first_opened.number].current
     assert sent is not None
     first.handle(AttemptLost(sent.number, Loss.REFUSED))
-    assert first.find_all(OpenAttempt) == []
-    assert has_turned_away(first)
+    assert first.find_effects(OpenAttempt) == []
+    assert was_rejected(first)
 
 
-def test_a_run_is_not_repeated_once_its_crashes_refuse_it() -> None:
-    """Guards against a route of many attempts that crashes as many targets."""
+def test_a_run_is_not_repeated_once_its_crashes_are_known() -> None:
+    """Guards against a route with many attempts that crashes as many targets."""
     replay = Replay()
     route = replace(LOOKUP, attempts=4)
-    for world in replay.fleet:
-        world.handle(ConfigurationRead(build_table(2, [route])))
+    for harness in replay.fleet:
+        harness.handle(ConfigurationRead(build_table(2, [route])))
     replay.send(replay.fleet[0])
-    # The repeat after the second crash goes out before that crash is known.
+    # The repeat after the second crash is sent before that crash is known.
     assert len(replay.runs) <= 3
 
 
 def test_an_entry_that_starts_again_learns_what_is_refused() -> None:
-    """Guards against a restarted entry that sends a killer on."""
+    """Guards against a restarted entry that forwards a crashing request."""
     replay = Replay(73)
-    return_often(replay, 2)
+    retry_repeatedly(replay, 2)
     replay.wait(20_000)
-    fresh = World(clock=replay.clock)
+    fresh = EntryHarness(clock=replay.clock)
     fresh.state.node = "entry-new"
     fresh.state.failure_domain = replay.fleet[0].state.failure_domain
     fresh.handle(EntriesCounted(74))
-    for info in replay.lives.values():
+    for info in replay.registrations.values():
         fresh.handle(TargetRegistered(info))
-    fresh.handle(peers.describe_own(replay.fleet[0].state, replay.clock.now()))
-    assert refuses(fresh)
+    fresh.handle(peers.describe_entry(replay.fleet[0].state, replay.clock.now()))
+    assert rejects_request(fresh)
 
 
 def test_entries_that_were_cut_off_learn_what_is_refused() -> None:
-    """Guards against crashes that are told only while they are new."""
+    """Guards against crashes that are reported only while they are recent."""
     replay = Replay(8)
-    near, far = replay.fleet[:4], replay.fleet[4:]
-    replay.fleet = near
-    return_often(replay, 2)
+    connected, isolated = replay.fleet[:4], replay.fleet[4:]
+    replay.fleet = connected
+    retry_repeatedly(replay, 2)
     replay.wait(4_000)
-    replay.fleet = near + far
-    tell_all(replay.fleet)
-    assert all(refuses(world) for world in far)
+    replay.fleet = connected + isolated
+    exchange_messages(replay.fleet)
+    assert all(rejects_request(harness) for harness in isolated)
 
 
 def test_a_caller_that_comes_again_at_once_is_refused() -> None:
-    """Guards against crashes in the time before others can have been told."""
+    """Guards against crashes caused by retries before all entries are informed."""
     replay = Replay(8)
     replay.send(replay.fleet[0])
-    tell_all(replay.fleet)
-    for world in replay.fleet:
-        replay.send(world)
-        assert has_turned_away(world)
+    exchange_messages(replay.fleet)
+    for harness in replay.fleet:
+        replay.send(harness)
+        assert was_rejected(harness)
     assert len(replay.runs) == 2
 
 
-def test_a_fresh_refusal_is_short() -> None:
-    """Guards against an innocent read sent away before others could clear it."""
+def test_a_new_refusal_has_a_short_retry_time() -> None:
+    """Guards against refusing an innocent read for long before peers can clear it."""
     replay = Replay(8)
     replay.send(replay.fleet[0])
-    tell_all(replay.fleet)
-    world = replay.fleet[1]
-    replay.send(world)
-    assert world.find(Refuse).problem.retry_after == SETTLING_RETURN
-    replay.wait(RETURN)
-    replay.send(world)
-    assert world.find(Refuse).problem.retry_after == REFUSED_RETURN
+    exchange_messages(replay.fleet)
+    harness = replay.fleet[1]
+    replay.send(harness)
+    assert harness.find_effect(Refuse).problem.retry_after == SETTLING_RETRY_AFTER
+    replay.wait(RETRY_DELAY)
+    replay.send(harness)
+    assert harness.find_effect(Refuse).problem.retry_after == REFUSED_RETRY_AFTER
 
 
 def test_an_answer_clears_a_read_everywhere() -> None:
-    """Guards against a read that stays suspected though it has run."""
+    """Guards against a read that stays suspected although it has completed."""
     replay = Replay(8)
     first, second = replay.fleet[:2]
-    first.arrive("/lookup/a", digest="good")
-    replay.lose(first, first.find(OpenAttempt).attempt)
-    again = first.find(OpenAttempt)
-    tell_all(replay.fleet)
+    first.receive_request("/lookup/a", digest="good")
+    replay.lose_attempt(first, first.find_effect(OpenAttempt).attempt)
+    again = first.find_effect(OpenAttempt)
+    exchange_messages(replay.fleet)
     assert second.state.crashes.is_suspected("good")
     replay.clock.advance(20)
     first.handle(AnswerArrived(again.attempt, 200))
-    assert any(note.message == "request cleared" for note in first.find_all(Note))
-    tell_all(replay.fleet)
+    assert any(note.message == "request cleared" for note in first.find_effects(Note))
+    exchange_messages(replay.fleet)
     assert not second.state.crashes.is_suspected("good")
 
 
 def test_a_stream_that_had_begun_is_not_suspected() -> None:
-    """Guards against streams blamed for what crashed their engine."""
-    world, opened = start_with_backup()
-    world.handle(AttemptLost(opened.attempt, Loss.BROKEN))
-    world.handle(TargetDown(Incarnation(opened.target, 1)))
+    """Guards against streams suspected for a crash that another request caused."""
+    harness, opened = start_with_backup()
+    harness.handle(AttemptLost(opened.attempt, Loss.BROKEN))
+    harness.handle(TargetDown(Incarnation(opened.target, 1)))
     digest = f"digest-{opened.number}"
-    assert not world.state.crashes.is_suspected(digest)
+    assert not harness.state.crashes.is_suspected(digest)
 
 
-def test_what_a_leaving_target_cuts_off_is_not_suspected() -> None:
-    """Guards against requests blamed for a target that was told to end."""
-    world = World()
-    world.register("b-1", "b-2", service=BOOKINGS)
-    world.arrive("/lookup/a", digest="good")
-    opened = world.find(OpenAttempt)
-    world.handle(TargetLeaving(Incarnation(opened.target, 1)))
-    world.handle(AttemptLost(opened.attempt, Loss.BROKEN))
-    world.handle(TargetDown(Incarnation(opened.target, 1)))
-    assert not world.state.crashes.is_suspected("good")
+def test_a_request_cut_off_by_a_leaving_target_is_not_suspected() -> None:
+    """Guards against requests suspected because their target shut down."""
+    harness = EntryHarness()
+    harness.register("b-1", "b-2", service=BOOKINGS)
+    harness.receive_request("/lookup/a", digest="good")
+    opened = harness.find_effect(OpenAttempt)
+    harness.handle(TargetLeaving(Incarnation(opened.target, 1)))
+    harness.handle(AttemptLost(opened.attempt, Loss.BROKEN))
+    harness.handle(TargetDown(Incarnation(opened.target, 1)))
+    assert not harness.state.crashes.is_suspected("good")
 
 
-def test_a_target_that_turns_connections_away_has_not_crashed() -> None:
+def test_a_target_that_rejects_connections_has_not_crashed() -> None:
     """Guards against reads refused for targets that have too many connections."""
-    world = World()
-    world.register("b-1", "b-2", "b-3", service=BOOKINGS)
-    world.arrive("/lookup/a", digest="good")
-    first = world.find(OpenAttempt)
-    world.handle(AttemptLost(first.attempt, Loss.BROKEN))
-    world.handle(TargetDown(Incarnation(first.target, 1)))
-    assert world.state.crashes.is_suspected("good")
-    world.clock.advance(SOONEST_RETURN - 1)
+    harness = EntryHarness()
+    harness.register("b-1", "b-2", "b-3", service=BOOKINGS)
+    harness.receive_request("/lookup/a", digest="good")
+    first = harness.find_effect(OpenAttempt)
+    harness.handle(AttemptLost(first.attempt, Loss.BROKEN))
+    harness.handle(TargetDown(Incarnation(first.target, 1)))
+    assert harness.state.crashes.is_suspected("good")
+    harness.clock.advance(MIN_RESTART_TIME - 1)
     for name in {"b-1", "b-2", "b-3"} - {first.target}:
-        world.depart(name)
-    answer_at(world, first.target)
-    assert not world.state.crashes.is_suspected("good")
+        harness.depart(name)
+    answer_from(harness, first.target)
+    assert not harness.state.crashes.is_suspected("good")
 
 
 def test_a_target_that_ends_much_later_has_not_crashed() -> None:
-    """Guards against reads blamed for an end that had nothing to do with them."""
-    world = World()
-    world.register("b-1", "b-2", service=BOOKINGS)
-    world.arrive("/lookup/a", digest="good")
-    opened = world.find(OpenAttempt)
-    world.handle(AttemptLost(opened.attempt, Loss.BROKEN))
-    world.clock.advance(LOST_KEPT)
-    world.handle(TargetDeparted(opened.target))
-    assert not world.state.crashes.is_suspected("good")
+    """Guards against reads suspected for an unrelated later end of their target."""
+    harness = EntryHarness()
+    harness.register("b-1", "b-2", service=BOOKINGS)
+    harness.receive_request("/lookup/a", digest="good")
+    opened = harness.find_effect(OpenAttempt)
+    harness.handle(AttemptLost(opened.attempt, Loss.BROKEN))
+    harness.clock.advance(LOST_RETENTION)
+    harness.handle(TargetDeparted(opened.target))
+    assert not harness.state.crashes.is_suspected("good")
 
 
 def test_a_caller_that_leaves_is_suspected_like_others() -> None:
-    """Guards against a killer whose caller leaves before its target is found."""
-    world = World()
-    world.register("b-1", "b-2", service=BOOKINGS)
-    number = world.arrive("/lookup/a", digest=KILLER)
-    opened = world.find(OpenAttempt)
-    world.handle(CallerGone(number))
-    world.handle(TargetDeparted(opened.target))
-    assert world.state.crashes.is_suspected(KILLER)
+    """Guards against a crashing request whose caller left before the crash is known."""
+    harness = EntryHarness()
+    harness.register("b-1", "b-2", service=BOOKINGS)
+    number = harness.receive_request("/lookup/a", digest=KILLER)
+    opened = harness.find_effect(OpenAttempt)
+    harness.handle(CallerGone(number))
+    harness.handle(TargetDeparted(opened.target))
+    assert harness.state.crashes.is_suspected(KILLER)
 
 
 def test_a_prompt_that_crashes_engines_is_kept_away() -> None:
     """Guards against a prompt that crashes one engine after another."""
-    world = World()
+    harness = EntryHarness()
     for number in range(4):
         info = Registration(
             f"e-{number}", ENGINES, f"e-{number}:80", DOMAINS[number], 64, born=1
         )
-        world.handle(TargetRegistered(info))
+        harness.handle(TargetRegistered(info))
     runs = 0
     for _ in range(4):
-        world.arrive("/question/a", Prompt("m", 500, 50, 50), digest=KILLER)
-        while opened := world.find_all(OpenAttempt):
+        harness.receive_request("/question/a", Prompt("m", 500, 50, 50), digest=KILLER)
+        while opened := harness.find_effects(OpenAttempt):
             runs += 1
-            world.handle(AttemptLost(opened[0].attempt, Loss.BROKEN))
-            effects = world.effects
-            world.handle(TargetDown(Incarnation(opened[0].target, 1)))
-            world.effects = effects
-        world.clock.advance(RETURN)
+            harness.handle(AttemptLost(opened[0].attempt, Loss.BROKEN))
+            effects = harness.effects
+            harness.handle(TargetDown(Incarnation(opened[0].target, 1)))
+            harness.effects = effects
+        harness.clock.advance(RETRY_DELAY)
     assert runs == 2
 
 
-def test_old_suspicions_are_left_out_of_what_changed() -> None:
-    """Guards against messages of a large fleet that all tell of old crashes."""
+def test_old_suspicions_are_left_out_of_partial_messages() -> None:
+    """Guards against old crashes repeated in each message of a large fleet."""
     replay = Replay(73)
-    return_often(replay, 2)
-    replay.wait(RETURN)
-    news = LoadNews()
+    retry_repeatedly(replay, 2)
+    replay.wait(RETRY_DELAY)
+    news = LoadUpdates()
     now = replay.clock.now()
-    own = peers.describe_own(replay.fleet[0].state, now)
+    own = peers.describe_entry(replay.fleet[0].state, now)
     assert news.select(own, now).suspicions == own.suspicions != ()
     assert news.select(own, Millis(now + 1)).suspicions == ()
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -1,4 +1,4 @@
-"""A replay of many entries that place prompts on what they tell each other."""
+"""Simulation of a large fleet that places prompts by the loads its entries exchange."""
 
 import random
 from dataclasses import dataclass, field, replace
@@ -16,22 +16,41 @@
     TargetRegistered,
 )
 from figstep.gateway.prompts import Prompt
-from figstep.gateway.targets import UNKNOWN_READ_RATE, Registration
+from figstep.gateway.targets import DEFAULT_READ_RATE, Registration
 from figstep.net.links import FAR_SECONDS, FAR_WHOLE_SECONDS, HELLO_SECONDS
-from tests.gateway.worlds import ENGINES, World
+from tests.gateway.worlds import ENGINES, EntryHarness
 
 DOMAINS = ("muc-a", "muc-b", "nue-a", "aug-a", "rgb-a", "wue-a")
-PER_DOMAIN = 4
-ENGINES_IN = {"muc-a": 9, "muc-b": 9, "nue-a": 9, "aug-a": 2, "rgb-a": 1, "wue-a": 1}
-"""Engines of each failure domain: callers are as many in all of them."""
+ENTRIES_PER_DOMAIN = 4
+"""Number of simulated entries in each failure domain."""
+
+ENGINES_PER_DOMAIN = {
+    "muc-a": 9,
+    "muc-b": 9,
+    "nue-a": 9,
+    "aug-a": 2,
+    "rgb-a": 1,
+    "wue-a": 1,
+}
+"""Number of engines in each failure domain; every domain has as many callers."""
+
+FLEET_SIZE = 195
+"""Number of entries that each simulated entry takes the fleet to have."""
+
+PROMPTS_PER_SECOND = 28
+"""Arrival rate of prompts in all simulated entries together."""
+
+DURATION_SECONDS = 8
+"""Simulated time, in seconds."""
 
-FLEET = 195
-PROMPTS_A_SECOND = 28
-SECONDS = 8
 STEP = Millis(10)
-TOKENS = 1_700
-RUN = Millis(3_000)
-"""How long a run goes on once its prompt is read."""
+"""Simulation step, in milliseconds."""
+
+PROMPT_TOKENS = 1_700
+"""Length of each prompt, in tokens."""
+
+GENERATION_DURATION = Millis(3_000)
+"""Milliseconds that a run takes once its prompt has been read."""
 
 
 @dataclass
@@ -39,130 +58,140 @@
     """An engine that reads prompts one after another.
 
     Attributes:
-        free_at: When it has read all prompts that it was sent.
+        free_at: Time at which it has read all prompts that it was sent.
     """
 
     free_at: Millis = Millis(0)
 
     def read(self, now: Millis) -> Millis:
-        """Take a prompt; returns when it has been read."""
+        """Queue a prompt and return the time at which it has been read."""
         start = max(self.free_at, now)
-        self.free_at = Millis(start + round(TOKENS / UNKNOWN_READ_RATE))
+        self.free_at = Millis(start + round(PROMPT_TOKENS / DEFAULT_READ_RATE))
         return self.free_at
 
 
 @dataclass
 class Fleet:
-    """Entries of several failure domains, some prompts from each, no losses.
+    """Simulated entries of several failure domains; no messages are lost.
 
     Attributes:
-        ratios: Time until a prompt was read over what was expected.
+        clock: Clock that all entries share.
+        entries: The simulated entries.
+        engines: Engines by name.
+        ratios: Reading time of each prompt, divided by the expected one.
+        due: Pending events of runs: time, entry, kind and attempt.
+        sent_loads: Loads that each entry last sent to other failure domains, by target.
+        rng: Source of the arrivals.
     """
 
     clock: ManualClock = field(default_factory=lambda: ManualClock(100_000))
-    worlds: list[World] = field(default_factory=list)
+    entries: list[EntryHarness] = field(default_factory=list)
     engines: dict[str, Engine] = field(default_factory=dict)
     ratios: list[float] = field(default_factory=list)
-    due: list[tuple[Millis, World, str, int]] = field(default_factory=list)
-    told: dict[str, dict[str, PeerLoad]] = field(default_factory=dict)
+    due: list[tuple[Millis, EntryHarness, str, int]] = field(default_factory=list)
+    sent_loads: dict[str, dict[str, PeerLoad]] = field(default_factory=dict)
     rng: random.Random = field(default_factory=lambda: random.Random(3))
 
     def build(self) -> None:
-        """Set up entries and engines, which know of each other."""
+        """Create entries and engines, and register all engines at all entries."""
         for domain in DOMAINS:
-            for number in range(PER_DOMAIN):
-                world = World(clock=self.clock)
-                world.state.node = f"entry-{domain}-{number}"
-                world.state.failure_domain = domain
-                world.state.rng.seed(len(self.worlds))
-                world.handle(EntriesCounted(FLEET))
-                self.worlds.append(world)
+            for number in range(ENTRIES_PER_DOMAIN):
+                harness = EntryHarness(clock=self.clock)
+                harness.state.node = f"entry-{domain}-{number}"
+                harness.state.failure_domain = domain
+                harness.state.rng.seed(len(self.entries))
+                harness.handle(EntriesCounted(FLEET_SIZE))
+                self.entries.append(harness)
         for domain in DOMAINS:
-            for number in range(ENGINES_IN[domain]):
+            for number in range(ENGINES_PER_DOMAIN[domain]):
                 name = f"e-{domain}-{number}"
                 self.engines[name] = Engine()
                 info = Registration(name, ENGINES, f"{name}:80", domain, 24, born=1)
-                for world in self.worlds:
-                    world.handle(TargetRegistered(info))
+                for harness in self.entries:
+                    harness.handle(TargetRegistered(info))
 
-    def play(self) -> None:
-        """Let prompts come, be read and run."""
+    def simulate(self) -> None:
+        """Simulate the arrival, reading and generation of prompts."""
         self.build()
-        for tick in range(SECONDS * 1_000 // STEP):
+        for tick in range(DURATION_SECONDS * 1_000 // STEP):
             self.clock.advance(STEP)
-            self._end_what_is_due()
-            if self.rng.random() < PROMPTS_A_SECOND * STEP / 1_000:
-                self._place(self.rng.choice(self.worlds))
-            self._talk(tick * STEP)
-
-    def _place(self, world: World) -> None:
-        world.arrive("/question/a", Prompt("m", TOKENS, 200, 40))
-        announcements = world.find_all(AnnounceTarget)
-        for opened in world.find_all(OpenAttempt):
-            notes = [n for n in world.find_all(Note) if "expected_ms" in n.fields]
+            self._process_due()
+            if self.rng.random() < PROMPTS_PER_SECOND * STEP / 1_000:
+                self._place(self.rng.choice(self.entries))
+            self._exchange_messages(tick * STEP)
+
+    def _place(self, harness: EntryHarness) -> None:
+        harness.receive_request("/question/a", Prompt("m", PROMPT_TOKENS, 200, 40))
+        announcements = harness.find_effects(AnnounceTarget)
+        for opened in harness.find_effects(OpenAttempt):
+            notes = [n for n in harness.find_effects(Note) if "expected_ms" in n.fields]
             expected = notes[0].fields["expected_ms"]
             assert isinstance(expected, int)
             now = self.clock.now()
             read_at = self.engines[opened.target].read(now)
             self.ratios.append((read_at - now) / expected)
-            self.due.append((read_at, world, "read", opened.attempt))
-            self.due.append((Millis(read_at + RUN), world, "end", opened.attempt))
-            self._tell_near(world)
+            self.due.append((read_at, harness, "read", opened.attempt))
+            self.due.append(
+                (Millis(read_at + GENERATION_DURATION), harness, "end", opened.attempt)
+            )
+            self._send_locally(harness)
         for announced in announcements:
-            self._tell_target(world, announced.target)
+            self._announce_load(harness, announced.target)
 
-    def _end_what_is_due(self) -> None:
+    def _process_due(self) -> None:
         now = self.clock.now()
         due = [item for item in self.due if item[0] <= now]
         self.due = [item for item in self.due if item[0] > now]
-        for _, world, kind, attempt in sorted(due, key=lambda item: item[0]):
+        for _, harness, kind, attempt in sorted(due, key=lambda item: item[0]):
             if kind == "read":
-                world.handle(PiecesArrived(attempt, [StreamPiece(1, b"id: 1\n\n")]))
+                harness.handle(PiecesArrived(attempt, [StreamPiece(1, b"id: 1\n\n")]))
             else:
-                world.handle(StreamEnded(attempt))
+                harness.handle(StreamEnded(attempt))
 
-    def _talk(self, at: int) -> None:
-        for world in self.worlds:
+    def _exchange_messages(self, at: int) -> None:
+        for harness in self.entries:
             if at % round(HELLO_SECONDS * 1_000) == 0:
-                self._tell_near(world)
+                self._send_locally(harness)
         if at % round(FAR_SECONDS * 1_000) == 0:
-            for world in self.worlds:
-                if peers.speaks_for_domain(world.state, self.clock.now()):
-                    self._tell_far(world, at % round(FAR_WHOLE_SECONDS * 1_000) == 0)
-
-    def _tell_near(self, world: World) -> None:
-        message = peers.describe_own(world.state, self.clock.now())
-        for other in self.worlds:
-            near = other.state.failure_domain == world.state.failure_domain
-            if near and other is not world:
+            for harness in self.entries:
+                if peers.is_domain_representative(harness.state, self.clock.now()):
+                    self._send_remotely(
+                        harness, at % round(FAR_WHOLE_SECONDS * 1_000) == 0
+                    )
+
+    def _send_locally(self, harness: EntryHarness) -> None:
+        message = peers.describe_entry(harness.state, self.clock.now())
+        for other in self.entries:
+            is_local = other.state.failure_domain == harness.state.failure_domain
+            if is_local and other is not harness:
                 other.handle(message)
 
-    def _tell_target(self, world: World, target: str) -> None:
-        message = peers.describe_domain(world.state, self.clock.now())
+    def _announce_load(self, harness: EntryHarness, target: str) -> None:
+        message = peers.describe_domain(harness.state, self.clock.now())
         loads = tuple(load for load in message.loads if load.target == target)
-        self._hand_far(world, replace(message, loads=loads, partial=True))
+        self._deliver_remotely(harness, replace(message, loads=loads, partial=True))
 
-    def _hand_far(self, world: World, message: PeerHeard) -> None:
-        for other in self.worlds:
-            if other.state.failure_domain != world.state.failure_domain:
+    def _deliver_remotely(self, harness: EntryHarness, message: PeerHeard) -> None:
+        for other in self.entries:
+            if other.state.failure_domain != harness.state.failure_domain:
                 other.handle(message)
 
-    def _tell_far(self, world: World, whole: bool) -> None:
-        message = peers.describe_domain(world.state, self.clock.now())
-        told = self.told.setdefault(world.state.node, {})
+    def _send_remotely(self, harness: EntryHarness, whole: bool) -> None:
+        message = peers.describe_domain(harness.state, self.clock.now())
+        sent_loads = self.sent_loads.setdefault(harness.state.node, {})
         if not whole:
-            changed = peers.select_changed(told, message.loads)
+            changed = peers.select_changed(sent_loads, message.loads)
             message = replace(message, loads=changed, partial=True)
-        told.update((load.target, load) for load in message.loads)
-        self._hand_far(world, message)
+        sent_loads.update((load.target, load) for load in message.loads)
+        self._deliver_remotely(harness, message)
 
 
 def test_prompts_are_read_when_a_large_fleet_expects_it() -> None:
-    """Guards against prompts that wait behind others which nobody had told of."""
+    """Guards against prompts that queue behind others which were not reported."""
     ratios = []
     for seed in range(3, 11):
         fleet = Fleet(rng=random.Random(seed))
-        fleet.play()
+        fleet.simulate()
         ratios += fleet.ratios
     ratios.sort()
     assert ratios[len(ratios) * 9 // 10] <= 1.3
--- a/tests/gateway/test_fleet_properties.py
+++ b/tests/gateway/test_fleet_properties.py
@@ -1,4 +1,4 @@
-"""Entries, targets and a network that loses messages, in any order of events."""
+"""Property tests of entries and targets over a lossy network, with random events."""
 
 import re
 from collections import Counter, deque
@@ -56,7 +56,7 @@
 )
 from figstep.gateway.prompts import Prompt
 from figstep.gateway.routes import Route, RouteKind
-from figstep.gateway.streams import OVERLAP
+from figstep.gateway.streams import MAX_OVERLAP
 from figstep.gateway.targets import Incarnation, Registration
 from tests.gateway.worlds import (
     BOOKINGS,
@@ -65,44 +65,48 @@
     ORDER,
     PLAN,
     QUESTION,
-    World,
+    EntryHarness,
     build_fleet,
 )
 
 ENTRIES = 3
 DOMAINS = ("muc-a", "muc-b")
-EVENTS = 12
-"""Events of a whole stream."""
+STREAM_EVENTS = 12
+"""Number of events in a complete stream."""
 
 STEP = Millis(50)
-DOWN = Millis(1_500)
-"""How long a target that crashed is down."""
+"""Step of the clock, in milliseconds."""
+
+RESTART_DELAY = Millis(1_500)
+"""Milliseconds for which a crashed target is down."""
+
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+"""Statuses of refusals that tell the caller that its request did not run."""
 
-NOT_RUN = (408, 421, 429, 503)
 KILLERS = ("killer-1", "killer-2")
 ROUTES = {route.prefix: route for route in (PLAN, QUESTION, ORDER, LOOKUP)}
 
 
 @dataclass
 class Run:
-    """An attempt as its target sees it.
+    """An attempt, as seen by its target.
 
     Attributes:
-        entry: Number of the entry.
-        attempt: Number of the attempt there.
-        life: The target's life that got it.
-        opened: When it came.
-        goes_on: Whether it goes on from a copy.
-        index: Last event that it sent.
+        entry: Index of the entry.
+        attempt: Number of the attempt at that entry.
+        incarnation: Incarnation of the target that received it.
+        opened: Time at which it was opened.
+        resumed: Whether it resumes from a copy.
+        index: Index of the last event that it sent.
         open: Whether it has not ended.
         ran: Whether it may have run.
     """
 
     entry: int
     attempt: int
-    life: Incarnation
+    incarnation: Incarnation
     opened: Millis
-    goes_on: bool
+    resumed: bool
     index: int = 0
     open: bool = True
     ran: bool = True
@@ -110,14 +114,14 @@
 
 @dataclass
 class Call:
-    """A request as its caller sees it.
+    """A request, as seen by its caller.
 
     Attributes:
-        route: Its route.
+        route: Route of the request.
         digest: Digest of the request.
         runs: Its attempts, oldest first.
-        events: Last event that the caller got.
-        ended: Whether it has its final answer, or left.
+        events: Index of the last event that the caller received.
+        ended: Whether the caller has its final answer or has left.
     """
 
     route: Route
@@ -128,7 +132,7 @@
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Three entries that tell each other what they know, over a bad network."""
+    """Three entries that exchange their state over a lossy, reordering network."""
 
     @initialize()
     def start(self) -> None:
@@ -139,12 +143,12 @@
         self.runs: dict[tuple[int, int], Run] = {}
         self.copies: list[tuple[int, CopyRun]] = []
         self.network: list[tuple[int, PeerHeard]] = []
-        self.todo: deque[Callable[[], None]] = deque()
+        self.pending: deque[Callable[[], None]] = deque()
         self.up: dict[str, Registration] = {}
         self.known: dict[str, Registration] = {}
         self.down: dict[str, Millis] = {}
         self.ended: set[Incarnation] = set()
-        self.met: dict[str, set[Incarnation]] = {}
+        self.received_by: dict[str, set[Incarnation]] = {}
         for service, letter in ((BOOKINGS, "b"), (ENGINES, "e")):
             for number in range(3):
                 name = f"{letter}-{number}"
@@ -152,22 +156,22 @@
                 self.register(
                     Registration(name, service, f"{name}:80", domain, 64, born=1)
                 )
-        self.tell()
+        self.send_messages()
 
-    # What the entries ask for
+    # Effects of the entries
 
     def handle(self, entry: int, event: Event) -> None:
-        """Let an entry take an event, and do what it asks for."""
+        """Let an entry handle an event, and perform its effects."""
         for effect in self.fleet[entry].handle(event):
             self.perform(entry, effect)
 
-    def settle(self) -> None:
-        """Do what was put off until an entry had ended its event."""
-        while self.todo:
-            self.todo.popleft()()
+    def run_pending(self) -> None:
+        """Run the actions that were deferred until an event was handled."""
+        while self.pending:
+            self.pending.popleft()()
 
     def perform(self, entry: int, effect: Effect) -> None:
-        """Do what an entry asks for."""
+        """Perform an effect of an entry."""
         match effect:
             case OpenAttempt():
                 self.open(entry, effect)
@@ -179,24 +183,24 @@
                 self.copies.append((entry, effect))
             case ProbeTarget(target=name):
                 info = self.fleet[entry].state.targets.targets[name].info
-                self.todo.append(partial(self.probe, entry, info.incarnation))
+                self.pending.append(partial(self.probe, entry, info.incarnation))
             case ReadReport(target=name) if name in self.up:
                 report = EngineReported(name, leaving=False)
-                self.todo.append(partial(self.handle, entry, report))
+                self.pending.append(partial(self.handle, entry, report))
             case Announce():
-                self.todo.append(self.tell)
+                self.pending.append(self.send_messages)
             case Deliver(number=number, data=data):
-                self.take_events(self.calls[entry][number], data)
+                self.receive_events(self.calls[entry][number], data)
             case Answer(number=number) | BreakStream(number=number):
                 self.end(entry, number)
             case FinishStream(number=number):
-                assert self.calls[entry][number].events == EVENTS
+                assert self.calls[entry][number].events == STREAM_EVENTS
                 self.end(entry, number)
             case Refuse(number=number, problem=problem):
                 self.refuse(entry, number, problem.status, problem.code)
 
     def open(self, entry: int, opened: OpenAttempt) -> None:
-        """Let a target get an attempt."""
+        """Open an attempt at its target, and check that the target may get it."""
         call = self.calls[entry][opened.number]
         assert not call.ended
         info = self.up.get(opened.target)
@@ -204,51 +208,55 @@
         if info is None or info.incarnation != known.incarnation:
             loss = Loss.UNREACHED if info is None else Loss.MISDIRECTED
             lost = AttemptLost(opened.attempt, loss, down=info is None)
-            self.todo.append(partial(self.handle, entry, lost))
+            self.pending.append(partial(self.handle, entry, lost))
             return
         if call.route.kind is RouteKind.UNSAFE or call.route is PLAN:
             if opened.source is None:
                 assert not any(run.ran for run in call.runs), "runs twice"
         now = self.clock.now()
-        goes_on = opened.source is not None
-        run = Run(entry, opened.attempt, info.incarnation, now, goes_on)
+        resumed = opened.source is not None
+        run = Run(entry, opened.attempt, info.incarnation, now, resumed)
         run.index = opened.after or 0
         call.runs.append(run)
         self.runs[entry, opened.attempt] = run
-        self.met.setdefault(call.digest, set()).add(info.incarnation)
-        lasting = [run for run in call.runs if run.ran and run.life not in self.ended]
+        self.received_by.setdefault(call.digest, set()).add(info.incarnation)
+        live_runs = [
+            run for run in call.runs if run.ran and run.incarnation not in self.ended
+        ]
         if call.route.kind is RouteKind.SAFE:
-            assert len(lasting) <= call.route.attempts, "too many targets"
+            assert len(live_runs) <= call.route.attempts, "too many targets"
         if call.digest in KILLERS:
-            self.todo.append(partial(self.crash, info.target, info.incarnation))
+            self.pending.append(partial(self.crash, info.target, info.incarnation))
 
-    def probe(self, entry: int, life: Incarnation) -> None:
-        """Answer whether anybody listens at a target's address."""
-        if life.target not in self.up:
-            self.handle(entry, TargetDown(life))
+    def probe(self, entry: int, incarnation: Incarnation) -> None:
+        """Report a target as down if nothing listens at its address."""
+        if incarnation.target not in self.up:
+            self.handle(entry, TargetDown(incarnation))
 
-    def take_events(self, call: Call, data: bytes) -> None:
-        """Let a caller get events: each once, and in order."""
+    def receive_events(self, call: Call, data: bytes) -> None:
+        """Check that a caller receives each event once and in order."""
         for index in re.findall(rb"id: (\d+)", data):
             call.events += 1
             assert int(index) == call.events
 
     def end(self, entry: int, number: int) -> None:
-        """Let a caller get its final answer, which comes once."""
+        """Check that a caller gets only one final answer."""
         call = self.calls[entry][number]
         assert not call.ended
         call.ended = True
 
     def refuse(self, entry: int, number: int, status: int, code: str) -> None:
-        """Let a caller get an answer of the entry's own."""
+        """Check that a refusal by the entry itself is true and justified."""
         self.end(entry, number)
         call = self.calls[entry][number]
-        once = call.route.kind is RouteKind.UNSAFE or call.route is PLAN
-        if once and status in NOT_RUN:
+        runs_once = call.route.kind is RouteKind.UNSAFE or call.route is PLAN
+        if runs_once and status in NOT_RUN_STATUSES:
             assert not any(run.ran for run in call.runs), "said not to have run"
         if code == "crashes_targets":
-            met = self.met.get(call.digest, set())
-            assert len(met & self.ended) >= 2, "refused for less than two crashes"
+            received_by = self.received_by.get(call.digest, set())
+            assert len(received_by & self.ended) >= 2, (
+                "refused for less than two crashes"
+            )
 
     # Callers
 
@@ -257,28 +265,28 @@
         prefix=st.sampled_from(sorted(ROUTES)),
         digest=st.sampled_from([*KILLERS, *["menu"] * 5, *[""] * 5]),
     )
-    def arrive(self, entry: int, prefix: str, digest: str) -> None:
-        """Let a request come; one without a digest comes once."""
-        world = self.fleet[entry]
+    def receive_request(self, entry: int, prefix: str, digest: str) -> None:
+        """Let a request arrive; one without a digest gets a unique digest."""
+        harness = self.fleet[entry]
         prompt = Prompt("m", 3_000, 2_000, 900) if "lookup" not in prefix else None
         if prefix == "/order/":
             prompt = None
-        name = digest or f"digest-{entry}-{world.next_number}"
-        self.calls[entry][world.next_number] = Call(ROUTES[prefix], name)
-        world.arrive(f"{prefix}a", prompt, digest=name)
-        for effect in world.effects:
+        name = digest or f"digest-{entry}-{harness.next_number}"
+        self.calls[entry][harness.next_number] = Call(ROUTES[prefix], name)
+        harness.receive_request(f"{prefix}a", prompt, digest=name)
+        for effect in harness.effects:
             self.perform(entry, effect)
-        self.settle()
+        self.run_pending()
 
-    @rule(entry=st.integers(0, ENTRIES - 1), events=st.integers(1, EVENTS - 1))
+    @rule(entry=st.integers(0, ENTRIES - 1), events=st.integers(1, STREAM_EVENTS - 1))
     def stream(self, entry: int, events: int) -> None:
-        """Let a stream come and begin."""
+        """Let a stream arrive and send its first events."""
         number = self.fleet[entry].next_number
-        self.arrive(entry, "/plan/", "")
+        self.receive_request(entry, "/plan/", "")
         for run in list(self.runs.values()):
             if run in self.calls[entry][number].runs:
-                self.go_on(run, events)
-        self.settle()
+                self.advance_run(run, events)
+        self.run_pending()
 
     @rule(data=st.data())
     def leave(self, data: st.DataObject) -> None:
@@ -291,32 +299,32 @@
         entry, number = data.draw(st.sampled_from(waiting))
         self.end(entry, number)
         self.handle(entry, CallerGone(number))
-        self.settle()
+        self.run_pending()
 
     # Targets
 
     @precondition(lambda self: self.runs)
-    @rule(data=st.data(), events=st.integers(1, EVENTS))
+    @rule(data=st.data(), events=st.integers(1, STREAM_EVENTS))
     def answer(self, data: st.DataObject, events: int) -> None:
         """Let a target answer, or send some events."""
-        self.go_on(data.draw(st.sampled_from(list(self.runs.values()))), events)
-        self.settle()
+        self.advance_run(data.draw(st.sampled_from(list(self.runs.values()))), events)
+        self.run_pending()
 
-    def go_on(self, run: Run, events: int) -> None:
-        """Let a run send events, and end with its last."""
+    def advance_run(self, run: Run, events: int) -> None:
+        """Let a run send events, and end after its last one."""
         entry, attempt = run.entry, run.attempt
         number = self.fleet[entry].state.attempts[attempt].request
         if self.calls[entry][number].route.kind is not RouteKind.STREAM:
             self.close(run)
             self.handle(entry, AnswerArrived(attempt, 200))
             return
-        last = min(EVENTS, run.index + events)
+        last = min(STREAM_EVENTS, run.index + events)
         indexes = range(run.index + 1, last + 1)
         pieces = [StreamPiece(index, b"id: %d\n\n" % index) for index in indexes]
         run.index = last
         self.handle(entry, StreamOpened(attempt))
         self.handle(entry, PiecesArrived(attempt, pieces))
-        if last == EVENTS and run.open:
+        if last == STREAM_EVENTS and run.open:
             self.close(run)
             self.handle(entry, StreamEnded(attempt))
 
@@ -327,8 +335,8 @@
             [Loss.BROKEN, Loss.GARBLED, Loss.REFUSED, Loss.FAILED, Loss.SILENT]
         ),
     )
-    def lose(self, data: st.DataObject, loss: Loss) -> None:
-        """Let an attempt end without an answer, at a target that lives."""
+    def lose_attempt(self, data: st.DataObject, loss: Loss) -> None:
+        """Lose an attempt without an answer, at a target that stays up."""
         run = data.draw(st.sampled_from(list(self.runs.values())))
         if run.index and loss in (Loss.REFUSED, Loss.FAILED):
             return
@@ -336,7 +344,7 @@
         self.close(run)
         status = 500 if loss is Loss.FAILED else None
         self.handle(run.entry, AttemptLost(run.attempt, loss, status=status))
-        self.settle()
+        self.run_pending()
 
     def close(self, run: Run) -> None:
         """End a run."""
@@ -346,37 +354,39 @@
     @precondition(lambda self: self.up)
     @rule(data=st.data())
     def crash_any(self, data: st.DataObject) -> None:
-        """Let a target crash by itself."""
+        """Let any target crash, without a request as its cause."""
         info = data.draw(st.sampled_from(list(self.up.values())))
         self.crash(info.target, info.incarnation)
-        self.settle()
+        self.run_pending()
 
-    def crash(self, name: str, life: Incarnation) -> None:
-        """Let a life of a target end, with all that it runs."""
+    def crash(self, name: str, incarnation: Incarnation) -> None:
+        """End an incarnation of a target, with all of its runs."""
         info = self.up.get(name)
-        if info is None or info.incarnation != life:
+        if info is None or info.incarnation != incarnation:
             return
         del self.up[name]
-        self.ended.add(life)
+        self.ended.add(incarnation)
         self.down[name] = self.clock.now()
-        for run in [run for run in self.runs.values() if run.life == life]:
+        for run in [
+            run for run in self.runs.values() if run.incarnation == incarnation
+        ]:
             if run.open:
                 self.close(run)
                 self.handle(run.entry, AttemptLost(run.attempt, Loss.BROKEN))
 
     @precondition(lambda self: self.up)
     @rule(data=st.data(), entry=st.integers(0, ENTRIES - 1))
-    def say_leaving(self, data: st.DataObject, entry: int) -> None:
-        """Let a target tell an entry that it leaves; it ends some time later."""
+    def announce_leaving(self, data: st.DataObject, entry: int) -> None:
+        """Let a target report to one entry that it leaves."""
         info = data.draw(st.sampled_from(list(self.up.values())))
         self.handle(entry, TargetLeaving(info.incarnation))
-        self.settle()
+        self.run_pending()
 
     def return_targets(self) -> None:
-        """Let targets that were down for long start again, as another life."""
+        """Restart targets as new incarnations once their restart delay is over."""
         now = self.clock.now()
         for name, at in list(self.down.items()):
-            if now - at >= DOWN:
+            if now - at >= RESTART_DELAY:
                 del self.down[name]
                 self.register(replace(self.known[name], born=now))
 
@@ -389,128 +399,128 @@
     @precondition(lambda self: self.copies)
     @rule()
     def fail_copy(self) -> None:
-        """Let an ordered copy not be made."""
+        """Let an ordered copy fail."""
         entry, order = self.copies.pop(0)
-        told = RunNotCopied(order.number, order.source, order.holder, "no room")
-        self.handle(entry, told)
-        self.settle()
+        outcome = RunNotCopied(order.number, order.source, order.holder, "no room")
+        self.handle(entry, outcome)
+        self.run_pending()
 
     def make_copies(self) -> None:
-        """Let ordered copies be made where both engines are up."""
+        """Make ordered copies whose two engines are up; fail the others."""
         for entry, order in self.copies:
             number, source, holder = order.number, order.source, order.holder
-            told: Event = RunNotCopied(number, source, holder, "gone")
+            outcome: Event = RunNotCopied(number, source, holder, "gone")
             if source in self.up and holder in self.up:
-                told = RunCopied(number, source, holder, "handle")
-            self.todo.append(partial(self.handle, entry, told))
+                outcome = RunCopied(number, source, holder, "handle")
+            self.pending.append(partial(self.handle, entry, outcome))
         self.copies.clear()
 
-    # Entries and what is between them
+    # Entries, the store and the network
 
     @rule(entry=st.integers(0, ENTRIES - 1))
     def restart(self, entry: int) -> None:
-        """Let an entry start again, with nothing of before."""
+        """Restart an entry with an empty state."""
         for run in [run for run in self.runs.values() if run.entry == entry]:
             self.close(run)
         before = self.fleet[entry]
-        world = World(clock=self.clock, next_number=before.next_number)
-        world.state.node = before.state.node
-        world.state.failure_domain = before.state.failure_domain
-        world.state.next_attempt = before.state.next_attempt
-        self.fleet[entry] = world
+        harness = EntryHarness(clock=self.clock, next_number=before.next_number)
+        harness.state.node = before.state.node
+        harness.state.failure_domain = before.state.failure_domain
+        harness.state.next_attempt = before.state.next_attempt
+        self.fleet[entry] = harness
         self.calls[entry] = {}
         self.copies = [copy for copy in self.copies if copy[0] != entry]
         self.handle(entry, EntriesCounted(ENTRIES))
         for info in self.up.values():
             self.handle(entry, TargetRegistered(info))
-        self.settle()
+        self.run_pending()
 
     @rule(entry=st.integers(0, ENTRIES - 1), away=st.booleans())
     def change_store(self, entry: int, away: bool) -> None:
-        """Let the store turn an entry away, or answer it again."""
+        """Let an entry lose the store, or regain it."""
         self.handle(entry, StoreLost() if away else StoreRegained())
-        self.settle()
+        self.run_pending()
 
-    def tell(self) -> None:
-        """Let each entry send the others what it knows."""
+    def send_messages(self) -> None:
+        """Let each entry send its state to the others."""
         now = self.clock.now()
-        for sender, world in enumerate(self.fleet):
-            message = peers.describe_own(world.state, now)
+        for sender, harness in enumerate(self.fleet):
+            message = peers.describe_entry(harness.state, now)
             for receiver in range(ENTRIES):
                 if receiver != sender:
                     self.network.append((receiver, message))
 
     @precondition(lambda self: self.network)
     @rule(data=st.data(), arrives=st.booleans())
-    def pass_message(self, data: st.DataObject, arrives: bool) -> None:
-        """Let a message arrive, in any order, or be lost."""
-        place = data.draw(st.integers(0, len(self.network) - 1))
-        receiver, message = self.network.pop(place)
+    def deliver_message(self, data: st.DataObject, arrives: bool) -> None:
+        """Deliver or drop any of the messages under way."""
+        position = data.draw(st.integers(0, len(self.network) - 1))
+        receiver, message = self.network.pop(position)
         if arrives:
             self.handle(receiver, message)
-            self.settle()
+            self.run_pending()
 
     @rule(steps=st.integers(1, 30))
-    def pass_time(self, steps: int) -> None:
-        """Let time pass."""
+    def advance_time(self, steps: int) -> None:
+        """Advance the clock in steps, with ticks, restarts and copies."""
         for _ in range(steps):
             self.clock.advance(STEP)
             for entry in range(ENTRIES):
                 self.handle(entry, Ticked())
             self.return_targets()
             self.make_copies()
-            self.settle()
+            self.run_pending()
             self.check_overlaps()
-        self.tell()
+        self.send_messages()
 
     def check_overlaps(self) -> None:
-        """Look that no run goes on at two engines for longer than it may."""
+        """Check that no run is open at two engines for longer than allowed."""
         now = self.clock.now()
         for calls in self.calls:
             for call in calls.values():
                 running = [run for run in call.runs if run.open]
                 for run in running[1:]:
-                    assert now - run.opened <= OVERLAP + STEP, "runs at two engines"
+                    assert now - run.opened <= MAX_OVERLAP + STEP, "runs at two engines"
 
-    # What holds at any time
+    # Invariants
 
     @invariant()
-    def attempts_are_of_requests(self) -> None:
-        """No attempt outlives its request, and each is open at its target."""
-        for entry, world in enumerate(self.fleet):
-            for number, attempt in world.state.attempts.items():
-                assert attempt.request in world.state.requests
+    def attempts_belong_to_requests(self) -> None:
+        """Each attempt belongs to a request and is open at its target."""
+        for entry, harness in enumerate(self.fleet):
+            for number, attempt in harness.state.attempts.items():
+                assert attempt.request in harness.state.requests
                 assert (entry, number) in self.runs
 
     @invariant()
-    def loads_are_of_attempts(self) -> None:
-        """What an entry counts at a target is what it has open there."""
-        for world in self.fleet:
-            open_there = Counter(
-                id(attempt.target) for attempt in world.state.attempts.values()
+    def loads_match_attempts(self) -> None:
+        """The calls counted at a target are the attempts open there."""
+        for harness in self.fleet:
+            open_calls = Counter(
+                id(attempt.target) for attempt in harness.state.attempts.values()
             )
-            for target in world.state.targets.targets.values():
-                assert target.calls == open_there[id(target)]
+            for target in harness.state.targets.targets.values():
+                assert target.calls == open_calls[id(target)]
 
     def teardown(self) -> None:
-        """Let all end: nothing is left of any request."""
+        """End all runs and check that no state of any request remains."""
         if not hasattr(self, "fleet"):
             return
         for entry in range(ENTRIES):
             self.handle(entry, StoreRegained())
-        self.settle()
+        self.run_pending()
         for _ in range(12):
             for run in list(self.runs.values()):
                 if run.open:
-                    self.go_on(run, EVENTS)
-                    self.settle()
+                    self.advance_run(run, STREAM_EVENTS)
+                    self.run_pending()
             self.copies.clear()
-            self.pass_time(20)
-        for world in self.fleet:
-            assert not world.state.requests
-            assert not world.state.attempts
-            assert not len(world.state.queue)
-            for target in world.state.targets.targets.values():
+            self.advance_time(20)
+        for harness in self.fleet:
+            assert not harness.state.requests
+            assert not harness.state.attempts
+            assert not len(harness.state.queue)
+            for target in harness.state.targets.targets.values():
                 assert target.calls == 0
                 assert target.memory == 0
                 assert target.reading == 0
--- a/tests/gateway/test_sources.py
+++ b/tests/gateway/test_sources.py
@@ -1,4 +1,4 @@
-"""Tests of who reads the store, and of what is known while nobody can."""
+"""Tests of which entries read the store, and of what is known while none can."""
 
 from dataclasses import replace
 
@@ -14,255 +14,270 @@
     Ticked,
 )
 from figstep.gateway.targets import Incarnation, Standing
-from tests.gateway.worlds import World, build_fleet, build_large_world
+from tests.gateway.worlds import EntryHarness, build_fleet, build_large_fleet_entry
 
 
-def test_records_that_the_store_does_not_tell_are_asked_of_a_peer() -> None:
-    """Guards against a key that was taken away and works on at one entry."""
-    world = World()
-    world.handle(PeerHeard("entry-2", address="10.0.0.2:7200", configuration=2))
-    world.handle(Ticked())
-    assert world.find_all(FetchRecords) == []
-    world.clock.advance(sources.CATCH_UP_AFTER)
-    world.handle(Ticked())
-    assert world.find(FetchRecords).address == "10.0.0.2:7200"
+def test_records_missing_from_the_store_are_fetched_from_a_peer() -> None:
+    """Guards against a revoked key that one entry still accepts."""
+    harness = EntryHarness()
+    harness.handle(PeerHeard("entry-2", address="10.0.0.2:7200", configuration=2))
+    harness.handle(Ticked())
+    assert harness.find_effects(FetchRecords) == []
+    harness.clock.advance(sources.CATCH_UP_DELAY)
+    harness.handle(Ticked())
+    assert harness.find_effect(FetchRecords).address == "10.0.0.2:7200"
 
 
-def test_an_entry_that_is_ahead_asks_nobody() -> None:
-    world = World()
-    world.handle(PeerHeard("entry-2", address="10.0.0.2:7200", configuration=1))
+def test_an_entry_with_newer_records_queries_no_peer() -> None:
+    harness = EntryHarness()
+    harness.handle(PeerHeard("entry-2", address="10.0.0.2:7200", configuration=1))
     for _ in range(3):
-        world.clock.advance(Millis(500))
-        world.handle(PeerHeard("entry-2", configuration=1))
-        world.handle(Ticked())
-        assert world.find_all(FetchRecords) == []
+        harness.clock.advance(Millis(500))
+        harness.handle(PeerHeard("entry-2", configuration=1))
+        harness.handle(Ticked())
+        assert harness.find_effects(FetchRecords) == []
 
 
 def test_few_entries_of_a_large_fleet_read_the_store() -> None:
-    world = build_large_world()
-    now = world.clock.now()
-    assert not sources.reads_store(world.state, now)
-    world.state.node = "entry-0"
-    assert sources.reads_store(world.state, now)
+    harness = build_large_fleet_entry()
+    now = harness.clock.now()
+    assert not sources.reads_store(harness.state, now)
+    harness.state.node = "entry-0"
+    assert sources.reads_store(harness.state, now)
 
 
 def test_another_entry_reads_when_the_readers_fall_silent() -> None:
-    """Guards against a failure domain whose readers all died at once."""
-    world = build_large_world()
-    world.state.node = "entry-0-03-next"
-    assert not sources.reads_store(world.state, world.clock.now())
-    world.clock.advance(sources.READER_SILENT)
+    """Guards against a failure domain whose readers all ended at once."""
+    harness = build_large_fleet_entry()
+    harness.state.node = "entry-0-03-next"
+    assert not sources.reads_store(harness.state, harness.clock.now())
+    harness.clock.advance(sources.READER_TIMEOUT)
     for number in range(4, 18):
-        world.handle(PeerHeard(f"entry-0-{number:02}", failure_domain="muc-a"))
-    assert sources.reads_store(world.state, world.clock.now())
+        harness.handle(PeerHeard(f"entry-0-{number:02}", failure_domain="muc-a"))
+    assert sources.reads_store(harness.state, harness.clock.now())
 
 
-def test_an_entry_whose_store_is_away_keeps_asking() -> None:
-    world = build_large_world()
-    world.handle(StoreLost())
-    assert sources.reads_store(world.state, world.clock.now())
+def test_an_entry_whose_store_is_away_keeps_reading() -> None:
+    harness = build_large_fleet_entry()
+    harness.handle(StoreLost())
+    assert sources.reads_store(harness.state, harness.clock.now())
 
 
-def test_an_entry_keeps_asking_while_the_readers_are_turned_away_too() -> None:
-    world = build_large_world()
-    world.handle(StoreLost())
-    hear_readers(world, 18, store_well=False)
-    assert sources.reads_store(world.state, world.clock.now())
+def test_an_entry_keeps_reading_while_the_readers_are_rejected_too() -> None:
+    harness = build_large_fleet_entry()
+    harness.handle(StoreLost())
+    receive_reader_reports(harness, 18, receives_records=False)
+    assert sources.reads_store(harness.state, harness.clock.now())
 
 
-def hear_readers(world: World, count: int, store_well: bool) -> None:
-    """Let the first entries of the failure domain say that they read the store."""
+def receive_reader_reports(
+    harness: EntryHarness, count: int, receives_records: bool
+) -> None:
+    """Let the first entries of the failure domain report that they read the store."""
     for number in range(count):
         name = f"entry-0-{number:02}"
-        world.handle(
-            PeerHeard(name, failure_domain="muc-a", store_well=store_well, reading=True)
+        harness.handle(
+            PeerHeard(
+                name,
+                failure_domain="muc-a",
+                receives_records=receives_records,
+                reading=True,
+            )
         )
 
 
-def test_few_entries_read_in_vain_while_the_store_is_away() -> None:
-    """Guards against a fleet that asks a store that is down all at once."""
-    world = build_large_world()
-    hear_readers(world, sources.MOST_UNWELL - 1, store_well=False)
-    world.state.node = "entry-0-05-next"
-    assert sources.reads_store(world.state, world.clock.now())
-    hear_readers(world, sources.MOST_UNWELL, store_well=False)
-    assert not sources.reads_store(world.state, world.clock.now())
+def test_few_entries_try_to_read_while_the_store_is_away() -> None:
+    """Guards against a fleet in which all entries try a store that is unavailable."""
+    harness = build_large_fleet_entry()
+    receive_reader_reports(
+        harness, sources.MAX_UNHEALTHY_READERS - 1, receives_records=False
+    )
+    harness.state.node = "entry-0-05-next"
+    assert sources.reads_store(harness.state, harness.clock.now())
+    receive_reader_reports(
+        harness, sources.MAX_UNHEALTHY_READERS, receives_records=False
+    )
+    assert not sources.reads_store(harness.state, harness.clock.now())
 
 
-def test_entries_that_read_in_vain_are_shared_among_failure_domains() -> None:
-    """Guards against calls in an outage that grow with the failure domains."""
-    world = build_large_world()
+def test_failed_readers_are_divided_among_failure_domains() -> None:
+    """Guards against store requests in an outage that grow with the failure domains."""
+    harness = build_large_fleet_entry()
     for domain in ("muc-b", "nue-a", "aug-a"):
-        hear_domain(world, domain)
-    hear_readers(world, 1, store_well=False)
-    world.state.node = "entry-0-00-next"
-    assert sources.reads_store(world.state, world.clock.now())
-    hear_readers(world, 2, store_well=False)
-    world.state.node = "entry-0-01-next"
-    assert not sources.reads_store(world.state, world.clock.now())
-
-
-def test_entries_that_are_about_to_read_in_vain_count_as_well() -> None:
-    """Guards against a fleet that asks all at once as the store is lost."""
-    world = build_large_world()
+        receive_domain_report(harness, domain)
+    receive_reader_reports(harness, 1, receives_records=False)
+    harness.state.node = "entry-0-00-next"
+    assert sources.reads_store(harness.state, harness.clock.now())
+    receive_reader_reports(harness, 2, receives_records=False)
+    harness.state.node = "entry-0-01-next"
+    assert not sources.reads_store(harness.state, harness.clock.now())
+
+
+def test_entries_about_to_fail_reading_are_counted() -> None:
+    """Guards against a fleet that tries the store all at once as it is lost."""
+    harness = build_large_fleet_entry()
     for domain in ("muc-b", "nue-a", "aug-a"):
-        hear_domain(world, domain)
-    hear_readers(world, 1, store_well=False)
-    world.handle(PeerHeard("entry-0-01", failure_domain="muc-a", store_well=False))
-    world.state.node = "entry-0-01-next"
-    assert not sources.reads_store(world.state, world.clock.now())
+        receive_domain_report(harness, domain)
+    receive_reader_reports(harness, 1, receives_records=False)
+    harness.handle(
+        PeerHeard("entry-0-01", failure_domain="muc-a", receives_records=False)
+    )
+    harness.state.node = "entry-0-01-next"
+    assert not sources.reads_store(harness.state, harness.clock.now())
 
 
-def hear_domain(world: World, name: str, **fields: bool) -> None:
-    """Let another failure domain tell its loads."""
+def receive_domain_report(harness: EntryHarness, name: str, **fields: bool) -> None:
+    """Let another failure domain report its loads."""
     node = f"entry-{name}"
-    world.handle(
+    harness.handle(
         PeerHeard(node, failure_domain=name, far=True, **fields)  # type: ignore[arg-type]
     )
 
 
 def test_one_entry_of_each_of_many_failure_domains_reads_the_store() -> None:
-    """Guards against calls to the store that grow with the failure domains."""
-    world = build_large_world()
-    world.state.node = "entry-0-00-next"
-    assert sources.reads_store(world.state, world.clock.now())
-    hear_domain(world, "muc-b")
-    hear_domain(world, "nue-a")
-    assert not sources.reads_store(world.state, world.clock.now())
-
-
-def test_an_entry_that_hears_of_no_reader_takes_the_store_for_away() -> None:
-    """Guards against registrations that lapse in an outage taken for departures."""
-    world = build_large_world()
-    hear_readers(world, 6, store_well=True)
-    world.handle(Ticked())
-    assert not world.state.store_away
-    hear_readers(world, 6, store_well=False)
-    world.handle(Ticked())
-    assert world.state.store_away
-    hear_domain(world, "muc-b", reading=True)
-    world.handle(Ticked())
-    assert not world.state.store_away
-
-
-def talk(fleet: list[World], millis: int) -> None:
-    """Let time pass, and each entry tell those that hear it."""
+    """Guards against store requests that grow with the number of failure domains."""
+    harness = build_large_fleet_entry()
+    harness.state.node = "entry-0-00-next"
+    assert sources.reads_store(harness.state, harness.clock.now())
+    receive_domain_report(harness, "muc-b")
+    receive_domain_report(harness, "nue-a")
+    assert not sources.reads_store(harness.state, harness.clock.now())
+
+
+def test_an_entry_that_knows_no_reader_considers_the_store_away() -> None:
+    """Guards against registrations lapsed in an outage that look like departures."""
+    harness = build_large_fleet_entry()
+    receive_reader_reports(harness, 6, receives_records=True)
+    harness.handle(Ticked())
+    assert not harness.state.store_unreachable
+    receive_reader_reports(harness, 6, receives_records=False)
+    harness.handle(Ticked())
+    assert harness.state.store_unreachable
+    receive_domain_report(harness, "muc-b", reading=True)
+    harness.handle(Ticked())
+    assert not harness.state.store_unreachable
+
+
+def run_fleet(fleet: list[EntryHarness], millis: int) -> None:
+    """Advance the clock and let each entry send its messages and handle a tick."""
     fleet[0].clock.advance(millis)
     now = fleet[0].clock.now()
-    for world in fleet:
-        own = peers.describe_own(world.state, now)
-        domain = peers.describe_domain(world.state, now)
-        speaks = peers.speaks_for_domain(world.state, now)
+    for harness in fleet:
+        own = peers.describe_entry(harness.state, now)
+        domain = peers.describe_domain(harness.state, now)
+        represents_domain = peers.is_domain_representative(harness.state, now)
         for other in fleet:
-            if other is world:
+            if other is harness:
                 continue
-            if other.state.failure_domain == world.state.failure_domain:
+            if other.state.failure_domain == harness.state.failure_domain:
                 other.handle(own)
-            elif speaks:
+            elif represents_domain:
                 other.handle(domain)
-    for world in fleet:
-        world.handle(Ticked())
+    for harness in fleet:
+        harness.handle(Ticked())
 
 
 @pytest.mark.parametrize("domains", [("muc-a",), ("muc-a", "muc-b", "nue-a", "aug-a")])
 def test_a_large_fleet_finds_that_the_store_is_away(domains: tuple[str, ...]) -> None:
-    """Guards against readers that each take the store for well as the others do."""
+    """Guards against readers that consider the store up because of each other."""
     fleet = build_fleet(24, domains)
     for _ in range(10):
-        talk(fleet, 200)
-    assert not any(world.state.store_away for world in fleet)
+        run_fleet(fleet, 200)
+    assert not any(harness.state.store_unreachable for harness in fleet)
     for _ in range(10):
-        for world in fleet:
-            if sources.reads_store(world.state, world.clock.now()):
-                world.handle(StoreLost())
-        talk(fleet, 200)
-    assert all(world.state.store_away for world in fleet)
+        for harness in fleet:
+            if sources.reads_store(harness.state, harness.clock.now()):
+                harness.handle(StoreLost())
+        run_fleet(fleet, 200)
+    assert all(harness.state.store_unreachable for harness in fleet)
 
 
 def test_one_reader_that_is_answered_is_enough_for_all() -> None:
-    """Guards against an outage taken for total where some entries are turned away."""
+    """Guards against an outage considered total when the store rejects some entries."""
     fleet = build_fleet(24, ("muc-a", "muc-b", "nue-a", "aug-a"))
     for _ in range(10):
-        talk(fleet, 200)
+        run_fleet(fleet, 200)
     for _ in range(10):
-        for world in fleet[1:]:
-            if sources.reads_store(world.state, world.clock.now()):
-                world.handle(StoreLost())
-        talk(fleet, 200)
-    assert not any(world.state.store_away for world in fleet)
-
-
-def test_an_entry_that_does_not_read_is_no_witness_of_the_store() -> None:
-    """Guards against lapsed registrations taken for departures after an outage."""
-    world = build_large_world()
-    hear_readers(world, 1, store_well=False)
-    world.handle(PeerHeard("entry-0-09", failure_domain="muc-a"))
-    world.clock.advance(1_000)
-    world.handle(StoreLost())
-    assert not sources.has_store_been_well(world.state)
-
-
-def test_one_entry_of_a_failure_domain_asks_an_engine_while_the_store_is_away() -> None:
-    """Guards against questions of all entries to all engines."""
-    asked = 0
+        for harness in fleet[1:]:
+            if sources.reads_store(harness.state, harness.clock.now()):
+                harness.handle(StoreLost())
+        run_fleet(fleet, 200)
+    assert not any(harness.state.store_unreachable for harness in fleet)
+
+
+def test_an_entry_that_does_not_read_does_not_vouch_for_the_store() -> None:
+    """Guards against lapsed registrations that look like departures after an outage."""
+    harness = build_large_fleet_entry()
+    receive_reader_reports(harness, 1, receives_records=False)
+    harness.handle(PeerHeard("entry-0-09", failure_domain="muc-a"))
+    harness.clock.advance(1_000)
+    harness.handle(StoreLost())
+    assert not sources.was_store_available(harness.state)
+
+
+def test_one_entry_per_domain_queries_an_engine_while_the_store_is_away() -> None:
+    """Guards against queries of all entries to all engines."""
+    queries = 0
     for number in range(18):
-        world = build_large_world()
-        world.state.node = f"entry-0-{number:02}"
-        world.state.peers.pop(world.state.node)
-        world.register("e-1")
-        world.open_plan()
-        world.handle(StoreLost())
-        world.handle(Ticked())
-        asked += len(world.find_all(ReadReport))
-    assert asked == 1
-
-
-def test_what_an_engine_says_of_its_leaving_reaches_the_others() -> None:
-    """Guards against streams that end with an engine whose notice one entry knew."""
-    asker = build_large_world()
-    asker.register("e-1", "e-2")
-    asker.handle(EngineReported("e-1", leaving=True))
-    assert asker.find_all(Announce)
-    told = peers.describe_own(asker.state, asker.clock.now())
-    other = build_large_world()
+        harness = build_large_fleet_entry()
+        harness.state.node = f"entry-0-{number:02}"
+        harness.state.peers.pop(harness.state.node)
+        harness.register("e-1")
+        harness.open_plan()
+        harness.handle(StoreLost())
+        harness.handle(Ticked())
+        queries += len(harness.find_effects(ReadReport))
+    assert queries == 1
+
+
+def test_an_engines_leaving_report_reaches_the_other_entries() -> None:
+    """Guards against streams lost with an engine whose notice only one entry knew."""
+    querying = build_large_fleet_entry()
+    querying.register("e-1", "e-2")
+    querying.handle(EngineReported("e-1", leaving=True))
+    assert querying.find_effects(Announce)
+    message = peers.describe_entry(querying.state, querying.clock.now())
+    other = build_large_fleet_entry()
     other.register("e-1", "e-2")
     opened = other.open_plan()
     leaving = (Incarnation(opened.target, 1),)
-    other.handle(replace(told, node="entry-9", leaving=leaving))
+    other.handle(replace(message, node="entry-9", leaving=leaving))
     found = other.state.targets.find(opened.target)
     assert found is not None
     assert found.standing is Standing.LEAVING
 
 
 def test_an_old_registration_does_not_bring_a_leaving_engine_back() -> None:
-    """Guards against prompts sent to an engine that a peer's old copy lists."""
-    world = World()
-    world.register("e-1", "e-2")
-    world.handle(EngineReported("e-1", leaving=True))
-    world.register("e-1")
-    found = world.state.targets.find("e-1")
+    """Guards against prompts sent to a leaving engine that a peer's old copy lists."""
+    harness = EntryHarness()
+    harness.register("e-1", "e-2")
+    harness.handle(EngineReported("e-1", leaving=True))
+    harness.register("e-1")
+    found = harness.state.targets.find("e-1")
     assert found is not None
     assert found.standing is Standing.LEAVING
 
 
-def test_a_new_configuration_is_not_asked_of_one_peer_by_a_whole_failure_domain() -> (
-    None
-):
-    """Guards against a key that was taken away and works on for seconds."""
-    asked = 0
+def test_a_new_configuration_is_not_fetched_by_all_entries_at_once() -> None:
+    """Guards against a revoked key accepted for seconds after a burst of queries.
+
+    Of 17 entries that learn of a new configuration from the same peer, at most four
+    fetch its records at the first opportunity.
+    """
+    queries = 0
     for number in range(17):
-        world = build_large_world()
-        world.state.rng.seed(number)
-        world.state.node = f"entry-1-{number:02}"
-        ahead = PeerHeard(
+        harness = build_large_fleet_entry()
+        harness.state.rng.seed(number)
+        harness.state.node = f"entry-1-{number:02}"
+        newer_peer = PeerHeard(
             "entry-0-05",
             address="10.0.0.5:7200",
             configuration=2,
             failure_domain="muc-a",
         )
-        world.handle(ahead)
-        world.handle(Ticked())
-        world.clock.advance(sources.TOLD_AFTER)
-        world.handle(Ticked())
-        asked += len(world.find_all(FetchRecords))
-    assert asked <= 4
+        harness.handle(newer_peer)
+        harness.handle(Ticked())
+        harness.clock.advance(sources.RELAY_DELAY)
+        harness.handle(Ticked())
+        queries += len(harness.find_effects(FetchRecords))
+    assert queries <= 4
--- a/tests/gateway/worlds.py
+++ b/tests/gateway/worlds.py
@@ -1,4 +1,4 @@
-"""Small worlds for the gateway's tests: a state, its targets and its requests."""
+"""Test harness of the gateway: an entry's state, its targets and its requests."""
 
 import random
 from collections.abc import Sequence
@@ -36,7 +36,7 @@
 from figstep.gateway.state import State
 from figstep.gateway.targets import Registration
 
-Found = TypeVar("Found")
+EffectType = TypeVar("EffectType")
 
 ENGINES = "engines"
 BOOKINGS = "bookings"
@@ -90,9 +90,10 @@
     """Return a configuration with all four kinds of route.
 
     Args:
-        version: Its number.
-        routes: Routes in place of the four.
-        moves: Whether engines copy runs on order; they keep running backups.
+        version: Version of the configuration.
+        routes: Routes that replace the four default ones; none keeps the defaults.
+        moves: Whether engines copy runs on order. If they do, running backups are not
+            started although the pool allows them.
     """
     pool = EnginePool(64, 34_000, backups=True, moves=moves, event_tokens=4)
     return RoutingTable(
@@ -104,12 +105,14 @@
 
 
 @dataclass
-class World:
-    """A gateway's state, driven by events on a clock that tests move.
+class EntryHarness:
+    """An entry's gateway state, driven by events on a manual clock.
 
     Attributes:
         moves: Whether engines copy runs on order.
+        clock: Clock that the tests advance.
         effects: Effects of the last event.
+        next_number: Number of the next request.
     """
 
     moves: bool = True
@@ -123,26 +126,28 @@
         self.handle(ConfigurationRead(build_table(moves=self.moves)))
 
     def handle(self, event: Event) -> list[Effect]:
-        """Reduce an event."""
+        """Reduce an event and return its effects."""
         self.effects = reduce(self.state, event, self.clock.now())
         return self.effects
 
     def register(self, *names: str, service: str = ENGINES, slots: int = 64) -> None:
-        """Register targets that are ready, in the entry's failure domain."""
+        """Register ready targets in the entry's failure domain."""
         for name in names:
             info = Registration(name, service, f"{name}:80", "muc-a", slots, born=1)
             self.handle(TargetRegistered(info))
 
     def depart(self, name: str) -> list[Effect]:
-        """Let a registration go."""
+        """Handle the loss of a target's registration and return the effects."""
         return self.handle(TargetDeparted(name))
 
-    def arrive(self, path: str, prompt: Prompt | None = None, **fields: object) -> int:
-        """Let a request come; returns its number."""
+    def receive_request(
+        self, path: str, prompt: Prompt | None = None, **fields: object
+    ) -> int:
+        """Handle an arriving request and return its number."""
         number = self.next_number
         self.next_number += 1
-        given: dict[str, object] = {"key": KEY, "digest": f"digest-{number}"}
-        given.update(fields)
+        request_fields: dict[str, object] = {"key": KEY, "digest": f"digest-{number}"}
+        request_fields.update(fields)
         request = RoutedRequest(
             number,
             f"id-{number}",
@@ -150,37 +155,37 @@
             "host",
             path,
             prompt=prompt,
-            **given,  # type: ignore[arg-type]
+            **request_fields,  # type: ignore[arg-type]
         )
         self.handle(RequestArrived(request))
         return number
 
-    def arrive_plan(self, tokens: int = 3_000, output: int = 900) -> int:
-        """Let a request for a long plan come."""
-        return self.arrive("/plan/a", Prompt("m", tokens, 2_000, output))
+    def receive_plan(self, tokens: int = 3_000, output: int = 900) -> int:
+        """Handle an arriving request for a long plan and return its number."""
+        return self.receive_request("/plan/a", Prompt("m", tokens, 2_000, output))
 
-    def find(self, kind: type[Found]) -> Found:
-        """Return the only effect of a kind."""
-        found = self.find_all(kind)
+    def find_effect(self, kind: type[EffectType]) -> EffectType:
+        """Return the only effect of a type among those of the last event."""
+        found = self.find_effects(kind)
         assert len(found) == 1, self.effects
         return found[0]
 
     @property
     def actions(self) -> list[Effect]:
-        """Effects of the last event, its log lines left out."""
+        """Effects of the last event without its log lines."""
         return [effect for effect in self.effects if not isinstance(effect, Note)]
 
-    def find_all(self, kind: type[Found]) -> "list[Found]":
-        """Return the effects of a kind."""
+    def find_effects(self, kind: type[EffectType]) -> "list[EffectType]":
+        """Return the effects of a type among those of the last event."""
         return [effect for effect in self.effects if isinstance(effect, kind)]
 
     def open_plan(self) -> OpenAttempt:
-        """Let a plan come and start; returns its attempt."""
-        self.arrive_plan()
-        return self.find(OpenAttempt)
+        """Handle an arriving plan that starts at once and return its attempt."""
+        self.receive_plan()
+        return self.find_effect(OpenAttempt)
 
     def send_pieces(self, attempt: int, first: int, last: int) -> list[Effect]:
-        """Let events of a stream come."""
+        """Deliver the events ``first`` to ``last`` of an attempt's stream."""
         self.handle(StreamOpened(attempt))
         pieces = [
             StreamPiece(index, f"id: {index}\n\n".encode())
@@ -189,57 +194,62 @@
         return self.handle(PiecesArrived(attempt, pieces))
 
 
-def start_with_backup() -> tuple[World, OpenAttempt]:
-    """Return a world with a plan that runs for half a second and has a backup.
+def start_with_backup() -> tuple[EntryHarness, OpenAttempt]:
+    """Return an entry with a plan that has run for 500 ms and has a backup.
 
-    Its engines don't copy runs on order: those that do get no running backups.
+    Its engines do not copy runs on order; engines that do get no running backups.
     """
-    world = World(moves=False)
-    world.register("e-1", "e-2", "e-3")
-    opened = world.open_plan()
-    world.send_pieces(opened.attempt, 1, 9)
-    world.clock.advance(500)
-    world.send_pieces(opened.attempt, 10, 10)
-    return world, opened
-
-
-def build_large_world() -> World:
-    """Return an entry of a large fleet that has heard its own failure domain."""
-    world = World()
-    world.handle(EntriesCounted(73))
+    harness = EntryHarness(moves=False)
+    harness.register("e-1", "e-2", "e-3")
+    opened = harness.open_plan()
+    harness.send_pieces(opened.attempt, 1, 9)
+    harness.clock.advance(500)
+    harness.send_pieces(opened.attempt, 10, 10)
+    return harness, opened
+
+
+def build_large_fleet_entry() -> EntryHarness:
+    """Return an entry of a fleet of 73 that knows its own failure domain."""
+    harness = EntryHarness()
+    harness.handle(EntriesCounted(73))
     for number in range(18):
-        world.handle(PeerHeard(f"entry-0-{number:02}", failure_domain="muc-a"))
-    return world
+        harness.handle(PeerHeard(f"entry-0-{number:02}", failure_domain="muc-a"))
+    return harness
 
 
-def build_fleet(size: int, domains: Sequence[str]) -> list[World]:
-    """Return entries of some failure domains in turn, on one clock."""
+def build_fleet(size: int, domains: Sequence[str]) -> list[EntryHarness]:
+    """Return entries on one clock, assigned to the failure domains in turn."""
     clock = ManualClock(100_000)
     fleet = []
     for number in range(size):
-        world = World(clock=clock)
-        world.state.node = f"entry-{number:03}"
-        world.state.failure_domain = domains[number % len(domains)]
-        world.handle(EntriesCounted(size))
-        fleet.append(world)
+        harness = EntryHarness(clock=clock)
+        harness.state.node = f"entry-{number:03}"
+        harness.state.failure_domain = domains[number % len(domains)]
+        harness.handle(EntriesCounted(size))
+        fleet.append(harness)
     return fleet
 
 
-def tell_all(fleet: list[World]) -> None:
-    """Let each entry tell the others what it knows."""
+def exchange_messages(fleet: list[EntryHarness]) -> None:
+    """Let each entry send its state to the others.
+
+    Entries of a small fleet send to all others. In a large fleet they send within their
+    failure domain, and the first entry of each domain sends the domain's sums to the
+    entries of the other domains.
+    """
     now = fleet[0].clock.now()
-    speakers: dict[str, World] = {}
-    for world in fleet:
-        speakers.setdefault(world.state.failure_domain, world)
-        message = peers.describe_own(world.state, now)
+    representatives: dict[str, EntryHarness] = {}
+    for harness in fleet:
+        representatives.setdefault(harness.state.failure_domain, harness)
+        message = peers.describe_entry(harness.state, now)
         for other in fleet:
-            near = other.state.failure_domain == world.state.failure_domain
-            if other is not world and (near or not world.state.is_large):
+            is_local = other.state.failure_domain == harness.state.failure_domain
+            if other is not harness and (is_local or not harness.state.is_large):
                 other.handle(message)
     if not fleet[0].state.is_large:
         return
-    for domain, speaker in speakers.items():
-        message = peers.describe_domain(speaker.state, now)
+    for domain, representative in representatives.items():
+        message = peers.describe_domain(representative.state, now)
         for other in fleet:
             if other.state.failure_domain != domain:
                 other.handle(message)
