--- a/figstep/platform/answers.py
+++ b/figstep/platform/answers.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TargetWords:
+class TargetSignals:
     """What an answer says of the target that gave it.
 
     Attributes:
@@ -47,21 +47,21 @@
     ends_rate: bool = False
 
 
-def read_words(response: aiohttp.ClientResponse) -> TargetWords:
+def read_target_signals(response: aiohttp.ClientResponse) -> TargetSignals:
     """Return what an answer says of its target."""
     if response.status == 421:
         # Another target has the address and speaks of itself.
-        return TargetWords()
+        return TargetSignals()
     leaving = names.LEAVING in response.headers
     text = response.headers.get(names.RATE)
     if text is None:
         # Only the answer to a request, which is signed, shows that a need is over.
-        return TargetWords(leaving, None, names.SIGNATURE in response.headers)
+        return TargetSignals(leaving, None, names.SIGNATURE in response.headers)
     try:
-        return TargetWords(leaving, parse_rate(text))
+        return TargetSignals(leaving, parse_rate(text))
     except ValueError as error:
         _log.info("no rate", extra={"error": str(error)})
-        return TargetWords(leaving)
+        return TargetSignals(leaving)
 
 
 def check_answer(response: aiohttp.ClientResponse, request_id: str | None) -> None:
--- a/figstep/platform/engines.py
+++ b/figstep/platform/engines.py
@@ -185,7 +185,7 @@
         self, response: aiohttp.ClientResponse, target: Target, asked: Millis
     ) -> None:
         """Hand on what an answer says of the target itself and isn't known yet."""
-        words = answers.read_words(response)
+        words = answers.read_target_signals(response)
         if words.leaving and not target.announced_leaving:
             self._dispatch(TargetLeaving(target.info.incarnation))
         ends_rate = words.ends_rate and limits.is_limited(target)
--- a/tests/platform/test_answers.py
+++ b/tests/platform/test_answers.py
@@ -7,11 +7,11 @@
 
 from figstep.gateway.events import EngineReported
 from figstep.platform.answers import (
-    TargetWords,
+    TargetSignals,
     parse_pause,
     parse_rate,
     parse_report,
-    read_words,
+    read_target_signals,
 )
 
 
@@ -70,18 +70,18 @@
 @pytest.mark.parametrize(
     ("status", "headers", "words"),
     [
-        (200, {"server-limit": "1.9"}, TargetWords(rate=1.9)),
-        (503, {"Server-Limit": "0", "Server-Leaving": "1"}, TargetWords(True, 0.0)),
-        (500, {"Server-Stamp": "s"}, TargetWords(ends_rate=True)),
-        (200, {"Server-Leaving": "1"}, TargetWords(leaving=True)),
-        (200, {}, TargetWords()),
-        (200, {"Server-Limit": "few", "Server-Stamp": "s"}, TargetWords()),
-        (421, {"Server-Limit": "1", "Server-Leaving": "1"}, TargetWords()),
+        (200, {"server-limit": "1.9"}, TargetSignals(rate=1.9)),
+        (503, {"Server-Limit": "0", "Server-Leaving": "1"}, TargetSignals(True, 0.0)),
+        (500, {"Server-Stamp": "s"}, TargetSignals(ends_rate=True)),
+        (200, {"Server-Leaving": "1"}, TargetSignals(leaving=True)),
+        (200, {}, TargetSignals()),
+        (200, {"Server-Limit": "few", "Server-Stamp": "s"}, TargetSignals()),
+        (421, {"Server-Limit": "1", "Server-Leaving": "1"}, TargetSignals()),
     ],
 )
 def test_an_answer_speaks_of_the_target_that_gave_it(
-    status: int, headers: dict[str, str], words: TargetWords
+    status: int, headers: dict[str, str], words: TargetSignals
 ) -> None:
     """Guards against words that are missed, misread, or those of another target."""
     response = SimpleNamespace(status=status, headers=CIMultiDict(headers))
-    assert read_words(response) == words  # type: ignore[arg-type]
+    assert read_target_signals(response) == words  # type: ignore[arg-type]
