--- a/figstep/platform/engines.py
+++ b/figstep/platform/engines.py
@@ -175,22 +175,22 @@
             headers=self._build_headers(effect, exchange, target),
             allow_redirects=False,
         ) as response:
-            self._take_words(response, target, asked)
+            self._dispatch_target_signals(response, target, asked)
             answers.check_answer(response, exchange.request_id)
             if effect.stream and response.status == 200:
                 return await self._read_stream(effect, response)
             return await self._read_answer(effect, response)
 
-    def _take_words(
+    def _dispatch_target_signals(
         self, response: aiohttp.ClientResponse, target: Target, asked: Millis
     ) -> None:
         """Hand on what an answer says of the target itself and isn't known yet."""
-        words = answers.read_target_signals(response)
-        if words.leaving and not target.announced_leaving:
+        signals = answers.read_target_signals(response)
+        if signals.leaving and not target.announced_leaving:
             self._dispatch(TargetLeaving(target.info.incarnation))
-        ends_rate = words.ends_rate and limits.is_limited(target)
-        if words.rate is not None or ends_rate:
-            self._dispatch(RateNamed(target.name, words.rate, asked))
+        ends_rate = signals.ends_rate and limits.is_limited(target)
+        if signals.rate is not None or ends_rate:
+            self._dispatch(RateNamed(target.name, signals.rate, asked))
 
     def _build_headers(
         self, effect: OpenAttempt, exchange: CallerExchange, target: Target
@@ -296,7 +296,7 @@
                 asyncio.timeout(REPORT_SECONDS),
                 self._session.get(url) as response,
             ):
-                self._take_words(response, target, asked)
+                self._dispatch_target_signals(response, target, asked)
                 body = await response.read()
             if response.status != 200:
                 raise ValueError(f"answered {response.status}")
@@ -335,7 +335,7 @@
                     headers={"Content-Type": "application/json"},
                 ) as response,
             ):
-                self._take_words(response, source, asked)
+                self._dispatch_target_signals(response, source, asked)
                 body = await response.read()
             detail = f"answered {response.status}"
             if response.status == 200:
--- a/tests/platform/test_answers.py
+++ b/tests/platform/test_answers.py
@@ -80,8 +80,8 @@
     ],
 )
 def test_an_answer_speaks_of_the_target_that_gave_it(
-    status: int, headers: dict[str, str], words: TargetSignals
+    status: int, headers: dict[str, str], signals: TargetSignals
 ) -> None:
     """Guards against words that are missed, misread, or those of another target."""
     response = SimpleNamespace(status=status, headers=CIMultiDict(headers))
-    assert read_target_signals(response) == words  # type: ignore[arg-type]
+    assert read_target_signals(response) == signals  # type: ignore[arg-type]
