--- a/figstep/platform/answers.py
+++ b/figstep/platform/answers.py
@@ -74,19 +74,19 @@
     if response.status == 421:
         raise RefusedError(Loss.MISDIRECTED, None)
     if names.NOT_RUN in response.headers:
-        raise RefusedError(Loss.REFUSED, read_pause(response))
+        raise RefusedError(Loss.REFUSED, read_retry_after(response))
     echoed = response.headers.get(names.REQUEST_ID)
     if request_id is not None and echoed != request_id:
         raise FrameError(f"answer to {echoed!r} came for {request_id!r}")
 
 
-def read_pause(response: aiohttp.ClientResponse) -> Millis | None:
+def read_retry_after(response: aiohttp.ClientResponse) -> Millis | None:
     """Return for how long a target wants nothing; None if it doesn't say."""
     text = response.headers.get(names.RETRY_AFTER)
     if text is None:
         return None
     try:
-        return parse_pause(text)
+        return parse_retry_after(text)
     except ValueError as error:
         _log.info("no pause", extra={"error": str(error)})
         return None
@@ -110,7 +110,7 @@
     return _parse_number(text)
 
 
-def parse_pause(text: str) -> Millis:
+def parse_retry_after(text: str) -> Millis:
     """Return the pause that a target asks for.
 
     Raises:
--- a/figstep/platform/engines.py
+++ b/figstep/platform/engines.py
@@ -249,7 +249,7 @@
         return AttemptLost(
             effect.attempt,
             Loss.FAILED,
-            retry_after=answers.read_pause(response),
+            retry_after=answers.read_retry_after(response),
             detail=f"answered {response.status}",
             status=handed_on,
         )
--- a/tests/platform/test_answers.py
+++ b/tests/platform/test_answers.py
@@ -8,9 +8,9 @@
 from figstep.gateway.events import EngineReported
 from figstep.platform.answers import (
     TargetSignals,
-    parse_pause,
     parse_rate,
     parse_report,
+    parse_retry_after,
     read_target_signals,
 )
 
@@ -57,14 +57,14 @@
     ("text", "pause"), [("2", 2_000), ("0.25", 250), ("0", 0), ("120", 120_000)]
 )
 def test_a_pause_is_told_in_seconds(text: str, pause: int) -> None:
-    assert parse_pause(text) == pause
+    assert parse_retry_after(text) == pause
 
 
 @pytest.mark.parametrize("text", ["", "nan", "inf", "-3", "Thu, 03 Dec 2026"])
 def test_a_pause_that_is_none_is_refused(text: str) -> None:
     """Guards against an answer that is lost for the header of its refusal."""
     with pytest.raises(ValueError, match=r".+"):
-        parse_pause(text)
+        parse_retry_after(text)
 
 
 @pytest.mark.parametrize(
