--- a/figstep/platform/documents.py
+++ b/figstep/platform/documents.py
@@ -87,7 +87,7 @@
     tenants: tuple[_Tenant, ...] | None = None
 
 
-class _Beat(BaseModel):
+class _RegistrationDocument(BaseModel):
     model_config = ConfigDict(extra="ignore", frozen=True, strict=True)
 
     service: str
@@ -140,11 +140,11 @@
         priority=route.priority,
         public=route.public,
         resumable=route.resumable,
-        allowed_regions=_build_homes(route.regions_allowed),
+        allowed_regions=_build_allowed_regions(route.regions_allowed),
     )
 
 
-def _build_homes(regions: tuple[str, ...]) -> frozenset[str] | None:
+def _build_allowed_regions(regions: tuple[str, ...]) -> frozenset[str] | None:
     return frozenset(regions) or None
 
 
@@ -175,7 +175,7 @@
         return None
     customers = {}
     for tenant in tenants:
-        allowed_regions = _build_homes(tenant.regions_allowed)
+        allowed_regions = _build_allowed_regions(tenant.regions_allowed)
         customer = Customer(tenant.name, tenant.priority, allowed_regions)
         for key in tenant.api_keys:
             customers[key] = customer
@@ -197,7 +197,7 @@
     """
     try:
         document: Any = orjson.loads(value)
-        read = _Beat.model_validate(document)
+        read = _RegistrationDocument.model_validate(document)
     except (orjson.JSONDecodeError, ValidationError):
         return None
     return Registration(
