--- a/figstep/platform/engines.py
+++ b/figstep/platform/engines.py
@@ -41,25 +41,25 @@
 
 _log = logbook.Logger("figstep.targets")
 
-CONNECT_SECONDS = 0.5
+CONNECT_TIMEOUT_SECONDS = 0.5
 """Time to open a connection: targets answer within a few milliseconds, and one
 that doesn't may be given up on without a doubt whether it ran anything."""
 
-COPY_SECONDS = 2.0
+COPY_TIMEOUT_SECONDS = 2.0
 """Time for a copy of a run; an engine that leaves is gone by then."""
 
-REPORT_SECONDS = 0.4
+REPORT_TIMEOUT_SECONDS = 0.4
 """Time for an engine's report; it needs no slot."""
 
-MOST_ANSWER_BYTES = 8_388_608
+MAX_ANSWER_BYTES = 8_388_608
 """Largest answer that is gathered for a caller."""
 
-SMALLEST_DEADLINE = 1
+MIN_DEADLINE = 1
 """Targets reject a deadline of nothing."""
 
-_ADDED_BY_CLIENT = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
+_SUPPRESSED_CLIENT_HEADERS = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
 
-_UNREACHED = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+_CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 
 
 class TargetEdge(Service, TargetPort):
@@ -92,7 +92,7 @@
         """Open the client."""
         connector = ResetAwareConnector(limit=0, force_close=True)
         self._session = open_target_session(
-            connector, CONNECT_SECONDS, _ADDED_BY_CLIENT
+            connector, CONNECT_TIMEOUT_SECONDS, _SUPPRESSED_CLIENT_HEADERS
         )
 
     async def on_stop(self) -> None:
@@ -109,13 +109,13 @@
         exchange = self._find_exchange(effect.number)
         target = self._find_target(effect.target)
         if exchange is None or target is None:
-            self._lose_soon(effect.attempt, "no caller or target any more")
+            self._schedule_loss(effect.attempt, "no caller or target any more")
             return
         work = self._run_attempt(effect, exchange, target)
         task = asyncio.get_running_loop().create_task(work)
         self._attempt_tasks[effect.attempt] = task
 
-    def _lose_soon(self, attempt: int, detail: str) -> None:
+    def _schedule_loss(self, attempt: int, detail: str) -> None:
         event = AttemptLost(attempt, Loss.UNREACHED, detail=detail)
         asyncio.get_running_loop().call_soon(self._dispatch, event)
 
@@ -138,36 +138,36 @@
     ) -> None:
         number = effect.attempt
         try:
-            event = await self._try_attempt(effect, exchange, target)
+            event = await self._send_request(effect, exchange, target)
         except answers.RefusedError as refusal:
             event = AttemptLost(number, refusal.loss, refusal.retry_after)
-        except _UNREACHED as error:
+        except _CONNECT_ERRORS as error:
             event = AttemptLost(
                 number,
                 Loss.UNREACHED,
-                detail=_describe(error),
-                down=_is_refused(error),
+                detail=_describe_error(error),
+                down=_is_connection_refused(error),
             )
         except (FrameError, aiohttp.InvalidURL, aiohttp.ClientResponseError) as error:
-            event = AttemptLost(number, Loss.GARBLED, detail=_describe(error))
+            event = AttemptLost(number, Loss.GARBLED, detail=_describe_error(error))
         except (aiohttp.ClientError, OSError) as error:
-            event = AttemptLost(number, Loss.BROKEN, detail=_describe(error))
+            event = AttemptLost(number, Loss.BROKEN, detail=_describe_error(error))
         finally:
             self._attempt_tasks.pop(number, None)
             # Its event is handled below, in the same turn of the loop.
-            asyncio.get_running_loop().call_soon(self._forget, number)
+            asyncio.get_running_loop().call_soon(self._discard_answer, number)
         self._dispatch(event)
 
-    def _forget(self, attempt: int) -> None:
+    def _discard_answer(self, attempt: int) -> None:
         self._heads.pop(attempt, None)
         self._answers.pop(attempt, None)
 
-    async def _try_attempt(
+    async def _send_request(
         self, effect: OpenAttempt, exchange: CallerExchange, target: Target
     ) -> Event:
         assert self._session is not None
         url = URL(f"http://{target.info.address}{exchange.path}", encoded=True)
-        asked = self._clock.now()
+        requested_at = self._clock.now()
         async with self._session.request(
             exchange.method,
             url,
@@ -175,14 +175,14 @@
             headers=self._build_headers(effect, exchange, target),
             allow_redirects=False,
         ) as response:
-            self._dispatch_target_signals(response, target, asked)
+            self._dispatch_target_signals(response, target, requested_at)
             answers.check_answer(response, exchange.request_id)
             if effect.stream and response.status == 200:
                 return await self._read_stream(effect, response)
             return await self._read_answer(effect, response)
 
     def _dispatch_target_signals(
-        self, response: aiohttp.ClientResponse, target: Target, asked: Millis
+        self, response: aiohttp.ClientResponse, target: Target, requested_at: Millis
     ) -> None:
         """Hand on what an answer says of the target itself and isn't known yet."""
         signals = answers.read_target_signals(response)
@@ -190,14 +190,14 @@
             self._dispatch(TargetLeaving(target.info.incarnation))
         ends_rate = signals.ends_rate and limits.is_limited(target)
         if signals.rate is not None or ends_rate:
-            self._dispatch(RateNamed(target.name, signals.rate, asked))
+            self._dispatch(RateNamed(target.name, signals.rate, requested_at))
 
     def _build_headers(
         self, effect: OpenAttempt, exchange: CallerExchange, target: Target
     ) -> list[tuple[str, str]]:
-        left = max(SMALLEST_DEADLINE, effect.deadline - self._clock.now())
+        remaining = max(MIN_DEADLINE, effect.deadline - self._clock.now())
         headers = list(exchange.headers)
-        headers.append((names.DEADLINE, str(left)))
+        headers.append((names.DEADLINE, str(remaining)))
         headers.append((names.EXPECTED_TARGET, target.name))
         if effect.customer:
             headers.append((names.CUSTOMER, effect.customer))
@@ -209,12 +209,12 @@
         if effect.after is not None:
             headers.append((names.LAST_EVENT, str(effect.after)))
         if effect.source is not None:
-            headers.append((names.COPY, self._name_copy(effect.source)))
+            headers.append((names.COPY, self._format_copy_source(effect.source)))
         if not exchange.body and exchange.method not in ("GET", "HEAD"):
             headers.append(("Content-Length", "0"))
         return headers
 
-    def _name_copy(self, copy: RunCopy) -> str:
+    def _format_copy_source(self, copy: RunCopy) -> str:
         owner = self._find_target(copy.owner)
         address = "" if owner is None else owner.info.address
         return f"{address}/{copy.handle}"
@@ -238,33 +238,35 @@
         self, effect: OpenAttempt, response: aiohttp.ClientResponse
     ) -> Event:
         body = await response.read()
-        if len(body) > MOST_ANSWER_BYTES:
+        if len(body) > MAX_ANSWER_BYTES:
             return AttemptLost(effect.attempt, Loss.GARBLED, detail="too long")
         self._answers[effect.attempt] = WholeAnswer(answers.read_head(response), body)
         if response.status < 500 and response.status not in (408, 429):
             return AnswerArrived(effect.attempt, response.status)
         # 408, 429 and 503 would tell the caller that it did not run, which the
         # target did not say; they can't be handed on.
-        handed_on = None if response.status in (408, 429, 503) else response.status
+        forwarded_status = (
+            None if response.status in (408, 429, 503) else response.status
+        )
         return AttemptLost(
             effect.attempt,
             Loss.FAILED,
             retry_after=answers.read_retry_after(response),
             detail=f"answered {response.status}",
-            status=handed_on,
+            status=forwarded_status,
         )
 
     def copy_run(self, effect: CopyRun) -> None:
         """Order an engine to copy a run to another."""
-        self._start(self._order_copy(effect))
+        self._run_in_background(self._order_copy(effect))
 
     def drop_copy(self, copy: RunCopy) -> None:
         """Free a copy."""
-        self._start(self._free_copy(copy))
+        self._run_in_background(self._free_copy(copy))
 
     def probe_target(self, target: str) -> None:
         """Look whether a target still listens at its address."""
-        self._start(self._probe(target))
+        self._run_in_background(self._probe(target))
 
     async def _probe(self, name: str) -> None:
         target = self._find_target(name)
@@ -272,17 +274,19 @@
             return
         host, _, port = target.info.address.rpartition(":")
         try:
-            listens = await is_listening(host, int(port), CONNECT_SECONDS)
+            listens = await is_listening(host, int(port), CONNECT_TIMEOUT_SECONDS)
         except OSError as error:
             # A link that fails proves nothing of the target.
-            _log.info("no probe", extra={"target": name, "error": _describe(error)})
+            _log.info(
+                "no probe", extra={"target": name, "error": _describe_error(error)}
+            )
             return
         if not listens:
             self._dispatch(TargetDown(target.info.incarnation))
 
     def read_report(self, target: str) -> None:
         """Ask an engine for its state."""
-        self._start(self._read_report(target))
+        self._run_in_background(self._read_report(target))
 
     async def _read_report(self, name: str) -> None:
         assert self._session is not None
@@ -290,23 +294,25 @@
         if target is None:
             return
         url = f"http://{target.info.address}/figstep/report"
-        asked = self._clock.now()
+        requested_at = self._clock.now()
         try:
             async with (
-                asyncio.timeout(REPORT_SECONDS),
+                asyncio.timeout(REPORT_TIMEOUT_SECONDS),
                 self._session.get(url) as response,
             ):
-                self._dispatch_target_signals(response, target, asked)
+                self._dispatch_target_signals(response, target, requested_at)
                 body = await response.read()
             if response.status != 200:
                 raise ValueError(f"answered {response.status}")
             event = answers.parse_report(name, body)
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
-            _log.info("no report", extra={"target": name, "error": _describe(error)})
+            _log.info(
+                "no report", extra={"target": name, "error": _describe_error(error)}
+            )
             return
         self._dispatch(event)
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
+    def _run_in_background(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._background.add(task)
         task.add_done_callback(self._background.discard)
@@ -323,25 +329,25 @@
             "target": holder.info.address,
         }
         url = f"http://{source.info.address}/figstep/kv-move"
-        asked = self._clock.now()
+        requested_at = self._clock.now()
         detail = ""
         handle = ""
         try:
             async with (
-                asyncio.timeout(COPY_SECONDS),
+                asyncio.timeout(COPY_TIMEOUT_SECONDS),
                 self._session.post(
                     url,
                     data=orjson.dumps(order),
                     headers={"Content-Type": "application/json"},
                 ) as response,
             ):
-                self._dispatch_target_signals(response, source, asked)
+                self._dispatch_target_signals(response, source, requested_at)
                 body = await response.read()
             detail = f"answered {response.status}"
             if response.status == 200:
                 handle = str(orjson.loads(body)["handle"])
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
-            detail = _describe(error)
+            detail = _describe_error(error)
         if handle:
             self._dispatch(
                 RunCopied(effect.number, effect.source, effect.holder, handle)
@@ -358,19 +364,22 @@
             return
         url = f"http://{owner.info.address}/figstep/kv-handle/{copy.handle}"
         try:
-            async with asyncio.timeout(CONNECT_SECONDS), self._session.delete(url):
+            async with (
+                asyncio.timeout(CONNECT_TIMEOUT_SECONDS),
+                self._session.delete(url),
+            ):
                 return
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             # The engine frees it by itself after some seconds.
-            _log.info("copy not freed", extra={"error": _describe(error)})
+            _log.info("copy not freed", extra={"error": _describe_error(error)})
 
 
-def _is_refused(error: BaseException) -> bool:
+def _is_connection_refused(error: BaseException) -> bool:
     """Tell whether a connection failed because nobody listens."""
     if not isinstance(error, aiohttp.ClientConnectorError):
         return False
     return error.os_error.errno == errno.ECONNREFUSED
 
 
-def _describe(error: BaseException) -> str:
+def _describe_error(error: BaseException) -> str:
     return f"{type(error).__name__}: {error}"[:200]
