--- a/figstep/platform/callers.py
+++ b/figstep/platform/callers.py
@@ -27,25 +27,25 @@
 READY_PATH = "/figstep/readyz"
 METRICS_PATH = "/metrics"
 
-BODY_SECONDS = 10.0
+BODY_TIMEOUT_SECONDS = 10.0
 """How long a caller may take to send its body."""
 
-MOST_BODY_BYTES = 8_388_608
+MAX_BODY_BYTES = 8_388_608
 """Largest body that is read at all; the configuration's own bound is lower."""
 
-CHECKS_STOP_SECONDS = 0.1
+READINESS_STOP_TIMEOUT_SECONDS = 0.1
 """How long the listener of the readiness checks waits for an open one as it
 stops; the checks themselves take a millisecond."""
 
-MOST_UNREAD_BYTES = 262_144
+MAX_UNREAD_BYTES = 262_144
 """Bytes of a stream that wait for a slow reader before it is cut: a few
 thousand such readers would else fill the memory."""
 
 LISTEN_LIMITS = Limits(
-    body_bytes=MOST_BODY_BYTES,
+    body_bytes=MAX_BODY_BYTES,
     header_bytes=32_768,
     headers=128,
-    body_seconds=BODY_SECONDS,
+    body_seconds=BODY_TIMEOUT_SECONDS,
     idle_seconds=75.0,
 )
 
@@ -95,11 +95,11 @@
         self._pieces.append(data)
         self._changed.set()
 
-    def note_change(self) -> None:
+    def wake_handler(self) -> None:
         """Wake the handler."""
         self._changed.set()
 
-    def take_pieces(self) -> bytes:
+    def pop_data(self) -> bytes:
         """Return the bytes that came since the last call."""
         pieces, self._pieces = self._pieces, []
         return b"".join(pieces)
@@ -143,18 +143,20 @@
 
     async def on_start(self) -> None:
         """Listen for callers and for readiness checks."""
-        app = web.Application(client_max_size=MOST_BODY_BYTES)
+        app = web.Application(client_max_size=MAX_BODY_BYTES)
         app.router.add_route("*", "/{path:.*}", self._serve)
         app.on_response_prepare.append(self._prepare_response)
         listener = self._listener
         if listener is None:
             listener = listen(self._callers.host, self._callers.port)
         await self._listen(build_runner(app, LISTEN_LIMITS), listener)
-        checks = web.Application()
-        checks.router.add_get(READY_PATH, self._answer_readiness)
-        checks.router.add_get(METRICS_PATH, self._answer_metrics)
+        readiness_app = web.Application()
+        readiness_app.router.add_get(READY_PATH, self._answer_readiness)
+        readiness_app.router.add_get(METRICS_PATH, self._answer_metrics)
         runner = web.AppRunner(
-            checks, access_log=None, shutdown_timeout=CHECKS_STOP_SECONDS
+            readiness_app,
+            access_log=None,
+            shutdown_timeout=READINESS_STOP_TIMEOUT_SECONDS,
         )
         await self._listen(runner, listen(self._readiness.host, self._readiness.port))
 
@@ -186,11 +188,11 @@
 
     async def _serve(self, request: web.Request) -> web.StreamResponse:
         try:
-            async with asyncio.timeout(BODY_SECONDS):
+            async with asyncio.timeout(BODY_TIMEOUT_SECONDS):
                 body = await request.read()
         except TimeoutError:
             problem = Problem(408, "body_too_slow", "send the body faster")
-            return answer_problem(problem)
+            return build_problem_response(problem)
         number = self._next_number
         self._next_number += 1
         exchange = CallerExchange(
@@ -219,7 +221,7 @@
             _set_headers(response, answer.head)
             return response
         if exchange.problem is not None:
-            return answer_problem(exchange.problem)
+            return build_problem_response(exchange.problem)
         return await self._write_stream(request, exchange)
 
     async def _write_stream(
@@ -233,7 +235,7 @@
         response.enable_chunked_encoding()
         await response.prepare(request)
         while True:
-            data = exchange.take_pieces()
+            data = exchange.pop_data()
             if data:
                 await response.write(data)
                 continue
@@ -254,7 +256,7 @@
         exchange = self.exchanges.get(number)
         if exchange is not None:
             exchange.head = head
-            exchange.note_change()
+            exchange.wake_handler()
 
     def deliver(self, number: int, data: bytes) -> None:
         """Hand on bytes of a stream."""
@@ -267,33 +269,33 @@
         exchange = self.exchanges.get(number)
         if exchange is not None:
             exchange.finished = True
-            exchange.note_change()
+            exchange.wake_handler()
 
     def break_stream(self, number: int) -> None:
         """Cut a stream so that it can't look whole."""
         exchange = self.exchanges.get(number)
         if exchange is not None:
             exchange.broken = True
-            exchange.note_change()
+            exchange.wake_handler()
 
     def answer(self, number: int, answer: WholeAnswer) -> None:
         """Give a caller a target's whole answer."""
         exchange = self.exchanges.get(number)
         if exchange is not None:
             exchange.answer = answer
-            exchange.note_change()
+            exchange.wake_handler()
 
     def refuse(self, number: int, problem: Problem) -> None:
         """Give a caller an answer of our own."""
         exchange = self.exchanges.get(number)
         if exchange is not None:
             exchange.problem = problem
-            exchange.note_change()
+            exchange.wake_handler()
 
 
 def select_headers(request: web.Request) -> tuple[tuple[str, str], ...]:
     """Return the caller's headers that targets get."""
-    named = {
+    connection_options = {
         name.strip().lower()
         for value in request.headers.getall("Connection", [])
         for name in value.split(",")
@@ -303,7 +305,7 @@
         lower = name.lower()
         if lower in names.CONNECTION_HEADERS or lower in names.SYSTEM_HEADERS:
             continue
-        if lower in named and lower != "host":
+        if lower in connection_options and lower != "host":
             continue
         selected.append((name, value))
     return tuple(selected)
@@ -370,7 +372,7 @@
     return None if number is None else Millis(number)
 
 
-def answer_problem(problem: Problem) -> web.Response:
+def build_problem_response(problem: Problem) -> web.Response:
     """Return the response that tells a caller of a problem."""
     headers = {"Content-Type": "application/problem+json"}
     if problem.retry_after is not None:
