--- a/figstep/platform/entry.py
+++ b/figstep/platform/entry.py
@@ -165,7 +165,7 @@
                 lambda: None,
             ),
             self.reads_store,
-            self._choose_rest,
+            self._choose_read_delay,
             choose_first_rest(settings),
         )
         self.registrations = TopicFollower(
@@ -178,7 +178,7 @@
                 lambda: self.gateway.dispatch(StoreRegained()),
             ),
             self.reads_store,
-            self._choose_rest,
+            self._choose_read_delay,
             choose_first_rest(settings),
         )
 
@@ -291,7 +291,7 @@
         self._registrations[record.key] = record.value
         return info
 
-    def _choose_rest(self) -> float:
+    def _choose_read_delay(self) -> float:
         return LARGE_REST_SECONDS if self.gateway.known.is_large else 0.0
 
     def reads_store(self) -> bool:
--- a/figstep/platform/store.py
+++ b/figstep/platform/store.py
@@ -20,18 +20,18 @@
 REGISTRATION_TOPIC = "keyed.servers"
 CONFIGURATION_KEY = "config"
 
-WAIT_SECONDS = 25.0
+LONG_POLL_SECONDS = 25.0
 """How long a read waits for a record. The store allows 30 s; dead connections
 are found by probes below HTTP, so that longer waits only save calls."""
 
-CALL_SECONDS = 2.0
+CALL_TIMEOUT_SECONDS = 2.0
 """Time for an answer beyond what the call itself waits."""
 
-UNWANTED_SECONDS = 0.25
+IDLE_POLL_SECONDS = 0.25
 """How soon an entry whose reading is not wanted looks whether it is."""
 
-FIRST_PAUSE = 0.1
-LONGEST_PAUSE = 1.0
+INITIAL_BACKOFF_SECONDS = 0.1
+MAX_BACKOFF_SECONDS = 1.0
 """Seconds between reads that fail: a configuration has to be in force two
 seconds after the store is well again."""
 
@@ -121,9 +121,9 @@
             "topic": topic,
             "part": "0",
             "from": str(start),
-            "wait_ms": str(round(WAIT_SECONDS * 1000)),
+            "wait_ms": str(round(LONG_POLL_SECONDS * 1000)),
         }
-        raw = await self._call("/figstep/log-read", query, WAIT_SECONDS)
+        raw = await self._call("/figstep/log-read", query, LONG_POLL_SECONDS)
         return decode_records(raw)
 
     async def _call(self, path: str, query: dict[str, str], wait: float) -> bytes:
@@ -131,7 +131,7 @@
             self._session = _open_session()
         try:
             async with (
-                asyncio.timeout(wait + CALL_SECONDS),
+                asyncio.timeout(wait + CALL_TIMEOUT_SECONDS),
                 self._session.get(self._base + path, params=query) as response,
             ):
                 body = await response.read()
@@ -201,8 +201,8 @@
         topic: str,
         sink: TopicSink,
         is_wanted: Callable[[], bool] = lambda: True,
-        choose_rest: Callable[[], float] = lambda: 0.0,
-        first_rest: float = 0.0,
+        choose_read_delay: Callable[[], float] = lambda: 0.0,
+        first_read_delay: float = 0.0,
     ) -> None:
         """Follow a topic.
 
@@ -211,19 +211,19 @@
             topic: Its name.
             sink: Where its records go.
             is_wanted: Whether this entry is to read on.
-            choose_rest: Seconds between two reads that bring records.
-            first_rest: Seconds after the first read, in which an entry learns
+            choose_read_delay: Seconds between two reads that bring records.
+            first_read_delay: Seconds after the first read, in which an entry learns
                 whether others read for it.
         """
         super().__init__()
-        self._first_rest = first_rest
-        self._choose_rest = choose_rest
+        self._first_read_delay = first_read_delay
+        self._choose_read_delay = choose_read_delay
         self._is_wanted = is_wanted
         self._store = store
         self._topic = topic
         self._sink = sink
         self._next: int | None = None
-        self._pause = FIRST_PAUSE
+        self._backoff = INITIAL_BACKOFF_SECONDS
         self._lost = False
 
     @Service.task
@@ -233,7 +233,7 @@
                 # Others read and tell this entry. Should the store turn it away,
                 # asking again each second would cost calls and tell nothing.
                 self._note_regained()
-                await self.sleep(UNWANTED_SECONDS)
+                await self.sleep(IDLE_POLL_SECONDS)
                 continue
             try:
                 await self._read_on()
@@ -247,17 +247,17 @@
                     self._next = None
             except (LogUnavailableError, ValueError, KeyError) as error:
                 self._note_lost(str(error))
-                await self._rest_longer()
+                await self._back_off()
             except Exception:
                 # Were it to end here, this entry would answer by an old
                 # configuration for good and send work to targets long gone.
                 _log.exception("records not taken in", extra={"topic": self._topic})
                 self._next = None
-                await self._rest_longer()
+                await self._back_off()
 
-    async def _rest_longer(self) -> None:
-        await self.sleep(self._pause)
-        self._pause = min(LONGEST_PAUSE, self._pause * 2)
+    async def _back_off(self) -> None:
+        await self.sleep(self._backoff)
+        self._backoff = min(MAX_BACKOFF_SECONDS, self._backoff * 2)
 
     async def _read_on(self) -> None:
         if self._next is None:
@@ -265,8 +265,8 @@
             self._note_regained()
             self._next = snapshot.end
             self._sink.take_snapshot(snapshot.records, snapshot.end)
-            await self.sleep(self._first_rest)
-            self._first_rest = 0.0
+            await self.sleep(self._first_read_delay)
+            self._first_read_delay = 0.0
             return
         start = self._next
         records = await self._store.read_records(self._topic, start)
@@ -278,7 +278,7 @@
             self._next += len(records)
             self._sink.take_records(records, self._next)
             # Records come in bunches; a rest saves a call for each of them.
-            await self.sleep(self._choose_rest())
+            await self.sleep(self._choose_read_delay())
 
     def skip_to(self, position: int) -> None:
         """Read on from an offset up to which a peer gave all records."""
@@ -293,7 +293,7 @@
         self._sink.note_lost(reason)
 
     def _note_regained(self) -> None:
-        self._pause = FIRST_PAUSE
+        self._backoff = INITIAL_BACKOFF_SECONDS
         if not self._lost:
             return
         self._lost = False
