--- a/figstep/platform/entry.py
+++ b/figstep/platform/entry.py
@@ -166,7 +166,7 @@
             ),
             self.reads_store,
             self._choose_read_delay,
-            choose_first_rest(settings),
+            choose_first_read_delay(settings),
         )
         self.registrations = TopicFollower(
             self._store,
@@ -179,7 +179,7 @@
             ),
             self.reads_store,
             self._choose_read_delay,
-            choose_first_rest(settings),
+            choose_first_read_delay(settings),
         )
 
     async def on_start(self) -> None:
@@ -436,7 +436,7 @@
     )
 
 
-def choose_first_rest(settings: EntrySettings) -> float:
+def choose_first_read_delay(settings: EntrySettings) -> float:
     """Return how long an entry waits after its first read of the store.
 
     Reading on at once, each entry of a large fleet would read record by record
