--- a/figstep/platform/store.py
+++ b/figstep/platform/store.py
@@ -161,11 +161,11 @@
 def decode_records(raw: bytes) -> list[KeyedRecord]:
     """Return the records of a read's answer, past its two leading offsets."""
     records = []
-    at = 16
-    while at + 4 <= len(raw):
-        length = int.from_bytes(raw[at : at + 4])
-        records.append(_decode_record(raw[at + 4 : at + 4 + length]))
-        at += 4 + length
+    position = 16
+    while position + 4 <= len(raw):
+        length = int.from_bytes(raw[position : position + 4])
+        records.append(_decode_record(raw[position + 4 : position + 4 + length]))
+        position += 4 + length
     return records
 
 
@@ -180,16 +180,16 @@
     """Where a followed topic goes.
 
     Attributes:
-        take_snapshot: Gets all newest records at once, and their end.
-        take_records: Gets records in order, and the offset behind them.
-        note_lost: Called when the store stops answering, with the reason.
-        note_regained: Called when it answers again.
+        apply_snapshot: Gets all newest records at once, and their end.
+        apply_records: Gets records in order, and the offset behind them.
+        handle_store_lost: Called when the store stops answering, with the reason.
+        handle_store_regained: Called when it answers again.
     """
 
-    take_snapshot: Callable[[tuple[KeyedRecord, ...], int], None]
-    take_records: Callable[[list[KeyedRecord], int], None]
-    note_lost: Callable[[str], None]
-    note_regained: Callable[[], None]
+    apply_snapshot: Callable[[tuple[KeyedRecord, ...], int], None]
+    apply_records: Callable[[list[KeyedRecord], int], None]
+    handle_store_lost: Callable[[str], None]
+    handle_store_regained: Callable[[], None]
 
 
 class TopicFollower(Service):
@@ -200,7 +200,7 @@
         store: Store,
         topic: str,
         sink: TopicSink,
-        is_wanted: Callable[[], bool] = lambda: True,
+        should_read: Callable[[], bool] = lambda: True,
         choose_read_delay: Callable[[], float] = lambda: 0.0,
         first_read_delay: float = 0.0,
     ) -> None:
@@ -210,7 +210,7 @@
             store: Where it is read.
             topic: Its name.
             sink: Where its records go.
-            is_wanted: Whether this entry is to read on.
+            should_read: Whether this entry is to read on.
             choose_read_delay: Seconds between two reads that bring records.
             first_read_delay: Seconds after the first read, in which an entry learns
                 whether others read for it.
@@ -218,84 +218,84 @@
         super().__init__()
         self._first_read_delay = first_read_delay
         self._choose_read_delay = choose_read_delay
-        self._is_wanted = is_wanted
+        self._should_read = should_read
         self._store = store
         self._topic = topic
         self._sink = sink
-        self._next: int | None = None
+        self._next_offset: int | None = None
         self._backoff = INITIAL_BACKOFF_SECONDS
         self._lost = False
 
     @Service.task
     async def _follow(self) -> None:
         while not self.should_stop:
-            if self._next is not None and not self._is_wanted():
+            if self._next_offset is not None and not self._should_read():
                 # Others read and tell this entry. Should the store turn it away,
                 # asking again each second would cost calls and tell nothing.
-                self._note_regained()
+                self._report_store_regained()
                 await self.sleep(IDLE_POLL_SECONDS)
                 continue
             try:
-                await self._read_on()
+                await self._read_next()
             except LogTruncatedError as error:
                 # What was deleted can't be told record by record any more.
                 _log.info(
                     "records deleted",
                     extra={"topic": self._topic, "earliest": error.earliest},
                 )
-                if self._is_wanted():
-                    self._next = None
+                if self._should_read():
+                    self._next_offset = None
             except (LogUnavailableError, ValueError, KeyError) as error:
-                self._note_lost(str(error))
+                self._report_store_lost(str(error))
                 await self._back_off()
             except Exception:
                 # Were it to end here, this entry would answer by an old
                 # configuration for good and send work to targets long gone.
                 _log.exception("records not taken in", extra={"topic": self._topic})
-                self._next = None
+                self._next_offset = None
                 await self._back_off()
 
     async def _back_off(self) -> None:
         await self.sleep(self._backoff)
         self._backoff = min(MAX_BACKOFF_SECONDS, self._backoff * 2)
 
-    async def _read_on(self) -> None:
-        if self._next is None:
+    async def _read_next(self) -> None:
+        if self._next_offset is None:
             snapshot = await self._store.read_newest(self._topic)
-            self._note_regained()
-            self._next = snapshot.end
-            self._sink.take_snapshot(snapshot.records, snapshot.end)
+            self._report_store_regained()
+            self._next_offset = snapshot.end
+            self._sink.apply_snapshot(snapshot.records, snapshot.end)
             await self.sleep(self._first_read_delay)
             self._first_read_delay = 0.0
             return
-        start = self._next
+        start = self._next_offset
         records = await self._store.read_records(self._topic, start)
-        self._note_regained()
-        if self._next != start:
+        self._report_store_regained()
+        if self._next_offset != start:
             # A peer told of later records while this read was waiting.
             return
         if records:
-            self._next += len(records)
-            self._sink.take_records(records, self._next)
+            self._next_offset += len(records)
+            self._sink.apply_records(records, self._next_offset)
             # Records come in bunches; a rest saves a call for each of them.
             await self.sleep(self._choose_read_delay())
 
     def skip_to(self, position: int) -> None:
         """Read on from an offset up to which a peer gave all records."""
-        if self._next is None or position > self._next:
-            self._next = position
+        if self._next_offset is None or position > self._next_offset:
+            self._next_offset = position
 
-    def _note_lost(self, reason: str) -> None:
+    def _report_store_lost(self, reason: str) -> None:
         if self._lost:
             return
         self._lost = True
         _log.warning("store lost", extra={"topic": self._topic, "reason": reason})
-        self._sink.note_lost(reason)
+        self._sink.handle_store_lost(reason)
 
-    def _note_regained(self) -> None:
+    def _report_store_regained(self) -> None:
         self._backoff = INITIAL_BACKOFF_SECONDS
         if not self._lost:
             return
         self._lost = False
         _log.info("store regained", extra={"topic": self._topic})
-        self._sink.note_regained()
+        self._sink.handle_store_regained()
