--- a/figstep/platform/entry.py
+++ b/figstep/platform/entry.py
@@ -69,40 +69,40 @@
 
 _log = logbook.Logger("figstep.entry")
 
-STOP_SHARE = 0.88
+DRAIN_FRACTION = 0.88
 """Part of the grace time after which open answers are cut: the rest is for the
 cut to reach callers before the process is killed."""
 
-POLL_SECONDS = 0.05
+DRAIN_POLL_SECONDS = 0.05
 
-LARGE_REST_SECONDS = 0.2
+LARGE_FLEET_READ_DELAY_SECONDS = 0.2
 """Pause between two reads of the store in a large fleet, where calls are dear:
 an engine's notice is 1.5 s long, and another reader may tell of it earlier."""
 
-FIRST_START_REST_SECONDS = 2.0
+FIRST_START_READ_DELAY_SECONDS = 2.0
 """Pause after an entry's first read where the whole system starts for the first
 time: all start at once, no caller comes yet, and they have to find each other."""
 
-RESTART_REST_SECONDS = 0.3
+RESTART_READ_DELAY_SECONDS = 0.3
 """The same of an entry that starts again: the seeds answer it within this."""
 
-FIRST_READ = Millis(300)
+FIRST_READ_TIMEOUT = Millis(300)
 """How long a starting entry waits for the store's records before it takes callers
 in; the most impatient ones wait half a second."""
 
 FIRST_READ_POLL_SECONDS = 0.005
 
-STOP_SECONDS = 0.4
+STOP_TIMEOUT_SECONDS = 0.4
 """Time for the parts to stop."""
 
 STOP_RESERVE = Millis(600)
 """Least that the grace time leaves for the parts to stop and the process to end."""
 
-MOST_RECENT = 6
+MAX_RECENT_REGISTRATIONS = 6
 """Registrations that a message holds: those of an engine or two that change
 together. Who misses one asks for all."""
 
-RECENT_FOR = Millis(1_500)
+RECENT_ANNOUNCE_DURATION = Millis(1_500)
 """How long they are told: twice at least, as a datagram may be lost."""
 
 
@@ -148,19 +148,21 @@
             self,
         )
         self.gateway.peers = self
-        self._listed = False
+        self._registrations_read = False
         self._configuration = b""
         self._evacuated: set[str] = set()
         self._registrations: dict[str, bytes] = {}
-        self._recent: deque[tuple[str, bytes]] = deque(maxlen=MOST_RECENT)
-        self._recent_at = Millis(-1_000_000)
+        self._recent_registrations: deque[tuple[str, bytes]] = deque(
+            maxlen=MAX_RECENT_REGISTRATIONS
+        )
+        self._recent_read_at = Millis(-1_000_000)
         self._fetch: asyncio.Task[None] | None = None
         self.configuration = TopicFollower(
             self._store,
             CONFIGURATION_TOPIC,
             TopicSink(
-                self._take_operator_snapshot,
-                self._take_operator_records,
+                self._apply_operator_snapshot,
+                self._apply_operator_records,
                 lambda reason: None,
                 lambda: None,
             ),
@@ -172,8 +174,8 @@
             self._store,
             REGISTRATION_TOPIC,
             TopicSink(
-                self._take_registrations,
-                self._take_changes,
+                self._apply_registration_list,
+                self._apply_registration_changes,
                 lambda reason: self.gateway.dispatch(StoreLost()),
                 lambda: self.gateway.dispatch(StoreRegained()),
             ),
@@ -198,8 +200,8 @@
     async def _wait_for_records(self) -> None:
         # Callers that wait in the listener's queue are served a moment later;
         # taken in before the configuration is read they would be refused.
-        until = self._clock.now() + FIRST_READ
-        while not self.is_ready() and self._clock.now() < until:
+        deadline = self._clock.now() + FIRST_READ_TIMEOUT
+        while not self.is_ready() and self._clock.now() < deadline:
             await asyncio.sleep(FIRST_READ_POLL_SECONDS)
 
     async def on_shutdown(self) -> None:
@@ -210,19 +212,21 @@
 
     def is_ready(self) -> bool:
         """Tell whether callers can be served."""
-        return self.gateway.known.table is not None and self._listed
+        return self.gateway.known.table is not None and self._registrations_read
 
     def find_exchange(self, number: int) -> CallerExchange | None:
         """Return what the edge holds of a request."""
         return self.callers.exchanges.get(number)
 
-    def _take_operator_snapshot(
+    def _apply_operator_snapshot(
         self, records: tuple[KeyedRecord, ...], position: int
     ) -> None:
         self._evacuated.clear()
-        self._take_operator_records(list(records), position)
+        self._apply_operator_records(list(records), position)
 
-    def _take_operator_records(self, records: list[KeyedRecord], position: int) -> None:
+    def _apply_operator_records(
+        self, records: list[KeyedRecord], position: int
+    ) -> None:
         for record in records:
             if record.key == CONFIGURATION_KEY and record.value is not None:
                 self._read_configuration(record.value)
@@ -233,9 +237,9 @@
                 self._evacuated.discard(domain)
             else:
                 self._evacuated.add(domain)
-        self._tell_evacuations(Evacuations(frozenset(self._evacuated), position))
+        self._dispatch_evacuations(Evacuations(frozenset(self._evacuated), position))
 
-    def _tell_evacuations(self, evacuations: Evacuations) -> None:
+    def _dispatch_evacuations(self, evacuations: Evacuations) -> None:
         known = self.gateway.known
         before = known.evacuations.domains
         self.gateway.dispatch(EvacuationsRead(evacuations))
@@ -254,29 +258,31 @@
         if known is not None and known.version == table.version:
             self._configuration = value
 
-    def _take_registrations(
+    def _apply_registration_list(
         self, records: tuple[KeyedRecord, ...] | list[KeyedRecord], position: int
     ) -> None:
         self._registrations.clear()
-        listed = []
+        registrations = []
         for record in records:
-            info = self._read_registration(record)
-            if info is not None:
-                listed.append(info)
-        self._listed = True
-        self.gateway.dispatch(TargetsListed(tuple(listed), position))
-
-    def _take_changes(self, records: list[KeyedRecord], position: int) -> None:
+            registration = self._read_registration(record)
+            if registration is not None:
+                registrations.append(registration)
+        self._registrations_read = True
+        self.gateway.dispatch(TargetsListed(tuple(registrations), position))
+
+    def _apply_registration_changes(
+        self, records: list[KeyedRecord], position: int
+    ) -> None:
         for record in records:
-            info = self._read_registration(record)
-            if info is not None:
-                self.gateway.dispatch(TargetRegistered(info))
+            registration = self._read_registration(record)
+            if registration is not None:
+                self.gateway.dispatch(TargetRegistered(registration))
             elif record.value is None:
                 self.gateway.dispatch(TargetDeparted(record.key))
         self.gateway.dispatch(PositionRead(position))
         for record in records:
-            self._recent.append((record.key, record.value or b""))
-        self._recent_at = self._clock.now()
+            self._recent_registrations.append((record.key, record.value or b""))
+        self._recent_read_at = self._clock.now()
         if self.gateway.known.is_large and self.reads_store():
             self.link.announce_records()
 
@@ -284,15 +290,15 @@
         if record.value is None:
             self._registrations.pop(record.key, None)
             return None
-        info = parse_registration(record.key, record.value)
-        if info is None:
+        registration = parse_registration(record.key, record.value)
+        if registration is None:
             _log.info("foreign registration", extra={"key": record.key[:80]})
             return None
         self._registrations[record.key] = record.value
-        return info
+        return registration
 
     def _choose_read_delay(self) -> float:
-        return LARGE_REST_SECONDS if self.gateway.known.is_large else 0.0
+        return LARGE_FLEET_READ_DELAY_SECONDS if self.gateway.known.is_large else 0.0
 
     def reads_store(self) -> bool:
         """Tell whether this entry reads the store's records as they come."""
@@ -324,9 +330,9 @@
         known = self.gateway.known
         if not known.is_large or not self.reads_store():
             return ()
-        if self._clock.now() - self._recent_at >= RECENT_FOR:
+        if self._clock.now() - self._recent_read_at >= RECENT_ANNOUNCE_DURATION:
             return ()
-        return tuple(self._recent)
+        return tuple(self._recent_registrations)
 
     def take_message(
         self, message: PeerHeard, records: tuple[tuple[str, bytes], ...]
@@ -334,11 +340,11 @@
         """Take in a message, and the registrations that its sender read last."""
         missing = message.position - self.gateway.known.position
         if 0 < missing <= len(records) and not self.reads_store():
-            told = [
+            relayed = [
                 KeyedRecord(key, value or None) for key, value in records[-missing:]
             ]
             self.registrations.skip_to(message.position)
-            self._take_changes(told, message.position)
+            self._apply_registration_changes(relayed, message.position)
         self.gateway.dispatch(message)
 
     def read_copy(self) -> RecordCopy:
@@ -374,7 +380,7 @@
         if copy.position > self.gateway.known.position:
             records = [KeyedRecord(key, value) for key, value in copy.registrations]
             self.registrations.skip_to(copy.position)
-            self._take_registrations(records, copy.position)
+            self._apply_registration_list(records, copy.position)
 
     def apply_settings(self, settings: EntrySettings) -> None:
         """Take settings that were read again.
@@ -398,23 +404,23 @@
         """End gracefully: readiness falls, open answers go on to their end."""
         self.callers.ready = False
         self.callers.closing = True
-        until = Millis(self._clock.now() + choose_drain_time(self.settings.grace))
-        self.gateway.dispatch(ShutdownRequested(until))
+        deadline = Millis(self._clock.now() + choose_drain_time(self.settings.grace))
+        self.gateway.dispatch(ShutdownRequested(deadline))
         # The platform sends callers here until it has asked twice in vain.
-        quiet_from = Millis(self._clock.now() + NOTICE)
-        while self._clock.now() < until:
-            await asyncio.sleep(POLL_SECONDS)
+        quiet_from = Millis(self._clock.now() + READINESS_NOTICE)
+        while self._clock.now() < deadline:
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
             if self._clock.now() >= quiet_from and not self.callers.exchanges:
                 return
 
 
-NOTICE = Millis(3_000)
+READINESS_NOTICE = Millis(3_000)
 """Time that new callers may still come after readiness fell."""
 
 
 def choose_drain_time(grace: Millis) -> Millis:
     """Return how long open answers go on after a process was asked to end."""
-    return Millis(max(0, min(round(grace * STOP_SHARE), grace - STOP_RESERVE)))
+    return Millis(max(0, min(round(grace * DRAIN_FRACTION), grace - STOP_RESERVE)))
 
 
 def build_state(settings: EntrySettings, now: Millis) -> State:
@@ -444,7 +450,11 @@
     """
     if not settings.seeds:
         return 0.0
-    return FIRST_START_REST_SECONDS if settings.first_start else RESTART_REST_SECONDS
+    return (
+        FIRST_START_READ_DELAY_SECONDS
+        if settings.first_start
+        else RESTART_READ_DELAY_SECONDS
+    )
 
 
 async def serve_until_signal(path: Path, listener: socket.socket | None = None) -> None:
@@ -466,7 +476,7 @@
     watching.cancel()
     _log.info("stopped", extra={"requests": len(entry.callers.exchanges)})
     try:
-        async with asyncio.timeout(STOP_SECONDS):
+        async with asyncio.timeout(STOP_TIMEOUT_SECONDS):
             await entry.stop()
     except TimeoutError:
         # Waiting for what is still open would run into the platform's kill,
