--- a/figstep/platform/watch.py
+++ b/figstep/platform/watch.py
@@ -11,7 +11,7 @@
 
 _log = logbook.Logger("figstep.entry")
 
-WATCH_SECONDS = 2.0
+CHECK_INTERVAL_SECONDS = 2.0
 """How often the settings file is looked at; its bounds change rarely."""
 
 
@@ -21,19 +21,19 @@
     def __init__(self, path: Path, apply: Callable[[EntrySettings], None]) -> None:
         self._path = path
         self._apply = apply
-        self._seen = self._read_stamp()
+        self._last_stamp = self._read_stamp()
 
     def _read_stamp(self) -> tuple[int, int]:
         try:
-            found = self._path.stat()
+            status = self._path.stat()
         except OSError as error:
             _log.warning("settings file not found", extra={"error": str(error)})
             return (0, 0)
-        return (found.st_mtime_ns, found.st_size)
+        return (status.st_mtime_ns, status.st_size)
 
     def reload(self) -> None:
         """Read the file; wrong settings leave those in force as they are."""
-        self._seen = self._read_stamp()
+        self._last_stamp = self._read_stamp()
         try:
             settings = load_settings(self._path)
         except SettingsError as error:
@@ -44,6 +44,6 @@
     async def run(self) -> None:
         """Look at the file now and then; the platform may change it silently."""
         while True:
-            await asyncio.sleep(WATCH_SECONDS)
-            if self._read_stamp() != self._seen:
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
+            if self._read_stamp() != self._last_stamp:
                 self.reload()
