--- a/figstep/platform/callers.py
+++ b/figstep/platform/callers.py
@@ -314,7 +314,7 @@
 def read_request(number: int, request: web.Request, body: bytes) -> RoutedRequest:
     """Return a request as the gateway's decisions see it."""
     headers = request.headers
-    key = headers.get(names.KEY)
+    key = headers.get(names.CREDENTIAL)
     digest = hashlib.sha256(f"{key} {request.method} {request.raw_path}\n".encode())
     digest.update(body)
     return RoutedRequest(
@@ -334,7 +334,7 @@
 
 def read_prompt(headers: CIMultiDictProxy[str]) -> Prompt | None:
     """Return what a generation needs, or None for other requests."""
-    size = headers.get(names.SIZE)
+    size = headers.get(names.TOKEN_COUNT)
     if size is None:
         return None
     prompt, _, output = size.partition(",")
@@ -346,7 +346,7 @@
         tokens=tokens,
         max_output=_read_number(output) or 0,
         hint=_read_number(headers.get(names.LENGTH_HINT)),
-        parts=_read_parts(headers.get(names.PARTS, "")),
+        parts=_read_parts(headers.get(names.PREFIX_PARTS, "")),
     )
 
 
--- a/figstep/platform/engines.py
+++ b/figstep/platform/engines.py
@@ -209,7 +209,7 @@
         if effect.after is not None:
             headers.append((names.LAST_EVENT, str(effect.after)))
         if effect.source is not None:
-            headers.append((names.COPY, self._format_copy_source(effect.source)))
+            headers.append((names.COPY_SOURCE, self._format_copy_source(effect.source)))
         if not exchange.body and exchange.method not in ("GET", "HEAD"):
             headers.append(("Content-Length", "0"))
         return headers
--- a/figstep/platform/names.py
+++ b/figstep/platform/names.py
@@ -2,7 +2,7 @@
 
 REQUEST_ID = "Request-Id"
 DEADLINE = "Deadline-Ms"
-KEY = "Credential"
+CREDENTIAL = "Credential"
 CUSTOMER = "Tenant"
 SIGNATURE = "Server-Stamp"
 EXPECTED_TARGET = "Expect-Instance"
@@ -12,13 +12,13 @@
 RATE = "Server-Limit"  # requests a second that the target takes from all callers
 LAST_EVENT = "Last-Event-Id"
 MODEL = "Model"
-SIZE = "Token-Count"  # tokens of the prompt and most tokens of the output
-PARTS = "Prefix-Hash"  # id and tokens of each part of the prompt
+TOKEN_COUNT = "Token-Count"  # tokens of the prompt and most tokens of the output
+PREFIX_PARTS = "Prefix-Hash"  # id and tokens of each part of the prompt
 LENGTH_HINT = "Length-Hint"
 PRIORITY = "Request-Priority"
 BACKUP = "Kv-Backup"  # engine that gets a running copy
-COPY = "Kv-From"  # copy that a run goes on from
-WEIGHTS = "Expect-Version"
+COPY_SOURCE = "Kv-From"  # copy that a run goes on from
+EXPECTED_VERSION = "Expect-Version"
 
 CONNECTION_HEADERS = frozenset(
     {
@@ -40,14 +40,14 @@
 SYSTEM_HEADERS = frozenset(
     name.lower()
     for name in (
-        KEY,
+        CREDENTIAL,
         CUSTOMER,
         EXPECTED_TARGET,
         DEADLINE,
         PRIORITY,
         BACKUP,
-        COPY,
-        WEIGHTS,
+        COPY_SOURCE,
+        EXPECTED_VERSION,
         LAST_EVENT,
         "Pin-Ms",
         "Hold",
