--- a/tests/platform/standins.py
+++ b/tests/platform/standins.py
@@ -189,9 +189,9 @@
         handler: Answers instead of the usual ones, if set.
         seen: Headers of the requests that came, oldest first.
         bodies: Their bodies.
-        gone: Requests whose connection closed before their end.
+        aborted: Requests whose connection closed before their end.
         copies: Runs that another engine has copied here.
-        says: Headers that all its answers carry besides.
+        extra_headers: Headers that all its answers carry besides.
         arrivals: When the requests came, by the loop's clock.
         reports: How often it was asked for its state.
         failure_domain: Its failure domain.
@@ -205,9 +205,9 @@
     address: str = ""
     seen: list[dict[str, str]] = field(default_factory=list)
     bodies: list[bytes] = field(default_factory=list)
-    gone: list[str] = field(default_factory=list)
+    aborted: list[str] = field(default_factory=list)
     copies: set[str] = field(default_factory=set)
-    says: dict[str, str] = field(default_factory=dict)
+    extra_headers: dict[str, str] = field(default_factory=dict)
     arrivals: list[float] = field(default_factory=list)
     reports: int = 0
     peers: dict[str, "FakeTarget"] = field(default_factory=dict)
@@ -251,7 +251,7 @@
         return {
             "Request-Id": request.headers.get("Request-Id", ""),
             "Server-Stamp": f"stamp-{self.name}",
-            **self.says,
+            **self.extra_headers,
         }
 
     async def _answer(self, request: web.Request) -> web.StreamResponse:
@@ -283,7 +283,7 @@
                 await response.write(f"id: {index}\ndata: t{index}\n\n".encode())
                 await asyncio.sleep(self.pause)
         except (asyncio.CancelledError, ConnectionError):
-            self.gone.append(number)
+            self.aborted.append(number)
             raise
         await response.write_eof()
         return response
--- a/tests/platform/test_departures.py
+++ b/tests/platform/test_departures.py
@@ -24,7 +24,7 @@
         await add_fleet(place, ENTRIES, 2)
         target = place.targets[LEAVER]
         # The store is never told: it would be the same if it were away.
-        target.says = {"Server-Leaving": "1"}
+        target.extra_headers = {"Server-Leaving": "1"}
         statuses = await call_all_for(place, "first", 1.0)
         told_at = asyncio.get_running_loop().time()
         statuses += await call_all_for(place, "later", DRAIN_SECONDS + 2.0)
--- a/tests/platform/test_entry.py
+++ b/tests/platform/test_entry.py
@@ -87,7 +87,7 @@
         await asyncio.sleep(0.3)
         await place.targets[first].kill()
         assert start + await rest == list_events(60)
-    assert place.targets[first].gone == ["r-1"]
+    assert place.targets[first].aborted == ["r-1"]
 
 
 async def test_a_broken_stream_never_looks_whole(place: Place) -> None:
@@ -112,7 +112,7 @@
     await response.content.readuntil(b"id: 3\n")
     response.close()
     async with asyncio.timeout(0.5):
-        while not any(target.gone for target in place.targets.values()):
+        while not any(target.aborted for target in place.targets.values()):
             await asyncio.sleep(0.01)
 
 
--- a/tests/platform/test_limits.py
+++ b/tests/platform/test_limits.py
@@ -34,7 +34,7 @@
         await add_fleet(place, ENTRIES, TARGETS)
         await call_all_for(place, "before", 1.0, BEFORE)
         target = place.targets[LIMITED]
-        target.says = {"Server-Limit": str(RATE)}
+        target.extra_headers = {"Server-Limit": str(RATE)}
         named_at = asyncio.get_running_loop().time()
         statuses = await call_all_for(place, "after", 8.0)
         busiest = count_busiest(target.arrivals, named_at + CONTACT_SECONDS)
@@ -48,7 +48,7 @@
         target = await place.add_target("i-e1", "engines")
         entry = await place.add_entry()
         await place.wait_ready(entry, 1)
-        target.says = {"Server-Limit": "1.5"}
+        target.extra_headers = {"Server-Limit": "1.5"}
         headers = place.headers("r-1", Model="m", Token_Count="30,20")
         async with place.session.post(place.url("/plan/a"), headers=headers) as got:
             await got.read()
