--- a/tests/platform/test_entry.py
+++ b/tests/platform/test_entry.py
@@ -53,13 +53,13 @@
         assert await response.read() == b"answer"
         assert response.headers["Server-Stamp"] == "stamp-i-b1"
     target = place.targets["i-b1"]
-    seen = target.seen[0]
+    received = target.seen[0]
     assert target.bodies == [b"flour"]
-    assert seen["Tenant"] == "gurdwara"
-    assert seen["X-Kitchen"] == "langar"
-    assert int(seen["Deadline-Ms"]) <= 4_000
-    assert "Credential" not in seen
-    assert "Hold" not in seen
+    assert received["Tenant"] == "gurdwara"
+    assert received["X-Kitchen"] == "langar"
+    assert int(received["Deadline-Ms"]) <= 4_000
+    assert "Credential" not in received
+    assert "Hold" not in received
 
 
 async def test_a_stream_goes_through_byte_for_byte(place: Place) -> None:
