--- a/tests/platform/standins.py
+++ b/tests/platform/standins.py
@@ -187,7 +187,7 @@
         events: Events of each stream.
         pause: Seconds between two events.
         handler: Answers instead of the usual ones, if set.
-        seen: Headers of the requests that came, oldest first.
+        received_headers: Headers of the requests that came, oldest first.
         bodies: Their bodies.
         aborted: Requests whose connection closed before their end.
         copies: Runs that another engine has copied here.
@@ -203,7 +203,7 @@
     pause: float = 0.01
     handler: Handler | None = None
     address: str = ""
-    seen: list[dict[str, str]] = field(default_factory=list)
+    received_headers: list[dict[str, str]] = field(default_factory=list)
     bodies: list[bytes] = field(default_factory=list)
     aborted: list[str] = field(default_factory=list)
     copies: set[str] = field(default_factory=set)
@@ -257,7 +257,7 @@
     async def _answer(self, request: web.Request) -> web.StreamResponse:
         if request.headers.get("Expect-Instance") != self.name:
             return web.Response(status=421, headers={"Instance-Id": self.name})
-        self.seen.append(dict(request.headers))
+        self.received_headers.append(dict(request.headers))
         self.arrivals.append(asyncio.get_running_loop().time())
         self.bodies.append(await request.read())
         if self.handler is not None:
--- a/tests/platform/test_entry.py
+++ b/tests/platform/test_entry.py
@@ -53,7 +53,7 @@
         assert await response.read() == b"answer"
         assert response.headers["Server-Stamp"] == "stamp-i-b1"
     target = place.targets["i-b1"]
-    received = target.seen[0]
+    received = target.received_headers[0]
     assert target.bodies == [b"flour"]
     assert received["Tenant"] == "gurdwara"
     assert received["X-Kitchen"] == "langar"
@@ -135,7 +135,7 @@
     ) as response:
         assert response.status == 502
         assert "Not-Executed" not in response.headers
-    assert len(target.seen) == 1
+    assert len(target.received_headers) == 1
 
 
 @pytest.mark.parametrize("method", ["GET", "PUT", "DELETE"])
@@ -146,7 +146,7 @@
     url, headers = place.url("/order/a"), place.headers("r-1")
     async with place.session.request(method, url, headers=headers) as response:
         assert response.status == 502
-    assert len(target.seen) == 1
+    assert len(target.received_headers) == 1
 
 
 async def test_another_requests_answer_is_not_handed_on(place: Place) -> None:
@@ -183,7 +183,7 @@
     headers = place.headers("r-1", Credential=key)
     async with place.session.post(place.url(path), headers=headers) as response:
         assert response.status == status
-    assert place.targets["i-b1"].seen == []
+    assert place.targets["i-b1"].received_headers == []
 
 
 async def test_a_key_that_is_taken_away_stops_working(place: Place) -> None:
@@ -242,7 +242,7 @@
     await place.store.put("keyed.op", key, value)
     await wait_evacuated(entry, domain.info.failure_domain)
     assert await ask_order(place, entry, "r-1") == 503
-    assert place.targets["i-b1"].seen == []
+    assert place.targets["i-b1"].received_headers == []
     await place.store.put("keyed.op", key, b"")
     await wait_evacuated(entry)
     assert await ask_order(place, entry, "r-2") == 200
