--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -13,7 +13,7 @@
 )
 from tests.platform.standins import ROUTE_HOST, build_configuration
 
-BEAT = {
+REGISTRATION = {
     "service": "engines",
     "addr": "10.0.0.1:80",
     "zone": "muc-a",
@@ -60,7 +60,7 @@
 
 
 def test_registration_names_its_incarnation() -> None:
-    info = parse_registration("i-1", orjson.dumps(BEAT))
+    info = parse_registration("i-1", orjson.dumps(REGISTRATION))
     assert info is not None
     assert (info.target, info.born, info.warmup) == ("i-1", 1_700_000_000_000, 1_500)
     assert not info.draining
@@ -72,10 +72,12 @@
         b"",
         b"\xff\xfe",
         b"[]",
-        orjson.dumps({**BEAT, "state": "resting"}),
-        orjson.dumps({**BEAT, "slots": "many"}),
-        orjson.dumps({**BEAT, "addr": "somewhere"}),
-        orjson.dumps({name: BEAT[name] for name in BEAT if name != "service"}),
+        orjson.dumps({**REGISTRATION, "state": "resting"}),
+        orjson.dumps({**REGISTRATION, "slots": "many"}),
+        orjson.dumps({**REGISTRATION, "addr": "somewhere"}),
+        orjson.dumps(
+            {name: REGISTRATION[name] for name in REGISTRATION if name != "service"}
+        ),
     ],
 )
 def test_entries_of_other_writers_name_no_target(value: bytes) -> None:
