--- a/tests/platform/test_crashes.py
+++ b/tests/platform/test_crashes.py
@@ -14,22 +14,22 @@
 
 ENTRIES = 4
 DOMAINS = ("muc-a", "muc-b", "nue-a", "aug-a")
-CRASHING = "/lookup/crashes"
+CRASHING_PATH = "/lookup/crashes"
 
 CRASH_SECONDS = 0.05
 """From when a target begins to run such a request until it crashes."""
 
-DOWN_SECONDS = 0.5
+RESTART_DELAY_SECONDS = 0.5
 """Until it starts again, at its address and under a new id."""
 
-RETURN_SECONDS = 1.0
+RETRY_INTERVAL_SECONDS = 1.0
 """Time between two sendings by the caller."""
 
 CONTACT_SECONDS = 0.6
 """From when on the third crash is known to all; a part of RETURN_SECONDS as it is on
 the users' deployments, where callers return every 3.6 s."""
 
-MOST_RETRIES = 3
+MAX_LATE_RUNS = 3
 """Sendings later than that which are borne."""
 
 
@@ -61,7 +61,7 @@
         """Start a target."""
 
         async def answer(request: web.Request) -> web.StreamResponse:
-            if request.path != CRASHING:
+            if request.path != CRASHING_PATH:
                 await asyncio.sleep(CRASH_SECONDS / 2)
                 return web.Response(body=b"answer", headers=target.sign(request))
             self.sent.append(read_clock())
@@ -76,7 +76,7 @@
         await target.start(self.place.store, port)
 
     async def _restart(self, target: FakeTarget) -> None:
-        await asyncio.sleep(DOWN_SECONDS)
+        await asyncio.sleep(RESTART_DELAY_SECONDS)
         await target.kill()
         port = int(target.address.rpartition(":")[2])
         again = FakeTarget(
@@ -128,9 +128,9 @@
         place = crashes.place
         for number in range(6):
             entry = place.entries[number % ENTRIES]
-            await read(place, entry, CRASHING, f"crash-{number}")
-            await asyncio.sleep(RETURN_SECONDS)
-    assert crashes.count_late() <= MOST_RETRIES
+            await read(place, entry, CRASHING_PATH, f"crash-{number}")
+            await asyncio.sleep(RETRY_INTERVAL_SECONDS)
+    assert crashes.count_late() <= MAX_LATE_RUNS
 
 
 async def read_often(place: Place, stop: asyncio.Event) -> list[tuple[float, int]]:
@@ -157,8 +157,8 @@
         await asyncio.sleep(0.3)
         for number in range(4):
             entry = place.entries[number % ENTRIES]
-            await read(place, entry, CRASHING, f"crash-{number}")
-            await asyncio.sleep(RETURN_SECONDS)
+            await read(place, entry, CRASHING_PATH, f"crash-{number}")
+            await asyncio.sleep(RETRY_INTERVAL_SECONDS)
         stop.set()
         statuses = await reading
         suspected = [
