--- a/tests/platform/test_crashes.py
+++ b/tests/platform/test_crashes.py
@@ -25,7 +25,7 @@
 RETRY_INTERVAL_SECONDS = 1.0
 """Time between two sendings by the caller."""
 
-CONTACT_SECONDS = 0.6
+PROPAGATION_SECONDS = 0.6
 """From when on the third crash is known to all; a part of RETURN_SECONDS as it is on
 the users' deployments, where callers return every 3.6 s."""
 
@@ -91,7 +91,7 @@
         """Return the sendings since the third crash was known to all."""
         if len(self.at) < 3:
             return 0
-        known = sorted(self.at)[2] + CONTACT_SECONDS
+        known = sorted(self.at)[2] + PROPAGATION_SECONDS
         return sum(at > known for at in self.sent)
 
 
@@ -166,7 +166,7 @@
             for entry in place.entries
             for digest in entry.gateway.known.crashes.list_suspected()
         ]
-    last = max(crashes.at) + CONTACT_SECONDS
+    last = max(crashes.at) + PROPAGATION_SECONDS
     assert {status for at, status in statuses if at > last} == {200}
     assert len(set(suspected)) == 1
     assert len(crashes.at) <= 4
--- a/tests/platform/test_limits.py
+++ b/tests/platform/test_limits.py
@@ -14,7 +14,7 @@
 first window, and more of them would fill it before any entry can know."""
 
 WINDOW_SECONDS = 4.0
-CONTACT_SECONDS = 3.0
+PROPAGATION_SECONDS = 3.0
 MOST_IN_A_WINDOW = 1.5 * RATE * WINDOW_SECONDS + 5
 """What a target that names a rate bears, from CONTACT_SECONDS after it did so."""
 
@@ -37,7 +37,7 @@
         target.extra_headers = {"Server-Limit": str(RATE)}
         named_at = asyncio.get_running_loop().time()
         statuses = await call_all_for(place, "after", 8.0)
-        busiest = count_busiest(target.arrivals, named_at + CONTACT_SECONDS)
+        busiest = count_busiest(target.arrivals, named_at + PROPAGATION_SECONDS)
     assert busiest <= MOST_IN_A_WINDOW
     assert set(statuses) == {200}
 
