--- a/tests/platform/test_crashes.py
+++ b/tests/platform/test_crashes.py
@@ -38,14 +38,14 @@
     """What became of the targets of a place.
 
     Attributes:
-        sent: When the request that crashes them reached one.
-        at: When each target crashed.
+        run_times: When the request that crashes them reached one.
+        crash_times: When each target crashed.
         restarts: Targets that are starting again.
     """
 
     place: Place
-    sent: list[float] = field(default_factory=list)
-    at: list[float] = field(default_factory=list)
+    run_times: list[float] = field(default_factory=list)
+    crash_times: list[float] = field(default_factory=list)
     restarts: list[asyncio.Task[None]] = field(default_factory=list)
     numbers: Iterator[int] = field(default_factory=lambda: count(1))
 
@@ -64,9 +64,9 @@
             if request.path != CRASHING_PATH:
                 await asyncio.sleep(CRASH_SECONDS / 2)
                 return web.Response(body=b"answer", headers=target.sign(request))
-            self.sent.append(read_clock())
+            self.run_times.append(read_clock())
             await asyncio.sleep(CRASH_SECONDS)
-            self.at.append(read_clock())
+            self.crash_times.append(read_clock())
             self.restarts.append(asyncio.create_task(self._restart(target)))
             await target.crash()
             return web.Response()
@@ -79,20 +79,20 @@
         await asyncio.sleep(RESTART_DELAY_SECONDS)
         await target.kill()
         port = int(target.address.rpartition(":")[2])
-        again = FakeTarget(
+        successor = FakeTarget(
             f"i-b{next(self.numbers)}",
             "bookings",
             failure_domain=target.failure_domain,
         )
-        await self.start(again, port)
+        await self.start(successor, port)
         await self.place.store.put("keyed.servers", target.name, b"")
 
-    def count_late(self) -> int:
+    def count_late_runs(self) -> int:
         """Return the sendings since the third crash was known to all."""
-        if len(self.at) < 3:
+        if len(self.crash_times) < 3:
             return 0
-        known = sorted(self.at)[2] + PROPAGATION_SECONDS
-        return sum(at > known for at in self.sent)
+        known = sorted(self.crash_times)[2] + PROPAGATION_SECONDS
+        return sum(at > known for at in self.run_times)
 
 
 @asynccontextmanager
@@ -130,7 +130,7 @@
             entry = place.entries[number % ENTRIES]
             await read(place, entry, CRASHING_PATH, f"crash-{number}")
             await asyncio.sleep(RETRY_INTERVAL_SECONDS)
-    assert crashes.count_late() <= MAX_LATE_RUNS
+    assert crashes.count_late_runs() <= MAX_LATE_RUNS
 
 
 async def read_often(place: Place, stop: asyncio.Event) -> list[tuple[float, int]]:
@@ -166,7 +166,7 @@
             for entry in place.entries
             for digest in entry.gateway.known.crashes.list_suspected()
         ]
-    last = max(crashes.at) + PROPAGATION_SECONDS
+    last = max(crashes.crash_times) + PROPAGATION_SECONDS
     assert {status for at, status in statuses if at > last} == {200}
     assert len(set(suspected)) == 1
-    assert len(crashes.at) <= 4
+    assert len(crashes.crash_times) <= 4
