--- a/tests/platform/test_departures.py
+++ b/tests/platform/test_departures.py
@@ -7,14 +7,14 @@
 from tests.platform.places import add_fleet, call_all_for, open_place
 
 ENTRIES = 3
-LEAVER = "i-b1"
+LEAVING_TARGET = "i-b1"
 
 DRAIN_SECONDS = 2.0
 """Time after an answer that says so from which a leaving target gets nothing."""
 
 PAUSE_SECONDS = 2.0
 PAUSE_BEGINS_SECONDS = 0.5
-MOST_IN_A_PAUSE = 2
+MAX_IN_PAUSE = 2
 """Requests of one entry that may reach a target within its pause."""
 
 
@@ -22,13 +22,13 @@
     """Guards against departures that are known from the store alone."""
     async with open_place() as place:
         await add_fleet(place, ENTRIES, 2)
-        target = place.targets[LEAVER]
+        target = place.targets[LEAVING_TARGET]
         # The store is never told: it would be the same if it were away.
         target.extra_headers = {"Server-Leaving": "1"}
         statuses = await call_all_for(place, "first", 1.0)
-        told_at = asyncio.get_running_loop().time()
+        announced_at = asyncio.get_running_loop().time()
         statuses += await call_all_for(place, "later", DRAIN_SECONDS + 2.0)
-        late = [at for at in target.arrivals if at > told_at + DRAIN_SECONDS]
+        late = [at for at in target.arrivals if at > announced_at + DRAIN_SECONDS]
     assert late == []
     assert set(statuses) == {200}
 
@@ -37,16 +37,16 @@
     """Guards against requests to a target that has said when to come back."""
     async with open_place() as place:
         await add_fleet(place, 1, 2)
-        target = place.targets[LEAVER]
+        target = place.targets[LEAVING_TARGET]
 
-        async def turn_away(request: web.Request) -> web.StreamResponse:
+        async def reject(request: web.Request) -> web.StreamResponse:
             headers = {"Not-Executed": "1", "Retry-After": str(PAUSE_SECONDS)}
             return web.Response(status=503, headers=headers)
 
-        target.handler = turn_away
+        target.handler = reject
         statuses = await call_all_for(place, "call", PAUSE_SECONDS + 1.0)
         first = target.arrivals[0]
         begins, ends = first + PAUSE_BEGINS_SECONDS, first + PAUSE_SECONDS
         within = [at for at in target.arrivals if begins < at < ends]
-    assert len(within) <= MOST_IN_A_PAUSE
+    assert len(within) <= MAX_IN_PAUSE
     assert set(statuses) == {200}
