--- a/tests/platform/test_limits.py
+++ b/tests/platform/test_limits.py
@@ -9,13 +9,13 @@
 LIMITED = "i-b1"
 RATE = 1.0
 
-BEFORE = 4
+CALLS_BEFORE_LIMIT = 4
 """Calls a second to each entry before a target names its rate. They count in the
 first window, and more of them would fill it before any entry can know."""
 
 WINDOW_SECONDS = 4.0
 PROPAGATION_SECONDS = 3.0
-MOST_IN_A_WINDOW = 1.5 * RATE * WINDOW_SECONDS + 5
+MAX_IN_WINDOW = 1.5 * RATE * WINDOW_SECONDS + 5
 """What a target that names a rate bears, from CONTACT_SECONDS after it did so."""
 
 
@@ -32,13 +32,13 @@
     """Guards against entries that go on as if a target had named no rate."""
     async with open_place() as place:
         await add_fleet(place, ENTRIES, TARGETS)
-        await call_all_for(place, "before", 1.0, BEFORE)
+        await call_all_for(place, "before", 1.0, CALLS_BEFORE_LIMIT)
         target = place.targets[LIMITED]
         target.extra_headers = {"Server-Limit": str(RATE)}
         named_at = asyncio.get_running_loop().time()
         statuses = await call_all_for(place, "after", 8.0)
         busiest = count_busiest(target.arrivals, named_at + PROPAGATION_SECONDS)
-    assert busiest <= MOST_IN_A_WINDOW
+    assert busiest <= MAX_IN_WINDOW
     assert set(statuses) == {200}
 
 
