--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -80,12 +80,12 @@
     await fake.put(TOPIC, "k1", b"value")
     await fake.put(TOPIC, "k2", b"value")
     snapshots: list[set[str]] = []
-    told: list[str] = []
+    reports: list[str] = []
     sink = TopicSink(
         lambda records, end: snapshots.append({record.key for record in records}),
         lambda records, end: None,
-        told.append,
-        lambda: told.append("regained"),
+        reports.append,
+        lambda: reports.append("regained"),
     )
     follower = TopicFollower(store, TOPIC, sink)
     await follower.start()
@@ -100,7 +100,7 @@
         while len(snapshots) < 2:
             await asyncio.sleep(0.02)
     assert snapshots == [{"k1", "k2"}, {"k2", "k3"}]
-    assert told[-1] == "regained"
+    assert reports[-1] == "regained"
     await follower.stop()
     await store.close()
     await fake.stop()
@@ -113,7 +113,7 @@
     reading, and must not take the store for lost until it reads again.
     """
     fake, store = await open_store()
-    told: list[str] = []
+    reports: list[str] = []
     wanted = True
     follower = TopicFollower(
         store,
@@ -121,8 +121,8 @@
         TopicSink(
             lambda records, end: None,
             lambda records, end: None,
-            lambda reason: told.append("lost"),
-            lambda: told.append("regained"),
+            lambda reason: reports.append("lost"),
+            lambda: reports.append("regained"),
         ),
         lambda: wanted,
     )
@@ -131,10 +131,10 @@
     fake.away = True
     await fake.put(TOPIC, "k", b"value")
     async with asyncio.timeout(3):
-        while told != ["lost"]:
+        while reports != ["lost"]:
             await asyncio.sleep(0.01)
         wanted = False
-        while told != ["lost", "regained"]:
+        while reports != ["lost", "regained"]:
             await asyncio.sleep(0.01)
     await follower.stop()
     await store.close()
@@ -148,20 +148,20 @@
     topic anew, and later records are taken in.
     """
     fake, store = await open_store()
-    taken: list[int] = []
+    applied_ends: list[int] = []
 
-    def take(records: object, end: int) -> None:
-        if not taken:
-            taken.append(-1)
+    def apply(records: object, end: int) -> None:
+        if not applied_ends:
+            applied_ends.append(-1)
             raise RuntimeError("a record that nobody thought of")
-        taken.append(end)
+        applied_ends.append(end)
 
-    sink = TopicSink(take, take, lambda reason: None, lambda: None)
+    sink = TopicSink(apply, apply, lambda reason: None, lambda: None)
     follower = TopicFollower(store, TOPIC, sink)
     await follower.start()
     await fake.put(TOPIC, "k", b"value")
     async with asyncio.timeout(3):
-        while taken[-1:] != [1]:
+        while applied_ends[-1:] != [1]:
             await asyncio.sleep(0.01)
     await follower.stop()
     await store.close()
