--- a/tests/platform/test_entry.py
+++ b/tests/platform/test_entry.py
@@ -116,7 +116,7 @@
             await asyncio.sleep(0.01)
 
 
-async def break_off(request: web.Request) -> web.StreamResponse:
+async def break_connection(request: web.Request) -> web.StreamResponse:
     """Run a request, and break its connection before the answer."""
     assert request.transport is not None
     request.transport.abort()
@@ -129,7 +129,7 @@
     The service runs the order and its connection breaks before the answer.
     """
     target = place.targets["i-b1"]
-    target.handler = break_off
+    target.handler = break_connection
     async with place.session.post(
         place.url("/order/a"), headers=place.headers("r-1")
     ) as response:
@@ -142,7 +142,7 @@
 async def test_an_order_by_any_method_is_sent_once(place: Place, method: str) -> None:
     """Guards against an HTTP client that sends some methods again by itself."""
     target = place.targets["i-b1"]
-    target.handler = break_off
+    target.handler = break_connection
     url, headers = place.url("/order/a"), place.headers("r-1")
     async with place.session.request(method, url, headers=headers) as response:
         assert response.status == 502
@@ -196,16 +196,22 @@
         assert response.status == 401
 
 
-async def add_dark_entry(place: Place, well: Entry) -> tuple[FakeStore, Entry]:
+async def add_entry_without_store(
+    place: Place, healthy_entry: Entry
+) -> tuple[FakeStore, Entry]:
     """Add an entry that the store turns away; a peer is all that it hears."""
-    dark = FakeStore()
-    await dark.start()
-    dark.away = True
-    entry = Entry(build_settings(dark.address, "entry-2", seeds=(well.settings.peers,)))
+    rejecting_store = FakeStore()
+    await rejecting_store.start()
+    rejecting_store.away = True
+    entry = Entry(
+        build_settings(
+            rejecting_store.address, "entry-2", seeds=(healthy_entry.settings.peers,)
+        )
+    )
     await entry.start()
     place.entries.append(entry)
     await place.wait_ready(entry, 1)
-    return dark, entry
+    return rejecting_store, entry
 
 
 async def test_an_entry_that_the_store_turns_away_learns_from_a_peer() -> None:
@@ -216,15 +222,15 @@
     """
     async with open_place() as place:
         await place.add_target("i-b1", "bookings")
-        well = await place.add_entry(node="entry-1")
-        await place.wait_ready(well, 1)
-        dark, entry = await add_dark_entry(place, well)
+        healthy_entry = await place.add_entry(node="entry-1")
+        await place.wait_ready(healthy_entry, 1)
+        rejecting_store, entry = await add_entry_without_store(place, healthy_entry)
         assert entry.is_ready()
         async with place.session.post(
             place.url("/order/a", entry), headers=place.headers("r-1")
         ) as response:
             assert response.status == 200
-        await dark.stop()
+        await rejecting_store.stop()
 
 
 async def wait_evacuated(entry: Entry, *domains: str) -> None:
@@ -270,13 +276,13 @@
     """Guards against one entry of several that sends on to an evacuated domain."""
     async with open_place() as place:
         await place.add_target("i-b1", "bookings")
-        well = await place.add_entry(node="entry-1")
-        await place.wait_ready(well, 1)
-        dark, entry = await add_dark_entry(place, well)
+        healthy_entry = await place.add_entry(node="entry-1")
+        await place.wait_ready(healthy_entry, 1)
+        rejecting_store, entry = await add_entry_without_store(place, healthy_entry)
         await place.store.put("keyed.op", "evacuate/muc-a", b"{}")
         await wait_evacuated(entry, "muc-a")
         assert await ask_order(place, entry, "r-1") == 503
-        await dark.stop()
+        await rejecting_store.stop()
 
 
 async def test_without_a_configuration_an_entry_is_not_ready() -> None:
