--- a/tests/platform/places.py
+++ b/tests/platform/places.py
@@ -79,7 +79,7 @@
         await place.store.stop()
 
 
-async def ask_order(place: Place, entry: Entry, number: str) -> int:
+async def call_order_route(place: Place, entry: Entry, number: str) -> int:
     headers = place.headers(number)
     async with place.session.post(place.url("/order/a", entry), headers=headers) as got:
         return got.status
@@ -104,23 +104,25 @@
             await asyncio.sleep(0.01)
 
 
-async def call_for(
-    place: Place, entry: Entry, name: str, seconds: float, each: int
+async def send_calls(
+    place: Place, entry: Entry, name: str, seconds: float, rate: int
 ) -> list[int]:
     """Send calls to an entry, so many a second; returns their statuses."""
     calls = []
-    for number in range(round(seconds * each)):
-        calls.append(asyncio.create_task(ask_order(place, entry, f"{name}-{number}")))
-        await asyncio.sleep(1 / each)
+    for number in range(round(seconds * rate)):
+        calls.append(
+            asyncio.create_task(call_order_route(place, entry, f"{name}-{number}"))
+        )
+        await asyncio.sleep(1 / rate)
     return await asyncio.gather(*calls)
 
 
-async def call_all_for(
-    place: Place, name: str, seconds: float, each: int = 10
+async def send_calls_to_all(
+    place: Place, name: str, seconds: float, rate: int = 10
 ) -> list[int]:
     """Send calls to all entries, so many a second to each; returns their statuses."""
     work = [
-        call_for(place, entry, f"{name}-{number}", seconds, each)
+        send_calls(place, entry, f"{name}-{number}", seconds, rate)
         for number, entry in enumerate(place.entries)
     ]
     return [status for statuses in await asyncio.gather(*work) for status in statuses]
--- a/tests/platform/test_departures.py
+++ b/tests/platform/test_departures.py
@@ -4,7 +4,7 @@
 
 from aiohttp import web
 
-from tests.platform.places import add_fleet, call_all_for, open_place
+from tests.platform.places import add_fleet, open_place, send_calls_to_all
 
 ENTRIES = 3
 LEAVING_TARGET = "i-b1"
@@ -25,9 +25,9 @@
         target = place.targets[LEAVING_TARGET]
         # The store is never told: it would be the same if it were away.
         target.extra_headers = {"Server-Leaving": "1"}
-        statuses = await call_all_for(place, "first", 1.0)
+        statuses = await send_calls_to_all(place, "first", 1.0)
         announced_at = asyncio.get_running_loop().time()
-        statuses += await call_all_for(place, "later", DRAIN_SECONDS + 2.0)
+        statuses += await send_calls_to_all(place, "later", DRAIN_SECONDS + 2.0)
         late = [at for at in target.arrivals if at > announced_at + DRAIN_SECONDS]
     assert late == []
     assert set(statuses) == {200}
@@ -44,7 +44,7 @@
             return web.Response(status=503, headers=headers)
 
         target.handler = reject
-        statuses = await call_all_for(place, "call", PAUSE_SECONDS + 1.0)
+        statuses = await send_calls_to_all(place, "call", PAUSE_SECONDS + 1.0)
         first = target.arrivals[0]
         begins, ends = first + PAUSE_BEGINS_SECONDS, first + PAUSE_SECONDS
         within = [at for at in target.arrivals if begins < at < ends]
--- a/tests/platform/test_entry.py
+++ b/tests/platform/test_entry.py
@@ -13,7 +13,7 @@
 
 from figstep.core.clock import Millis
 from figstep.platform.entry import Entry, choose_drain_time, serve_until_signal
-from tests.platform.places import Place, ask_order, open_place
+from tests.platform.places import Place, call_order_route, open_place
 from tests.platform.standins import (
     KEY,
     FakeStore,
@@ -247,11 +247,11 @@
     key = f"evacuate/{domain.info.failure_domain}"
     await place.store.put("keyed.op", key, value)
     await wait_evacuated(entry, domain.info.failure_domain)
-    assert await ask_order(place, entry, "r-1") == 503
+    assert await call_order_route(place, entry, "r-1") == 503
     assert place.targets["i-b1"].received_headers == []
     await place.store.put("keyed.op", key, b"")
     await wait_evacuated(entry)
-    assert await ask_order(place, entry, "r-2") == 200
+    assert await call_order_route(place, entry, "r-2") == 200
 
 
 async def test_a_store_that_forgot_its_history_still_tells_of_evacuations() -> None:
@@ -281,7 +281,7 @@
         rejecting_store, entry = await add_entry_without_store(place, healthy_entry)
         await place.store.put("keyed.op", "evacuate/muc-a", b"{}")
         await wait_evacuated(entry, "muc-a")
-        assert await ask_order(place, entry, "r-1") == 503
+        assert await call_order_route(place, entry, "r-1") == 503
         await rejecting_store.stop()
 
 
--- a/tests/platform/test_limits.py
+++ b/tests/platform/test_limits.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from tests.platform.places import add_fleet, call_all_for, open_place
+from tests.platform.places import add_fleet, open_place, send_calls_to_all
 
 ENTRIES = 4
 TARGETS = 3
@@ -32,11 +32,11 @@
     """Guards against entries that go on as if a target had named no rate."""
     async with open_place() as place:
         await add_fleet(place, ENTRIES, TARGETS)
-        await call_all_for(place, "before", 1.0, CALLS_BEFORE_LIMIT)
+        await send_calls_to_all(place, "before", 1.0, CALLS_BEFORE_LIMIT)
         target = place.targets[LIMITED]
         target.extra_headers = {"Server-Limit": str(RATE)}
         named_at = asyncio.get_running_loop().time()
-        statuses = await call_all_for(place, "after", 8.0)
+        statuses = await send_calls_to_all(place, "after", 8.0)
         busiest = count_busiest(target.arrivals, named_at + PROPAGATION_SECONDS)
     assert busiest <= MAX_IN_WINDOW
     assert set(statuses) == {200}
