--- a/tests/faults/sites.py
+++ b/tests/faults/sites.py
@@ -426,12 +426,12 @@
     async def _strike_store(self, how: str, seconds: float) -> None:
         span = self.record.begin(f"store {how}")
         if how == "away":
-            self._store.away = True
+            self._store.unavailable = True
             await asyncio.sleep(seconds)
-            self._store.away = False
+            self._store.unavailable = False
         else:
             for topic in ("keyed.op", "keyed.servers"):
-                self._store.forget(topic)
+                self._store.delete_all(topic)
         span.end = read_clock()
 
     async def _strike_target(self, fault: StrikeTarget) -> None:
--- a/tests/platform/standins.py
+++ b/tests/platform/standins.py
@@ -62,7 +62,7 @@
 
     Attributes:
         address: Where it listens.
-        away: Whether it answers 503 to all calls.
+        unavailable: Whether it answers 503 to all calls.
         page: Most records in a page of the newest ones.
         calls: Paths asked for.
     """
@@ -70,7 +70,7 @@
     def __init__(self) -> None:
         self.delay = 0.0
         self.address = ""
-        self.away = False
+        self.unavailable = False
         self.page = 500
         self.calls: list[str] = []
         self._records: dict[str, list[tuple[str, bytes]]] = {}
@@ -100,14 +100,14 @@
         """Delete old records; the newest of each key stay known."""
         self._first[topic] = offset
 
-    def forget(self, topic: str) -> None:
+    def delete_all(self, topic: str) -> None:
         """Delete all records; the newest of each key stay known."""
         self.delete_before(topic, len(self._records.get(topic, [])))
 
     async def _read_newest(self, request: web.Request) -> web.Response:
         await asyncio.sleep(self.delay)
         self.calls.append("newest")
-        if self.away:
+        if self.unavailable:
             return web.Response(status=503)
         topic = request.query["topic"]
         after = request.query.get("after", "")
@@ -132,7 +132,7 @@
 
     async def _read(self, request: web.Request) -> web.Response:
         self.calls.append("read")
-        if self.away:
+        if self.unavailable:
             return web.Response(status=503)
         topic = request.query["topic"]
         start = int(request.query["from"])
--- a/tests/platform/test_entry.py
+++ b/tests/platform/test_entry.py
@@ -202,7 +202,7 @@
     """Add an entry that the store turns away; a peer is all that it hears."""
     rejecting_store = FakeStore()
     await rejecting_store.start()
-    rejecting_store.away = True
+    rejecting_store.unavailable = True
     entry = Entry(
         build_settings(
             rejecting_store.address, "entry-2", seeds=(healthy_entry.settings.peers,)
@@ -262,13 +262,13 @@
         entry = await place.add_entry()
         await place.wait_ready(entry, 1)
         await wait_evacuated(entry, "muc-b")
-        place.store.away = True
+        place.store.unavailable = True
         await place.store.put("keyed.op", "config", build_configuration(2))
         await asyncio.sleep(0.1)
         await place.store.put("keyed.op", "evacuate/muc-b", b"")
         await place.store.put("keyed.op", "evacuate/muc-a", b"{}")
-        place.store.forget("keyed.op")
-        place.store.away = False
+        place.store.delete_all("keyed.op")
+        place.store.unavailable = False
         await wait_evacuated(entry, "muc-a")
 
 
@@ -287,7 +287,7 @@
 
 async def test_without_a_configuration_an_entry_is_not_ready() -> None:
     async with open_place() as place:
-        place.store.away = True
+        place.store.unavailable = True
         entry = await place.add_entry()
         readiness = entry.settings.readiness
         url = f"http://{readiness.host}:{readiness.port}/figstep/readyz"
@@ -297,7 +297,7 @@
             place.url("/order/a"), headers=place.headers("r-1")
         ) as response:
             assert response.status == 503
-        place.store.away = False
+        place.store.unavailable = False
         async with asyncio.timeout(3):
             while not entry.is_ready():
                 await asyncio.sleep(0.02)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -55,7 +55,7 @@
     fake.delete_before(TOPIC, 1)
     with pytest.raises(LogTruncatedError):
         await store.read_records(TOPIC, 0)
-    fake.away = True
+    fake.unavailable = True
     with pytest.raises(LogUnavailableError):
         await store.read_records(TOPIC, 1)
     await fake.stop()
@@ -90,12 +90,12 @@
     follower = TopicFollower(store, TOPIC, sink)
     await follower.start()
     await asyncio.sleep(0.1)
-    fake.away = True
+    fake.unavailable = True
     await fake.put(TOPIC, "k3", b"value")
     await asyncio.sleep(0.1)
     await fake.put(TOPIC, "k1", b"")
     fake.delete_before(TOPIC, 4)
-    fake.away = False
+    fake.unavailable = False
     async with asyncio.timeout(3):
         while len(snapshots) < 2:
             await asyncio.sleep(0.02)
@@ -128,7 +128,7 @@
     )
     await follower.start()
     await asyncio.sleep(0.1)
-    fake.away = True
+    fake.unavailable = True
     await fake.put(TOPIC, "k", b"value")
     async with asyncio.timeout(3):
         while reports != ["lost"]:
