--- a/tests/platform/test_answers.py
+++ b/tests/platform/test_answers.py
@@ -24,7 +24,7 @@
         (b'{"state":"draining"}', True, None, False),
     ],
 )
-def test_a_report_tells_whether_the_engine_leaves_and_how_full_it_is(
+def test_a_report_contains_leaving_state_and_memory(
     body: bytes, leaving: bool, memory: int | None, ending: bool
 ) -> None:
     report = parse_report("e-1", body)
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize(
     "body", [b"", b"[]", b'{"leaves_ms":"soon"}', b'{"kv_used":[]}']
 )
-def test_a_report_that_is_none_is_refused(body: bytes) -> None:
+def test_an_invalid_report_is_refused(body: bytes) -> None:
     with pytest.raises(ValueError, match=r".+"):
         parse_report("e-1", body)
 
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "soon", "-1", "nan", "inf"])
-def test_a_rate_that_is_none_is_refused(text: str) -> None:
+def test_an_invalid_rate_is_refused(text: str) -> None:
     """Guards against a header that stops all requests or lifts every limit."""
     with pytest.raises(ValueError, match=r".+"):
         parse_rate(text)
@@ -56,12 +56,12 @@
 @pytest.mark.parametrize(
     ("text", "pause"), [("2", 2_000), ("0.25", 250), ("0", 0), ("120", 120_000)]
 )
-def test_a_pause_is_told_in_seconds(text: str, pause: int) -> None:
+def test_retry_after_is_in_seconds(text: str, pause: int) -> None:
     assert parse_retry_after(text) == pause
 
 
 @pytest.mark.parametrize("text", ["", "nan", "inf", "-3", "Thu, 03 Dec 2026"])
-def test_a_pause_that_is_none_is_refused(text: str) -> None:
+def test_an_invalid_retry_after_is_refused(text: str) -> None:
     """Guards against an answer that is lost for the header of its refusal."""
     with pytest.raises(ValueError, match=r".+"):
         parse_retry_after(text)
@@ -79,7 +79,7 @@
         (421, {"Server-Limit": "1", "Server-Leaving": "1"}, TargetSignals()),
     ],
 )
-def test_an_answer_speaks_of_the_target_that_gave_it(
+def test_target_signals_of_an_answer(
     status: int, headers: dict[str, str], signals: TargetSignals
 ) -> None:
     """Guards against words that are missed, misread, or those of another target."""
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -80,11 +80,11 @@
         ),
     ],
 )
-def test_entries_of_other_writers_name_no_target(value: bytes) -> None:
+def test_foreign_registrations_are_ignored(value: bytes) -> None:
     assert parse_registration("i-1", value) is None
 
 
-def test_homes_and_warmups_are_read() -> None:
+def test_allowed_regions_and_warmups_are_read() -> None:
     """Guards against regions and warm-up rates that are read and not kept."""
     document = orjson.loads(build_configuration())
     document["routes"][0]["regions_allowed"] = ["bayern", "eire"]
@@ -102,7 +102,7 @@
     assert (service.warmup, service.warmup_rate) == (1_500, 25.0)
 
 
-def test_no_homes_mean_any_region() -> None:
+def test_an_empty_region_list_allows_any_region() -> None:
     """Guards against an empty list of regions that shuts a route for all."""
     document = orjson.loads(build_configuration())
     document["routes"][0]["regions_allowed"] = []
@@ -123,7 +123,9 @@
         ("evacuate/a/b", "a/b"),
     ],
 )
-def test_only_its_key_names_an_evacuation(key: str, domain: str | None) -> None:
+def test_only_evacuation_keys_name_a_failure_domain(
+    key: str, domain: str | None
+) -> None:
     """Guards against other keys that shut a failure domain."""
     assert parse_evacuation(key) == domain
 
--- a/tests/platform/test_entry.py
+++ b/tests/platform/test_entry.py
@@ -69,7 +69,7 @@
         assert await response.read() == list_events(20)
 
 
-async def test_a_stream_outlives_its_engine(place: Place) -> None:
+async def test_a_stream_survives_the_loss_of_its_engine(place: Place) -> None:
     """The caller would lose its plan in mid-answer.
 
     The engine's registration is dropped and the engine dies a little later.
@@ -90,7 +90,7 @@
     assert place.targets[first].aborted == ["r-1"]
 
 
-async def test_a_broken_stream_never_looks_whole(place: Place) -> None:
+async def test_a_broken_stream_never_looks_complete(place: Place) -> None:
     for name in ("i-e2", "i-e3"):
         await place.store.put("keyed.servers", name, b"")
     await asyncio.sleep(0.1)
@@ -104,7 +104,7 @@
         await killing
 
 
-async def test_a_caller_that_leaves_frees_its_engine(place: Place) -> None:
+async def test_a_disconnected_caller_frees_its_engine(place: Place) -> None:
     for target in place.targets.values():
         target.events, target.pause = 500, 0.02
     headers = place.headers("r-1", **PLAN)
@@ -123,7 +123,7 @@
     return web.Response()
 
 
-async def test_an_order_is_sent_once_and_its_doubt_is_told(place: Place) -> None:
+async def test_an_order_is_sent_once_and_reported_as_uncertain(place: Place) -> None:
     """A doubled flour order lands two pallets.
 
     The service runs the order and its connection breaks before the answer.
@@ -149,7 +149,7 @@
     assert len(target.received_headers) == 1
 
 
-async def test_another_requests_answer_is_not_handed_on(place: Place) -> None:
+async def test_another_requests_answer_is_not_forwarded(place: Place) -> None:
     async def answer_other(request: web.Request) -> web.StreamResponse:
         return web.Response(body=b"other", headers={"Request-Id": "r-0"})
 
@@ -161,7 +161,7 @@
         assert b"other" not in await response.read()
 
 
-async def test_refusals_tell_when_to_come_back(place: Place) -> None:
+async def test_refusals_have_a_retry_after(place: Place) -> None:
     async def refuse(request: web.Request) -> web.StreamResponse:
         return web.Response(status=503, headers={"Not-Executed": "1"})
 
@@ -177,7 +177,7 @@
     ("path", "key", "status"),
     [("/nowhere/a", KEY, 404), ("/order/a", "unknown", 401)],
 )
-async def test_what_is_not_allowed_reaches_no_target(
+async def test_unauthorized_requests_reach_no_target(
     place: Place, path: str, key: str, status: int
 ) -> None:
     headers = place.headers("r-1", Credential=key)
@@ -186,7 +186,7 @@
     assert place.targets["i-b1"].received_headers == []
 
 
-async def test_a_key_that_is_taken_away_stops_working(place: Place) -> None:
+async def test_a_revoked_key_stops_working(place: Place) -> None:
     tenants = [{"name": "gurdwara", "api_keys": ["key-2"]}]
     await place.store.put("keyed.op", "config", build_configuration(2, tenants=tenants))
     await asyncio.sleep(0.2)
@@ -214,7 +214,7 @@
     return rejecting_store, entry
 
 
-async def test_an_entry_that_the_store_turns_away_learns_from_a_peer() -> None:
+async def test_an_entry_that_the_store_rejects_reads_from_a_peer() -> None:
     """A key that was taken away would work on at this entry for good.
 
     The store answers one entry 503 for all calls, and serves the other. The
@@ -254,7 +254,7 @@
     assert await call_order_route(place, entry, "r-2") == 200
 
 
-async def test_a_store_that_forgot_its_history_still_tells_of_evacuations() -> None:
+async def test_evacuations_are_read_after_records_were_deleted() -> None:
     """Guards against evacuations begun and ended in records that are gone."""
     async with open_place() as place:
         await place.add_target("i-b1", "bookings")
@@ -272,7 +272,7 @@
         await wait_evacuated(entry, "muc-a")
 
 
-async def test_an_entry_without_the_store_learns_of_an_evacuation_from_a_peer() -> None:
+async def test_an_entry_without_the_store_receives_an_evacuation_from_a_peer() -> None:
     """Guards against one entry of several that sends on to an evacuated domain."""
     async with open_place() as place:
         await place.add_target("i-b1", "bookings")
@@ -305,7 +305,7 @@
             assert response.status == 200
 
 
-async def test_a_graceful_end_cuts_off_no_call(place: Place) -> None:
+async def test_a_graceful_shutdown_cuts_off_no_call(place: Place) -> None:
     async def answer_slowly(request: web.Request) -> web.StreamResponse:
         await asyncio.sleep(0.4)
         headers = {"Request-Id": request.headers["Request-Id"], "Server-Stamp": "s"}
@@ -323,7 +323,7 @@
     await draining
 
 
-async def test_new_settings_hold_at_once(place: Place) -> None:
+async def test_new_settings_apply_at_once(place: Place) -> None:
     entry = place.entries[0]
     entry.apply_settings(replace(entry.settings, retry_allowance=7.0))
     assert entry.gateway.known.budget.allowance == 7.0
@@ -337,7 +337,7 @@
     assert choose_drain_time(Millis(grace)) == drain
 
 
-async def test_an_entry_stops_in_time_with_answers_open(
+async def test_an_entry_stops_within_its_grace_time_with_open_answers(
     tmp_path: Path, unused_tcp_port_factory: Callable[[], int]
 ) -> None:
     """The platform kills a process that is still there after its grace time.
--- a/tests/platform/test_limits.py
+++ b/tests/platform/test_limits.py
@@ -42,7 +42,7 @@
     assert set(statuses) == {200}
 
 
-async def test_a_report_without_a_rate_does_not_end_the_need() -> None:
+async def test_a_report_without_a_rate_does_not_end_the_limit() -> None:
     """Guards against answers to the entry's own questions that name no rate."""
     async with open_place() as place:
         target = await place.add_target("i-e1", "engines")
--- a/tests/platform/test_listeners.py
+++ b/tests/platform/test_listeners.py
@@ -14,7 +14,7 @@
 from tests.platform.test_entry import open_place
 
 
-async def test_a_caller_that_comes_while_the_program_loads_is_served(
+async def test_a_caller_that_connects_while_the_program_loads_is_served(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     unused_tcp_port_factory: Callable[[], int],
@@ -48,7 +48,7 @@
         await serving
 
 
-async def test_callers_are_taken_in_without_records_after_a_while(
+async def test_callers_are_answered_without_records_after_a_timeout(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     unused_tcp_port_factory: Callable[[], int],
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -49,7 +49,7 @@
     await fake.stop()
 
 
-async def test_deleted_records_and_outages_are_told_apart() -> None:
+async def test_deleted_records_and_outages_raise_different_errors() -> None:
     fake, store = await open_store()
     await fake.put(TOPIC, "k", b"value")
     fake.delete_before(TOPIC, 1)
@@ -70,7 +70,7 @@
     assert decode_records(raw) == [KeyedRecord("k", None)]
 
 
-async def test_a_follower_reads_anew_what_was_deleted_under_it() -> None:
+async def test_a_follower_rereads_a_topic_whose_records_were_deleted() -> None:
     """A target that left in the gap would get work for good.
 
     The store deletes its history while the follower can't read. The record
@@ -106,7 +106,7 @@
     await fake.stop()
 
 
-async def test_a_follower_that_is_not_wanted_says_that_it_misses_nothing() -> None:
+async def test_a_follower_that_stops_reading_reports_the_store_regained() -> None:
     """An entry would go on asking engines for their state, which is dear.
 
     The store turns the entry away, and others read and tell it. It stops
@@ -141,7 +141,7 @@
     await fake.stop()
 
 
-async def test_a_follower_outlives_an_error_of_its_sink() -> None:
+async def test_a_follower_survives_an_error_of_its_sink() -> None:
     """Callers would be served by an old configuration for good.
 
     What takes the records in fails at one of them. The follower reads the
