--- a/figstep/platform/callers.py
+++ b/figstep/platform/callers.py
@@ -352,8 +352,8 @@
 
 def _read_parts(text: str) -> tuple[tuple[str, int], ...]:
     parts = []
-    for entry in text.split(","):
-        part, _, tokens = entry.strip().partition(":")
+    for item in text.split(","):
+        part, _, tokens = item.strip().partition(":")
         count = _read_number(tokens)
         if count is None:
             continue
