--- a/figstep/platform/documents.py
+++ b/figstep/platform/documents.py
@@ -105,20 +105,20 @@
     Raises:
         ValueError: If it can't be read; the platform takes valid ones only.
     """
-    read = _Configuration.model_validate(orjson.loads(value))
+    parsed = _Configuration.model_validate(orjson.loads(value))
     services = {}
-    for service in read.services:
+    for service in parsed.services:
         services[service.name] = _build_service(service)
     return RoutingTable(
-        version=read.version,
-        routes=group_routes([_build_route(route) for route in read.routes]),
+        version=parsed.version,
+        routes=group_routes([_build_route(route) for route in parsed.routes]),
         services=services,
-        customers=_build_customers(read.tenants),
+        customers=_build_customers(parsed.tenants),
         limits=CallerLimits(
-            read.limits.max_header_bytes,
-            read.limits.max_body_bytes,
-            Millis(round(read.limits.header_timeout_ms)),
-            Millis(round(read.limits.idle_timeout_ms)),
+            parsed.limits.max_header_bytes,
+            parsed.limits.max_body_bytes,
+            Millis(round(parsed.limits.header_timeout_ms)),
+            Millis(round(parsed.limits.idle_timeout_ms)),
         ),
     )
 
@@ -197,16 +197,16 @@
     """
     try:
         document: Any = orjson.loads(value)
-        read = _RegistrationDocument.model_validate(document)
+        parsed = _RegistrationDocument.model_validate(document)
     except (orjson.JSONDecodeError, ValidationError):
         return None
     return Registration(
         target=key,
-        service=read.service,
-        address=read.addr,
-        failure_domain=read.zone,
-        slots=read.slots,
-        draining=read.state == "draining",
-        warmup=Millis(round(read.warmup_left_ms)),
-        born=read.born,
+        service=parsed.service,
+        address=parsed.addr,
+        failure_domain=parsed.zone,
+        slots=parsed.slots,
+        draining=parsed.state == "draining",
+        warmup=Millis(round(parsed.warmup_left_ms)),
+        born=parsed.born,
     )
--- a/figstep/platform/settings.py
+++ b/figstep/platform/settings.py
@@ -139,30 +139,30 @@
         SettingsError: Naming each wrong field and what to write.
     """
     try:
-        read = _Document.model_validate(document)
+        parsed = _Document.model_validate(document)
     except ValidationError as error:
         lines = [f"{origin}: {line}" for line in describe_errors(error)]
         raise SettingsError("\n".join(lines)) from error
-    peer_port = read.port_range[0]
+    peer_port = parsed.port_range[0]
     # Seeds name where other entries are controlled; peers listen at the same
     # port of the free range on every machine.
-    seeds = tuple(Address(split_address(seed).host, peer_port) for seed in read.seeds)
+    seeds = tuple(Address(split_address(seed).host, peer_port) for seed in parsed.seeds)
     return EntrySettings(
-        node=read.node,
-        failure_domain=read.zone,
-        regions={read.zone: read.region, **read.zones},
-        callers=split_address(read.listen.front),
-        readiness=split_address(read.listen.ready),
-        peers=Address(read.ip, peer_port),
+        node=parsed.node,
+        failure_domain=parsed.zone,
+        regions={parsed.zone: parsed.region, **parsed.zones},
+        callers=split_address(parsed.listen.front),
+        readiness=split_address(parsed.listen.ready),
+        peers=Address(parsed.ip, peer_port),
         seeds=seeds,
-        store=read.provider.addr,
-        first_start=read.bootstrap,
-        grace=Millis(round(read.bounds.grace_s * 1000)),
-        retry_ratio=read.bounds.retry_ratio,
-        retry_allowance=read.bounds.retry_extra,
-        retry_window=Millis(round(read.bounds.retry_window_s * 1000)),
-        memory_bytes=read.limits.memory_mb << 20,
-        descriptors=read.limits.max_fds,
+        store=parsed.provider.addr,
+        first_start=parsed.bootstrap,
+        grace=Millis(round(parsed.bounds.grace_s * 1000)),
+        retry_ratio=parsed.bounds.retry_ratio,
+        retry_allowance=parsed.bounds.retry_extra,
+        retry_window=Millis(round(parsed.bounds.retry_window_s * 1000)),
+        memory_bytes=parsed.limits.memory_mb << 20,
+        descriptors=parsed.limits.max_fds,
     )
 
 
