--- a/figstep/platform/callers.py
+++ b/figstep/platform/callers.py
@@ -87,8 +87,8 @@
     @property
     def ended(self) -> bool:
         """Whether nothing more will come."""
-        whole = self.answer is not None or self.problem is not None
-        return whole or self.finished or self.broken
+        has_answer = self.answer is not None or self.problem is not None
+        return has_answer or self.finished or self.broken
 
     def add(self, data: bytes) -> None:
         """Take bytes of a stream."""
