--- a/figstep/platform/engines.py
+++ b/figstep/platform/engines.py
@@ -111,8 +111,8 @@
         if exchange is None or target is None:
             self._schedule_loss(effect.attempt, "no caller or target any more")
             return
-        work = self._run_attempt(effect, exchange, target)
-        task = asyncio.get_running_loop().create_task(work)
+        coroutine = self._run_attempt(effect, exchange, target)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._attempt_tasks[effect.attempt] = task
 
     def _schedule_loss(self, attempt: int, detail: str) -> None:
@@ -312,8 +312,8 @@
             return
         self._dispatch(event)
 
-    def _run_in_background(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _run_in_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._background.add(task)
         task.add_done_callback(self._background.discard)
 
--- a/figstep/platform/entry.py
+++ b/figstep/platform/entry.py
@@ -358,8 +358,8 @@
     def fetch_records(self, address: str) -> None:
         """Ask a peer for what it has read of the store."""
         if self._fetch is None or self._fetch.done():
-            work = self._fetch_records(address)
-            self._fetch = asyncio.get_running_loop().create_task(work)
+            coroutine = self._fetch_records(address)
+            self._fetch = asyncio.get_running_loop().create_task(coroutine)
 
     def announce(self) -> None:
         """Tell the other entries of this one's loads at once."""
