--- a/figstep/platform/entry.py
+++ b/figstep/platform/entry.py
@@ -156,7 +156,7 @@
             maxlen=MAX_RECENT_REGISTRATIONS
         )
         self._recent_read_at = Millis(-1_000_000)
-        self._fetch: asyncio.Task[None] | None = None
+        self._fetch_task: asyncio.Task[None] | None = None
         self.configuration = TopicFollower(
             self._store,
             CONFIGURATION_TOPIC,
@@ -206,8 +206,8 @@
 
     async def on_shutdown(self) -> None:
         """Close the store's client, which the followers use until they end."""
-        if self._fetch is not None:
-            self._fetch.cancel()
+        if self._fetch_task is not None:
+            self._fetch_task.cancel()
         await self._store.close()
 
     def is_ready(self) -> bool:
@@ -357,9 +357,9 @@
 
     def fetch_records(self, address: str) -> None:
         """Ask a peer for what it has read of the store."""
-        if self._fetch is None or self._fetch.done():
+        if self._fetch_task is None or self._fetch_task.done():
             coroutine = self._fetch_records(address)
-            self._fetch = asyncio.get_running_loop().create_task(coroutine)
+            self._fetch_task = asyncio.get_running_loop().create_task(coroutine)
 
     def announce(self) -> None:
         """Tell the other entries of this one's loads at once."""
