--- a/figstep/platform/store.py
+++ b/figstep/platform/store.py
@@ -91,7 +91,7 @@
     """The store, by its HTTP interface."""
 
     def __init__(self, address: str) -> None:
-        self._base = f"http://{address}"
+        self._base_url = f"http://{address}"
         self._session: aiohttp.ClientSession | None = None
 
     async def read_newest(self, topic: str) -> Snapshot:
@@ -132,7 +132,7 @@
         try:
             async with (
                 asyncio.timeout(wait + CALL_TIMEOUT_SECONDS),
-                self._session.get(self._base + path, params=query) as response,
+                self._session.get(self._base_url + path, params=query) as response,
             ):
                 body = await response.read()
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
@@ -224,7 +224,7 @@
         self._sink = sink
         self._next_offset: int | None = None
         self._backoff = INITIAL_BACKOFF_SECONDS
-        self._lost = False
+        self._store_lost = False
 
     @Service.task
     async def _follow(self) -> None:
@@ -286,16 +286,16 @@
             self._next_offset = position
 
     def _report_store_lost(self, reason: str) -> None:
-        if self._lost:
+        if self._store_lost:
             return
-        self._lost = True
+        self._store_lost = True
         _log.warning("store lost", extra={"topic": self._topic, "reason": reason})
         self._sink.handle_store_lost(reason)
 
     def _report_store_regained(self) -> None:
         self._backoff = INITIAL_BACKOFF_SECONDS
-        if not self._lost:
+        if not self._store_lost:
             return
-        self._lost = False
+        self._store_lost = False
         _log.info("store regained", extra={"topic": self._topic})
         self._sink.handle_store_regained()
