--- a/tests/platform/places.py
+++ b/tests/platform/places.py
@@ -81,8 +81,10 @@
 
 async def call_order_route(place: Place, entry: Entry, number: str) -> int:
     headers = place.headers(number)
-    async with place.session.post(place.url("/order/a", entry), headers=headers) as got:
-        return got.status
+    async with place.session.post(
+        place.url("/order/a", entry), headers=headers
+    ) as response:
+        return response.status
 
 
 async def add_fleet(place: Place, entries: int, targets: int) -> None:
--- a/tests/platform/test_crashes.py
+++ b/tests/platform/test_crashes.py
@@ -117,9 +117,9 @@
 async def read(place: Place, entry: Entry, path: str, number: str) -> int:
     """Send a read to an entry; returns its status."""
     headers = place.headers(number)
-    async with place.session.get(place.url(path, entry), headers=headers) as got:
-        await got.read()
-        return got.status
+    async with place.session.get(place.url(path, entry), headers=headers) as response:
+        await response.read()
+        return response.status
 
 
 async def test_a_read_that_crashes_its_targets_is_kept_away() -> None:
--- a/tests/platform/test_limits.py
+++ b/tests/platform/test_limits.py
@@ -50,8 +50,10 @@
         await place.wait_ready(entry, 1)
         target.extra_headers = {"Server-Limit": "1.5"}
         headers = place.headers("r-1", Model="m", Token_Count="30,20")
-        async with place.session.post(place.url("/plan/a"), headers=headers) as got:
-            await got.read()
+        async with place.session.post(
+            place.url("/plan/a"), headers=headers
+        ) as response:
+            await response.read()
         known = entry.gateway.known.targets.targets["i-e1"]
         assert known.limit is not None
         assert known.limit.rate == 1.5
