--- a/tests/platform/places.py
+++ b/tests/platform/places.py
@@ -123,8 +123,10 @@
     place: Place, name: str, seconds: float, rate: int = 10
 ) -> list[int]:
     """Send calls to all entries, so many a second to each; returns their statuses."""
-    work = [
+    coroutines = [
         send_calls(place, entry, f"{name}-{number}", seconds, rate)
         for number, entry in enumerate(place.entries)
     ]
-    return [status for statuses in await asyncio.gather(*work) for status in statuses]
+    return [
+        status for statuses in await asyncio.gather(*coroutines) for status in statuses
+    ]
