--- a/tests/platform/standins.py
+++ b/tests/platform/standins.py
@@ -159,7 +159,7 @@
     service: str, address: str, state: str, failure_domain: str = "muc-a"
 ) -> bytes:
     """Return a target's registration as it writes it."""
-    entry = {
+    registration = {
         "service": service,
         "addr": address,
         "zone": failure_domain,
@@ -171,7 +171,7 @@
         "seq": 1,
         "later": "unknown",
     }
-    return orjson.dumps(entry)
+    return orjson.dumps(registration)
 
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
@@ -185,7 +185,7 @@
         name: Its id.
         service: Its service.
         events: Events of each stream.
-        pause: Seconds between two events.
+        event_interval: Seconds between two events.
         handler: Answers instead of the usual ones, if set.
         received_headers: Headers of the requests that came, oldest first.
         bodies: Their bodies.
@@ -200,7 +200,7 @@
     name: str
     service: str
     events: int = 20
-    pause: float = 0.01
+    event_interval: float = 0.01
     handler: Handler | None = None
     address: str = ""
     received_headers: list[dict[str, str]] = field(default_factory=list)
@@ -225,10 +225,10 @@
 
     async def register(self, store: FakeStore, state: str = "ready") -> None:
         """Write the registration."""
-        entry = build_registration(
+        registration = build_registration(
             self.service, self.address, state, self.failure_domain
         )
-        await store.put("keyed.servers", self.name, entry)
+        await store.put("keyed.servers", self.name, registration)
 
     async def kill(self) -> None:
         """End with all connections."""
@@ -281,7 +281,7 @@
         try:
             for index in range(first, self.events + 1):
                 await response.write(f"id: {index}\ndata: t{index}\n\n".encode())
-                await asyncio.sleep(self.pause)
+                await asyncio.sleep(self.event_interval)
         except (asyncio.CancelledError, ConnectionError):
             self.aborted.append(number)
             raise
--- a/tests/platform/test_entry.py
+++ b/tests/platform/test_entry.py
@@ -77,7 +77,7 @@
     answer, with the first engine's signature.
     """
     for target in place.targets.values():
-        target.events, target.pause = 60, 0.02
+        target.events, target.event_interval = 60, 0.02
     headers = place.headers("r-1", **PLAN)
     async with place.session.post(place.url("/plan/a"), headers=headers) as response:
         start = await response.content.readuntil(b"id: 9\n")
@@ -94,7 +94,7 @@
     for name in ("i-e2", "i-e3"):
         await place.store.put("keyed.servers", name, b"")
     await asyncio.sleep(0.1)
-    place.targets["i-e1"].pause = 0.05
+    place.targets["i-e1"].event_interval = 0.05
     headers = place.headers("r-1", **PLAN)
     async with place.session.post(place.url("/plan/a"), headers=headers) as response:
         await response.content.readuntil(b"id: 5\n")
@@ -106,7 +106,7 @@
 
 async def test_a_disconnected_caller_frees_its_engine(place: Place) -> None:
     for target in place.targets.values():
-        target.events, target.pause = 500, 0.02
+        target.events, target.event_interval = 500, 0.02
     headers = place.headers("r-1", **PLAN)
     response = await place.session.post(place.url("/plan/a"), headers=headers)
     await response.content.readuntil(b"id: 3\n")
