--- a/tests/platform/test_limits.py
+++ b/tests/platform/test_limits.py
@@ -6,7 +6,7 @@
 
 ENTRIES = 4
 TARGETS = 3
-LIMITED = "i-b1"
+LIMITED_TARGET = "i-b1"
 RATE = 1.0
 
 CALLS_BEFORE_LIMIT = 4
@@ -33,7 +33,7 @@
     async with open_place() as place:
         await add_fleet(place, ENTRIES, TARGETS)
         await send_calls_to_all(place, "before", 1.0, CALLS_BEFORE_LIMIT)
-        target = place.targets[LIMITED]
+        target = place.targets[LIMITED_TARGET]
         target.extra_headers = {"Server-Limit": str(RATE)}
         named_at = asyncio.get_running_loop().time()
         statuses = await send_calls_to_all(place, "after", 8.0)
