--- a/figstep/net/hellos.py
+++ b/figstep/net/hellos.py
@@ -19,10 +19,10 @@
 
 _schema: Any = capnp.load(str(Path(__file__).with_name("links.capnp")))
 
-MOST_COPY_BYTES = 32 * 1024 * 1024
+MAX_COPY_BYTES = 32 * 1024 * 1024
 """Largest copy that is taken: thousands of routes and targets take a few MB."""
 
-COPY_COMPRESSION = 1
+COPY_COMPRESSION_LEVEL = 1
 """Level of compression; the records are text that repeats its field names."""
 
 
@@ -52,7 +52,7 @@
         sequence: Grows with each message of a session.
         members: Other entries that the sender has heard of late.
         records: Registrations that the sender read last, up to its position.
-        asks_domain: Whether the sender doesn't know the receiver's failure
+        requests_failure_domain: Whether the sender doesn't know the receiver's failure
             domain yet.
     """
 
@@ -61,7 +61,7 @@
     sequence: int = 0
     members: tuple[Member, ...] = ()
     records: tuple[tuple[str, bytes], ...] = ()
-    asks_domain: bool = False
+    requests_failure_domain: bool = False
 
 
 def encode_hello(hello: Hello) -> bytes:
@@ -79,7 +79,7 @@
         far=own.far,
         storeWell=own.receives_records,
         unanswered=not own.answered,
-        asksDomain=hello.asks_domain,
+        asksDomain=hello.requests_failure_domain,
         address=own.address,
         reading=own.reading,
         partial=own.partial,
@@ -225,7 +225,7 @@
     entries = message.init("registrations", len(copy.registrations))
     for slot, (key, value) in zip(entries, copy.registrations, strict=True):
         slot.key, slot.value = key, value
-    return zlib.compress(message.to_bytes_packed(), COPY_COMPRESSION)
+    return zlib.compress(message.to_bytes_packed(), COPY_COMPRESSION_LEVEL)
 
 
 def decode_copy(data: bytes) -> RecordCopy:
@@ -235,7 +235,7 @@
         PeerMessageError: If it can't be read.
     """
     try:
-        message = _schema.Copy.from_bytes_packed(_expand(data))
+        message = _schema.Copy.from_bytes_packed(_decompress(data))
         entries = tuple(
             (str(entry.key), bytes(entry.value)) for entry in message.registrations
         )
@@ -244,9 +244,9 @@
         raise PeerMessageError("damaged copy; another peer may give one") from error
 
 
-def _expand(data: bytes) -> bytes:
+def _decompress(data: bytes) -> bytes:
     decoder = zlib.decompressobj()
-    expanded = decoder.decompress(data, MOST_COPY_BYTES)
+    expanded = decoder.decompress(data, MAX_COPY_BYTES)
     if not decoder.eof:
-        raise PeerMessageError(f"copy cut short, or of over {MOST_COPY_BYTES} bytes")
+        raise PeerMessageError(f"copy cut short, or of over {MAX_COPY_BYTES} bytes")
     return expanded
--- a/figstep/net/links.py
+++ b/figstep/net/links.py
@@ -17,7 +17,7 @@
 from figstep.gateway.peers import select_changed
 from figstep.gateway.state import FULL_MESH_MAX_ENTRIES
 from figstep.net.hellos import (
-    MOST_COPY_BYTES,
+    MAX_COPY_BYTES,
     Hello,
     RecordCopy,
     decode_copy,
@@ -227,7 +227,10 @@
         unknown = self._neighbors.list_unknown()
         if strangers and unknown and self.is_large:
             asked = random.sample(unknown, min(len(unknown), MOST_STRANGERS))
-            self._send(Hello(self._entry.describe_domain(), asks_domain=True), asked)
+            self._send(
+                Hello(self._entry.describe_domain(), requests_failure_domain=True),
+                asked,
+            )
 
     def _tell_far(self, now: float) -> None:
         domain = self._entry.describe_domain()
@@ -297,7 +300,7 @@
         neighbor.heard = now
         neighbor.failure_domain = content.failure_domain
         self._neighbors.note_members(hello.members, now)
-        if hello.asks_domain:
+        if hello.requests_failure_domain:
             self._send(Hello(self._entry.describe_domain()), [content.address])
         elif is_new and not content.far:
             self._greet(content.address, content.failure_domain, now)
@@ -334,7 +337,7 @@
                     writer.close()
         except (OSError, TimeoutError) as error:
             raise PeerMessageError(f"{address}: {type(error).__name__}") from error
-        if not data or len(data) > MOST_COPY_BYTES:
+        if not data or len(data) > MAX_COPY_BYTES:
             raise PeerMessageError(f"{address}: {len(data)} bytes are no copy")
         return decode_copy(data)
 
--- a/tests/net/test_hellos.py
+++ b/tests/net/test_hellos.py
@@ -12,7 +12,7 @@
 from figstep.gateway.refusals import Refusal
 from figstep.gateway.targets import Incarnation
 from figstep.net.hellos import (
-    MOST_COPY_BYTES,
+    MAX_COPY_BYTES,
     Hello,
     RecordCopy,
     decode_copy,
@@ -102,7 +102,7 @@
 
 def test_a_copy_that_grows_too_large_is_refused() -> None:
     """Guards against a peer whose few bytes fill the memory of an entry."""
-    data = encode_copy(RecordCopy(b"x" * MOST_COPY_BYTES, 1))
-    assert len(data) < MOST_COPY_BYTES / 4
+    data = encode_copy(RecordCopy(b"x" * MAX_COPY_BYTES, 1))
+    assert len(data) < MAX_COPY_BYTES / 4
     with pytest.raises(PeerMessageError):
         decode_copy(data)
