--- a/figstep/net/links.py
+++ b/figstep/net/links.py
@@ -29,7 +29,7 @@
 
 _log = logbook.Logger("figstep.links")
 
-HELLO_SECONDS = 1.0
+HELLO_INTERVAL_SECONDS = 1.0
 """Period of messages that tell nothing new: three in a row may be lost before
 a peer counts as silent."""
 
@@ -37,28 +37,28 @@
 """How soon a change of this entry's loads is told: requests come a few a
 second to each entry, and an engine's own reports are half a second old."""
 
-LARGE_POLL_SECONDS = 0.4
+LARGE_FLEET_POLL_SECONDS = 0.4
 """The same in a large fleet, whose prompts are announced as they are sent: what
 changes besides is the growth of runs."""
 
-FAR_SECONDS = 0.4
+REMOTE_UPDATE_SECONDS = 0.4
 """How often another failure domain is told what has changed."""
 
-FAR_WHOLE_SECONDS = 2.0
+REMOTE_FULL_REPORT_SECONDS = 2.0
 """How often it is told all: some messages are lost."""
 
-MOST_STRANGERS = 8
+MAX_DOMAIN_REQUESTS = 8
 """Entries of unknown failure domain that are asked for it in a second."""
 
-COPY_SECONDS = 2.0
+COPY_TIMEOUT_SECONDS = 2.0
 """Time for a copy of the records; the next try may go to another peer."""
 
-TEXT_LIMIT = 60_000
+MAX_DATAGRAM_BYTES = 60_000
 """Largest datagram; loads of some hundred targets stay far below it."""
 
 
 @dataclass(slots=True)
-class _Told:
+class _LastReport:
     """What was told last, and when."""
 
     at: float = -1e9
@@ -89,17 +89,17 @@
         """Return what was read of the store, for one that can't read it."""
 
     @abstractmethod
-    def list_recent(self) -> tuple[tuple[str, bytes], ...]:
+    def list_recent_registrations(self) -> tuple[tuple[str, bytes], ...]:
         """Return the registrations read last, up to the position told."""
 
     @abstractmethod
-    def take_message(
+    def handle_message(
         self, message: PeerHeard, records: tuple[tuple[str, bytes], ...]
     ) -> None:
         """Take in a message, and the registrations that its sender read last."""
 
     @abstractmethod
-    def count_entries(self, entries: int) -> None:
+    def update_entry_count(self, entries: int) -> None:
         """Take in how many entries are known."""
 
 
@@ -124,14 +124,14 @@
         self._session = secrets.randbits(63)
         self._sequence = 0
         self._neighbors = NeighborTable(self._own, failure_domain)
-        self._told = _Told()
-        self._news = LoadUpdates()
-        self._told_far = -1e9
-        self._spoke_at = -1e9
-        self._told_bare: PeerHeard | None = None
-        self._told_loads: dict[str, PeerLoad] = {}
-        self._told_members = -1e9
-        self._announcing = False
+        self._last_report = _LastReport()
+        self._load_updates = LoadUpdates()
+        self._remote_full_report_at = -1e9
+        self._remote_sent_at = -1e9
+        self._remote_reported_fields: PeerHeard | None = None
+        self._remote_reported_loads: dict[str, PeerLoad] = {}
+        self._members_sent_at = -1e9
+        self._announcement_scheduled = False
         self._transport: asyncio.DatagramTransport | None = None
         self._server: asyncio.Server | None = None
 
@@ -139,7 +139,7 @@
         """Listen for datagrams and for requests of copies."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
-            lambda: _LinkProtocol(self._take_datagram),
+            lambda: _LinkProtocol(self._handle_datagram),
             local_addr=(self._host, self._port),
         )
         self._server = await asyncio.start_server(
@@ -148,7 +148,7 @@
 
     async def on_stop(self) -> None:
         """Tell the others that this entry ends, and close the sockets."""
-        self._tell_near(loop_time())
+        self._send_locally(loop_time())
         if self._transport is not None:
             self._transport.close()
         if self._server is not None:
@@ -170,94 +170,98 @@
             for seed in self._seeds:
                 self._neighbors.add(seed, now)
             self._neighbors.remove_expired(now)
-            self._entry.count_entries(1 + len(self._neighbors))
+            self._entry.update_entry_count(1 + len(self._neighbors))
             own = self._entry.describe_entry()
             if self._is_due(own, now):
-                self._tell_near(now)
-            await self.sleep(LARGE_POLL_SECONDS if self.is_large else POLL_SECONDS)
+                self._send_locally(now)
+            await self.sleep(
+                LARGE_FLEET_POLL_SECONDS if self.is_large else POLL_SECONDS
+            )
 
     def _is_due(self, own: PeerHeard, now: float) -> bool:
-        if now - self._told.at >= HELLO_SECONDS:
+        if now - self._last_report.at >= HELLO_INTERVAL_SECONDS:
             return True
         if self.is_large:
-            return self._news.has_urgent_changes(own)
-        told = self._told.content
-        return told is None or strip_ages(own) != strip_ages(told)
+            return self._load_updates.has_urgent_changes(own)
+        reported = self._last_report.content
+        return reported is None or strip_ages(own) != strip_ages(reported)
 
     @Service.task
-    async def _run_far(self) -> None:
+    async def _run_remote(self) -> None:
         while not self.should_stop:
-            await self.sleep(FAR_SECONDS)
+            await self.sleep(REMOTE_UPDATE_SECONDS)
             if self.is_large and self._entry.is_domain_representative():
-                self._tell_far(loop_time())
+                self._send_remotely(loop_time())
 
     def announce(self) -> None:
         """Tell the near ones at the end of this turn of the loop."""
-        if self._announcing:
+        if self._announcement_scheduled:
             return
-        self._announcing = True
+        self._announcement_scheduled = True
         asyncio.get_running_loop().call_soon(self._announce_now)
 
     def _announce_now(self) -> None:
-        self._announcing = False
-        self._tell_near(loop_time())
+        self._announcement_scheduled = False
+        self._send_locally(loop_time())
 
     def announce_records(self) -> None:
         """Tell all failure domains of records that were just read."""
         now = loop_time()
-        self._tell_near(now)
-        self._tell_far(now)
+        self._send_locally(now)
+        self._send_remotely(now)
 
     def announce_target(self, target: str) -> None:
         """Tell other failure domains what this one has open at a target."""
         hello = Hello(self._entry.describe_domain_at(target))
         self._send(hello, self._neighbors.pick_far(loop_time()))
 
-    def _tell_near(self, now: float) -> None:
+    def _send_locally(self, now: float) -> None:
         own = self._entry.describe_entry()
-        strangers = now - self._told.at >= HELLO_SECONDS
-        self._told = _Told(now, own)
-        near = self._neighbors.list_all()
+        query_domains = now - self._last_report.at >= HELLO_INTERVAL_SECONDS
+        self._last_report = _LastReport(now, own)
+        local = self._neighbors.list_all()
         message = own
         if self.is_large:
-            near = self._neighbors.list_near()
-            message = self._news.select(own, Millis(round(now * 1000)))
+            local = self._neighbors.list_near()
+            message = self._load_updates.select(own, Millis(round(now * 1000)))
         members = self._pick_members(now)
-        self._send(Hello(message, members=members, records=self._list_records()), near)
+        self._send(Hello(message, members=members, records=self._list_records()), local)
         unknown = self._neighbors.list_unknown()
-        if strangers and unknown and self.is_large:
-            asked = random.sample(unknown, min(len(unknown), MOST_STRANGERS))
+        if query_domains and unknown and self.is_large:
+            queried = random.sample(unknown, min(len(unknown), MAX_DOMAIN_REQUESTS))
             self._send(
                 Hello(self._entry.describe_domain(), requests_failure_domain=True),
-                asked,
+                queried,
             )
 
-    def _tell_far(self, now: float) -> None:
+    def _send_remotely(self, now: float) -> None:
         domain = self._entry.describe_domain()
-        if now - self._told_far >= FAR_WHOLE_SECONDS:
-            self._told_far = now
-            self._told_loads.clear()
+        if now - self._remote_full_report_at >= REMOTE_FULL_REPORT_SECONDS:
+            self._remote_full_report_at = now
+            self._remote_reported_loads.clear()
         else:
-            changed = select_changed(self._told_loads, domain.loads)
+            changed = select_changed(self._remote_reported_loads, domain.loads)
             domain = replace(domain, loads=changed, partial=True)
-            bare = strip_ages(replace(domain, loads=()))
-            is_known = not changed and bare == self._told_bare
-            if is_known and now - self._spoke_at < HELLO_SECONDS:
+            reported_fields = strip_ages(replace(domain, loads=()))
+            is_unchanged = (
+                not changed and reported_fields == self._remote_reported_fields
+            )
+            if is_unchanged and now - self._remote_sent_at < HELLO_INTERVAL_SECONDS:
                 return
-            self._told_bare = bare
-        self._spoke_at = now
-        self._told_loads.update((load.target, load) for load in domain.loads)
+            self._remote_reported_fields = reported_fields
+        self._remote_sent_at = now
+        self._remote_reported_loads.update((load.target, load) for load in domain.loads)
         hello = Hello(domain, records=self._list_records())
         self._send(hello, self._neighbors.pick_far(now))
 
     def _list_records(self) -> tuple[tuple[str, bytes], ...]:
-        return self._entry.list_recent()
+        return self._entry.list_recent_registrations()
 
     def _pick_members(self, now: float) -> tuple[Member, ...]:
         # Messages are many and members change rarely.
-        if now - self._told_members < HELLO_SECONDS:
+        if now - self._members_sent_at < HELLO_INTERVAL_SECONDS:
             return ()
-        self._told_members = now
+        self._members_sent_at = now
         return self._neighbors.pick_members(now)
 
     def _send(self, hello: Hello, addresses: list[str]) -> None:
@@ -271,7 +275,7 @@
             sequence=self._sequence,
         )
         data = encode_hello(numbered)
-        if len(data) > TEXT_LIMIT:
+        if len(data) > MAX_DATAGRAM_BYTES:
             _log.error("message too long", extra={"bytes": len(data)})
             return
         self._send_bytes(data, addresses)
@@ -283,7 +287,7 @@
             host, _, port = address.rpartition(":")
             self._transport.sendto(data, (host, int(port)))
 
-    def _take_datagram(self, data: bytes, sender: str) -> None:
+    def _handle_datagram(self, data: bytes, sender: str) -> None:
         try:
             hello = decode_hello(data, sender)
         except PeerMessageError as error:
@@ -303,12 +307,14 @@
         if hello.requests_failure_domain:
             self._send(Hello(self._entry.describe_domain()), [content.address])
         elif is_new and not content.far:
-            self._greet(content.address, content.failure_domain, now)
+            self._answer_new_session(content.address, content.failure_domain, now)
         if content.far and content.address == sender:
-            self._pass_on(data, content.failure_domain)
-        self._entry.take_message(content, hello.records)
+            self._forward(data, content.failure_domain)
+        self._entry.handle_message(content, hello.records)
 
-    def _greet(self, address: str, failure_domain: str, now: float) -> None:
+    def _answer_new_session(
+        self, address: str, failure_domain: str, now: float
+    ) -> None:
         """Answer an entry that has just started: it knows nobody's loads yet."""
         content = self._entry.describe_entry()
         if self.is_large and failure_domain != self._failure_domain:
@@ -316,7 +322,7 @@
         members = self._neighbors.pick_members(now)
         self._send(Hello(content, members=members), [address])
 
-    def _pass_on(self, data: bytes, failure_domain: str) -> None:
+    def _forward(self, data: bytes, failure_domain: str) -> None:
         """Hand what another failure domain told to all entries of this one."""
         if failure_domain != self._failure_domain:
             self._send_bytes(data, self._neighbors.list_near())
@@ -329,7 +335,7 @@
         """
         host, _, port = address.rpartition(":")
         try:
-            async with asyncio.timeout(COPY_SECONDS):
+            async with asyncio.timeout(COPY_TIMEOUT_SECONDS):
                 reader, writer = await asyncio.open_connection(host, int(port))
                 try:
                     data = await reader.read(-1)
@@ -345,7 +351,7 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
-            async with asyncio.timeout(COPY_SECONDS):
+            async with asyncio.timeout(COPY_TIMEOUT_SECONDS):
                 writer.write(encode_copy(self._entry.read_copy()))
                 await writer.drain()
         except (OSError, TimeoutError) as error:
@@ -360,8 +366,8 @@
 
 
 class _LinkProtocol(asyncio.DatagramProtocol):
-    def __init__(self, take: Callable[[bytes, str], None]) -> None:
-        self._take = take
+    def __init__(self, handler: Callable[[bytes, str], None]) -> None:
+        self._handler = handler
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self._take(data, f"{addr[0]}:{addr[1]}")
+        self._handler(data, f"{addr[0]}:{addr[1]}")
--- a/figstep/net/peers.py
+++ b/figstep/net/peers.py
@@ -87,7 +87,7 @@
         loop = asyncio.get_running_loop()
         for attempt in range(BIND_TRIES):
             transport, _ = await loop.create_datagram_endpoint(
-                lambda: _GossipProtocol(self._take_datagram), local_addr=(host, port)
+                lambda: _GossipProtocol(self._handle_datagram), local_addr=(host, port)
             )
             bound: int = transport.get_extra_info("sockname")[1]
             try:
@@ -119,7 +119,7 @@
         self.bytes_sent += len(data)
         self._transport.sendto(data, (host, int(port)))
 
-    def _take_datagram(self, data: bytes) -> None:
+    def _handle_datagram(self, data: bytes) -> None:
         self.bytes_received += len(data)
         try:
             gossip = decode_gossip(self._keys.open(MessageKind.GOSSIP, data))
@@ -207,12 +207,12 @@
 class _GossipProtocol(asyncio.DatagramProtocol):
     """Hands datagrams on."""
 
-    def __init__(self, take: Callable[[bytes], None]) -> None:
-        self._take = take
+    def __init__(self, handler: Callable[[bytes], None]) -> None:
+        self._handler = handler
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         """Hand one datagram on."""
-        self._take(data)
+        self._handler(data)
 
     def error_received(self, exc: Exception) -> None:
         """Ignore that a peer's port is closed; its silence tells."""
--- a/figstep/platform/entry.py
+++ b/figstep/platform/entry.py
@@ -320,12 +320,12 @@
         """Tell whether this entry tells other failure domains of its own."""
         return is_domain_representative(self.gateway.known, self._clock.now())
 
-    def count_entries(self, entries: int) -> None:
+    def update_entry_count(self, entries: int) -> None:
         """Take in how many entries are known."""
         if entries != self.gateway.known.entries:
             self.gateway.dispatch(EntriesCounted(entries))
 
-    def list_recent(self) -> tuple[tuple[str, bytes], ...]:
+    def list_recent_registrations(self) -> tuple[tuple[str, bytes], ...]:
         """Return the registrations read last, up to the position told."""
         known = self.gateway.known
         if not known.is_large or not self.reads_store():
@@ -334,7 +334,7 @@
             return ()
         return tuple(self._recent_registrations)
 
-    def take_message(
+    def handle_message(
         self, message: PeerHeard, records: tuple[tuple[str, bytes], ...]
     ) -> None:
         """Take in a message, and the registrations that its sender read last."""
--- a/tests/gateway/test_fleet.py
+++ b/tests/gateway/test_fleet.py
@@ -17,7 +17,11 @@
 )
 from figstep.gateway.prompts import Prompt
 from figstep.gateway.targets import DEFAULT_READ_RATE, Registration
-from figstep.net.links import FAR_SECONDS, FAR_WHOLE_SECONDS, HELLO_SECONDS
+from figstep.net.links import (
+    HELLO_INTERVAL_SECONDS,
+    REMOTE_FULL_REPORT_SECONDS,
+    REMOTE_UPDATE_SECONDS,
+)
 from tests.gateway.worlds import ENGINES, EntryHarness
 
 DOMAINS = ("muc-a", "muc-b", "nue-a", "aug-a", "rgb-a", "wue-a")
@@ -150,13 +154,13 @@
 
     def _exchange_messages(self, at: int) -> None:
         for harness in self.entries:
-            if at % round(HELLO_SECONDS * 1_000) == 0:
+            if at % round(HELLO_INTERVAL_SECONDS * 1_000) == 0:
                 self._send_locally(harness)
-        if at % round(FAR_SECONDS * 1_000) == 0:
+        if at % round(REMOTE_UPDATE_SECONDS * 1_000) == 0:
             for harness in self.entries:
                 if peers.is_domain_representative(harness.state, self.clock.now()):
                     self._send_remotely(
-                        harness, at % round(FAR_WHOLE_SECONDS * 1_000) == 0
+                        harness, at % round(REMOTE_FULL_REPORT_SECONDS * 1_000) == 0
                     )
 
     def _send_locally(self, harness: EntryHarness) -> None:
--- a/tests/net/test_links.py
+++ b/tests/net/test_links.py
@@ -37,15 +37,15 @@
     def read_copy(self) -> RecordCopy:
         return RecordCopy(b"configuration", 3)
 
-    def list_recent(self) -> tuple[tuple[str, bytes], ...]:
+    def list_recent_registrations(self) -> tuple[tuple[str, bytes], ...]:
         return ()
 
-    def take_message(
+    def handle_message(
         self, message: PeerHeard, records: tuple[tuple[str, bytes], ...]
     ) -> None:
         self.heard.append(message)
 
-    def count_entries(self, entries: int) -> None:
+    def update_entry_count(self, entries: int) -> None:
         self.entries = entries
 
 
