--- a/figstep/net/links.py
+++ b/figstep/net/links.py
@@ -213,7 +213,7 @@
     def announce_target(self, target: str) -> None:
         """Tell other failure domains what this one has open at a target."""
         hello = Hello(self._entry.describe_domain_at(target))
-        self._send(hello, self._neighbors.pick_far(loop_time()))
+        self._send(hello, self._neighbors.pick_remote(loop_time()))
 
     def _send_locally(self, now: float) -> None:
         own = self._entry.describe_entry()
@@ -222,11 +222,11 @@
         local = self._neighbors.list_all()
         message = own
         if self.is_large:
-            local = self._neighbors.list_near()
+            local = self._neighbors.list_local()
             message = self._load_updates.select(own, Millis(round(now * 1000)))
         members = self._pick_members(now)
         self._send(Hello(message, members=members, records=self._list_records()), local)
-        unknown = self._neighbors.list_unknown()
+        unknown = self._neighbors.list_without_domain()
         if query_domains and unknown and self.is_large:
             queried = random.sample(unknown, min(len(unknown), MAX_DOMAIN_REQUESTS))
             self._send(
@@ -252,7 +252,7 @@
         self._remote_sent_at = now
         self._remote_reported_loads.update((load.target, load) for load in domain.loads)
         hello = Hello(domain, records=self._list_records())
-        self._send(hello, self._neighbors.pick_far(now))
+        self._send(hello, self._neighbors.pick_remote(now))
 
     def _list_records(self) -> tuple[tuple[str, bytes], ...]:
         return self._entry.list_recent_registrations()
@@ -301,9 +301,9 @@
             return
         is_new = hello.session != neighbor.session
         neighbor.session, neighbor.sequence = hello.session, hello.sequence
-        neighbor.heard = now
+        neighbor.last_received = now
         neighbor.failure_domain = content.failure_domain
-        self._neighbors.note_members(hello.members, now)
+        self._neighbors.record_members(hello.members, now)
         if hello.requests_failure_domain:
             self._send(Hello(self._entry.describe_domain()), [content.address])
         elif is_new and not content.far:
@@ -325,7 +325,7 @@
     def _forward(self, data: bytes, failure_domain: str) -> None:
         """Hand what another failure domain told to all entries of this one."""
         if failure_domain != self._failure_domain:
-            self._send_bytes(data, self._neighbors.list_near())
+            self._send_bytes(data, self._neighbors.list_local())
 
     async def fetch_copy(self, address: str) -> RecordCopy:
         """Return what the entry at "ip:port" has read of the store.
--- a/figstep/net/neighbors.py
+++ b/figstep/net/neighbors.py
@@ -4,13 +4,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-FORGET_SECONDS = 30.0
+NEIGHBOR_EXPIRY_SECONDS = 30.0
 """How long an address that doesn't answer is still tried."""
 
 RECENT_SECONDS = 3.0
 """How long an entry that was heard, or named by another one, counts as alive."""
 
-MOST_MEMBERS_TOLD = 16
+MAX_MEMBERS_PER_MESSAGE = 16
 """Addresses in a message, drawn anew for each: all are told within seconds."""
 
 
@@ -32,22 +32,22 @@
     """An address that another entry may listen at.
 
     Attributes:
-        known_since: When another entry last named it.
-        heard: When it was last heard.
+        last_named: When another entry last named it.
+        last_received: When it was last heard.
         session: Session of its newest message.
         sequence: Number of its newest message.
         failure_domain: Its failure domain; "" for unknown.
     """
 
-    known_since: float
-    heard: float = -1e9
+    last_named: float
+    last_received: float = -1e9
     session: int = 0
     sequence: int = 0
     failure_domain: str = ""
 
     def is_recent(self, now: float) -> bool:
         """Tell whether it was heard or named of late."""
-        return now - max(self.heard, self.known_since) < RECENT_SECONDS
+        return now - max(self.last_received, self.last_named) < RECENT_SECONDS
 
 
 class NeighborTable:
@@ -56,65 +56,65 @@
     def __init__(self, own: str, failure_domain: str) -> None:
         self._own = own
         self._failure_domain = failure_domain
-        self._known: dict[str, Neighbor] = {}
-        self._told = 0
+        self._neighbors: dict[str, Neighbor] = {}
+        self._next_member = 0
 
     def __len__(self) -> int:
-        return len(self._known)
+        return len(self._neighbors)
 
     def find(self, address: str) -> Neighbor | None:
         """Return what is known of an address, or None."""
-        return self._known.get(address)
+        return self._neighbors.get(address)
 
     def add(self, address: str, now: float) -> Neighbor:
         """Return what is known of an address; it is known from now on."""
-        return self._known.setdefault(address, Neighbor(now))
+        return self._neighbors.setdefault(address, Neighbor(now))
 
-    def note_members(self, members: Iterable[Member], now: float) -> None:
+    def record_members(self, members: Iterable[Member], now: float) -> None:
         """Take in entries that another one has heard of late."""
         for member in members:
             if member.address == self._own:
                 continue
             known = self.add(member.address, now)
-            known.known_since = now
+            known.last_named = now
             if not known.failure_domain:
                 known.failure_domain = member.failure_domain
 
     def remove_expired(self, now: float) -> None:
         """Drop addresses that have been silent for long."""
-        for address, neighbor in list(self._known.items()):
-            newest = max(neighbor.heard, neighbor.known_since)
-            if now - newest >= FORGET_SECONDS:
-                del self._known[address]
+        for address, neighbor in list(self._neighbors.items()):
+            newest = max(neighbor.last_received, neighbor.last_named)
+            if now - newest >= NEIGHBOR_EXPIRY_SECONDS:
+                del self._neighbors[address]
 
     def list_all(self) -> list[str]:
         """Return all addresses."""
-        return list(self._known)
+        return list(self._neighbors)
 
-    def list_near(self) -> list[str]:
+    def list_local(self) -> list[str]:
         """Return the addresses in this entry's own failure domain."""
         return self._list_domain(self._failure_domain)
 
-    def list_unknown(self) -> list[str]:
+    def list_without_domain(self) -> list[str]:
         """Return the addresses whose failure domain is not known."""
         return self._list_domain("")
 
     def _list_domain(self, failure_domain: str) -> list[str]:
         found = []
-        for address, neighbor in self._known.items():
+        for address, neighbor in self._neighbors.items():
             if neighbor.failure_domain == failure_domain:
                 found.append(address)
         return found
 
-    def pick_far(self, now: float) -> list[str]:
+    def pick_remote(self, now: float) -> list[str]:
         """Return the address of one entry of each other failure domain."""
         domains: dict[str, list[str]] = {}
-        for address, neighbor in self._known.items():
+        for address, neighbor in self._neighbors.items():
             if neighbor.failure_domain not in ("", self._failure_domain):
                 domains.setdefault(neighbor.failure_domain, []).append(address)
         picked = []
         for addresses in domains.values():
-            alive = [name for name in addresses if self._known[name].is_recent(now)]
+            alive = [name for name in addresses if self._neighbors[name].is_recent(now)]
             # Silent ones are tried too where all are: a cut may have healed.
             picked.append(random.choice(alive or addresses))
         return picked
@@ -122,11 +122,11 @@
     def pick_members(self, now: float) -> tuple[Member, ...]:
         """Return entries that were heard of late, others each time."""
         recent = []
-        for address, neighbor in self._known.items():
-            if now - neighbor.heard < RECENT_SECONDS:
+        for address, neighbor in self._neighbors.items():
+            if now - neighbor.last_received < RECENT_SECONDS:
                 recent.append(Member(address, neighbor.failure_domain))
-        if len(recent) <= MOST_MEMBERS_TOLD:
+        if len(recent) <= MAX_MEMBERS_PER_MESSAGE:
             return tuple(recent)
-        start = self._told % len(recent)
-        self._told += MOST_MEMBERS_TOLD
-        return tuple((recent + recent)[start : start + MOST_MEMBERS_TOLD])
+        start = self._next_member % len(recent)
+        self._next_member += MAX_MEMBERS_PER_MESSAGE
+        return tuple((recent + recent)[start : start + MAX_MEMBERS_PER_MESSAGE])
--- a/tests/net/test_neighbors.py
+++ b/tests/net/test_neighbors.py
@@ -1,8 +1,8 @@
 """Tests of what is known of the addresses of other entries."""
 
 from figstep.net.neighbors import (
-    FORGET_SECONDS,
-    MOST_MEMBERS_TOLD,
+    MAX_MEMBERS_PER_MESSAGE,
+    NEIGHBOR_EXPIRY_SECONDS,
     RECENT_SECONDS,
     Member,
     NeighborTable,
@@ -19,24 +19,24 @@
         for domain in range(3)
         for number in (2, 3)
     ]
-    table.note_members(members, 0.0)
+    table.record_members(members, 0.0)
     return table
 
 
 def test_members_are_known_with_their_failure_domain() -> None:
     table = build_table()
-    assert table.list_near() == ["10.0.0.2:7200", "10.0.0.3:7200"]
-    assert table.list_unknown() == []
+    assert table.list_local() == ["10.0.0.2:7200", "10.0.0.3:7200"]
+    assert table.list_without_domain() == []
 
 
 def test_an_entry_is_not_its_own_neighbor() -> None:
     table = NeighborTable(OWN, "muc-a")
-    table.note_members([Member(OWN, "muc-a")], 0.0)
+    table.record_members([Member(OWN, "muc-a")], 0.0)
     assert len(table) == 0
 
 
 def test_one_entry_of_each_other_failure_domain_is_picked() -> None:
-    picked = build_table().pick_far(0.0)
+    picked = build_table().pick_remote(0.0)
     assert sorted(address[:4] for address in picked) == ["10.1", "10.2"]
 
 
@@ -44,19 +44,19 @@
     """Guards against loads told to an entry that has died."""
     table = build_table()
     later = RECENT_SECONDS + 1.0
-    table.note_members([Member("10.1.0.3:7200", "muc-b")], later)
-    assert "10.1.0.3:7200" in table.pick_far(later)
+    table.record_members([Member("10.1.0.3:7200", "muc-b")], later)
+    assert "10.1.0.3:7200" in table.pick_remote(later)
 
 
 def test_a_failure_domain_that_fell_silent_is_still_tried() -> None:
     """Guards against failure domains that never hear each other again after a cut."""
     table = build_table()
-    assert len(table.pick_far(RECENT_SECONDS + 1.0)) == 2
+    assert len(table.pick_remote(RECENT_SECONDS + 1.0)) == 2
 
 
 def test_an_address_that_stays_silent_is_forgotten() -> None:
     table = build_table()
-    table.remove_expired(FORGET_SECONDS)
+    table.remove_expired(NEIGHBOR_EXPIRY_SECONDS)
     assert len(table) == 0
 
 
@@ -64,10 +64,10 @@
     table = NeighborTable(OWN, "muc-a")
     names = {f"10.0.1.{number}:7200" for number in range(40)}
     for name in names:
-        table.add(name, 0.0).heard = 0.0
+        table.add(name, 0.0).last_received = 0.0
     told: set[str] = set()
     for _ in range(3):
         members = table.pick_members(0.0)
-        assert len(members) == MOST_MEMBERS_TOLD
+        assert len(members) == MAX_MEMBERS_PER_MESSAGE
         told.update(member.address for member in members)
     assert told == names
