--- a/figstep/net/messages.py
+++ b/figstep/net/messages.py
@@ -23,7 +23,7 @@
 
 VERSION = 1
 MAC_BYTES = 16
-MOST_RECORD_BYTES = 64 * 1024 * 1024
+MAX_RECORD_BYTES = 64 * 1024 * 1024
 
 _schema: Any = capnp.load(str(Path(__file__).with_name("peers.capnp")))
 
@@ -172,7 +172,7 @@
         if answered != nonce:
             raise PeerMessageError("answer to another request; ask again")
         inflater = zlib.decompressobj()
-        data = inflater.decompress(packed, MOST_RECORD_BYTES)
+        data = inflater.decompress(packed, MAX_RECORD_BYTES)
         record: dict[str, Any] = orjson.loads(data)
     except (capnp.KjException, ValueError, zlib.error) as error:
         raise PeerMessageError("damaged checkpoint; ask another peer") from error
--- a/figstep/net/peers.py
+++ b/figstep/net/peers.py
@@ -19,7 +19,7 @@
 from figstep.errors import PeerMessageError, SettingsError
 from figstep.net.configuration import parse_checkpoint
 from figstep.net.messages import (
-    MOST_RECORD_BYTES,
+    MAX_RECORD_BYTES,
     Keyring,
     MessageKind,
     decode_answer,
@@ -188,7 +188,7 @@
     try:
         writer.write(request)
         writer.write_eof()
-        return await _read_to_end(reader, MOST_RECORD_BYTES)
+        return await _read_to_end(reader, MAX_RECORD_BYTES)
     finally:
         writer.close()
 
