--- a/figstep/net/callers.py
+++ b/figstep/net/callers.py
@@ -20,7 +20,7 @@
 from figstep.net.deliveries import StreamSink, StreamTable
 from figstep.net.exchanges import Exchange, NullSink
 from figstep.net.headers import CallerHeaders, read_headers
-from figstep.net.keys import KeyRing
+from figstep.net.keys import CustomerKeys
 from figstep.net.listener import build_runner, build_tls
 from figstep.net.refusals import answer_problem
 from figstep.problems import build_document
@@ -59,7 +59,7 @@
         self._exchanges = exchanges
         self._read_inventory = read_inventory
         self._read_status = read_status
-        self._keys = KeyRing(read_inventory)
+        self._keys = CustomerKeys(read_inventory)
         self._reader = RequestReader(settings.node, settings.limits, clock)
         self._runner: web.AppRunner | None = None
         self._away_tasks: set[asyncio.Task[None]] = set()
--- a/figstep/net/keys.py
+++ b/figstep/net/keys.py
@@ -11,7 +11,7 @@
 _REMEDY = "send the customer's key as 'Authorization: Bearer KEY'"
 
 
-class KeyRing:
+class CustomerKeys:
     """Customers of the inventory in force, by the hash of their key."""
 
     def __init__(self, read_inventory: Callable[[], Inventory | None]) -> None:
