--- a/figstep/net/messages.py
+++ b/figstep/net/messages.py
@@ -50,7 +50,7 @@
         )
         return bytes(message.to_bytes_packed())
 
-    def open(self, kind: MessageKind, data: bytes) -> bytes:
+    def verify(self, kind: MessageKind, data: bytes) -> bytes:
         """Return the body of an authentic message.
 
         Raises:
--- a/figstep/net/peers.py
+++ b/figstep/net/peers.py
@@ -122,7 +122,7 @@
     def _handle_datagram(self, data: bytes) -> None:
         self.bytes_received += len(data)
         try:
-            gossip = decode_gossip(self._keys.open(MessageKind.GOSSIP, data))
+            gossip = decode_gossip(self._keys.verify(MessageKind.GOSSIP, data))
         except PeerMessageError as error:
             self.rejected += 1
             _log.info("datagram dropped", extra={"why": str(error)})
@@ -143,7 +143,7 @@
             async with asyncio.timeout(FETCH_SECONDS):
                 data = await _exchange(address, request)
             self.bytes_received += len(data)
-            body = self._keys.open(MessageKind.ANSWER, data)
+            body = self._keys.verify(MessageKind.ANSWER, data)
             checkpoint = parse_checkpoint(decode_answer(body, nonce))
         except (OSError, TimeoutError, PeerMessageError, ValidationError) as error:
             # The next message of a peer that is ahead plans another fetch.
@@ -172,7 +172,7 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         data = await _read_to_end(reader, MOST_REQUEST_BYTES)
-        nonce = decode_request(self._keys.open(MessageKind.REQUEST, data))
+        nonce = decode_request(self._keys.verify(MessageKind.REQUEST, data))
         record = self._read_record()
         if record is None:
             return
