--- a/figstep/net/peers.py
+++ b/figstep/net/peers.py
@@ -33,11 +33,11 @@
 
 _log = logbook.Logger("figstep.peers")
 
-FETCH_SECONDS = 5.0
-MOST_REQUEST_BYTES = 1_024
-MOST_FETCHES_SERVED = 4
-BIND_TRIES = 20
-ANY_HOSTS = ("", "0.0.0.0", "::")
+FETCH_TIMEOUT_SECONDS = 5.0
+MAX_REQUEST_BYTES = 1_024
+MAX_SERVED_FETCHES = 4
+MAX_BIND_ATTEMPTS = 20
+WILDCARD_HOSTS = ("", "0.0.0.0", "::")
 
 
 class PeerEdge(Service):
@@ -71,7 +71,7 @@
             _log.warning("no peers.key: this entry shares nothing with the others")
             return
         host = self._settings.listen.host
-        if host in ANY_HOSTS:
+        if host in WILDCARD_HOSTS:
             raise SettingsError(
                 f"peers.listen.host: {host} is not an address that others can send"
                 " to; write this instance's own"
@@ -85,7 +85,7 @@
     async def _bind(self, host: str, port: int) -> int:
         """Bind UDP and TCP to the same port; a free one may be taken for TCP."""
         loop = asyncio.get_running_loop()
-        for attempt in range(BIND_TRIES):
+        for attempt in range(MAX_BIND_ATTEMPTS):
             transport, _ = await loop.create_datagram_endpoint(
                 lambda: _GossipProtocol(self._handle_datagram), local_addr=(host, port)
             )
@@ -94,7 +94,7 @@
                 self._server = await asyncio.start_server(self._serve, host, bound)
             except OSError:
                 transport.close()
-                if port or attempt == BIND_TRIES - 1:
+                if port or attempt == MAX_BIND_ATTEMPTS - 1:
                     raise
                 continue
             self._transport = transport
@@ -140,8 +140,8 @@
         nonce = secrets.randbits(64)
         request = self._keys.sign(MessageKind.REQUEST, encode_request(nonce))
         try:
-            async with asyncio.timeout(FETCH_SECONDS):
-                data = await _exchange(address, request)
+            async with asyncio.timeout(FETCH_TIMEOUT_SECONDS):
+                data = await _send_request(address, request)
             self.bytes_received += len(data)
             body = self._keys.verify(MessageKind.ANSWER, data)
             checkpoint = parse_checkpoint(decode_answer(body, nonce))
@@ -155,11 +155,11 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
-            if self._serving >= MOST_FETCHES_SERVED:
+            if self._serving >= MAX_SERVED_FETCHES:
                 return
             self._serving += 1
             try:
-                async with asyncio.timeout(FETCH_SECONDS):
+                async with asyncio.timeout(FETCH_TIMEOUT_SECONDS):
                     await self._answer(reader, writer)
             finally:
                 self._serving -= 1
@@ -171,7 +171,7 @@
     async def _answer(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        data = await _read_to_end(reader, MOST_REQUEST_BYTES)
+        data = await _read_to_end(reader, MAX_REQUEST_BYTES)
         nonce = decode_request(self._keys.verify(MessageKind.REQUEST, data))
         record = self._read_record()
         if record is None:
@@ -182,7 +182,7 @@
         await writer.drain()
 
 
-async def _exchange(address: str, request: bytes) -> bytes:
+async def _send_request(address: str, request: bytes) -> bytes:
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
