--- a/figstep/net/instances.py
+++ b/figstep/net/instances.py
@@ -8,8 +8,8 @@
 
 from figstep.core.events import Event, InstanceInfo, InstancesListed
 
-POLL_SECONDS = 1.0
-FLEET_POLLS = 8
+MIN_POLL_SECONDS = 1.0
+MAX_FLEET_POLLS_PER_SECOND = 8
 """Reads a second by all entries together, whatever their number.
 
 The list is read whole and grows with the fleet: at 370 entries and 670 targets
@@ -46,12 +46,12 @@
                     self.log.info("instance list not read; trying again")
                 except (ValueError, KeyError, TypeError):
                     self.log.warning("instance list not understood; trying again")
-                await self.sleep(choose_period(self._count_entries()))
+                await self.sleep(compute_poll_interval(self._count_entries()))
 
 
-def choose_period(entries: int) -> float:
+def compute_poll_interval(entries: int) -> float:
     """Return seconds between two reads by one of so many entries."""
-    return max(POLL_SECONDS, entries / FLEET_POLLS)
+    return max(MIN_POLL_SECONDS, entries / MAX_FLEET_POLLS_PER_SECOND)
 
 
 def parse_instances(document: dict[str, list[dict[str, str]]]) -> InstancesListed:
