--- a/figstep/net/reports.py
+++ b/figstep/net/reports.py
@@ -13,10 +13,10 @@
 from figstep.core.inventory import EngineInfo
 
 TIMEOUT_SECONDS = 2.0
-SPACING_SECONDS = 0.25
+REQUEST_SPACING_SECONDS = 0.25
 """Between two reports: four a second at most, whatever the fleet's size."""
 
-PERIOD_SECONDS = 0.5
+MIN_ROUND_SECONDS = 0.5
 """Least time between two reports of the same engine."""
 
 
@@ -53,8 +53,8 @@
             started = loop.time()
             for engine in self._list_watched():
                 self._start_reading(engine)
-                await self.sleep(SPACING_SECONDS)
-            await self.sleep(max(0.0, started + PERIOD_SECONDS - loop.time()))
+                await self.sleep(REQUEST_SPACING_SECONDS)
+            await self.sleep(max(0.0, started + MIN_ROUND_SECONDS - loop.time()))
 
     def _start_reading(self, engine: EngineInfo) -> None:
         # A dead engine answers nothing until the time-out; to wait for it here
