--- a/figstep/net/connectors.py
+++ b/figstep/net/connectors.py
@@ -6,7 +6,7 @@
 import aiohttp
 from aiohttp.client_proto import ResponseHandler
 
-from figstep.net.sockets import open_watched_socket
+from figstep.net.sockets import open_keepalive_socket
 
 
 class _ResetAwareHandler(ResponseHandler):
@@ -28,5 +28,5 @@
     """Opens watched sockets and tells a reset from an end."""
 
     def __init__(self, **options: Any) -> None:
-        super().__init__(socket_factory=open_watched_socket, **options)
+        super().__init__(socket_factory=open_keepalive_socket, **options)
         self._factory: Any = functools.partial(_ResetAwareHandler, loop=self._loop)
