--- a/figstep/application.py
+++ b/figstep/application.py
@@ -127,7 +127,7 @@
         )
         self.appender = StreamAppender(self._log_client, self.dispatch)
         self.leases = StreamFollower(
-            self._log_client, LEASES, self._take_leases, rest=LEASES_REST_SECONDS
+            self._log_client, LEASES, self._take_leases, read_delay=LEASES_REST_SECONDS
         )
         self.orders = OrderEdge(self.dispatch, self.find_target, self.clock)
         self.peers = PeerEdge(
--- a/figstep/net/streams.py
+++ b/figstep/net/streams.py
@@ -18,14 +18,14 @@
 from figstep.errors import LogTruncatedError, LogUnavailableError
 from figstep.net.log import READ_LIMIT, LogClient
 
-POLL_WAIT = 10_000
+POLL_TIMEOUT = 10_000
 RETRY_SECONDS = 0.5
 
 
 class StreamFollower(Service):
     """Long-polls one stream and hands its records on, in order.
 
-    With ``rest`` seconds, records that come soon after others are read
+    With ``read_delay`` seconds, records that come soon after others are read
     together: each read costs as much as several records.
     """
 
@@ -33,20 +33,20 @@
         self,
         log: LogClient,
         stream: str,
-        take_records: Callable[[list[LogRecord]], None],
+        handle_records: Callable[[list[LogRecord]], None],
         start: int = 0,
         dispatch: Callable[[Event], None] | None = None,
         limit: int = READ_LIMIT,
-        rest: float = 0.0,
+        read_delay: float = 0.0,
     ) -> None:
         super().__init__()
-        self._rest = rest
+        self._read_delay = read_delay
         self._limit = limit
-        self._dispatch = dispatch or _drop_event
+        self._dispatch = dispatch or _ignore_event
         self._caught_up = False
         self._log_client = log
         self._stream = stream
-        self._take_records = take_records
+        self._handle_records = handle_records
         self._next = start
 
     def read_from(self, offset: int) -> None:
@@ -56,7 +56,7 @@
     @Service.task
     async def _follow(self) -> None:
         while not self.should_stop:
-            wait = POLL_WAIT if self._caught_up else 0
+            wait = POLL_TIMEOUT if self._caught_up else 0
             start = self._next
             try:
                 records = await self._log_client.read(
@@ -72,17 +72,17 @@
                 continue
             if records and self._next == start:
                 self._next = records[-1].offset + 1
-                self._take_records(records)
+                self._handle_records(records)
             if self._next != start + len(records):
                 continue
             if not self._caught_up and len(records) < self._limit:
                 self._caught_up = True
                 self._dispatch(StreamCaughtUp(self._stream))
-            if records and self._rest:
-                await self.sleep(self._rest)
+            if records and self._read_delay:
+                await self.sleep(self._read_delay)
 
 
-def _drop_event(event: Event) -> None:
+def _ignore_event(event: Event) -> None:
     """Stand for the dispatch of a follower that tells nobody."""
 
 
