--- a/figstep/net/frames.py
+++ b/figstep/net/frames.py
@@ -11,8 +11,8 @@
 
 BOUNDARY = b"\n\n"
 DONE = b"data: [DONE]"
-ID = b"id: "
-MAX_FRAME = 1_048_576
+ID_PREFIX = b"id: "
+MAX_FRAME_BYTES = 1_048_576
 
 
 @dataclass(slots=True)
@@ -39,7 +39,7 @@
 
     def __init__(self) -> None:
         self.ended = False
-        self._rest = b""
+        self._incomplete = b""
 
     def feed(self, chunk: bytes) -> list[FrameRun]:
         """Take bytes and return the runs of events that they complete.
@@ -47,22 +47,22 @@
         Raises:
             FrameError: If an event has no index or never ends.
         """
-        parts = (self._rest + chunk).split(BOUNDARY)
-        self._rest = parts.pop()
-        if len(self._rest) > MAX_FRAME:
+        parts = (self._incomplete + chunk).split(BOUNDARY)
+        self._incomplete = parts.pop()
+        if len(self._incomplete) > MAX_FRAME_BYTES:
             raise FrameError("an event is too long; look at the target's stream")
         runs: list[FrameRun] = []
         for part in parts:
             if part.startswith(DONE):
                 self.ended = True
                 continue
-            if not part.startswith(ID):
+            if not part.startswith(ID_PREFIX):
                 continue
             name, index = _read_id(part)
-            self._add(runs, name, index, part + BOUNDARY)
+            self._add_to_runs(runs, name, index, part + BOUNDARY)
         return runs
 
-    def _add(
+    def _add_to_runs(
         self, runs: list[FrameRun], generation: str, index: int, frame: bytes
     ) -> None:
         if runs:
@@ -75,7 +75,7 @@
 
 
 def _read_id(part: bytes) -> tuple[str, int]:
-    name, _, index = part[len(ID) :].partition(b"\n")[0].rpartition(b":")
+    name, _, index = part[len(ID_PREFIX) :].partition(b"\n")[0].rpartition(b":")
     try:
         return name.decode(), int(index)
     except ValueError as error:
@@ -101,12 +101,12 @@
     """Cuts a stream of numbered events, byte for byte."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
 
     @property
-    def rest(self) -> bytes:
+    def incomplete(self) -> bytes:
         """Bytes after the last whole event."""
-        return self._rest
+        return self._incomplete
 
     def feed(self, chunk: bytes) -> list[NumberedEvent]:
         """Take bytes and return the events that they complete.
@@ -114,9 +114,9 @@
         Raises:
             FrameError: If an event has no number or never ends.
         """
-        parts = (self._rest + chunk).split(BOUNDARY)
-        self._rest = parts.pop()
-        if len(self._rest) > MAX_FRAME:
+        parts = (self._incomplete + chunk).split(BOUNDARY)
+        self._incomplete = parts.pop()
+        if len(self._incomplete) > MAX_FRAME_BYTES:
             raise FrameError("an event is too long; look at the target's stream")
         return [NumberedEvent(_read_number(part), part + BOUNDARY) for part in parts]
 
--- a/figstep/platform/engines.py
+++ b/figstep/platform/engines.py
@@ -232,7 +232,7 @@
             ]
             if pieces:
                 self._dispatch(PiecesArrived(attempt, pieces))
-        return StreamEnded(attempt, splitter.rest)
+        return StreamEnded(attempt, splitter.incomplete)
 
     async def _read_answer(
         self, effect: OpenAttempt, response: aiohttp.ClientResponse
--- a/tests/net/test_frames.py
+++ b/tests/net/test_frames.py
@@ -3,7 +3,7 @@
 import pytest
 
 from figstep.errors import FrameError
-from figstep.net.frames import MAX_FRAME, EventSplitter, FrameSplitter
+from figstep.net.frames import MAX_FRAME_BYTES, EventSplitter, FrameSplitter
 
 
 def test_events_cut_anywhere_come_out_whole_and_in_order() -> None:
@@ -38,7 +38,7 @@
 
 def test_an_event_that_never_ends_is_a_typed_error() -> None:
     with pytest.raises(FrameError):
-        FrameSplitter().feed(b"x" * (MAX_FRAME + 1))
+        FrameSplitter().feed(b"x" * (MAX_FRAME_BYTES + 1))
 
 
 def test_numbered_events_pass_byte_for_byte_however_they_are_cut() -> None:
@@ -49,7 +49,7 @@
         for at in range(0, len(raw), size):
             events += splitter.feed(raw[at : at + size])
         assert [event.index for event in events] == [1, 2]
-        assert b"".join(event.data for event in events) + splitter.rest == raw
+        assert b"".join(event.data for event in events) + splitter.incomplete == raw
 
 
 def test_an_event_without_a_number_is_refused() -> None:
