--- a/figstep/net/arrivals.py
+++ b/figstep/net/arrivals.py
@@ -76,7 +76,7 @@
         work = GenerationWork(
             model=body.model,
             prompt_tokens=count_prompt_tokens(body),
-            max_tokens=body.read_limit(),
+            max_tokens=body.get_max_tokens(),
             kind="chat" if chat else "completion",
         )
         stream = bool(body.stream)
--- a/figstep/net/bodies.py
+++ b/figstep/net/bodies.py
@@ -17,7 +17,7 @@
     max_tokens: int | None = Field(default=None, gt=0)
     n: Literal[1] | None = None
 
-    def read_limit(self) -> int | None:
+    def get_max_tokens(self) -> int | None:
         """Return the most tokens that the caller wants, or None."""
         return self.max_tokens
 
@@ -37,7 +37,7 @@
     messages: list[Message] = Field(min_length=1)
     max_completion_tokens: int | None = Field(default=None, gt=0)
 
-    def read_limit(self) -> int | None:
+    def get_max_tokens(self) -> int | None:
         """Return the most tokens that the caller wants, or None."""
         return self.max_completion_tokens or self.max_tokens
 
