--- a/figstep/net/callers.py
+++ b/figstep/net/callers.py
@@ -165,7 +165,7 @@
         if exchange.problem is not None:
             return answer_problem(exchange.problem)
         chat = request.path == CHAT_PATH
-        body = orjson.dumps(assemble_answer(exchange.take_frames(), chat))
+        body = orjson.dumps(assemble_answer(exchange.pop_frames(), chat))
         return web.Response(body=body, content_type="application/json")
 
     async def _serve_service(self, request: web.Request) -> web.StreamResponse:
@@ -194,14 +194,14 @@
             self._finish(exchange)
 
     def _begin(self, exchange: Exchange, event: Event) -> None:
-        exchange.begun = self._clock.now()
+        exchange.received_at = self._clock.now()
         self._exchanges[exchange.spec.request] = exchange
         self._dispatch(event)
 
     def _finish(self, exchange: Exchange) -> None:
         spec = exchange.spec
         del self._exchanges[spec.request]
-        duration = self._clock.now() - exchange.begun
+        duration = self._clock.now() - exchange.received_at
         self._metrics.time("requests.duration", duration)
         problem = exchange.problem
         code = "gone" if problem is None else problem.code
@@ -268,7 +268,7 @@
         self.streams.add(sink)
         try:
             if exchange.frames:
-                exchange.deliver(exchange.take_frames())
+                exchange.deliver(exchange.pop_frames())
             await exchange.wait_end()
         finally:
             self.streams.finish(sink)
--- a/figstep/net/exchanges.py
+++ b/figstep/net/exchanges.py
@@ -53,7 +53,7 @@
         completed: Whether the answer is whole.
         problem: Final problem, if the answer ended with one.
         answer: Answer of a plain service.
-        begun: When it came in (monotonic).
+        received_at: When it came in (monotonic).
     """
 
     spec: RequestSpec
@@ -68,7 +68,7 @@
     completed: bool = False
     problem: Problem | None = None
     answer: ServiceAnswer | None = None
-    begun: Millis = Millis(0)
+    received_at: Millis = Millis(0)
     _waiter: asyncio.Future[None] | None = None
 
     @property
@@ -85,17 +85,17 @@
         if self.sink is not None:
             problem = self.sink.write(frames)
         else:
-            problem = self._gather(frames)
+            problem = self._collect(frames)
         if problem is None:
             return True
         self.end(problem)
         return False
 
-    def _gather(self, frames: list[bytes]) -> Problem | None:
+    def _collect(self, frames: list[bytes]) -> Problem | None:
         self.frames += frames
         self.frames_bytes += sum(map(len, frames))
         if self.frames_bytes > self.max_bytes:
-            return _too_long()
+            return _build_too_long_problem()
         if self.spec.stream:
             self._notify()
         return None
@@ -134,13 +134,13 @@
         finally:
             self._waiter = None
 
-    def take_frames(self) -> list[bytes]:
+    def pop_frames(self) -> list[bytes]:
         """Return the frames gathered since the last call."""
         frames, self.frames, self.frames_bytes = self.frames, [], 0
         return frames
 
 
-def _too_long() -> Problem:
+def _build_too_long_problem() -> Problem:
     return Problem(
         502,
         "answer_too_long",
