--- a/figstep/net/deliveries.py
+++ b/figstep/net/deliveries.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class Gaps:
+class DeliveryGaps:
     """Waits between deliveries to one caller, in seconds.
 
     Attributes:
@@ -58,12 +58,12 @@
         read_clock: Callable[[], float],
     ) -> None:
         self.finished = False
-        self.gaps = Gaps(read_clock())
+        self.gaps = DeliveryGaps(read_clock())
         self._read_clock = read_clock
         self._writer = writer
         self._transport = transport
         self._max_bytes = limits.buffer_bytes
-        self._quiet = False
+        self._idle = False
         self._sent = 0
         self._stalled_since: float | None = None
 
@@ -74,13 +74,13 @@
 
     def write(self, frames: list[bytes]) -> Problem | None:
         """Write events; a reader that is too slow gets a problem."""
-        self._quiet = False
+        self._idle = False
         self.gaps.add(self._read_clock())
         self._write_now(frames[0] if len(frames) == 1 else b"".join(frames))
         # A reader that stops reading would pile up its whole answer here;
         # a few thousand of them end the process. Past the bound it is cut.
         if self.waiting > self._max_bytes:
-            return _too_slow()
+            return _build_too_slow_problem()
         return None
 
     def _write_now(self, data: bytes) -> None:
@@ -98,8 +98,8 @@
 
     def keep_alive(self) -> bool:
         """Write a comment if nothing was written since the last call."""
-        quiet, self._quiet = self._quiet, True
-        if not quiet or self.finished or self.waiting:
+        was_idle, self._idle = self._idle, True
+        if not was_idle or self.finished or self.waiting:
             return False
         self._write_now(KEEP_ALIVE)
         return True
@@ -165,7 +165,7 @@
         return Sweep(kept_alive, aborted)
 
 
-def _too_slow() -> Problem:
+def _build_too_slow_problem() -> Problem:
     return Problem(
         408,
         "reader_too_slow",
