--- a/figstep/application.py
+++ b/figstep/application.py
@@ -55,7 +55,7 @@
 from figstep.net.callers import CallerEdge
 from figstep.net.clock import SystemClock
 from figstep.net.configuration import parse_record
-from figstep.net.exchanges import REPLAYED, Exchange, ServiceAnswer
+from figstep.net.exchanges import REPLAYED_HEADER, Exchange, ServiceAnswer
 from figstep.net.instances import InstanceEdge
 from figstep.net.log import HttpLog, LogClient
 from figstep.net.orders import OrderEdge
@@ -340,7 +340,7 @@
     def _replay_answer(self, effect: ReplayAnswer) -> None:
         exchange = self.exchanges.get(effect.request)
         if exchange is not None:
-            headers = {REPLAYED: "true"}
+            headers = {REPLAYED_HEADER: "true"}
             if effect.content_type:
                 headers["Content-Type"] = effect.content_type
             exchange.answer = ServiceAnswer(effect.status, headers, effect.body)
--- a/figstep/net/exchanges.py
+++ b/figstep/net/exchanges.py
@@ -8,7 +8,7 @@
 from figstep.core.problems import Problem, Ran
 from figstep.core.specs import RequestSpec
 
-REPLAYED = "Idempotent-Replayed"
+REPLAYED_HEADER = "Idempotent-Replayed"
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/integration/test_requests.py
+++ b/tests/integration/test_requests.py
@@ -12,7 +12,7 @@
 
 from figstep.demo import KEY, MODEL, Deployment, run_deployment
 from figstep.metrics import MemoryMetrics
-from figstep.net.exchanges import REPLAYED
+from figstep.net.exchanges import REPLAYED_HEADER
 from figstep.net.log import HttpLog
 from figstep.operations import publish_document
 from figstep.standins.engine import EngineServer
@@ -51,7 +51,7 @@
             headers={"Idempotency-Key": key},
         ) as response:
             document = await response.json(content_type=None)
-            return response.status, document, REPLAYED in response.headers
+            return response.status, document, REPLAYED_HEADER in response.headers
 
     async def ask(self, entry: int, **fields: Any) -> tuple[int, str]:
         """Return status and text of a completion."""
