--- a/figstep/application.py
+++ b/figstep/application.py
@@ -188,7 +188,7 @@
         # not hold the process for ever.
         with suppress(TimeoutError):
             async with asyncio.timeout(self.settings.limits.stalled_seconds):
-                while self.callers.unsent:
+                while self.callers.unsent_bytes:
                     await asyncio.sleep(DRAIN_POLL_SECONDS)
 
     async def cut_short(self) -> None:
@@ -201,7 +201,7 @@
         self.dispatch(ShutdownForced())
         with suppress(TimeoutError):
             async with asyncio.timeout(CUT_SECONDS):
-                while self.exchanges or self.callers.unsent:
+                while self.exchanges or self.callers.unsent_bytes:
                     await asyncio.sleep(DRAIN_POLL_SECONDS)
 
     def _is_busy(self) -> bool:
--- a/figstep/net/callers.py
+++ b/figstep/net/callers.py
@@ -62,7 +62,7 @@
         self._keys = CustomerKeys(read_inventory)
         self._reader = RequestReader(settings.node, settings.limits, clock)
         self._runner: web.AppRunner | None = None
-        self._away_tasks: set[asyncio.Task[None]] = set()
+        self._grace_tasks: set[asyncio.Task[None]] = set()
         self.streams = StreamTable(settings.limits)
         self.ready = True
         self.address = ""
@@ -100,22 +100,22 @@
 
     async def on_stop(self) -> None:
         """Close the listener."""
-        for task in self._away_tasks:
+        for task in self._grace_tasks:
             task.cancel()
         if self._runner is not None:
             await self._runner.cleanup()
 
     @property
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes of answers that wait in the buffers of their connections."""
         server = None if self._runner is None else self._runner.server
         if server is None:
             return 0
-        unsent = 0
+        unsent_bytes = 0
         for connection in server.connections:
             if connection.transport is not None:
-                unsent += connection.transport.get_write_buffer_size()
-        return unsent
+                unsent_bytes += connection.transport.get_write_buffer_size()
+        return unsent_bytes
 
     async def _prepare_response(
         self, request: web.Request, response: web.StreamResponse
@@ -222,12 +222,12 @@
         try:
             response = await self._write_stream(request, exchange)
         except BaseException:
-            self._leave(exchange, headers.grace)
+            self._handle_disconnect(exchange, headers.grace)
             raise
         self._finish(exchange)
         return response
 
-    def _leave(self, exchange: Exchange, grace: float) -> None:
+    def _handle_disconnect(self, exchange: Exchange, grace: float) -> None:
         """Cancel the generation of a vanished caller, now or after its grace."""
         if not grace or exchange.sink is None or exchange.ended:
             self._dispatch(CallerGone(exchange.spec.request))
@@ -235,11 +235,13 @@
             return
         exchange.sink = NullSink()
         self._metrics.count("callers.away")
-        task = asyncio.get_running_loop().create_task(self._run_on(exchange, grace))
-        self._away_tasks.add(task)
-        task.add_done_callback(self._away_tasks.discard)
+        task = asyncio.get_running_loop().create_task(
+            self._wait_out_grace(exchange, grace)
+        )
+        self._grace_tasks.add(task)
+        task.add_done_callback(self._grace_tasks.discard)
 
-    async def _run_on(self, exchange: Exchange, grace: float) -> None:
+    async def _wait_out_grace(self, exchange: Exchange, grace: float) -> None:
         try:
             async with asyncio.timeout(grace):
                 await exchange.wait_end()
