--- a/figstep/net/listener.py
+++ b/figstep/net/listener.py
@@ -9,7 +9,7 @@
 
 from figstep.core.problems import Problem
 from figstep.errors import ListenError
-from figstep.net.refusals import answer_problem, answer_refusals, describe_status
+from figstep.net.refusals import answer_errors, answer_problem, build_status_problem
 from figstep.settings import Limits, Tls
 
 _log = logbook.Logger("figstep.callers")
@@ -51,7 +51,7 @@
         # library refuses before it calls one, such as an unknown Expect.
         made = await super()._make_server()
         return _CallerServer(
-            partial(answer_refusals, handler=made.request_handler),
+            partial(answer_errors, handler=made.request_handler),
             request_factory=made.request_factory,
             handler_cancellation=made.handler_cancellation,
             loop=asyncio.get_running_loop(),
@@ -61,8 +61,8 @@
 
 def _describe_error(status: int, error: BaseException | None) -> Problem:
     if type(error).__name__ == "LineTooLong":
-        return describe_status(431)
-    return describe_status(status)
+        return build_status_problem(431)
+    return build_status_problem(status)
 
 
 def build_runner(app: web.Application, limits: Limits) -> CallerRunner:
--- a/figstep/net/refusals.py
+++ b/figstep/net/refusals.py
@@ -35,14 +35,14 @@
     )
 
 
-def describe_status(status: int) -> Problem:
+def build_status_problem(status: int) -> Problem:
     """Return the problem of a request that the HTTP library turned away."""
     phrase = http.HTTPStatus(status).phrase
     detail = _DETAILS.get(status, f"{phrase}; mend the request and send it again")
     return Problem(status, phrase.lower().replace(" ", "_"), detail)
 
 
-async def answer_refusals(request: web.Request, handler: Handler) -> web.StreamResponse:
+async def answer_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
     """Run a handler; whatever it raises becomes a problem document."""
     try:
         return await handler(request)
@@ -52,7 +52,7 @@
             response.force_close()
         return response
     except web.HTTPException as error:
-        response = answer_problem(describe_status(error.status))
+        response = answer_problem(build_status_problem(error.status))
         if "Allow" in error.headers:
             response.headers["Allow"] = error.headers["Allow"]
         if error.status == http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE:
