--- a/figstep/net/listener.py
+++ b/figstep/net/listener.py
@@ -33,7 +33,7 @@
         _log.info("broken request", extra={"status": status})
         if request.writer.output_size > 0:
             raise ConnectionError("the answer has begun; the connection is closed")
-        response = answer_problem(_describe_error(status, exc))
+        response = answer_problem(_build_error_problem(status, exc))
         response.force_close()
         return response
 
@@ -59,7 +59,7 @@
         )
 
 
-def _describe_error(status: int, error: BaseException | None) -> Problem:
+def _build_error_problem(status: int, error: BaseException | None) -> Problem:
     if type(error).__name__ == "LineTooLong":
         return build_status_problem(431)
     return build_status_problem(status)
