--- a/figstep/net/targets.py
+++ b/figstep/net/targets.py
@@ -33,14 +33,14 @@
 from figstep.net.probes import is_listening
 
 CANCEL_TIMEOUT = 2.0
-CANCEL_TRIES = 3
+MAX_CANCEL_ATTEMPTS = 3
 PROBE_TIMEOUT = 2.0
-REST_SECONDS = 1.0
+BODY_END_TIMEOUT = 1.0
 MAX_RECORDED_BODY = 1_024
 
 _log = logbook.Logger("figstep.targets")
 
-_REFUSED = (429, 503)
+_REFUSED_STATUSES = (429, 503)
 _DROPPED_HEADERS = {"transfer-encoding", "connection", "content-length", "date"}
 
 
@@ -90,7 +90,7 @@
 
     def cancel_generation(self, effect: CancelGeneration) -> None:
         """Tell the target to stop a generation."""
-        self._run_aside(self._send_cancel(effect))
+        self._run_in_background(self._send_cancel(effect))
 
     def replace_pool(self, target: str) -> None:
         """Open new connections to a target from now on."""
@@ -98,7 +98,7 @@
 
     def probe_target(self, target: str) -> None:
         """Look whether a target still listens at its address."""
-        self._run_aside(self._probe(target))
+        self._run_in_background(self._probe(target))
 
     async def _probe(self, name: str) -> None:
         target = self._find_target(name)
@@ -114,17 +114,17 @@
         if not listens:
             self._dispatch(TargetDown(name))
 
-    def _run_aside(self, work: Coroutine[Any, Any, None]) -> None:
+    def _run_in_background(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._background.add(task)
         task.add_done_callback(self._background.discard)
 
     def _start(self, attempt: int, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(self._guard(attempt, work))
+        task = asyncio.get_running_loop().create_task(self._run_attempt(attempt, work))
         self._attempt_tasks[attempt] = task
         task.add_done_callback(lambda _: self._attempt_tasks.pop(attempt, None))
 
-    async def _guard(self, attempt: int, work: Coroutine[Any, Any, None]) -> None:
+    async def _run_attempt(self, attempt: int, work: Coroutine[Any, Any, None]) -> None:
         """Turn every way in which an attempt fails into its loss.
 
         Only a connection that was never made proves that no byte went out;
@@ -133,13 +133,13 @@
         try:
             await work
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            self._lose(attempt, Loss.CONNECT_FAILED, error)
+            self._report_loss(attempt, Loss.CONNECT_FAILED, error)
         except aiohttp.ClientPayloadError as error:
-            self._lose(attempt, Loss.TRUNCATED, error)
+            self._report_loss(attempt, Loss.TRUNCATED, error)
         except (aiohttp.ClientError, TimeoutError, OSError, FrameError) as error:
-            self._lose(attempt, Loss.BROKEN, error)
+            self._report_loss(attempt, Loss.BROKEN, error)
 
-    def _lose(self, attempt: int, loss: Loss, error: Exception) -> None:
+    def _report_loss(self, attempt: int, loss: Loss, error: Exception) -> None:
         self._dispatch(AttemptLost(attempt, loss, detail=repr(error)))
 
     async def _run_generation(self, effect: OpenAttempt, exchange: Exchange) -> None:
@@ -188,7 +188,7 @@
                 self._dispatch(event)
             if splitter.ended:
                 self._dispatch(AttemptEnded(attempt))
-                await _read_rest(response)
+                await _read_body_end(response)
                 return
         self._dispatch(AttemptLost(attempt, Loss.TRUNCATED))
 
@@ -196,7 +196,7 @@
         self, attempt: int, response: aiohttp.ClientResponse
     ) -> None:
         detail = (await response.content.read(500)).decode(errors="replace")
-        if response.status in _REFUSED:
+        if response.status in _REFUSED_STATUSES:
             retry_after = _read_retry_after(response)
             event = AttemptLost(attempt, Loss.REFUSED, retry_after, detail)
             self._dispatch(event)
@@ -233,7 +233,7 @@
                 body = await response.read()
         # Passed on and recorded, a 429 would be replayed to every later sending
         # of the same key; it says that the call did not run, as a 503 does.
-        if response.status in (_REFUSED if effect.once else (503,)):
+        if response.status in (_REFUSED_STATUSES if effect.once else (503,)):
             # Something before the service may give these too, after the call
             # went through; sent again, the flour order would come twice.
             loss = Loss.REFUSED if target.refusals_not_run else Loss.FAILED
@@ -257,7 +257,7 @@
         url = f"{target.address}/v1/generations/{effect.generation}"
         timeout = aiohttp.ClientTimeout(total=CANCEL_TIMEOUT)
         # A target would go on for nobody until the whole answer is made.
-        for _ in range(CANCEL_TRIES):
+        for _ in range(MAX_CANCEL_ATTEMPTS):
             try:
                 async with self._pools.use(effect.target) as pool:
                     async with pool.fresh.delete(url, timeout=timeout):
@@ -281,10 +281,10 @@
     return headers
 
 
-async def _read_rest(response: aiohttp.ClientResponse) -> None:
+async def _read_body_end(response: aiohttp.ClientResponse) -> None:
     # The end of the body often comes a moment after the end marker. Without
     # it the connection cannot be used again, and each answer costs a new one.
     with suppress(aiohttp.ClientError, TimeoutError):
-        async with asyncio.timeout(REST_SECONDS):
+        async with asyncio.timeout(BODY_END_TIMEOUT):
             while await response.content.readany():
                 continue
