--- a/figstep/net/log.py
+++ b/figstep/net/log.py
@@ -58,10 +58,10 @@
     async def append(self, stream: str, records: list[dict[str, Any]]) -> int:
         """Append records and return the offset of the first."""
         self._check_available()
-        held = self.streams.setdefault(stream, [])
-        first = len(held)
+        stored = self.streams.setdefault(stream, [])
+        first = len(stored)
         for number, data in enumerate(records):
-            held.append(LogRecord(first + number, 0, data))
+            stored.append(LogRecord(first + number, 0, data))
         self._changed.set()
         self._changed = asyncio.Event()
         return first
@@ -74,14 +74,14 @@
         earliest = self.earliest.get(stream, 0)
         if start < earliest:
             raise LogTruncatedError(earliest)
-        held = self.streams.get(stream, [])
-        if start >= len(held) and wait:
+        stored = self.streams.get(stream, [])
+        if start >= len(stored) and wait:
             try:
                 await asyncio.wait_for(self._changed.wait(), wait / 1000)
             except TimeoutError:
                 return []
-            held = self.streams.get(stream, [])
-        return held[start : start + limit]
+            stored = self.streams.get(stream, [])
+        return stored[start : start + limit]
 
     async def close(self) -> None:
         """Nothing is held."""
