--- a/tests/net/test_hellos.py
+++ b/tests/net/test_hellos.py
@@ -47,7 +47,7 @@
 )
 
 
-def test_a_message_comes_back_as_it_was() -> None:
+def test_messages_round_trip() -> None:
     records = (("i-1", b"\x00beat"), ("i-2", b""))
     members = (Member("10.0.0.2:7200", "muc-b"),)
     sent = Hello(OWN, 5, 6, members, records)
@@ -71,7 +71,7 @@
     assert hello.content.rates == OWN.rates
 
 
-def test_a_message_that_was_passed_on_names_its_writer() -> None:
+def test_a_forwarded_message_keeps_the_address_of_its_author() -> None:
     """Guards against records asked of an entry that does not have them."""
     data = encode_hello(Hello(replace(OWN, address="10.0.0.9:7200")))
     assert decode_hello(data, "10.0.0.1:7200").content.address == "10.0.0.9:7200"
@@ -83,7 +83,7 @@
         decode_hello(data, "10.0.0.1:7200")
 
 
-def test_records_come_back_as_they_were() -> None:
+def test_record_copies_round_trip() -> None:
     copy = RecordCopy(b"{}", 9, (("i-1", b"\x00\xff"),))
     assert decode_copy(encode_copy(copy)) == copy
 
@@ -100,7 +100,7 @@
     assert decode_copy(encode_copy(copy)) == copy
 
 
-def test_a_copy_that_grows_too_large_is_refused() -> None:
+def test_a_copy_that_decompresses_to_too_much_is_rejected() -> None:
     """Guards against a peer whose few bytes fill the memory of an entry."""
     data = encode_copy(RecordCopy(b"x" * MAX_COPY_BYTES, 1))
     assert len(data) < MAX_COPY_BYTES / 4
