--- a/tests/net/test_links.py
+++ b/tests/net/test_links.py
@@ -16,10 +16,12 @@
 class FakeHost(LinkHost):
     """An entry that notes what its link brings."""
 
-    def __init__(self, node: str, failure_domain: str, speaks: bool = True) -> None:
+    def __init__(
+        self, node: str, failure_domain: str, represents_domain: bool = True
+    ) -> None:
         self.own = PeerHeard(node, failure_domain=failure_domain)
-        self.speaks = speaks
-        self.heard: list[PeerHeard] = []
+        self.represents_domain = represents_domain
+        self.received: list[PeerHeard] = []
         self.entries = 0
 
     def describe_entry(self) -> PeerHeard:
@@ -32,7 +34,7 @@
         return replace(self.own, far=True, partial=True)
 
     def is_domain_representative(self) -> bool:
-        return self.speaks
+        return self.represents_domain
 
     def read_copy(self) -> RecordCopy:
         return RecordCopy(b"configuration", 3)
@@ -43,7 +45,7 @@
     def handle_message(
         self, message: PeerHeard, records: tuple[tuple[str, bytes], ...]
     ) -> None:
-        self.heard.append(message)
+        self.received.append(message)
 
     def update_entry_count(self, entries: int) -> None:
         self.entries = entries
@@ -64,7 +66,7 @@
     for link in links:
         await link.start()
     async with asyncio.timeout(5):
-        while {message.node for message in hosts[2].heard} != {
+        while {message.node for message in hosts[2].received} != {
             f"entry-{ports[0]}",
             f"entry-{ports[1]}",
         }:
@@ -76,7 +78,7 @@
         await link.stop()
 
 
-async def test_a_peer_that_gives_no_copy_is_told_apart(
+async def test_fetching_from_an_address_without_a_peer_fails(
     unused_tcp_port: int,
 ) -> None:
     link = open_link(unused_tcp_port, (), FakeHost("entry-1", "muc-a"))
@@ -84,13 +86,15 @@
         await link.fetch_copy(f"127.0.0.1:{unused_tcp_port}")
 
 
-async def test_in_a_large_fleet_failure_domains_tell_each_other_sums(
+async def test_failure_domains_of_a_large_fleet_exchange_sums(
     unused_tcp_port_factory: object,
 ) -> None:
     """Guards against control that grows with the square of the fleet."""
     ports = [unused_tcp_port_factory() for _ in range(20)]  # type: ignore[operator]
     hosts = [
-        FakeHost(f"entry-{n}", "muc-a" if n < 10 else "muc-b", speaks=n in (0, 10))
+        FakeHost(
+            f"entry-{n}", "muc-a" if n < 10 else "muc-b", represents_domain=n in (0, 10)
+        )
         for n in range(20)
     ]
     seed = f"127.0.0.1:{ports[0]}"
@@ -102,16 +106,16 @@
             await asyncio.sleep(0.05)
     await asyncio.sleep(3.0)
     for host in hosts:
-        host.heard.clear()
+        host.received.clear()
     await asyncio.sleep(3.0)
     for link in links:
         await link.stop()
     for number, host in enumerate(hosts):
         own = range(10) if number < 10 else range(10, 20)
-        near = {m.node for m in host.heard if not m.far}
-        assert near == {f"entry-{n}" for n in own if n != number}
-        speaker = "entry-10" if number < 10 else "entry-0"
-        assert {m.node for m in host.heard if m.far} == {speaker}
+        local_senders = {m.node for m in host.received if not m.far}
+        assert local_senders == {f"entry-{n}" for n in own if n != number}
+        representative = "entry-10" if number < 10 else "entry-0"
+        assert {m.node for m in host.received if m.far} == {representative}
 
 
 async def test_an_entry_that_starts_is_answered_at_once(
@@ -126,13 +130,13 @@
     await asyncio.sleep(0.15)
     await second.start()
     async with asyncio.timeout(0.09):
-        while not hosts[1].heard:
+        while not hosts[1].received:
             await asyncio.sleep(0.005)
     await second.stop()
     await first.stop()
 
 
-async def test_an_entry_of_a_large_fleet_greets_far_ones_with_sums(
+async def test_an_entry_of_a_large_fleet_answers_new_remote_entries_with_sums(
     unused_tcp_port_factory: object,
 ) -> None:
     """Guards against peers that are taken for lost seconds after a start."""
@@ -151,8 +155,8 @@
             await asyncio.sleep(0.005)
     await second.start()
     async with asyncio.timeout(2):
-        while not hosts[1].heard:
+        while not hosts[1].received:
             await asyncio.sleep(0.005)
-    assert all(message.far for message in hosts[1].heard)
+    assert all(message.far for message in hosts[1].received)
     await second.stop()
     await first.stop()
