--- a/tests/net/test_neighbors.py
+++ b/tests/net/test_neighbors.py
@@ -40,7 +40,7 @@
     assert sorted(address[:4] for address in picked) == ["10.1", "10.2"]
 
 
-def test_an_entry_heard_of_late_is_picked_before_a_silent_one() -> None:
+def test_a_recently_named_entry_is_preferred_to_a_silent_one() -> None:
     """Guards against loads told to an entry that has died."""
     table = build_table()
     later = RECENT_SECONDS + 1.0
@@ -48,26 +48,26 @@
     assert "10.1.0.3:7200" in table.pick_remote(later)
 
 
-def test_a_failure_domain_that_fell_silent_is_still_tried() -> None:
+def test_a_silent_failure_domain_is_still_tried() -> None:
     """Guards against failure domains that never hear each other again after a cut."""
     table = build_table()
     assert len(table.pick_remote(RECENT_SECONDS + 1.0)) == 2
 
 
-def test_an_address_that_stays_silent_is_forgotten() -> None:
+def test_a_silent_address_expires() -> None:
     table = build_table()
     table.remove_expired(NEIGHBOR_EXPIRY_SECONDS)
     assert len(table) == 0
 
 
-def test_all_members_are_told_within_some_messages() -> None:
+def test_all_members_are_sent_within_three_messages() -> None:
     table = NeighborTable(OWN, "muc-a")
     names = {f"10.0.1.{number}:7200" for number in range(40)}
     for name in names:
         table.add(name, 0.0).last_received = 0.0
-    told: set[str] = set()
+    sent: set[str] = set()
     for _ in range(3):
         members = table.pick_members(0.0)
         assert len(members) == MAX_MEMBERS_PER_MESSAGE
-        told.update(member.address for member in members)
-    assert told == names
+        sent.update(member.address for member in members)
+    assert sent == names
