--- a/tests/net/test_callers.py
+++ b/tests/net/test_callers.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Border:
+class EntryClient:
     """One entry and a client of it."""
 
     deployment: Deployment
@@ -53,11 +53,11 @@
 
 
 @asynccontextmanager
-async def open_border(gap: float = 0.01) -> AsyncIterator[Border]:
+async def open_entry_client(gap: float = 0.01) -> AsyncIterator[EntryClient]:
     async with run_deployment(1, LIMITS, gaps=(gap,)) as deployment:
         async with aiohttp.ClientSession() as session:
             url = deployment.entries[0].callers.address
-            yield Border(deployment, session, url)
+            yield EntryClient(deployment, session, url)
 
 
 async def open_raw(
@@ -72,9 +72,9 @@
     return (await reader.readuntil(b"\n")).decode().strip()
 
 
-async def wait_until(holds: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(20):
-        while not holds():
+        while not condition():
             await asyncio.sleep(0.01)
 
 
@@ -110,15 +110,15 @@
 
 
 async def test_bad_requests_get_typed_answers_that_name_the_remedy() -> None:
-    async with open_border() as border:
+    async with open_entry_client() as client:
         for body, headers, status, code, remedy in BAD_REQUESTS:
-            answer = await border.post(body, **headers)
+            answer = await client.post(body, **headers)
             assert (answer[0], answer[1]["error"]["code"]) == (status, code), answer
             assert remedy in answer[1]["detail"]
             assert answer[1]["ran"] == ("unknown" if status == 410 else "no")
             assert answer[1]["error"]["message"] == answer[1]["detail"]
-        assert (await border.post(GOOD))[0] == 200
-        assert sum(len(engine.executed) for engine in border.deployment.engines) == 1
+        assert (await client.post(GOOD))[0] == 200
+        assert sum(len(engine.executed) for engine in client.deployment.engines) == 1
 
 
 @pytest.mark.parametrize(
@@ -126,8 +126,8 @@
     [("GET", PATH, 405), ("PUT", "/v1/models", 405), ("POST", "/v2/x", 404)],
 )
 async def test_wrong_method_and_path(method: str, path: str, status: int) -> None:
-    async with open_border() as border:
-        async with border.session.request(method, border.url + path) as response:
+    async with open_entry_client() as client:
+        async with client.session.request(method, client.url + path) as response:
             assert response.status == status
             assert response.content_type == "application/problem+json"
             assert ("Allow" in response.headers) == (status == 405)
@@ -142,8 +142,8 @@
     ],
 )
 async def test_broken_http_gets_a_problem_and_a_closed_connection(sent: bytes) -> None:
-    async with open_border() as border:
-        reader, writer = await open_raw(border.url)
+    async with open_entry_client() as client:
+        reader, writer = await open_raw(client.url)
         writer.write(sent)
         answer = await asyncio.wait_for(reader.read(), 20)
         assert b" 400 " in answer or b" 431 " in answer
@@ -151,14 +151,14 @@
         writer.close()
 
 
-async def test_slow_senders_are_told_or_cut() -> None:
+async def test_slow_senders_get_408_or_are_disconnected() -> None:
     """Callers open connections and send their requests byte by byte.
 
     One never ends its headers, one never ends its body. The first is cut, the
     second gets 408; neither reaches a target nor keeps its connection.
     """
-    async with open_border() as border:
-        body, head = await open_raw(border.url), await open_raw(border.url)
+    async with open_entry_client() as client:
+        body, head = await open_raw(client.url), await open_raw(client.url)
         head[1].write(b"POST /v1/completions HTTP/1.1\r\nX-")
         body[1].write(
             f"POST {PATH} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {KEY}\r\n"
@@ -168,7 +168,7 @@
         assert await asyncio.wait_for(head[0].read(), 20) == b""
         for _, writer in (body, head):
             writer.close()
-        assert (await border.post(GOOD))[0] == 200
+        assert (await client.post(GOOD))[0] == 200
 
 
 async def test_generation_of_a_vanished_caller_is_cancelled() -> None:
@@ -177,17 +177,19 @@
     Without a grace its generation is cancelled at the target, so that the
     cache memory it holds goes to others.
     """
-    async with open_border() as border:
-        border.deployment.engines[0].length = 100_000
-        reader, writer = await open_raw(border.url)
-        await ask(writer, STREAM)
+    async with open_entry_client() as client:
+        client.deployment.engines[0].length = 100_000
+        reader, writer = await open_raw(client.url)
+        await send_generation(writer, STREAM)
         await asyncio.wait_for(reader.readuntil(b":2\n"), 20)
         writer.close()
-        await wait_until(lambda: len(border.list_cancelled()) == 1)
-        assert not border.deployment.entries[0].exchanges
+        await wait_until(lambda: len(client.list_cancelled()) == 1)
+        assert not client.deployment.entries[0].exchanges
 
 
-async def ask(writer: asyncio.StreamWriter, body: Any, **headers: str) -> None:
+async def send_generation(
+    writer: asyncio.StreamWriter, body: Any, **headers: str
+) -> None:
     data = json.dumps(body).encode()
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
     writer.write(
@@ -211,13 +213,15 @@
         first, second = deployment.entries
         grace = {"X-Resume-Grace-Seconds": "0.3"}
         reader, writer = await open_raw(first.callers.address)
-        await ask(writer, STREAM, **grace)
-        seen = await read_id(reader)
+        await send_generation(writer, STREAM, **grace)
+        last_event_id = await read_id(reader)
         writer.close()
         await wait_until(lambda: first.metrics.counters.get("callers.away") == 1)
         reader, writer = await open_raw(second.callers.address)
-        await ask(writer, STREAM, **grace, **{"Last-Event-ID": seen})
-        generation, _, index = seen.rpartition(":")
+        await send_generation(
+            writer, STREAM, **grace, **{"Last-Event-ID": last_event_id}
+        )
+        generation, _, index = last_event_id.rpartition(":")
         assert await read_id(reader) == f"{generation}:{int(index) + 1}"
         await wait_until(lambda: not first.exchanges)
         following = int((await read_id(reader)).rpartition(":")[2])
@@ -228,11 +232,11 @@
 
 
 async def test_quiet_stream_is_kept_alive() -> None:
-    async with open_border(0.5) as border:
+    async with open_entry_client(0.5) as client:
         headers = {"Authorization": f"Bearer {KEY}"}
         body = {**STREAM, "max_tokens": 2}
-        async with border.session.post(
-            border.url + PATH, json=body, headers=headers
+        async with client.session.post(
+            client.url + PATH, json=body, headers=headers
         ) as response:
             text = await response.text()
         assert ": keep-alive\n\n" in text
@@ -247,21 +251,21 @@
     generation is cancelled and the connection closed, so that slow readers
     together cannot exhaust the entry's memory.
     """
-    async with open_border(0) as border:
-        border.deployment.engines[0].length = 1_000_000
-        _, writer = await open_raw(border.url)
-        await ask(writer, STREAM)
-        entry = border.deployment.entries[0]
+    async with open_entry_client(0) as client:
+        client.deployment.engines[0].length = 1_000_000
+        _, writer = await open_raw(client.url)
+        await send_generation(writer, STREAM)
+        entry = client.deployment.entries[0]
         await wait_until(lambda: entry.metrics.counters.get("callers.cut") == 1)
-        await wait_until(lambda: len(border.list_cancelled()) == 1)
+        await wait_until(lambda: len(client.list_cancelled()) == 1)
         await wait_until(lambda: len(entry.callers.streams) == 0)
         writer.close()
 
 
 async def test_whole_answer_beyond_the_bound_is_refused() -> None:
-    async with open_border(0) as border:
-        border.deployment.engines[0].length = 1_000_000
-        status, answer = await border.post({"model": MODEL, "prompt": "menu"})
+    async with open_entry_client(0) as client:
+        client.deployment.engines[0].length = 1_000_000
+        status, answer = await client.post({"model": MODEL, "prompt": "menu"})
         assert (status, answer["error"]["code"]) == (502, "answer_too_long")
         assert answer["ran"] == "yes"
-        await wait_until(lambda: len(border.list_cancelled()) == 1)
+        await wait_until(lambda: len(client.list_cancelled()) == 1)
