--- a/tests/net/test_border_fuzz.py
+++ b/tests/net/test_border_fuzz.py
@@ -64,7 +64,7 @@
 
 
 @dataclass(slots=True)
-class Fuzzed:
+class FuzzedEntry:
     """An entry on a loop of its own, and the faults that the loop reported."""
 
     runner: asyncio.Runner
@@ -82,28 +82,28 @@
 
 
 @pytest.fixture(scope="module")
-def fuzzed() -> Iterator[Fuzzed]:
+def fuzzed() -> Iterator[FuzzedEntry]:
     stack = AsyncExitStack()
 
-    async def start() -> Fuzzed:
+    async def start() -> FuzzedEntry:
         deployment = await stack.enter_async_context(
             run_deployment(1, FUZZ_LIMITS, gaps=(0.0,))
         )
         session = await stack.enter_async_context(aiohttp.ClientSession())
         url = deployment.entries[0].callers.address
-        made = Fuzzed(runner, session, url)
+        entry = FuzzedEntry(runner, session, url)
         asyncio.get_running_loop().set_exception_handler(
-            lambda _, context: made.faults.append(context)
+            lambda _, context: entry.faults.append(context)
         )
-        return made
+        return entry
 
     with asyncio.Runner() as runner:
-        made = runner.run(start())
-        yield made
+        entry = runner.run(start())
+        yield entry
         runner.run(stack.aclose())
 
 
-async def send_raw(fuzzed: Fuzzed, sent: bytes) -> None:
+async def send_raw(fuzzed: FuzzedEntry, sent: bytes) -> None:
     reader, writer = await open_raw(fuzzed.url)
     writer.write(sent)
     if writer.can_write_eof():
@@ -118,7 +118,7 @@
 
 
 async def send_request(
-    fuzzed: Fuzzed, method: str, path: str, headers: dict[str, str], body: bytes
+    fuzzed: FuzzedEntry, method: str, path: str, headers: dict[str, str], body: bytes
 ) -> None:
     async with fuzzed.session.request(
         method,
@@ -148,7 +148,7 @@
         ),
     )
 )
-def test_random_bytes(fuzzed: Fuzzed, sent: bytes) -> None:
+def test_random_bytes(fuzzed: FuzzedEntry, sent: bytes) -> None:
     fuzzed.runner.run(send_raw(fuzzed, sent))
 
 
@@ -160,7 +160,7 @@
     body=bodies,
 )
 def test_random_requests(
-    fuzzed: Fuzzed,
+    fuzzed: FuzzedEntry,
     method: str,
     path: str,
     headers: dict[str, str],
@@ -171,5 +171,5 @@
 
 @FUZZ
 @given(body=bodies, path=st.sampled_from(PATHS[:2]))
-def test_random_bodies(fuzzed: Fuzzed, body: bytes, path: str) -> None:
+def test_random_bodies(fuzzed: FuzzedEntry, body: bytes, path: str) -> None:
     fuzzed.runner.run(send_request(fuzzed, "POST", path, {}, body))
