--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -10,11 +10,11 @@
 from figstep.operations import publish_document
 from figstep.settings import Peers, Platform, Settings
 
-BOUND_SECONDS = 60
+TIMEOUT_SECONDS = 60
 
 
 async def wait_for(condition: Callable[[], bool]) -> None:
-    async with asyncio.timeout(BOUND_SECONDS):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while not condition():
             await asyncio.sleep(0.02)
 
@@ -40,7 +40,7 @@
     return application
 
 
-async def test_fresh_entry_takes_the_document_from_a_peer_while_the_log_is_down() -> (
+async def test_new_entry_fetches_the_document_from_a_peer_while_the_log_is_down() -> (
     None
 ):
     """The log is down and an entry is replaced.
@@ -58,7 +58,7 @@
         )
 
 
-async def test_edit_reaches_all_although_the_log_stops_right_after() -> None:
+async def test_edit_reaches_all_entries_when_the_log_fails_right_after() -> None:
     """One entry read an edit, then the log went down for the others.
 
     They learn of the higher offset by gossip and fetch the document; when
@@ -91,7 +91,7 @@
         await wait_for(lambda: second.entry_state.targets[name].leaving)
 
 
-async def test_entry_with_another_key_is_not_heard() -> None:
+async def test_entry_with_another_key_is_ignored() -> None:
     async with run_deployment() as deployment, AsyncExitStack() as stack:
         stranger = await add_entry(stack, deployment, "entry-9", key="another")
         first = deployment.entries[0]
