--- a/tests/net/test_pools.py
+++ b/tests/net/test_pools.py
@@ -16,13 +16,13 @@
     def __init__(self) -> None:
         self.requests = 0
         self.connections: set[object] = set()
-        self.cut = False
+        self.aborts_connections = False
         self.url = ""
 
     async def answer(self, request: web.Request) -> web.Response:
         self.requests += 1
         self.connections.add(request.transport)
-        if self.cut and request.transport is not None:
+        if self.aborts_connections and request.transport is not None:
             request.transport.abort()
         response = web.Response(text="ok")
         response.set_cookie("session", "of another customer")
@@ -51,7 +51,7 @@
         await response.read()
 
 
-async def test_resumes_take_new_connections(pools: PoolTable, target: Target) -> None:
+async def test_resumes_open_new_connections(pools: PoolTable, target: Target) -> None:
     async with pools.use("t") as pool:
         for _ in range(3):
             await send(pool.reused, target)
@@ -84,7 +84,7 @@
     pools: PoolTable, target: Target, method: str
 ) -> None:
     """Guards against a client that sends a call again by itself: it would run twice."""
-    target.cut = True
+    target.aborts_connections = True
     async with pools.use("t") as pool:
         for session in (pool.fresh, pool.reused):
             target.requests = 0
