--- a/tests/net/test_sessions.py
+++ b/tests/net/test_sessions.py
@@ -33,7 +33,7 @@
         await session.request(method, f"http://{host}:{port}/")
 
 
-async def test_a_target_that_is_down_is_not_reached(
+async def test_a_target_that_is_down_fails_to_connect(
     session: aiohttp.ClientSession,
 ) -> None:
     server = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
