--- a/tests/net/test_targets.py
+++ b/tests/net/test_targets.py
@@ -13,7 +13,7 @@
 from figstep.standins.http import start_app
 
 
-async def test_connection_is_used_again_when_the_end_of_the_body_comes_late() -> None:
+async def test_connection_is_reused_when_the_end_of_the_body_is_late() -> None:
     """A target writes the end marker, and the end of the body a moment later.
 
     The answer ends with the marker. The connection must still be read to the
@@ -61,7 +61,7 @@
     return events
 
 
-async def test_a_probe_tells_that_a_target_is_down() -> None:
+async def test_a_probe_reports_a_target_that_is_down() -> None:
     """Guards against calls that crash plain services and are never suspected."""
     runner, url = await start_app(web.Application())
     assert await probe(url) == []
@@ -69,9 +69,9 @@
     assert await probe(url) == [TargetDown("s1")]
 
 
-async def test_an_attempt_that_ends_as_its_events_come_drops_its_connection() -> None:
+async def test_an_attempt_closed_while_events_arrive_closes_its_connection() -> None:
     """Guards against targets that go on working for a caller that was cut."""
-    gone = asyncio.Event()
+    connection_closed = asyncio.Event()
 
     async def stream(request: web.Request) -> web.StreamResponse:
         response = web.StreamResponse()
@@ -81,36 +81,36 @@
                 await response.write(b"id: e1~0~1:%d\ndata: {}\n\n" % index)
                 await asyncio.sleep(0.01)
         except ConnectionError:
-            gone.set()
+            connection_closed.set()
         return response
 
     app = web.Application()
     app.router.add_post("/v1/completions", stream)
     runner, url = await start_app(app)
 
-    def take(event: Event) -> None:
+    def handle_event(event: Event) -> None:
         if isinstance(event, TokensArrived):
             edge.close_attempt(event.attempt)
 
     engine = EngineInfo("e1", url, "muc-a", ("m",))
-    edge = TargetEdge(take, lambda _: engine)
+    edge = TargetEdge(handle_event, lambda _: engine)
     spec = RequestSpec("r1", "c", GenerationWork("m"))
     exchange = Exchange(spec, "POST", "/v1/completions", {}, b"{}")
     edge.open_attempt(OpenAttempt("r1", 1, "e1", "e1~0~1"), exchange)
     async with asyncio.timeout(5):
-        await gone.wait()
+        await connection_closed.wait()
     await edge.stop()
     await runner.cleanup()
 
 
-async def test_an_order_to_cancel_that_is_lost_is_sent_again() -> None:
+async def test_a_lost_cancellation_is_sent_again() -> None:
     """Guards against targets that generate to the end for nobody."""
-    orders = []
+    cancellations = []
     cancelled = asyncio.Event()
 
     async def cancel(request: web.Request) -> web.Response:
-        orders.append(request.path)
-        if len(orders) == 1:
+        cancellations.append(request.path)
+        if len(cancellations) == 1:
             assert request.transport is not None
             request.transport.abort()
         else:
@@ -127,4 +127,4 @@
         await cancelled.wait()
     await edge.stop()
     await runner.cleanup()
-    assert orders == ["/v1/generations/e1~0~1"] * 2
+    assert cancellations == ["/v1/generations/e1~0~1"] * 2
