--- a/tests/contracts/test_log.py
+++ b/tests/contracts/test_log.py
@@ -13,7 +13,7 @@
 from figstep.standins.log import LogService
 from figstep.standins.proxy import Delay, Direction, Drip, Lose, LoseAnswers, TcpProxy
 
-LONG = 30_000
+LONG_POLL_MS = 30_000
 KINDS = ["memory", "http"]
 
 
@@ -40,12 +40,12 @@
         await runner.cleanup()
 
 
-def forget(held: MemoryLog | LogService, count: int) -> None:
+def truncate_stream(storage: MemoryLog | LogService, count: int) -> None:
     """Let the records before offset ``count`` pass out of retention."""
-    if isinstance(held, MemoryLog):
-        held.earliest["s"] = count
+    if isinstance(storage, MemoryLog):
+        storage.earliest["s"] = count
         return
-    held.faults = replace(held.faults, keep_records=4 - count)
+    storage.faults = replace(storage.faults, keep_records=4 - count)
 
 
 @pytest.mark.parametrize("kind", KINDS)
@@ -62,17 +62,19 @@
 @pytest.mark.parametrize("kind", KINDS)
 async def test_a_waiting_read_gets_what_is_appended(kind: str) -> None:
     async with open_log(kind) as (log, _, _):
-        waiting = asyncio.create_task(log.read("s", 0, LONG))
+        waiting = asyncio.create_task(log.read("s", 0, LONG_POLL_MS))
         await asyncio.sleep(0.05)
         await log.append("s", [{"n": 0}])
         assert [record.offset for record in await waiting] == [0]
 
 
 @pytest.mark.parametrize("kind", KINDS)
-async def test_records_past_retention_are_told_from_an_empty_stream(kind: str) -> None:
-    async with open_log(kind) as (log, held, _):
+async def test_expired_records_are_distinguished_from_an_empty_stream(
+    kind: str,
+) -> None:
+    async with open_log(kind) as (log, storage, _):
         await log.append("s", [{"n": n} for n in range(4)])
-        forget(held, 3)
+        truncate_stream(storage, 3)
         with pytest.raises(LogTruncatedError) as caught:
             await log.read("s", 0)
         assert caught.value.earliest == 3
@@ -82,14 +84,14 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 async def test_an_outage_fails_every_call_and_loses_nothing(kind: str) -> None:
-    async with open_log(kind) as (log, held, _):
+    async with open_log(kind) as (log, storage, _):
         await log.append("s", [{"n": 0}])
-        held.available = False
+        storage.available = False
         with pytest.raises(LogUnavailableError):
             await log.append("s", [{"n": 1}])
         with pytest.raises(LogUnavailableError):
             await log.read("s", 0)
-        held.available = True
+        storage.available = True
         assert [record.data for record in await log.read("s", 0)] == [{"n": 0}]
 
 
