--- a/tests/contracts/test_operators.py
+++ b/tests/contracts/test_operators.py
@@ -13,7 +13,7 @@
 from figstep.demo import Deployment, run_deployment
 from tests.processes import write_yaml
 
-GONE = "http://127.0.0.1:9"
+CLOSED_URL = "http://127.0.0.1:9"
 
 
 @pytest_asyncio.fixture(loop_scope="module", scope="module")
@@ -41,7 +41,7 @@
         1,
         "add them under models",
     ),
-    "publish to no log": (f"publish FILE --log {GONE} --reason r", {}, 1, "log"),
+    "publish to no log": (f"publish FILE --log {CLOSED_URL} --reason r", {}, 1, "log"),
     "show": ("show --log LOG", {}, 0, "# offset 0 by demo: first inventory"),
     "history": ("history --log LOG", {}, 0, "demo: first inventory [accepted]"),
     "drain of an unknown target": (
@@ -50,7 +50,7 @@
         1,
         "no target 'engine-9'",
     ),
-    "status of no list": (f"status --instances {GONE}", {}, 1, "--instances"),
+    "status of no list": (f"status --instances {CLOSED_URL}", {}, 1, "--instances"),
     "publish": (
         "publish FILE --log LOG --reason r --author ops",
         RULES,
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize(
     ("command", "changes", "code", "told"), COMMANDS.values(), ids=COMMANDS.keys()
 )
-async def test_commands_tell_what_happened(
+async def test_commands_report_their_outcome(
     deployment: Deployment,
     tmp_path: Path,
     command: str,
