--- a/tests/contracts/test_orders.py
+++ b/tests/contracts/test_orders.py
@@ -15,8 +15,8 @@
 from figstep.standins.proxy import CutAfter, Delay, Fault, LoseAnswers, TcpProxy
 from tests.fleet import wait_for
 
-SEEN = 7
-UNTIL = Millis(1_000)
+NEWEST_FENCING = 7
+LEASE_END = Millis(1_000)
 
 APPLIED, STALE = OrderOutcome.APPLIED, OrderOutcome.STALE
 UNCERTAIN = OrderOutcome.UNCERTAIN
@@ -46,7 +46,7 @@
     engine = EngineServer("engine-1")
     engine.checks_fencing = case.get("checks", True)
     engine.crashed = case.get("crashed", False)
-    engine.fencing = SEEN
+    engine.fencing = NEWEST_FENCING
     runner, url = await start_app(engine.build_app())
     host, _, port = url.removeprefix("http://").rpartition(":")
     proxy = TcpProxy(host, int(port))
@@ -63,8 +63,8 @@
     )
     await edge.start()
     order = LoadModel("m", "2")
-    number = case.get("fencing", SEEN)
-    edge.send_order(SendOrder(1, "engine-1", order, number, UNTIL))
+    number = case.get("fencing", NEWEST_FENCING)
+    edge.send_order(SendOrder(1, "engine-1", order, number, LEASE_END))
     await wait_for(lambda: events, "the order was answered")
     await edge.stop()
     await proxy.stop()
