--- a/tests/contracts/test_peers.py
+++ b/tests/contracts/test_peers.py
@@ -48,7 +48,7 @@
     edge: PeerEdge
     events: list[Event]
 
-    def list_news(self) -> list[Event]:
+    def list_received_events(self) -> list[Event]:
         """Return its events but the one that tells of its own address."""
         return [
             event for event in self.events if not isinstance(event, PeerListenerOpened)
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize(("data", "taken"), DATAGRAMS.values(), ids=DATAGRAMS.keys())
-async def test_only_whole_datagrams_with_a_known_key_are_taken(
+async def test_only_whole_datagrams_with_a_known_key_are_accepted(
     data: bytes, taken: bool
 ) -> None:
     async with run_peer(old_key="old") as peer:
@@ -95,17 +95,20 @@
         )
         sender.sendto(data)
         await wait_for(
-            lambda: peer.list_news() or peer.edge.rejected, "the datagram came"
+            lambda: peer.list_received_events() or peer.edge.rejected,
+            "the datagram came",
         )
         sender.close()
-        assert peer.list_news() == ([GossipReceived(GOSSIP)] if taken else [])
+        assert peer.list_received_events() == (
+            [GossipReceived(GOSSIP)] if taken else []
+        )
 
 
 @pytest.mark.parametrize(
     ("fault", "arrives"),
     [(None, True), (Delay(0.05), True), (Lose(Direction.TO_TARGET), False)],
 )
-async def test_a_lost_datagram_is_made_up_by_the_next(
+async def test_a_lost_datagram_is_replaced_by_the_next(
     fault: Fault | None, arrives: bool
 ) -> None:
     async with run_peer() as sender, run_peer() as receiver:
@@ -116,12 +119,12 @@
         sender.edge.send(proxy.address, GOSSIP)
         if not arrives:
             await asyncio.sleep(0.1)
-            assert receiver.list_news() == []
+            assert receiver.list_received_events() == []
             proxy.fault = None
             sender.edge.send(proxy.address, GOSSIP)
-        await wait_for(receiver.list_news, "the news came")
+        await wait_for(receiver.list_received_events, "the news came")
         await proxy.stop()
-        assert receiver.list_news() == [GossipReceived(GOSSIP)]
+        assert receiver.list_received_events() == [GossipReceived(GOSSIP)]
 
 
 @pytest.mark.parametrize(
@@ -135,7 +138,7 @@
         (Lose(Direction.TO_CLIENT), False),
     ],
 )
-async def test_a_checkpoint_is_taken_whole_or_not_at_all(
+async def test_a_checkpoint_is_applied_whole_or_not_at_all(
     fault: Fault | None, arrives: bool
 ) -> None:
     """The link to the peer that holds the newer document fails in the middle.
@@ -143,27 +146,27 @@
     Half a document must not be put in force, and the failure must not keep a
     later fetch from succeeding once the link is sound.
     """
-    async with run_peer() as asking, run_peer() as holder:
-        host, _, port = holder.edge.address.rpartition(":")
+    async with run_peer() as requester, run_peer() as provider:
+        host, _, port = provider.edge.address.rpartition(":")
         proxy = TcpProxy(host, int(port))
         await proxy.start()
         if fault is not None:
             proxy.set_fault(fault)
-        asking.edge.fetch(proxy.address)
+        requester.edge.fetch(proxy.address)
         if not arrives:
-            await wait_for(lambda: holder.edge.bytes_sent, "the answer was sent")
+            await wait_for(lambda: provider.edge.bytes_sent, "the answer was sent")
             await asyncio.sleep(0.1)
-            assert asking.list_news() == []
+            assert requester.list_received_events() == []
             proxy.lift()
             proxy.cut()
 
-        def has_news() -> bool:
-            asking.edge.fetch(proxy.address)
-            return bool(asking.list_news())
+        def has_events() -> bool:
+            requester.edge.fetch(proxy.address)
+            return bool(requester.list_received_events())
 
-        await wait_for(has_news, "the checkpoint came")
+        await wait_for(has_events, "the checkpoint came")
         await proxy.stop()
-        offered = asking.list_news()[0]
+        offered = requester.list_received_events()[0]
     assert isinstance(offered, CheckpointOffered)
     assert offered.checkpoint.document == DOCUMENT
     assert offered.checkpoint.inventory is not None
