--- a/tests/contracts/test_platform.py
+++ b/tests/contracts/test_platform.py
@@ -20,7 +20,7 @@
 NAME = "planning-1"
 
 
-def put(instances: InstanceList, **document: Any) -> None:
+def put_instance(instances: InstanceList, **document: Any) -> None:
     instances.instances[NAME] = {"name": NAME, "kind": "target", **document}
 
 
@@ -38,7 +38,7 @@
     known: tuple[int, bool], listed: dict[str, Any], leaving: bool
 ) -> None:
     instances = InstanceList()
-    put(instances, **listed)
+    put_instance(instances, **listed)
     state = State("entry-1")
     state.targets[NAME] = TargetState(ServiceInfo(NAME, "planning", "", "muc-a"))
     state.targets[NAME].incarnation, state.targets[NAME].leaving = known
@@ -74,21 +74,21 @@
 @pytest.mark.parametrize("fault", [Stall(), CutAfter(10), Drip(16, 0.01)])
 async def test_the_list_is_read_after_a_fault(fault: Fault) -> None:
     instances = InstanceList()
-    put(instances, state="leaving")
+    put_instance(instances, state="leaving")
     event = await read_list(instances, fault)
     assert [(item.name, item.leaving) for item in event.instances] == [(NAME, True)]
 
 
-async def test_the_weight_store_limits_its_rate_and_says_when_to_come_back() -> None:
+async def test_the_weight_store_limits_its_rate_and_sends_retry_after() -> None:
     now = [100.0]
     store = WeightStore(limit=2, window=5.0, read_seconds=lambda: now[0])
     runner, url = await start_app(store.build_app())
-    told = []
+    responses = []
     async with aiohttp.ClientSession(url) as session:
         for at in (100.0, 101.0, 102.0, 105.1, 105.2):
             now[0] = at
             async with session.get("/weights/langar-8b/2") as response:
-                told.append((response.status, response.headers.get("Retry-After")))
+                responses.append((response.status, response.headers.get("Retry-After")))
     await runner.cleanup()
-    assert told == [(200, None), (200, None), (429, "3"), (200, None), (429, "1")]
+    assert responses == [(200, None), (200, None), (429, "3"), (200, None), (429, "1")]
     assert store.served == [("langar-8b", "2")] * 3
