--- a/tests/contracts/test_targets.py
+++ b/tests/contracts/test_targets.py
@@ -125,12 +125,12 @@
         if isinstance(standin, CrashingService):
             standin.runner = runner
     log = MemoryLog()
-    named = {engine.name: urls[at] for at, engine in enumerate(engines)}
-    document = build_document(named, urls[-2])
-    shape = document["services"].pop()
+    engine_urls = {engine.name: urls[at] for at, engine in enumerate(engines)}
+    document = build_document(engine_urls, urls[-2])
+    template = document["services"].pop()
     for at, service in enumerate(services, len(engines)):
         document["services"].append(
-            {**shape, "name": service.name, "address": urls[at]}
+            {**template, "name": service.name, "address": urls[at]}
         )
     await publish_document(log, document, "ops", "first")
     settings = Settings(
@@ -152,7 +152,7 @@
 
 
 WHOLE = "whole"
-HIDDEN = {
+ENGINE_FAULTS = {
     "refused": Answer(503),
     "refused, come back": Answer(429, (("Retry-After", "1"),)),
     "server error": Answer(500),
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize("stream", [True, False], ids=["stream", "one piece"])
-@pytest.mark.parametrize("fault", HIDDEN.values(), ids=HIDDEN.keys())
+@pytest.mark.parametrize("fault", ENGINE_FAULTS.values(), ids=ENGINE_FAULTS.keys())
 async def test_a_fault_of_an_engine_is_hidden_or_told(
     fault: Answer | Frames, stream: bool
 ) -> None:
@@ -187,7 +187,7 @@
     assert caller.last.ended or caller.last.problem
 
 
-async def test_a_request_that_an_engine_finds_wrong_is_not_repeated() -> None:
+async def test_a_request_that_an_engine_rejects_is_not_retried() -> None:
     engines = build_engines(Answer(422))
     async with run_entry(engines, PlainService("planning-1")) as url:
         caller = Caller("tag", TOKENS)
