--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -414,7 +414,7 @@
                 body = encode_gossip(replace(message, wants_answer=wants_answer))
                 data = keys.sign(MessageKind.GOSSIP, body)
                 received += len(data)
-                gossip = decode_gossip(keys.open(MessageKind.GOSSIP, data))
+                gossip = decode_gossip(keys.verify(MessageKind.GOSSIP, data))
                 effects += reduce(entry, GossipReceived(gossip), now)
                 sequence += 1
             for effect in effects:
