--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -59,13 +59,13 @@
                 before = now
                 seen += 1
                 if seen == STRIKE_AFTER:
-                    strike(proxies, fault)
+                    inject_fault(proxies, fault)
     if seen != TOKENS:
         raise RuntimeError(f"{seen} of {TOKENS} tokens came; look at the entry's log")
     return longest
 
 
-def strike(proxies: list[TcpProxy], fault: str) -> None:
+def inject_fault(proxies: list[TcpProxy], fault: str) -> None:
     """Strike the connections that are open now."""
     for proxy in proxies:
         match fault:
--- a/figstep/standins/proxy.py
+++ b/figstep/standins/proxy.py
@@ -81,7 +81,7 @@
 Fault = Delay | Stall | Lose | Drip | LoseAnswers | CutAfter
 
 
-def read_fault(document: dict[str, Any]) -> Fault:
+def parse_fault(document: dict[str, Any]) -> Fault:
     """Return the fault that a JSON object tells of.
 
     Raises:
@@ -113,7 +113,7 @@
         self.client = client
         self.target = target
         self.frozen = False
-        self.passed = 0
+        self.bytes_to_client = 0
         self.request = b""
 
     def cut(self) -> None:
@@ -136,7 +136,7 @@
         self._server: asyncio.Server | None = None
         self._links: set[_Link] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._lifted = asyncio.Event()
+        self._fault_cleared = asyncio.Event()
         self._port = 0
         self.fault: Fault | None = None
         self.address = ""
@@ -184,11 +184,11 @@
         """Put a fault in force."""
         self.fault = fault
 
-    def lift(self) -> None:
+    def clear_fault(self) -> None:
         """End the fault; what a stall held back goes on, frozen links do not."""
         self.fault = None
-        self._lifted.set()
-        self._lifted = asyncio.Event()
+        self._fault_cleared.set()
+        self._fault_cleared = asyncio.Event()
 
     def freeze(self) -> int:
         """Freeze the open connections for good; return how many."""
@@ -282,21 +282,21 @@
                     link.cut()
                     return
             case CutAfter(size=size, count=count) if to_client:
-                if link.passed + len(chunk) >= size:
-                    writer.write(chunk[: size - link.passed])
+                if link.bytes_to_client + len(chunk) >= size:
+                    writer.write(chunk[: size - link.bytes_to_client])
                     await writer.drain()
                     self.fault = CutAfter(size, count - 1) if count > 1 else None
                     link.client.close()
                     link.target.transport.abort()
                     return
         if to_client:
-            link.passed += len(chunk)
+            link.bytes_to_client += len(chunk)
         writer.write(chunk)
         await writer.drain()
 
     async def _hold_stalled(self, link: _Link) -> None:
         while link.frozen or isinstance(self.fault, Stall):
-            await self._lifted.wait()
+            await self._fault_cleared.wait()
 
 
 class UdpProxy:
@@ -310,7 +310,7 @@
     def __init__(self, host: str, port: int) -> None:
         self._target = (host, port)
         self._listener: asyncio.DatagramTransport | None = None
-        self._towards: dict[tuple[str, int], asyncio.DatagramTransport] = {}
+        self._target_transports: dict[tuple[str, int], asyncio.DatagramTransport] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self.fault: Fault | None = None
         self.address = ""
@@ -319,7 +319,7 @@
         """Listen on loopback."""
         loop = asyncio.get_running_loop()
         self._listener, _ = await loop.create_datagram_endpoint(
-            lambda: _Receiver(self._take_request), local_addr=("127.0.0.1", 0)
+            lambda: _Receiver(self._handle_datagram), local_addr=("127.0.0.1", 0)
         )
         host, port = self._listener.get_extra_info("sockname")
         self.address = f"{host}:{port}"
@@ -328,12 +328,12 @@
         """Close every socket."""
         for task in self._tasks:
             task.cancel()
-        for transport in self._towards.values():
+        for transport in self._target_transports.values():
             transport.close()
         if self._listener is not None:
             self._listener.close()
 
-    def _take_request(self, data: bytes, client: tuple[str, int]) -> None:
+    def _handle_datagram(self, data: bytes, client: tuple[str, int]) -> None:
         self._start(self._send_to_target(data, client))
 
     def _start(self, work) -> None:  # type: ignore[no-untyped-def]
@@ -342,7 +342,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _send_to_target(self, data: bytes, client: tuple[str, int]) -> None:
-        if client not in self._towards:
+        if client not in self._target_transports:
             loop = asyncio.get_running_loop()
             transport, _ = await loop.create_datagram_endpoint(
                 lambda: _Receiver(
@@ -350,15 +350,15 @@
                 ),
                 remote_addr=self._target,
             )
-            self._towards[client] = transport
-        if await self._passes(Direction.TO_TARGET):
-            self._towards[client].sendto(data)
+            self._target_transports[client] = transport
+        if await self._apply_fault(Direction.TO_TARGET):
+            self._target_transports[client].sendto(data)
 
     async def _send_to_client(self, data: bytes, client: tuple[str, int]) -> None:
-        if await self._passes(Direction.TO_CLIENT) and self._listener is not None:
+        if await self._apply_fault(Direction.TO_CLIENT) and self._listener is not None:
             self._listener.sendto(data, client)
 
-    async def _passes(self, direction: Direction) -> bool:
+    async def _apply_fault(self, direction: Direction) -> bool:
         match self.fault:
             case Delay(seconds=seconds):
                 await asyncio.sleep(seconds)
@@ -371,11 +371,11 @@
 
 
 class _Receiver(asyncio.DatagramProtocol):
-    def __init__(self, take) -> None:  # type: ignore[no-untyped-def]
-        self._take = take
+    def __init__(self, handler) -> None:  # type: ignore[no-untyped-def]
+        self._handler = handler
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self._take(data, addr)
+        self._handler(data, addr)
 
 
 def build_control(proxy: TcpProxy) -> web.Application:
@@ -386,23 +386,23 @@
     """
 
     async def set_fault(request: web.Request) -> web.Response:
-        proxy.set_fault(read_fault(orjson.loads(await request.read())))
+        proxy.set_fault(parse_fault(orjson.loads(await request.read())))
         return answer_json({})
 
-    async def lift(request: web.Request) -> web.Response:
-        proxy.lift()
+    async def clear_fault(request: web.Request) -> web.Response:
+        proxy.clear_fault()
         return answer_json({})
 
-    async def strike(request: web.Request) -> web.Response:
-        strikes = {
+    async def inject_fault(request: web.Request) -> web.Response:
+        actions = {
             "freeze": proxy.freeze,
             "cut": proxy.cut,
             "half_open": proxy.half_open,
         }
-        return answer_json({"struck": strikes[request.match_info["kind"]]()})
+        return answer_json({"struck": actions[request.match_info["kind"]]()})
 
     app = web.Application()
     app.router.add_put("/standin/fault", set_fault)
-    app.router.add_delete("/standin/fault", lift)
-    app.router.add_post("/standin/strike/{kind}", strike)
+    app.router.add_delete("/standin/fault", clear_fault)
+    app.router.add_post("/standin/strike/{kind}", inject_fault)
     return app
--- a/tests/contracts/test_log.py
+++ b/tests/contracts/test_log.py
@@ -124,7 +124,7 @@
                 proxy.set_fault(fault)
         with pytest.raises(LogUnavailableError, match="read back"):
             await log.append("s", [{"n": 0}])
-        proxy.lift()
+        proxy.clear_fault()
         assert bool(await log.read("s", 0)) is took_effect
 
 
--- a/tests/contracts/test_peers.py
+++ b/tests/contracts/test_peers.py
@@ -157,7 +157,7 @@
             await wait_for(lambda: provider.edge.bytes_sent, "the answer was sent")
             await asyncio.sleep(0.1)
             assert requester.list_received_events() == []
-            proxy.lift()
+            proxy.clear_fault()
             proxy.cut()
 
         def has_events() -> bool:
--- a/tests/contracts/test_platform.py
+++ b/tests/contracts/test_platform.py
@@ -61,7 +61,7 @@
     if isinstance(fault, Stall):
         await wait_for(lambda: proxy.accepted, "the list was asked for")
         assert not events
-        proxy.lift()
+        proxy.clear_fault()
     await wait_for(lambda: events, "the list was read")
     await edge.stop()
     await proxy.stop()
--- a/tests/faults/sites.py
+++ b/tests/faults/sites.py
@@ -574,4 +574,4 @@
     if isinstance(proxy.fault, Lose):
         # No network passes later bytes of a connection on after it lost some.
         proxy.cut()
-    proxy.lift()
+    proxy.clear_fault()
--- a/tests/integration/conftest.py
+++ b/tests/integration/conftest.py
@@ -108,7 +108,7 @@
             link.set_fault(Lose(Direction.TO_CLIENT))
             before = link.accepted
             world.run(wait_for(lambda: link.accepted > before, "a new connection"))
-            link.lift()
+            link.clear_fault()
         case "drip":
             link.set_fault(Drip(64, 0.001))
 
--- a/tests/integration/test_orders.py
+++ b/tests/integration/test_orders.py
@@ -81,7 +81,7 @@
 )
 def order_while_stalled(world: World, name: str, entry: str) -> None:
     order_and_wait(world, name, entry)
-    world.fleet.log_proxy.lift()
+    world.fleet.log_proxy.clear_fault()
 
 
 @when(parsers.parse("{entry} freezes as soon as its claim is in the log"))
--- a/tests/standins/test_proxy.py
+++ b/tests/standins/test_proxy.py
@@ -102,7 +102,7 @@
         proxy.set_fault(Stall())
         assert await client.ask(b"two\n", SHORT) is None
         assert echo.lines == [b"one\n"]
-        proxy.lift()
+        proxy.clear_fault()
         assert await asyncio.wait_for(client.reader.readline(), LONG) == b"two\n"
 
 
@@ -114,7 +114,7 @@
         old = await Client.connect(proxy)
         assert await old.ask(b"one\n") == b"one\n"
         assert getattr(proxy, fault)() == 1
-        proxy.lift()
+        proxy.clear_fault()
         assert await old.ask(b"two\n", SHORT) is None
         new = await Client.connect(proxy)
         assert await new.ask(b"three\n") == b"three\n"
