--- a/figstep/standins/engine.py
+++ b/figstep/standins/engine.py
@@ -165,9 +165,9 @@
         app.router.add_delete("/v1/generations/{id}", self._cancel)
         app.router.add_get("/load", self._report_load)
         app.router.add_get("/cache-events", self._list_cache_events)
-        app.router.add_post("/orders", self._take_order)
+        app.router.add_post("/orders", self._handle_order)
         app.router.add_get("/standin/executed", self._list_executed)
-        app.router.add_post("/standin/do/{kind}", self._do)
+        app.router.add_post("/standin/do/{kind}", self._handle_action)
         app.on_cleanup.append(self._clean_up)
         return app
 
@@ -200,9 +200,9 @@
         """Turn new work away; what runs goes on."""
         self.leaving = True
 
-    async def _do(self, request: web.Request) -> web.Response:
-        deeds = {"leave": self.leave, "crash": self.crash, "restart": self.restart}
-        deeds[request.match_info["kind"]]()
+    async def _handle_action(self, request: web.Request) -> web.Response:
+        actions = {"leave": self.leave, "crash": self.crash, "restart": self.restart}
+        actions[request.match_info["kind"]]()
         return answer_json({})
 
     @web.middleware
@@ -359,7 +359,7 @@
         events = self.model.read_cache_events(_read_clock(), after)
         return answer_json({"events": [asdict(event) for event in events]})
 
-    async def _take_order(self, request: web.Request) -> web.Response:
+    async def _handle_order(self, request: web.Request) -> web.Response:
         order = orjson.loads(await request.read())
         number = int(order["fencing"])
         if self.checks_fencing and number < self.fencing:
