--- a/figstep/experiment/harness.py
+++ b/figstep/experiment/harness.py
@@ -341,10 +341,10 @@
         if self._wakes.get(name) != self.now:
             return
         for token in self._engines[name].advance(self.now):
-            self._take_token(token)
+            self._handle_token(token)
         self._watch(name)
 
-    def _take_token(self, token: Token) -> None:
+    def _handle_token(self, token: Token) -> None:
         attempt = self._by_generation.get(token.name)
         if attempt is None:
             return
--- a/figstep/standins/engine.py
+++ b/figstep/standins/engine.py
@@ -279,7 +279,7 @@
     async def _run(self) -> None:
         while True:
             for token in self.model.advance(_read_clock() + RUN_AHEAD_MS):
-                self._take_token(token)
+                self._handle_token(token)
             step = self.model.next_step()
             if step is None:
                 self._work.clear()
@@ -287,7 +287,7 @@
                 continue
             await asyncio.sleep(max(0.0, step - _read_clock()) / 1_000)
 
-    def _take_token(self, token: Token) -> None:
+    def _handle_token(self, token: Token) -> None:
         generation = self._generations.get(token.name)
         if generation is None or generation.cancelled:
             return
