--- a/figstep/standins/engine.py
+++ b/figstep/standins/engine.py
@@ -158,7 +158,7 @@
 
     def build_app(self) -> web.Application:
         """Return the HTTP application."""
-        app = web.Application(middlewares=[self._play_faults])
+        app = web.Application(middlewares=[self._apply_faults])
         app.router.add_post("/v1/chat/completions", self._start)
         app.router.add_post("/v1/completions", self._start)
         app.router.add_get("/v1/generations/{id}", self._resume)
@@ -206,7 +206,7 @@
         return answer_json({})
 
     @web.middleware
-    async def _play_faults(self, request: web.Request, handler: Any) -> Any:
+    async def _apply_faults(self, request: web.Request, handler: Any) -> Any:
         while self.model.frozen and not self.crashed:
             await asyncio.sleep(0.05)
         if self.crashed and not request.path.startswith("/standin/"):
@@ -309,9 +309,9 @@
         generation.ended = token.finish is not None
         generation.notify()
         if generation.ended:
-            self._forget_later(token.name)
+            self._schedule_removal(token.name)
 
-    def _forget_later(self, name: str) -> None:
+    def _schedule_removal(self, name: str) -> None:
         loop = asyncio.get_running_loop()
         retention = self.model.profile.retention / 1_000
         loop.call_later(retention, self._generations.pop, name, None)
@@ -335,7 +335,7 @@
         generation.ended = True
         self.cancelled.append(name)
         generation.notify()
-        self._forget_later(name)
+        self._schedule_removal(name)
 
     async def _report_load(self, request: web.Request) -> web.Response:
         now = _read_clock()
@@ -369,12 +369,12 @@
         self.fencing = max(self.fencing, number)
         if self.load_seconds:
             await asyncio.sleep(self.load_seconds)
-        if not self._carry_out(order):
+        if not self._execute_order(order):
             return answer_json({"error": "unknown kind of order"}, status=400)
         self.orders.append(order)
         return answer_json({"models": self.models, "role": self.role})
 
-    def _carry_out(self, order: dict[str, Any]) -> bool:
+    def _execute_order(self, order: dict[str, Any]) -> bool:
         model = order.get("model", "")
         versioned = f"{model}@{order.get('version', '1')}"
         match order.get("kind"):
@@ -423,7 +423,7 @@
             self._readers.remove(request)
             generation.readers -= 1
             if not generation.ended and not generation.readers:
-                self._cancel_later(name)
+                self._schedule_cancel(name)
         return response
 
     async def _send_frames(
@@ -446,7 +446,7 @@
         if not generation.cancelled:
             await response.write(DONE)
 
-    def _cancel_later(self, name: str) -> None:
+    def _schedule_cancel(self, name: str) -> None:
         # A reader that lost its connection may come back for the rest; one
         # that is gone for good would leave the generation eating memory.
         task = asyncio.create_task(self._cancel_unread(name))
