--- a/figstep/standins/engine.py
+++ b/figstep/standins/engine.py
@@ -28,7 +28,7 @@
 from figstep.standins.engine_model import (
     EngineModel,
     EngineProfile,
-    LengthLaw,
+    LengthDistribution,
     Sequence,
     Token,
 )
@@ -102,7 +102,7 @@
         gap: float = 0.01,
         length: int = 20,
         profile: EngineProfile | None = None,
-        law: LengthLaw | None = None,
+        law: LengthDistribution | None = None,
     ) -> None:
         self.name = name
         self.length = length
--- a/figstep/standins/engine_model.py
+++ b/figstep/standins/engine_model.py
@@ -131,7 +131,7 @@
 
 
 @dataclass(slots=True)
-class LengthLaw:
+class LengthDistribution:
     """Seeded heavy-tailed lengths: many short answers, few very long ones.
 
     Attributes:
