--- a/figstep/standins/engine.py
+++ b/figstep/standins/engine.py
@@ -39,8 +39,8 @@
 PREFIX_CHARS = 256
 CHARS_PER_TOKEN = 4
 RUN_AHEAD_MS = 0.5
-THIN_MEMORY = 16_777_216
-THIN_RUNNING = 65_536
+FIXED_GAP_MEMORY_TOKENS = 16_777_216
+FIXED_GAP_MAX_RUNNING = 65_536
 
 
 @dataclass(slots=True)
@@ -61,16 +61,16 @@
         self.changed = asyncio.Event()
 
 
-def build_thin_profile(gap: float) -> EngineProfile:
+def build_fixed_gap_profile(gap: float) -> EngineProfile:
     """Return an engine that gives a token every ``gap`` seconds, at once for all."""
     return EngineProfile(
-        memory_tokens=THIN_MEMORY,
-        max_running=THIN_RUNNING,
+        memory_tokens=FIXED_GAP_MEMORY_TOKENS,
+        max_running=FIXED_GAP_MAX_RUNNING,
         step=max(gap * 1_000, 0.01),
         per_sequence=0.0,
         per_thousand=0.0,
         per_prefill=0.0,
-        prefill_chunk=THIN_MEMORY,
+        prefill_chunk=FIXED_GAP_MEMORY_TOKENS,
         report_lag=0.0,
     )
 
@@ -81,7 +81,7 @@
     Attributes:
         name: Target name.
         length: Tokens in an answer unless the request or a law says.
-        law: Draws lengths in place of ``length``, if set.
+        length_distribution: Draws lengths in place of ``length``, if set.
         grace: Seconds for which a generation without a reader goes on.
         answer_delay: Seconds by which every answer is late.
         crashed: While set, connections are cut and none is served.
@@ -102,11 +102,11 @@
         gap: float = 0.01,
         length: int = 20,
         profile: EngineProfile | None = None,
-        law: LengthDistribution | None = None,
+        length_distribution: LengthDistribution | None = None,
     ) -> None:
         self.name = name
         self.length = length
-        self.law = law
+        self.length_distribution = length_distribution
         self.grace = 10.0
         self.answer_delay = 0.0
         self.crashed = False
@@ -120,7 +120,7 @@
         self.prompts: dict[str, str] = {}
         self.cancelled: list[str] = []
         self.model = EngineModel(
-            profile or build_thin_profile(gap), random.Random(hash_name(name))
+            profile or build_fixed_gap_profile(gap), random.Random(hash_name(name))
         )
         self.models: list[str] = []
         self._generations: dict[str, _Generation] = {}
@@ -154,7 +154,7 @@
 
     @gap.setter
     def gap(self, seconds: float) -> None:
-        self.model.profile = build_thin_profile(seconds)
+        self.model.profile = build_fixed_gap_profile(seconds)
 
     def build_app(self) -> web.Application:
         """Return the HTTP application."""
@@ -253,17 +253,21 @@
     def _build_sequence(
         self, name: str, body: dict[str, Any], after: int, priority: int
     ) -> Sequence:
-        wanted = body.get("standin_length")
-        if wanted is None:
-            wanted = self.length if self.law is None else self.law.draw()
+        answer_length = body.get("standin_length")
+        if answer_length is None:
+            answer_length = (
+                self.length
+                if self.length_distribution is None
+                else self.length_distribution.draw()
+            )
         limit = body.get("max_tokens") or body.get("max_completion_tokens")
-        length = min(wanted, limit) if limit else wanted
+        length = min(answer_length, limit) if limit else answer_length
         prompt = str(body.get("prompt") or body.get("messages") or "")
         shared = prompt[:PREFIX_CHARS]
         return Sequence(
             name,
             length,
-            "length" if limit and limit <= wanted else "stop",
+            "length" if limit and limit <= answer_length else "stop",
             prompt_tokens=1 + len(prompt) // CHARS_PER_TOKEN,
             priority=priority,
             prefix=hashlib.sha256(shared.encode()).hexdigest()[:16],
