--- a/figstep/standins/engine_model.py
+++ b/figstep/standins/engine_model.py
@@ -185,7 +185,7 @@
     _time: float = 0.0
     _step_end: float | None = None
     _order: int = 0
-    _out: list[Token] = field(default_factory=list)
+    _pending_tokens: list[Token] = field(default_factory=list)
     _reports: deque[LoadReport] = field(default_factory=deque)
     _prefixes: OrderedDict[str, int] = field(default_factory=OrderedDict)
     _prefix_used: int = 0
@@ -228,7 +228,7 @@
         self._ended.clear()
         self._prefixes.clear()
         self._reports.clear()
-        self._out.clear()
+        self._pending_tokens.clear()
         self._used = self._prefix_used = 0
         self._step_end = None
         self._time = now
@@ -249,7 +249,7 @@
     def advance(self, now: float) -> list[Token]:
         """Run to ``now`` and return the tokens since the last call, in order."""
         self._run(now)
-        out, self._out = self._out, []
+        out, self._pending_tokens = self._pending_tokens, []
         return out
 
     def next_step(self) -> float | None:
@@ -259,7 +259,7 @@
     def read_load(self, now: float) -> LoadReport:
         """Return the load as it was ``report_lag`` ago, or the oldest known."""
         self._run(now)
-        self._note_load(now)
+        self._record_load(now)
         while len(self._reports) > 1:
             if self._reports[1].at > now - self.profile.report_lag:
                 break
@@ -284,7 +284,7 @@
         if not self._running and not self._waiting:
             self._time = max(self._time, now)
             return False
-        self._make_room()
+        self._preempt_until_fits()
         self._admit()
         if not self._running:
             self._time = max(self._time, now)
@@ -314,10 +314,10 @@
         assert self._step_end is not None
         now = self._time = self._step_end
         self._step_end = None
-        going: list[Sequence] = []
+        still_running: list[Sequence] = []
         for sequence in self._running:
             if sequence.to_prefill > 0:
-                going.append(sequence)
+                still_running.append(sequence)
                 continue
             sequence.produced += 1
             sequence.held += 1
@@ -325,15 +325,17 @@
             self.produced += 1
             last = sequence.produced >= sequence.length
             finish = sequence.finish if last else None
-            self._out.append(Token(sequence.name, sequence.produced, now, finish))
+            self._pending_tokens.append(
+                Token(sequence.name, sequence.produced, now, finish)
+            )
             if last:
                 self._end(sequence, now)
                 continue
-            going.append(sequence)
-        self._running = going
-        self._note_load(now)
+            still_running.append(sequence)
+        self._running = still_running
+        self._record_load(now)
 
-    def _make_room(self) -> None:
+    def _preempt_until_fits(self) -> None:
         while self._used + len(self._running) > self.profile.memory_tokens:
             if len(self._running) <= 1:
                 return
@@ -354,8 +356,8 @@
         while self._waiting and len(self._running) < self.profile.max_running:
             sequence = self._waiting[0]
             needed = sequence.prompt_tokens + sequence.produced
-            room = free - self._used - len(self._running)
-            if needed + 1 > room and self._running:
+            free_tokens = free - self._used - len(self._running)
+            if needed + 1 > free_tokens and self._running:
                 return
             self._waiting.pop(0)
             sequence.held = needed
@@ -401,7 +403,7 @@
         if len(self._cache_events) > 1_000:
             self._cache_events.popleft()
 
-    def _note_load(self, now: float) -> None:
+    def _record_load(self, now: float) -> None:
         report = LoadReport(
             now,
             len(self._running),
