--- a/figstep/standins/source.py
+++ b/figstep/standins/source.py
@@ -15,8 +15,8 @@
 
 DONE = b"data: [DONE]\n\n"
 DEFAULT_LENGTH = 250
-DEFAULT_GAP = 0.05
-SLOTS = 10
+DEFAULT_GAP_SECONDS = 0.05
+SLOTS_PER_GAP = 10
 """Passes per gap, so that streams do not all fire at once."""
 
 
@@ -81,7 +81,7 @@
         assert isinstance(writer, StreamWriter)
         length = body.get("max_tokens", DEFAULT_LENGTH)
         stream = _Stream(writer, generation, length)
-        slot = self._choose_slot(body.get("gap_ms", DEFAULT_GAP * 1000) / 1000)
+        slot = self._choose_slot(body.get("gap_ms", DEFAULT_GAP_SECONDS * 1000) / 1000)
         slot.append(stream)
         try:
             await stream.ended
@@ -91,18 +91,18 @@
 
     def _choose_slot(self, gap: float) -> list[_Stream]:
         if gap not in self._slots:
-            self._slots[gap] = [[] for _ in range(SLOTS)]
+            self._slots[gap] = [[] for _ in range(SLOTS_PER_GAP)]
             task = asyncio.create_task(self._run(gap, self._slots[gap]))
             self._timers.add(task)
         self._next_slot += 1
-        return self._slots[gap][self._next_slot % SLOTS]
+        return self._slots[gap][self._next_slot % SLOTS_PER_GAP]
 
     async def _run(self, gap: float, slots: list[list[_Stream]]) -> None:
         loop = asyncio.get_running_loop()
-        due, turn = loop.time(), 0
+        due, slot_index = loop.time(), 0
         while True:
-            for stream in list(slots[turn]):
+            for stream in list(slots[slot_index]):
                 stream.write_token()
-            turn = (turn + 1) % SLOTS
-            due = max(due + gap / SLOTS, loop.time() - gap)
+            slot_index = (slot_index + 1) % SLOTS_PER_GAP
+            due = max(due + gap / SLOTS_PER_GAP, loop.time() - gap)
             await asyncio.sleep(max(0.0, due - loop.time()))
