--- a/figstep/standins/weights.py
+++ b/figstep/standins/weights.py
@@ -32,7 +32,7 @@
         self.served: list[tuple[str, str]] = []
         self.refused = 0
         self._read_seconds = read_seconds
-        self._taken: list[float] = []
+        self._answered_at: list[float] = []
 
     def build_app(self) -> web.Application:
         """Return the HTTP application."""
@@ -42,13 +42,13 @@
 
     async def _read(self, request: web.Request) -> web.Response:
         now = self._read_seconds()
-        self._taken = [at for at in self._taken if at > now - self.window]
-        if len(self._taken) >= self.limit:
+        self._answered_at = [at for at in self._answered_at if at > now - self.window]
+        if len(self._answered_at) >= self.limit:
             self.refused += 1
-            wait = self._taken[0] + self.window - now
+            wait = self._answered_at[0] + self.window - now
             headers = {"Retry-After": str(max(1, math.ceil(wait)))}
             return web.Response(status=429, headers=headers)
-        self._taken.append(now)
+        self._answered_at.append(now)
         model, version = request.match_info["model"], request.match_info["version"]
         self.served.append((model, version))
         return web.Response(body=f"{model}@{version}".encode())
