--- a/figstep/standins/log.py
+++ b/figstep/standins/log.py
@@ -124,13 +124,13 @@
         body = orjson.loads(await request.read())
         stream = await self._find_stream(request)
         if self.faults.drop_appends > 0:
-            left = self.faults.drop_appends - 1
-            self.faults = replace(self.faults, drop_appends=left)
+            remaining = self.faults.drop_appends - 1
+            self.faults = replace(self.faults, drop_appends=remaining)
             raise web.HTTPServiceUnavailable(text="not taken")
         first = stream.end
-        taken = _read_time()
+        appended_at = _read_time()
         for number, data in enumerate(body["records"]):
-            record = {"offset": first + number, "time": taken, "data": data}
+            record = {"offset": first + number, "time": appended_at, "data": data}
             stream.records.append(record)
         self.appends += 1
         self.appended_records += len(body["records"])
@@ -138,8 +138,8 @@
         stream.changed.set()
         stream.changed = asyncio.Event()
         if self.faults.lose_answers > 0:
-            left = self.faults.lose_answers - 1
-            self.faults = replace(self.faults, lose_answers=left)
+            remaining = self.faults.lose_answers - 1
+            self.faults = replace(self.faults, lose_answers=remaining)
             if request.transport is not None:
                 request.transport.close()
         return answer_json({"offset": first})
