--- a/figstep/standins/balancer.py
+++ b/figstep/standins/balancer.py
@@ -11,7 +11,7 @@
 from figstep.standins.proxy import TcpProxy
 
 POLL_SECONDS = 0.2
-PROBE_TIMEOUT = 2.0
+PROBE_TIMEOUT_SECONDS = 2.0
 
 
 class Balancer(TcpProxy):
@@ -60,12 +60,12 @@
 
     async def _poll(self) -> None:
         names = list(self.entries)
-        timeout = aiohttp.ClientTimeout(total=PROBE_TIMEOUT)
+        timeout = aiohttp.ClientTimeout(total=PROBE_TIMEOUT_SECONDS)
         async with aiohttp.ClientSession(timeout=timeout) as session:
-            verdicts = await asyncio.gather(
+            probe_results = await asyncio.gather(
                 *(_probe(session, self.entries[name]) for name in names)
             )
-        self.ready = [name for name, ok in zip(names, verdicts, strict=True) if ok]
+        self.ready = [name for name, ok in zip(names, probe_results, strict=True) if ok]
 
 
 async def _probe(session: aiohttp.ClientSession, url: str) -> bool:
