--- a/figstep/experiment/harness.py
+++ b/figstep/experiment/harness.py
@@ -36,7 +36,7 @@
 from figstep.core.reducer import reduce
 from figstep.core.specs import GenerationWork, RequestSpec
 from figstep.core.state import State
-from figstep.experiment.measures import STALL_FROM, Ledger, Stream
+from figstep.experiment.measures import STALL_THRESHOLD_MS, RunStatistics, Stream
 from figstep.experiment.scenarios import (
     MODEL,
     SECOND,
@@ -106,7 +106,7 @@
     fault: Fault = field(default_factory=Fault)
     entries: int = 1
     gossip: float = 0.0
-    ledger: Ledger = field(default_factory=Ledger)
+    ledger: RunStatistics = field(default_factory=RunStatistics)
     now: float = 0.0
     _states: list[State] = field(default_factory=list)
     _homes: dict[str, State] = field(default_factory=dict)
@@ -244,7 +244,7 @@
         if problem.ran is not Ran.NO:
             stream.lost = True
             waited = self.now - stream.last
-            stream.stalled += waited if waited >= STALL_FROM else 0.0
+            stream.stalled += waited if waited >= STALL_THRESHOLD_MS else 0.0
             return
         self.ledger.refusals += 1
         if self.now - stream.last_asked > LINK_DELAY:
--- a/figstep/experiment/measures.py
+++ b/figstep/experiment/measures.py
@@ -3,12 +3,12 @@
 import math
 from dataclasses import dataclass, field
 
-STALL_FROM = 250.0
+STALL_THRESHOLD_MS = 250.0
 """A wait counts as a stall, whole, from this many milliseconds."""
 
 BINS_PER_E = 50
 
-FLOODER = "customer-9"
+FLOODING_CUSTOMER = "customer-9"
 """The customer that floods in that fault; ``spared`` are all others."""
 
 
@@ -74,7 +74,7 @@
 
 
 @dataclass(slots=True)
-class Ledger:
+class RunStatistics:
     """Everything that is counted in one run.
 
     Attributes:
@@ -99,7 +99,7 @@
             stream.slowest_gap = max(stream.slowest_gap, gap)
         stream.last = now
         stream.tokens += tokens
-        if gap >= STALL_FROM:
+        if gap >= STALL_THRESHOLD_MS:
             stream.stalled += gap
 
     def summarize(
@@ -115,11 +115,11 @@
         for stream in streams:
             if stream.ended is None and not stream.refused and not stream.lost:
                 waited = end - stream.last
-                stream.stalled += waited if waited >= STALL_FROM else 0.0
+                stream.stalled += waited if waited >= STALL_THRESHOLD_MS else 0.0
         whole = [s for s in streams if s.ended is not None]
         in_time = [s for s in whole if s.ended is not None and s.ended <= arrivals_end]
         stalls = [s.stalled for s in streams]
-        spared = [s.stalled for s in streams if s.customer != FLOODER]
+        spared = [s.stalled for s in streams if s.customer != FLOODING_CUSTOMER]
         slowest = [s.slowest_gap for s in streams]
         firsts = [s.first - s.asked for s in streams if s.first is not None]
         return {
@@ -171,4 +171,4 @@
     if stream.first is None:
         return stream.stalled
     wait = stream.first - stream.asked
-    return wait if wait >= STALL_FROM else 0.0
+    return wait if wait >= STALL_THRESHOLD_MS else 0.0
--- a/tests/experiment/test_harness.py
+++ b/tests/experiment/test_harness.py
@@ -7,7 +7,7 @@
 from figstep.core.policies import POLICIES
 from figstep.experiment.cost import measure_cost
 from figstep.experiment.harness import Fault, Run
-from figstep.experiment.measures import GapHistogram, Ledger, Stream
+from figstep.experiment.measures import GapHistogram, RunStatistics, Stream
 from figstep.experiment.scenarios import DEPLOYMENTS, draw_arrivals
 
 LOAD = 3.4
@@ -69,7 +69,7 @@
 
 
 def test_measures_count_waits_as_callers_see_them() -> None:
-    ledger = Ledger()
+    ledger = RunStatistics()
     stream = ledger.streams["r"] = Stream("c", 0.0, 3, 0.0)
     for at in (100.0, 130.0, 1_130.0):
         ledger.deliver(stream, at, 1)
