--- a/figstep/experiment/harness.py
+++ b/figstep/experiment/harness.py
@@ -106,7 +106,7 @@
     fault: Fault = field(default_factory=Fault)
     entries: int = 1
     gossip: float = 0.0
-    ledger: RunStatistics = field(default_factory=RunStatistics)
+    statistics: RunStatistics = field(default_factory=RunStatistics)
     now: float = 0.0
     _states: list[State] = field(default_factory=list)
     _homes: dict[str, State] = field(default_factory=dict)
@@ -134,7 +134,7 @@
             self.now = at
             action(argument)
         preemptions = sum(engine.preemptions for engine in self._engines.values())
-        result = self.ledger.summarize(end, self.duration, preemptions)
+        result = self.statistics.summarize(end, self.duration, preemptions)
         result["produced"] = sum(e.produced for e in self._engines.values())
         result["prefix_hits"] = sum(e.prefix_hits for e in self._engines.values())
         return result
@@ -175,10 +175,10 @@
     def _ask(self, arrival: Arrival) -> None:
         if arrival.request not in self._arrivals:
             self._arrivals[arrival.request] = arrival
-            self.ledger.streams[arrival.request] = Stream(
+            self.statistics.streams[arrival.request] = Stream(
                 arrival.customer, self.now, arrival.length, self.now
             )
-        self.ledger.streams[arrival.request].last_asked = self.now
+        self.statistics.streams[arrival.request].last_asked = self.now
         work = GenerationWork(
             MODEL,
             arrival.prompt_tokens,
@@ -207,8 +207,8 @@
     def _perform(self, state: State, effect: Effect) -> None:
         match effect:
             case Deliver(request=request, frames=frames):
-                stream = self.ledger.streams[request]
-                self.ledger.deliver(stream, self.now, len(frames))
+                stream = self.statistics.streams[request]
+                self.statistics.deliver(stream, self.now, len(frames))
             case OpenAttempt():
                 self._open(effect)
             case ResumeAttempt():
@@ -218,7 +218,7 @@
                 self._timers[state.node, timer] = due
                 self._schedule(due, self._fire, (state, timer))
             case Complete(request=request):
-                self.ledger.streams[request].ended = self.now
+                self.statistics.streams[request].ended = self.now
             case Refuse():
                 self._take_refusal(effect)
             case CloseAttempt(attempt=number):
@@ -239,16 +239,16 @@
         self._dispatch(state, TimerFired(timer))
 
     def _take_refusal(self, effect: Refuse) -> None:
-        stream = self.ledger.streams[effect.request]
+        stream = self.statistics.streams[effect.request]
         problem = effect.problem
         if problem.ran is not Ran.NO:
             stream.lost = True
             waited = self.now - stream.last
             stream.stalled += waited if waited >= STALL_THRESHOLD_MS else 0.0
             return
-        self.ledger.refusals += 1
+        self.statistics.refusals += 1
         if self.now - stream.last_asked > LINK_DELAY:
-            self.ledger.late_refusals += 1
+            self.statistics.late_refusals += 1
         if problem.retry_after is None or stream.asks >= MOST_ASKS:
             stream.refused = True
             stream.stalled += self.now - stream.asked
--- a/tests/experiment/test_harness.py
+++ b/tests/experiment/test_harness.py
@@ -69,13 +69,13 @@
 
 
 def test_measures_count_waits_as_callers_see_them() -> None:
-    ledger = RunStatistics()
-    stream = ledger.streams["r"] = Stream("c", 0.0, 3, 0.0)
+    statistics = RunStatistics()
+    stream = statistics.streams["r"] = Stream("c", 0.0, 3, 0.0)
     for at in (100.0, 130.0, 1_130.0):
-        ledger.deliver(stream, at, 1)
+        statistics.deliver(stream, at, 1)
     stream.ended = 1_130.0
-    ledger.streams["never"] = Stream("c", 0.0, 3, 0.0)
-    result = ledger.summarize(5_000.0, 2_000.0, 1)
+    statistics.streams["never"] = Stream("c", 0.0, 3, 0.0)
+    result = statistics.summarize(5_000.0, 2_000.0, 1)
     assert result["stall_sum_s"] == 6.0
     assert result["slowest_gap_p99_ms"] == 1_000.0
     assert result["unfinished"] == 1
