--- a/figstep/experiment/measures.py
+++ b/figstep/experiment/measures.py
@@ -30,10 +30,10 @@
 
     def find_quantile(self, share: float) -> float:
         """Return the gap below which ``share`` of all lie, in milliseconds."""
-        seen = 0
+        cumulative = 0
         for number in sorted(self.bins):
-            seen += self.bins[number]
-            if seen >= share * self.count:
+            cumulative += self.bins[number]
+            if cumulative >= share * self.count:
                 return math.exp((number + 0.5) / BINS_PER_E)
         return 0.0
 
@@ -116,8 +116,10 @@
             if stream.ended is None and not stream.refused and not stream.lost:
                 waited = end - stream.last
                 stream.stalled += waited if waited >= STALL_THRESHOLD_MS else 0.0
-        whole = [s for s in streams if s.ended is not None]
-        in_time = [s for s in whole if s.ended is not None and s.ended <= arrivals_end]
+        completed = [s for s in streams if s.ended is not None]
+        completed_before_end = [
+            s for s in completed if s.ended is not None and s.ended <= arrivals_end
+        ]
         stalls = [s.stalled for s in streams]
         spared = [s.stalled for s in streams if s.customer != FLOODING_CUSTOMER]
         slowest = [s.slowest_gap for s in streams]
@@ -149,14 +151,14 @@
             "unfinished": sum(
                 s.ended is None and not s.refused and not s.lost for s in streams
             ),
-            "whole": len(whole),
-            "tokens_whole": sum(s.tokens for s in whole),
-            "tokens_in_time": sum(s.tokens for s in in_time),
-            "fairness": compute_fairness(list(self._serve_shares().values())),
-            "least_share": min(self._serve_shares().values(), default=1.0),
+            "whole": len(completed),
+            "tokens_whole": sum(s.tokens for s in completed),
+            "tokens_in_time": sum(s.tokens for s in completed_before_end),
+            "fairness": compute_fairness(list(self._compute_served_shares().values())),
+            "least_share": min(self._compute_served_shares().values(), default=1.0),
         }
 
-    def _serve_shares(self) -> dict[str, float]:
+    def _compute_served_shares(self) -> dict[str, float]:
         asked: dict[str, int] = {}
         served: dict[str, int] = {}
         for stream in self.streams.values():
