--- a/figstep/experiment/scenarios.py
+++ b/figstep/experiment/scenarios.py
@@ -11,17 +11,17 @@
 MODEL = "langar-8b"
 SECOND = 1_000.0
 PEAK_PERIOD = 120 * SECOND
-PEAK_SWING = 0.15
-PREFIXES = 5
+PEAK_AMPLITUDE = 0.15
+PREFIXES_PER_CUSTOMER = 5
 """Templates that a customer's prompts begin with; all together don't fit."""
 
-CALIBRATION = 240 * SECOND
+CALIBRATION_DURATION = 240 * SECOND
 CALIBRATION_WARM_UP = 60 * SECOND
 CALIBRATION_BATCHES = (4, 6, 8, 12, 16, 24, 32, 48, 64)
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class RequestKind:
     """A kind of request; lengths are log-normal, in tokens.
 
     Attributes:
@@ -54,8 +54,8 @@
 
     name: str
     profiles: tuple[EngineProfile, ...]
-    short: Kind
-    long: Kind
+    short: RequestKind
+    long: RequestKind
     long_share: float
     mixed: float = 0.1
 
@@ -74,8 +74,8 @@
             _engine(3.0, 32_768, 48),
             _engine(4.0, 40_960, 64),
         ),
-        Kind("chat", 30, 0.7, 400, 60),
-        Kind("completion", 700, 0.9, 8_000, 250),
+        RequestKind("chat", 30, 0.7, 400, 60),
+        RequestKind("completion", 700, 0.9, 8_000, 250),
         long_share=0.3,
     ),
     "ireland": Deployment(
@@ -87,8 +87,8 @@
             _engine(2.5, 24_576, 48),
             _engine(4.0, 32_768, 64),
         ),
-        Kind("chat", 40, 0.6, 300, 40),
-        Kind("completion", 900, 0.6, 4_000, 400),
+        RequestKind("chat", 40, 0.6, 300, 40),
+        RequestKind("completion", 900, 0.6, 4_000, 400),
         long_share=0.2,
     ),
 }
@@ -133,7 +133,9 @@
         weight = 5.0 if number < 3 else 1.0
         share = deployment.long_share * rng.uniform(0.4, 1.6)
         name = f"customer-{number}"
-        prefixes = {f"{name}/{n}": rng.randint(60, 600) for n in range(PREFIXES)}
+        prefixes = {
+            f"{name}/{n}": rng.randint(60, 600) for n in range(PREFIXES_PER_CUSTOMER)
+        }
         customers.append(Customer(name, weight, share, prefixes))
     return customers
 
@@ -143,20 +145,20 @@
 ) -> Arrival:
     """Return one request of a customer."""
     long = rng.random() < customer.long_share
-    law = deployment.long if long else deployment.short
+    actual = deployment.long if long else deployment.short
     other = deployment.short if long else deployment.long
-    shown = other if rng.random() < deployment.mixed else law
+    declared = other if rng.random() < deployment.mixed else actual
     length = min(
-        law.longest, round(rng.lognormvariate(math.log(law.median), law.sigma))
+        actual.longest, round(rng.lognormvariate(math.log(actual.median), actual.sigma))
     )
     prefix, prefix_tokens = rng.choice(list(customer.prefixes.items()))
-    own = round(rng.lognormvariate(math.log(law.prompt), 0.6))
+    unshared_tokens = round(rng.lognormvariate(math.log(actual.prompt), 0.6))
     return Arrival(
         at,
         name,
         customer.name,
-        shown.kind,
-        prefix_tokens + max(1, own),
+        declared.kind,
+        prefix_tokens + max(1, unshared_tokens),
         prefix,
         prefix_tokens,
         max(1, length),
@@ -193,17 +195,17 @@
         tokens += arrival.length
     placed = []
     for arrival, time in zip(drawn, times, strict=True):
-        placed.append(replace(arrival, at=_warp(time / at, duration)))
+        placed.append(replace(arrival, at=_find_arrival_time(time / at, duration)))
     return placed
 
 
-def _warp(part: float, duration: float) -> float:
+def _find_arrival_time(part: float, duration: float) -> float:
     """Return when ``part`` of the arrivals has come, under the swing."""
     low, high = 0.0, duration
     for _ in range(40):
         middle = (low + high) / 2
         angle = 2 * math.pi * middle / PEAK_PERIOD
-        swing = PEAK_SWING * PEAK_PERIOD / (2 * math.pi) * (1 - math.cos(angle))
+        swing = PEAK_AMPLITUDE * PEAK_PERIOD / (2 * math.pi) * (1 - math.cos(angle))
         if middle + swing < part * duration:
             low = middle
         else:
@@ -284,14 +286,14 @@
         start(0.0)
     now = 0.0
     produced = 0
-    while now < CALIBRATION:
+    while now < CALIBRATION_DURATION:
         now = engine.next_step() or now + 1
         for token in engine.advance(now):
             if now > CALIBRATION_WARM_UP:
                 produced += 1
             if token.finish:
                 start(now)
-    return produced / (CALIBRATION - CALIBRATION_WARM_UP)
+    return produced / (CALIBRATION_DURATION - CALIBRATION_WARM_UP)
 
 
 def build_sequence(
