--- a/figstep/experiment/harness.py
+++ b/figstep/experiment/harness.py
@@ -50,10 +50,10 @@
 from figstep.standins.engine_model import EngineModel, Token
 
 LINK_DELAY = 1.0
-REPORT_PERIOD = 1_000.0
-DRAIN = 300 * SECOND
+REPORT_INTERVAL = 1_000.0
+DRAIN_DURATION = 300 * SECOND
 DEADLINE = 60_000
-MOST_ASKS = 4
+MAX_SUBMISSIONS = 4
 FRAME = [b""]
 
 
@@ -109,26 +109,26 @@
     statistics: RunStatistics = field(default_factory=RunStatistics)
     now: float = 0.0
     _states: list[State] = field(default_factory=list)
-    _homes: dict[str, State] = field(default_factory=dict)
+    _state_by_request: dict[str, State] = field(default_factory=dict)
     _rng: random.Random = field(default_factory=random.Random)
     _engines: dict[str, EngineModel] = field(default_factory=dict)
     _dead: set[str] = field(default_factory=set)
     _arrivals: dict[str, Arrival] = field(default_factory=dict)
     _attempts: dict[int, _Attempt] = field(default_factory=dict)
     _by_generation: dict[str, _Attempt] = field(default_factory=dict)
-    _agenda: list[tuple[float, int, Callable[..., None], Any]] = field(
+    _event_queue: list[tuple[float, int, Callable[..., None], Any]] = field(
         default_factory=list
     )
     _number: int = 0
     _timers: dict[tuple[str, Timer], float] = field(default_factory=dict)
-    _wakes: dict[str, float] = field(default_factory=dict)
+    _step_ends: dict[str, float] = field(default_factory=dict)
 
     def play(self) -> dict[str, float]:
         """Play the run to its end and return its measures."""
         self._set_up()
-        end = self.duration + DRAIN
-        while self._agenda:
-            at, _, action, argument = heapq.heappop(self._agenda)
+        end = self.duration + DRAIN_DURATION
+        while self._event_queue:
+            at, _, action, argument = heapq.heappop(self._event_queue)
             if at > end:
                 break
             self.now = at
@@ -151,7 +151,7 @@
             set_policy(state, self.policy)
             self._states.append(state)
         if self.gossip:
-            self._schedule(self.gossip, self._tell_peers, None)
+            self._schedule(self.gossip, self._exchange_counts, None)
         for info, profile in zip(
             inventory.engines, self.deployment.profiles, strict=True
         ):
@@ -163,16 +163,16 @@
                 self.deployment, self.seed, self.load, self.fault.start, self.fault.end
             )
         for arrival in arrivals:
-            self._schedule(arrival.at, self._ask, arrival)
+            self._schedule(arrival.at, self._submit, arrival)
         if self.fault.kind in ("death", "slow"):
             self._schedule(self.fault.start, self._begin_fault, None)
             self._schedule(self.fault.end, self._end_fault, None)
 
     def _schedule(self, at: float, action: Callable[..., None], argument: Any) -> None:
         self._number += 1
-        heapq.heappush(self._agenda, (at, self._number, action, argument))
+        heapq.heappush(self._event_queue, (at, self._number, action, argument))
 
-    def _ask(self, arrival: Arrival) -> None:
+    def _submit(self, arrival: Arrival) -> None:
         if arrival.request not in self._arrivals:
             self._arrivals[arrival.request] = arrival
             self.statistics.streams[arrival.request] = Stream(
@@ -190,11 +190,11 @@
         )
         # The balancer knows nothing: a caller that comes back may meet another.
         state = self._rng.choice(self._states)
-        self._homes[arrival.request] = state
+        self._state_by_request[arrival.request] = state
         self._dispatch(state, RequestArrived(spec))
 
-    def _tell_peers(self, _: None) -> None:
-        self._schedule(self.now + self.gossip, self._tell_peers, None)
+    def _exchange_counts(self, _: None) -> None:
+        self._schedule(self.now + self.gossip, self._exchange_counts, None)
         for name in self._engines:
             counts = [state.targets[name].in_flight for state in self._states]
             for state, own in zip(self._states, counts, strict=True):
@@ -216,29 +216,29 @@
             case WakeAt(timer=timer, at=at):
                 due = max(float(at), self.now)
                 self._timers[state.node, timer] = due
-                self._schedule(due, self._fire, (state, timer))
+                self._schedule(due, self._fire_timer, (state, timer))
             case Complete(request=request):
                 self.statistics.streams[request].ended = self.now
             case Refuse():
-                self._take_refusal(effect)
+                self._handle_refusal(effect)
             case CloseAttempt(attempt=number):
                 attempt = self._attempts.pop(number, None)
                 if attempt is not None:
                     self._detach(attempt)
             case CancelGeneration(target=target, generation=generation):
                 self._engines[target].cancel(generation, self.now)
-                self._watch(target)
+                self._schedule_step(target)
             case _:
                 pass
 
-    def _fire(self, argument: tuple[State, Timer]) -> None:
+    def _fire_timer(self, argument: tuple[State, Timer]) -> None:
         state, timer = argument
         if self._timers.get((state.node, timer)) != self.now:
             return
         del self._timers[state.node, timer]
         self._dispatch(state, TimerFired(timer))
 
-    def _take_refusal(self, effect: Refuse) -> None:
+    def _handle_refusal(self, effect: Refuse) -> None:
         stream = self.statistics.streams[effect.request]
         problem = effect.problem
         if problem.ran is not Ran.NO:
@@ -249,13 +249,13 @@
         self.statistics.refusals += 1
         if self.now - stream.last_asked > LINK_DELAY:
             self.statistics.late_refusals += 1
-        if problem.retry_after is None or stream.asks >= MOST_ASKS:
+        if problem.retry_after is None or stream.asks >= MAX_SUBMISSIONS:
             stream.refused = True
             stream.stalled += self.now - stream.asked
             return
         stream.asks += 1
         arrival = self._arrivals[effect.request]
-        self._schedule(self.now + problem.retry_after, self._ask, arrival)
+        self._schedule(self.now + problem.retry_after, self._submit, arrival)
 
     def _open(self, effect: OpenAttempt) -> None:
         attempt = _Attempt(
@@ -272,12 +272,12 @@
         if attempt.number not in self._attempts:
             return
         if attempt.engine in self._dead:
-            self._lose(attempt, Loss.CONNECT_FAILED)
+            self._fail_attempt(attempt, Loss.CONNECT_FAILED)
             return
         arrival = self._arrivals[attempt.request]
         sequence = build_sequence(arrival, attempt.generation, priority)
         self._engines[attempt.engine].start(sequence, self.now)
-        self._watch(attempt.engine)
+        self._schedule_step(attempt.engine)
         self._answer(attempt)
 
     def _resume(self, effect: ResumeAttempt) -> None:
@@ -292,17 +292,17 @@
         if attempt.number not in self._attempts:
             return
         if attempt.engine in self._dead:
-            self._lose(attempt, Loss.CONNECT_FAILED)
+            self._fail_attempt(attempt, Loss.CONNECT_FAILED)
             return
         sequence = self._engines[attempt.engine].sequences.get(attempt.generation)
         if sequence is None:
-            self._lose(attempt, Loss.NOT_FOUND)
+            self._fail_attempt(attempt, Loss.NOT_FOUND)
             return
         self._by_generation[attempt.generation] = attempt
         self._answer(attempt)
         missed = sequence.produced - after
         if missed > 0:
-            state = self._homes[attempt.request]
+            state = self._state_by_request[attempt.request]
             frames = FRAME * missed
             self._dispatch(
                 state,
@@ -314,41 +314,43 @@
     def _end(self, attempt: _Attempt) -> None:
         self._attempts.pop(attempt.number, None)
         self._by_generation.pop(attempt.generation, None)
-        self._dispatch(self._homes[attempt.request], AttemptEnded(attempt.number))
+        self._dispatch(
+            self._state_by_request[attempt.request], AttemptEnded(attempt.number)
+        )
 
     def _answer(self, attempt: _Attempt) -> None:
-        state = self._homes[attempt.request]
+        state = self._state_by_request[attempt.request]
         self._dispatch(state, AttemptAnswered(attempt.number))
 
     def _detach(self, attempt: _Attempt) -> None:
         if self._by_generation.get(attempt.generation) is attempt:
             del self._by_generation[attempt.generation]
 
-    def _lose(self, attempt: _Attempt, loss: Loss) -> None:
+    def _fail_attempt(self, attempt: _Attempt, loss: Loss) -> None:
         self._attempts.pop(attempt.number, None)
         self._detach(attempt)
-        state = self._homes[attempt.request]
+        state = self._state_by_request[attempt.request]
         self._dispatch(state, AttemptLost(attempt.number, loss))
 
-    def _watch(self, name: str) -> None:
+    def _schedule_step(self, name: str) -> None:
         step = self._engines[name].next_step()
-        if step is None or self._wakes.get(name) == step:
+        if step is None or self._step_ends.get(name) == step:
             return
-        self._wakes[name] = step
+        self._step_ends[name] = step
         self._schedule(step, self._step, name)
 
     def _step(self, name: str) -> None:
-        if self._wakes.get(name) != self.now:
+        if self._step_ends.get(name) != self.now:
             return
         for token in self._engines[name].advance(self.now):
             self._handle_token(token)
-        self._watch(name)
+        self._schedule_step(name)
 
     def _handle_token(self, token: Token) -> None:
         attempt = self._by_generation.get(token.name)
         if attempt is None:
             return
-        state = self._homes[attempt.request]
+        state = self._state_by_request[attempt.request]
         event = TokensArrived(attempt.number, token.name, token.index, FRAME)
         self._dispatch(state, event)
         if token.finish is None:
@@ -356,12 +358,12 @@
         self._end(attempt)
 
     def _report(self, name: str) -> None:
-        self._schedule(self.now + REPORT_PERIOD, self._report, name)
-        quiet = (
+        self._schedule(self.now + REPORT_INTERVAL, self._report, name)
+        silenced = (
             self.fault.kind == "silence"
             and self.fault.start <= self.now < self.fault.end
         )
-        if name in self._dead or quiet:
+        if name in self._dead or silenced:
             return
         engine = self._engines[name]
         report = engine.read_load(self.now)
@@ -384,10 +386,10 @@
             return
         self._dead.add(name)
         self._engines[name].crash(self.now)
-        self._wakes.pop(name, None)
+        self._step_ends.pop(name, None)
         for attempt in list(self._attempts.values()):
             if attempt.engine == name:
-                self._lose(attempt, Loss.BROKEN)
+                self._fail_attempt(attempt, Loss.BROKEN)
 
     def _end_fault(self, _: None) -> None:
         name = f"engine-{self.fault.engine}"
