--- a/figstep/experiment/cost.py
+++ b/figstep/experiment/cost.py
@@ -28,7 +28,7 @@
 CUSTOMERS = 50
 EVENTS_PER_MILLI = 20
 FRAME = [b""]
-NEVER = Millis(1 << 50)
+NO_DEADLINE = Millis(1 << 50)
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
 
 def measure_cost(targets: int, requests: int) -> Cost:
     """Return the cost of events with so many targets and requests in flight."""
-    meter = _Meter(targets)
+    meter = _CostMeter(targets)
     while len(meter.state.requests) < requests:
         meter.arrive()
     waiting = len(meter.state.queue)
@@ -84,7 +84,7 @@
     )
 
 
-class _Meter:
+class _CostMeter:
     def __init__(self, targets: int) -> None:
         engines = []
         for number in range(targets):
@@ -96,7 +96,7 @@
         apply_inventory(self.state, Inventory(engines=tuple(engines), rules=rules))
         self.rng = random.Random(2)
         self.events = 0
-        self.made = 0
+        self.arrival_count = 0
         self.attempts: dict[int, str] = {}
         self.indexes: dict[int, int] = {}
 
@@ -105,19 +105,19 @@
         now = Millis(self.events // EVENTS_PER_MILLI)
         begin = time.perf_counter()
         effects = reduce(self.state, event, now)
-        spent = time.perf_counter() - begin
+        elapsed = time.perf_counter() - begin
         for effect in effects:
             if isinstance(effect, OpenAttempt):
                 self.attempts[effect.attempt] = effect.generation
                 self.indexes[effect.attempt] = 0
-        return spent
+        return elapsed
 
     def arrive(self) -> float:
-        self.made += 1
+        self.arrival_count += 1
         customer = f"customer-{self.rng.randrange(CUSTOMERS)}"
         work = GenerationWork(MODEL, self.rng.randint(20, 800))
-        name = f"r{self.made}"
-        spec = RequestSpec(name, customer, work, deadline=NEVER)
+        name = f"r{self.arrival_count}"
+        spec = RequestSpec(name, customer, work, deadline=NO_DEADLINE)
         return self.reduce(RequestArrived(spec))
 
     def send_token(self, number: int) -> float:
@@ -129,8 +129,8 @@
         number = next(iter(self.attempts))
         self.send_token(number)
         del self.attempts[number]
-        spent = self.reduce(AttemptEnded(number))
-        return spent + self.reduce(TimerFired(QueueTimer()))
+        elapsed = self.reduce(AttemptEnded(number))
+        return elapsed + self.reduce(TimerFired(QueueTimer()))
 
     def report(self, number: int) -> float:
         name = f"engine-{number}"
