--- a/figstep/experiment/trials.py
+++ b/figstep/experiment/trials.py
@@ -101,13 +101,13 @@
         return dict(POLICIES)
     policies: dict[str, Policy] = {"figstep": Figstep()}
     for switch in ABLATIONS:
-        policies[f"without {switch}"] = _turn(switch, False)
+        policies[f"without {switch}"] = _set_switch(switch, False)
     for switch in ADDITIONS:
-        policies[f"with {switch}"] = _turn(switch, True)
+        policies[f"with {switch}"] = _set_switch(switch, True)
     return policies
 
 
-def _turn(switch: str, value: bool) -> Figstep:
+def _set_switch(switch: str, value: bool) -> Figstep:
     changes: dict[str, Any] = {switch: value}
     return replace(Figstep(), **changes)
 
@@ -153,11 +153,11 @@
     """
     results = []
     policies = list_policies(options.ablate)
-    wanted = options.policies or tuple(policies)
+    selected = options.policies or tuple(policies)
     for deployment in options.deployments:
         capacity = read_capacity(deployment)
         for load, fault in itertools.product(options.loads, options.faults):
-            for name in wanted:
+            for name in selected:
                 trial = Trial(
                     deployment, load, name, fault, options.entries, options.gossip
                 )
