--- a/figstep/experiment/trials.py
+++ b/figstep/experiment/trials.py
@@ -216,8 +216,12 @@
         groups.setdefault((*key, trial["gossip"]), []).append(result)
     lines = []
     for key, group in groups.items():
-        ours = [r for r in group if r["trial"]["policy"] == "figstep"]
-        if not ours or len(group) < 2 or find_best(group, "requests") is None:
+        figstep_results = [r for r in group if r["trial"]["policy"] == "figstep"]
+        if (
+            not figstep_results
+            or len(group) < 2
+            or find_best(group, "requests") is None
+        ):
             continue
         parts = []
         for measure in (
@@ -235,7 +239,9 @@
                     if r["trial"]["policy"] in BASELINES
                 )
             if best:
-                parts.append(f"{measure} {ours[0]['mean'][measure] / best:.2f}")
+                parts.append(
+                    f"{measure} {figstep_results[0]['mean'][measure] / best:.2f}"
+                )
         name = f"{key[0]} {key[1]:.0%} {key[2] or '-'} entries {key[3]}"
         lines.append(f"{name}: " + ", ".join(parts))
     return "\n".join(lines)
--- a/tests/experiment/test_harness.py
+++ b/tests/experiment/test_harness.py
@@ -46,11 +46,13 @@
     Least in flight lets memory fill in the middle of answers; their streams
     stall while they are recomputed. Predicted memory holds work back in time.
     """
-    ours, baseline = play("figstep"), play("least_in_flight")
+    figstep_results, baseline = play("figstep"), play("least_in_flight")
     assert baseline["preemptions_per_1000"] > 10
-    assert ours["preemptions_per_1000"] < baseline["preemptions_per_1000"] / 2
-    assert ours["stall_sum_s"] < baseline["stall_sum_s"]
-    assert ours["tokens_whole"] >= baseline["tokens_whole"]
+    assert (
+        figstep_results["preemptions_per_1000"] < baseline["preemptions_per_1000"] / 2
+    )
+    assert figstep_results["stall_sum_s"] < baseline["stall_sum_s"]
+    assert figstep_results["tokens_whole"] >= baseline["tokens_whole"]
 
 
 @pytest.mark.parametrize("kind", ["", "death", "slow", "silence", "flood"])
