--- a/tests/experiment/test_harness.py
+++ b/tests/experiment/test_harness.py
@@ -17,7 +17,7 @@
 
 
 @cache
-def play(policy: str, kind: str = "", entries: int = 1) -> dict[str, float]:
+def run_policy(policy: str, kind: str = "", entries: int = 1) -> dict[str, float]:
     fault = Fault(kind, start=20_000, end=40_000)
     run = Run(
         DEPLOYMENTS["bavaria"],
@@ -46,7 +46,7 @@
     Least in flight lets memory fill in the middle of answers; their streams
     stall while they are recomputed. Predicted memory holds work back in time.
     """
-    figstep_results, baseline = play("figstep"), play("least_in_flight")
+    figstep_results, baseline = run_policy("figstep"), run_policy("least_in_flight")
     assert baseline["preemptions_per_1000"] > 10
     assert (
         figstep_results["preemptions_per_1000"] < baseline["preemptions_per_1000"] / 2
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize("kind", ["", "death", "slow", "silence", "flood"])
 def test_every_request_gets_a_final_answer(kind: str) -> None:
-    result = play("figstep", kind)
+    result = run_policy("figstep", kind)
     assert result["unfinished"] == 0
     answered = result["whole"] + result["given_up"] + result["lost"]
     assert answered == result["requests"]
@@ -66,7 +66,7 @@
 
 
 def test_entries_that_do_not_see_each_other_still_answer_everything() -> None:
-    result = play("figstep", entries=4)
+    result = run_policy("figstep", entries=4)
     assert result["whole"] == result["requests"]
 
 
