--- a/figstep/experiment/harness.py
+++ b/figstep/experiment/harness.py
@@ -84,7 +84,7 @@
 
 @dataclass(slots=True)
 class Run:
-    """One run; ``play`` returns its measures.
+    """One run; ``simulate`` returns its measures.
 
     Attributes:
         deployment: Engines and workload.
@@ -112,7 +112,7 @@
     _state_by_request: dict[str, State] = field(default_factory=dict)
     _rng: random.Random = field(default_factory=random.Random)
     _engines: dict[str, EngineModel] = field(default_factory=dict)
-    _dead: set[str] = field(default_factory=set)
+    _dead_engines: set[str] = field(default_factory=set)
     _arrivals: dict[str, Arrival] = field(default_factory=dict)
     _attempts: dict[int, _Attempt] = field(default_factory=dict)
     _by_generation: dict[str, _Attempt] = field(default_factory=dict)
@@ -123,7 +123,7 @@
     _timers: dict[tuple[str, Timer], float] = field(default_factory=dict)
     _step_ends: dict[str, float] = field(default_factory=dict)
 
-    def play(self) -> dict[str, float]:
+    def simulate(self) -> dict[str, float]:
         """Play the run to its end and return its measures."""
         self._set_up()
         end = self.duration + DRAIN_DURATION
@@ -156,7 +156,7 @@
             inventory.engines, self.deployment.profiles, strict=True
         ):
             self._engines[info.name] = EngineModel(profile)
-            self._schedule(0.0, self._report, info.name)
+            self._schedule(0.0, self._report_load, info.name)
         arrivals = draw_arrivals(self.deployment, self.seed, self.load, self.duration)
         if self.fault.kind == "flood":
             arrivals += draw_flood(
@@ -202,17 +202,17 @@
 
     def _dispatch(self, state: State, event: Event) -> None:
         for effect in reduce(state, event, Millis(round(self.now))):
-            self._perform(state, effect)
+            self._apply_effect(state, effect)
 
-    def _perform(self, state: State, effect: Effect) -> None:
+    def _apply_effect(self, state: State, effect: Effect) -> None:
         match effect:
             case Deliver(request=request, frames=frames):
                 stream = self.statistics.streams[request]
                 self.statistics.deliver(stream, self.now, len(frames))
             case OpenAttempt():
-                self._open(effect)
+                self._open_attempt(effect)
             case ResumeAttempt():
-                self._resume(effect)
+                self._resume_attempt(effect)
             case WakeAt(timer=timer, at=at):
                 due = max(float(at), self.now)
                 self._timers[state.node, timer] = due
@@ -257,7 +257,7 @@
         arrival = self._arrivals[effect.request]
         self._schedule(self.now + problem.retry_after, self._submit, arrival)
 
-    def _open(self, effect: OpenAttempt) -> None:
+    def _open_attempt(self, effect: OpenAttempt) -> None:
         attempt = _Attempt(
             effect.attempt, effect.request, effect.target, effect.generation
         )
@@ -271,16 +271,16 @@
         attempt, priority = argument
         if attempt.number not in self._attempts:
             return
-        if attempt.engine in self._dead:
+        if attempt.engine in self._dead_engines:
             self._fail_attempt(attempt, Loss.CONNECT_FAILED)
             return
         arrival = self._arrivals[attempt.request]
         sequence = build_sequence(arrival, attempt.generation, priority)
         self._engines[attempt.engine].start(sequence, self.now)
         self._schedule_step(attempt.engine)
-        self._answer(attempt)
+        self._report_answered(attempt)
 
-    def _resume(self, effect: ResumeAttempt) -> None:
+    def _resume_attempt(self, effect: ResumeAttempt) -> None:
         attempt = _Attempt(
             effect.attempt, effect.request, effect.target, effect.generation
         )
@@ -291,7 +291,7 @@
         attempt, after = argument
         if attempt.number not in self._attempts:
             return
-        if attempt.engine in self._dead:
+        if attempt.engine in self._dead_engines:
             self._fail_attempt(attempt, Loss.CONNECT_FAILED)
             return
         sequence = self._engines[attempt.engine].sequences.get(attempt.generation)
@@ -299,7 +299,7 @@
             self._fail_attempt(attempt, Loss.NOT_FOUND)
             return
         self._by_generation[attempt.generation] = attempt
-        self._answer(attempt)
+        self._report_answered(attempt)
         missed = sequence.produced - after
         if missed > 0:
             state = self._state_by_request[attempt.request]
@@ -309,16 +309,16 @@
                 TokensArrived(attempt.number, attempt.generation, after + 1, frames),
             )
         if sequence.ended is not None:
-            self._end(attempt)
+            self._end_attempt(attempt)
 
-    def _end(self, attempt: _Attempt) -> None:
+    def _end_attempt(self, attempt: _Attempt) -> None:
         self._attempts.pop(attempt.number, None)
         self._by_generation.pop(attempt.generation, None)
         self._dispatch(
             self._state_by_request[attempt.request], AttemptEnded(attempt.number)
         )
 
-    def _answer(self, attempt: _Attempt) -> None:
+    def _report_answered(self, attempt: _Attempt) -> None:
         state = self._state_by_request[attempt.request]
         self._dispatch(state, AttemptAnswered(attempt.number))
 
@@ -337,9 +337,9 @@
         if step is None or self._step_ends.get(name) == step:
             return
         self._step_ends[name] = step
-        self._schedule(step, self._step, name)
+        self._schedule(step, self._run_step, name)
 
-    def _step(self, name: str) -> None:
+    def _run_step(self, name: str) -> None:
         if self._step_ends.get(name) != self.now:
             return
         for token in self._engines[name].advance(self.now):
@@ -355,15 +355,15 @@
         self._dispatch(state, event)
         if token.finish is None:
             return
-        self._end(attempt)
+        self._end_attempt(attempt)
 
-    def _report(self, name: str) -> None:
-        self._schedule(self.now + REPORT_INTERVAL, self._report, name)
+    def _report_load(self, name: str) -> None:
+        self._schedule(self.now + REPORT_INTERVAL, self._report_load, name)
         silenced = (
             self.fault.kind == "silence"
             and self.fault.start <= self.now < self.fault.end
         )
-        if name in self._dead or silenced:
+        if name in self._dead_engines or silenced:
             return
         engine = self._engines[name]
         report = engine.read_load(self.now)
@@ -384,7 +384,7 @@
         if self.fault.kind == "slow":
             self._engines[name].slow = 10.0
             return
-        self._dead.add(name)
+        self._dead_engines.add(name)
         self._engines[name].crash(self.now)
         self._step_ends.pop(name, None)
         for attempt in list(self._attempts.values()):
@@ -394,4 +394,4 @@
     def _end_fault(self, _: None) -> None:
         name = f"engine-{self.fault.engine}"
         self._engines[name].slow = 1.0
-        self._dead.discard(name)
+        self._dead_engines.discard(name)
--- a/figstep/experiment/trials.py
+++ b/figstep/experiment/trials.py
@@ -132,7 +132,7 @@
             trial.entries,
             trial.gossip,
         )
-        runs.append(run.play())
+        runs.append(run.simulate())
     mean = {name: sum(run[name] for run in runs) / len(runs) for name in runs[0]}
     return {"trial": asdict(trial), "seeds": seeds, "mean": mean, "runs": runs}
 
--- a/tests/experiment/test_harness.py
+++ b/tests/experiment/test_harness.py
@@ -28,7 +28,7 @@
         fault,
         entries,
     )
-    return run.play()
+    return run.simulate()
 
 
 def test_same_seed_gives_the_same_arrivals_and_the_stated_load() -> None:
