--- a/tests/tools/test_compare_days.py
+++ b/tests/tools/test_compare_days.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from tools.compare_days import Pair, Play, find_difference
+from tools.compare_days import DayRun, Pair, find_difference
 
-PLAY = Play(Path("site.toml"), "scale-1", None)
+PLAY = DayRun(Path("site.toml"), "scale-1", None)
 
 
 def test_the_error_is_that_of_paired_days() -> None:
--- a/tools/compare_days.py
+++ b/tools/compare_days.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Play:
+class DayRun:
     """One day of one site.
 
     Attributes:
@@ -39,7 +39,7 @@
 class Pair:
     """What a day was worth on both checkouts, and the rules that it broke there."""
 
-    play: Play
+    play: DayRun
     before: float
     after: float
     broken: tuple[str, ...]
@@ -70,7 +70,7 @@
 
 
 async def play_day(
-    bench: Path, checkout: Path, play: Play, why: str
+    bench: Path, checkout: Path, play: DayRun, why: str
 ) -> dict[str, object]:
     """Play a day on a checkout; returns the bench's report.
 
@@ -98,7 +98,7 @@
 
 
 async def play_pair(
-    bench: Path, before: Path, after: Path, play: Play, why: str
+    bench: Path, before: Path, after: Path, play: DayRun, why: str
 ) -> Pair:
     """Play a day on both checkouts, one beside the other."""
     reports = await asyncio.gather(
@@ -113,12 +113,12 @@
 
 
 async def play_pairs(
-    bench: Path, before: Path, after: Path, plays: list[Play], why: str, jobs: int
+    bench: Path, before: Path, after: Path, plays: list[DayRun], why: str, jobs: int
 ) -> list[Pair]:
     """Play all days, some pairs at a time; prints each pair as it is played."""
     free = asyncio.Semaphore(jobs)
 
-    async def play_next(play: Play) -> Pair:
+    async def play_next(play: DayRun) -> Pair:
         async with free:
             pair = await play_pair(bench, before, after, play, why)
         told = f"{play.site.stem:24} {Path(play.day).stem:20} {play.seed or '':>8} "
@@ -150,7 +150,7 @@
 ) -> None:
     """Play days on two checkouts and print the mean difference of their worth."""
     seeds: list[int | None] = [*seed] if seed else [None]
-    plays = [Play(*each) for each in itertools.product(site, day, seeds)]
+    plays = [DayRun(*each) for each in itertools.product(site, day, seeds)]
     work = play_pairs(
         bench.resolve(), before.resolve(), after.resolve(), plays, why, jobs
     )
