--- a/tests/tools/test_compare_days.py
+++ b/tests/tools/test_compare_days.py
@@ -6,15 +6,15 @@
 
 from tools.compare_days import DayRun, Pair, find_difference
 
-PLAY = DayRun(Path("site.toml"), "scale-1", None)
+DAY_RUN = DayRun(Path("site.toml"), "scale-1", None)
 
 
 def test_the_error_is_that_of_paired_days() -> None:
     """Guards against errors of days that differ more than the two ways do."""
     pairs = [
-        Pair(PLAY, 0.2, 0.3, ()),
-        Pair(PLAY, 0.8, 0.9, ()),
-        Pair(PLAY, 0.5, 0.6, ()),
+        Pair(DAY_RUN, 0.2, 0.3, ()),
+        Pair(DAY_RUN, 0.8, 0.9, ()),
+        Pair(DAY_RUN, 0.5, 0.6, ()),
     ]
     found = find_difference(pairs)
     assert (found.pairs, found.mean) == (3, pytest.approx(0.1))
@@ -23,4 +23,4 @@
 
 def test_one_pair_has_no_error() -> None:
     """Guards against a single pair that looks certain."""
-    assert find_difference([Pair(PLAY, 0.2, 0.3, ())]).error is None
+    assert find_difference([Pair(DAY_RUN, 0.2, 0.3, ())]).error is None
