--- a/tests/tools/test_compare_days.py
+++ b/tests/tools/test_compare_days.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tools.compare_days import DayRun, Pair, find_difference
+from tools.compare_days import DayRun, Pair, compute_difference
 
 DAY_RUN = DayRun(Path("site.toml"), "scale-1", None)
 
@@ -16,11 +16,11 @@
         Pair(DAY_RUN, 0.8, 0.9, ()),
         Pair(DAY_RUN, 0.5, 0.6, ()),
     ]
-    found = find_difference(pairs)
+    found = compute_difference(pairs)
     assert (found.pairs, found.mean) == (3, pytest.approx(0.1))
     assert found.error == pytest.approx(0.0, abs=1e-9)
 
 
 def test_one_pair_has_no_error() -> None:
     """Guards against a single pair that looks certain."""
-    assert find_difference([Pair(DAY_RUN, 0.2, 0.3, ())]).error is None
+    assert compute_difference([Pair(DAY_RUN, 0.2, 0.3, ())]).error is None
--- a/tools/compare_days.py
+++ b/tools/compare_days.py
@@ -39,7 +39,7 @@
 class Pair:
     """What a day was worth on both checkouts, and the rules that it broke there."""
 
-    play: DayRun
+    day_run: DayRun
     before: float
     after: float
     broken: tuple[str, ...]
@@ -60,7 +60,7 @@
     error: float | None
 
 
-def find_difference(pairs: Iterable[Pair]) -> Difference:
+def compute_difference(pairs: Iterable[Pair]) -> Difference:
     """Return the mean difference of pairs and its standard error."""
     differences = [pair.after - pair.before for pair in pairs]
     error = None
@@ -69,8 +69,8 @@
     return Difference(len(differences), mean(differences), error)
 
 
-async def play_day(
-    bench: Path, checkout: Path, play: DayRun, why: str
+async def run_day(
+    bench: Path, checkout: Path, day_run: DayRun, why: str
 ) -> dict[str, object]:
     """Play a day on a checkout; returns the bench's report.
 
@@ -79,61 +79,72 @@
     """
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / "report.json"
-        words = [str(bench), "run", str(play.site), play.day, "--report", str(report)]
-        words += ["--why", why]
-        if play.seed is not None:
-            words += ["--seed", str(play.seed)]
+        arguments = [
+            str(bench),
+            "run",
+            str(day_run.site),
+            day_run.day,
+            "--report",
+            str(report),
+        ]
+        arguments += ["--why", why]
+        if day_run.seed is not None:
+            arguments += ["--seed", str(day_run.seed)]
         process = await asyncio.create_subprocess_exec(
-            *words,
+            *arguments,
             cwd=checkout,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
         )
         output, _ = await process.communicate()
         if not report.exists():
-            told = output.decode(errors="replace")[-300:]
-            raise RuntimeError(f"{play.day} of {play.site.stem}: no report: {told}")
+            text = output.decode(errors="replace")[-300:]
+            raise RuntimeError(
+                f"{day_run.day} of {day_run.site.stem}: no report: {text}"
+            )
         found: dict[str, object] = orjson.loads(report.read_bytes())
         return found
 
 
-async def play_pair(
-    bench: Path, before: Path, after: Path, play: DayRun, why: str
+async def run_pair(
+    bench: Path, before: Path, after: Path, day_run: DayRun, why: str
 ) -> Pair:
     """Play a day on both checkouts, one beside the other."""
     reports = await asyncio.gather(
-        play_day(bench, before, play, why), play_day(bench, after, play, why)
+        run_day(bench, before, day_run, why), run_day(bench, after, day_run, why)
     )
-    worths = [float(str(report["G"])) for report in reports]
+    scores = [float(str(report["G"])) for report in reports]
     broken = []
     for report in reports:
         rules = report.get("breaks")
         broken += sorted(rules) if isinstance(rules, dict) else []
-    return Pair(play, worths[0], worths[1], tuple(broken))
+    return Pair(day_run, scores[0], scores[1], tuple(broken))
 
 
-async def play_pairs(
-    bench: Path, before: Path, after: Path, plays: list[DayRun], why: str, jobs: int
+async def run_pairs(
+    bench: Path, before: Path, after: Path, day_runs: list[DayRun], why: str, jobs: int
 ) -> list[Pair]:
     """Play all days, some pairs at a time; prints each pair as it is played."""
     free = asyncio.Semaphore(jobs)
 
-    async def play_next(play: DayRun) -> Pair:
+    async def run_next(day_run: DayRun) -> Pair:
         async with free:
-            pair = await play_pair(bench, before, after, play, why)
-        told = f"{play.site.stem:24} {Path(play.day).stem:20} {play.seed or '':>8} "
-        print(f"{told}{pair.before:7.3f} {pair.after:7.3f}", *pair.broken, flush=True)
+            pair = await run_pair(bench, before, after, day_run, why)
+        text = f"{day_run.site.stem:24} {Path(day_run.day).stem:20} {day_run.seed or '':>8} "
+        print(f"{text}{pair.before:7.3f} {pair.after:7.3f}", *pair.broken, flush=True)
         return pair
 
-    return list(await asyncio.gather(*(play_next(play) for play in plays)))
+    return list(await asyncio.gather(*(run_next(day_run) for day_run in day_runs)))
 
 
 def print_differences(pairs: list[Pair]) -> None:
     """Print the mean difference of each deployment, and of all."""
-    sites = sorted({pair.play.site.stem for pair in pairs})
-    groups = [(site, [p for p in pairs if p.play.site.stem == site]) for site in sites]
+    sites = sorted({pair.day_run.site.stem for pair in pairs})
+    groups = [
+        (site, [p for p in pairs if p.day_run.site.stem == site]) for site in sites
+    ]
     for name, group in [*groups, ("all", pairs)]:
-        found = find_difference(group)
+        found = compute_difference(group)
         error = "" if found.error is None else f" ({found.error:.3f})"
         print(f"{name:24} {found.mean:+.3f}{error} of {found.pairs} pairs")
 
@@ -150,9 +161,9 @@
 ) -> None:
     """Play days on two checkouts and print the mean difference of their worth."""
     seeds: list[int | None] = [*seed] if seed else [None]
-    plays = [DayRun(*each) for each in itertools.product(site, day, seeds)]
-    work = play_pairs(
-        bench.resolve(), before.resolve(), after.resolve(), plays, why, jobs
+    day_runs = [DayRun(*each) for each in itertools.product(site, day, seeds)]
+    work = run_pairs(
+        bench.resolve(), before.resolve(), after.resolve(), day_runs, why, jobs
     )
     print_differences(asyncio.run(work))
 
