--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -22,9 +22,9 @@
 def list_distributions(name: str) -> list[Distribution]:
     """Return the installed distributions that ``name`` needs at run time."""
     found: dict[str, Distribution] = {}
-    waiting = [name]
-    while waiting:
-        current = waiting.pop()
+    pending = [name]
+    while pending:
+        current = pending.pop()
         if current in found:
             continue
         found[current] = distribution(current)
@@ -32,7 +32,7 @@
             requirement = Requirement(line)
             if requirement.marker and not requirement.marker.evaluate({"extra": ""}):
                 continue
-            waiting.append(requirement.name.lower().replace("_", "-"))
+            pending.append(requirement.name.lower().replace("_", "-"))
     del found[name]
     return list(found.values())
 
