--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -29,7 +29,7 @@
 
 ENTRIES = 4
 SETTLE_SECONDS = 5
-SHOWN = (
+PRINTED_MEASURES = (
     "requests",
     "whole",
     "refused",
@@ -178,7 +178,9 @@
             )
             summary, preemptions = asyncio.run(run)
         line = {"policy": policy, "preemptions": preemptions}
-        line |= {k: round(v, 1) for k, v in asdict(summary).items() if k in SHOWN}
+        line |= {
+            k: round(v, 1) for k, v in asdict(summary).items() if k in PRINTED_MEASURES
+        }
         line["tokens"] = summary.tokens
         print(orjson.dumps(line).decode(), flush=True)
 
