--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -18,7 +18,7 @@
 from figstep.standins.proxy import TcpProxy
 
 TOKENS = 200
-STRIKE_AFTER = 100
+FAULT_AFTER_TOKENS = 100
 HEADERS = {"Authorization": f"Bearer {KEY}"}
 
 
@@ -47,21 +47,23 @@
         "stream": True,
         "standin_length": TOKENS,
     }
-    longest, seen = 0.0, 0
+    longest, received = 0.0, 0
     async with aiohttp.ClientSession(headers=HEADERS) as session:
         async with session.post(url + "/v1/completions", json=body) as response:
-            before = time.perf_counter()
+            previous = time.perf_counter()
             async for line in response.content:
                 if not line.startswith(b"id: "):
                     continue
                 now = time.perf_counter()
-                longest = max(longest, (now - before) * 1000)
-                before = now
-                seen += 1
-                if seen == STRIKE_AFTER:
+                longest = max(longest, (now - previous) * 1000)
+                previous = now
+                received += 1
+                if received == FAULT_AFTER_TOKENS:
                     inject_fault(proxies, fault)
-    if seen != TOKENS:
-        raise RuntimeError(f"{seen} of {TOKENS} tokens came; look at the entry's log")
+    if received != TOKENS:
+        raise RuntimeError(
+            f"{received} of {TOKENS} tokens came; look at the entry's log"
+        )
     return longest
 
 
