--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -20,9 +20,9 @@
         response = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
         async with session.post(target + request.path, data=body) as answer:
             await response.prepare(request)
-            rest = b""
+            remainder = b""
             async for chunk in answer.content.iter_any():
-                *frames, rest = (rest + chunk).split(b"\n\n")
+                *frames, remainder = (remainder + chunk).split(b"\n\n")
                 for frame in frames:
                     await response.write(frame + b"\n\n")
         return response
