--- a/benchmarks/binary.py
+++ b/benchmarks/binary.py
@@ -21,7 +21,7 @@
 
 async def start_once(command: list[str], environment: dict[str, str]) -> str:
     """Start an entry, stop it, and return its figures."""
-    begun = time.monotonic()
+    started = time.monotonic()
     process = await asyncio.create_subprocess_exec(
         *command,
         stdout=asyncio.subprocess.PIPE,
@@ -30,7 +30,7 @@
     )
     assert process.stdout is not None
     line = await process.stdout.readline()
-    seconds = time.monotonic() - begun
+    seconds = time.monotonic() - started
     if not line.startswith(b"entry "):
         raise SystemExit(f"{command}: did not start")
     usage = psutil.Process(process.pid)
