--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -18,7 +18,7 @@
 from figstep.standins.log import Faults
 from tests.fleet import HEADERS, Fleet
 
-WARM_SECONDS = 3.0
+WARM_UP_SECONDS = 3.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,13 +56,13 @@
             nonlocal failed
             url = urls[number % len(urls)] + "/services/planning" + path
             headers = {"Idempotency-Key": f"{path}-{started}-{number}"}
-            before = time.perf_counter()
+            sent_at = time.perf_counter()
             async with session.post(url, data=b"flour", headers=headers) as response:
                 await response.read()
             if response.status != 200:
                 failed += 1
                 return
-            times.append((time.perf_counter() - before) * 1000)
+            times.append((time.perf_counter() - sent_at) * 1000)
 
         started = time.perf_counter()
         tasks = []
@@ -72,12 +72,12 @@
             tasks.append(asyncio.create_task(call(number)))
         await asyncio.gather(*tasks)
         elapsed = time.perf_counter() - started
-    cuts = quantiles(times, n=100)
+    percentiles = quantiles(times, n=100)
     return Result(
         len(times),
         failed,
-        cuts[49],
-        cuts[98],
+        percentiles[49],
+        percentiles[98],
         fleet.log.appends - appends,
         fleet.log.appended_records - records,
         elapsed,
@@ -91,7 +91,7 @@
         try:
             await fleet.start(entries, 1, 0.01)
             fleet.log.faults = Faults(delay_ms=delay)
-            await asyncio.sleep(WARM_SECONDS)
+            await asyncio.sleep(WARM_UP_SECONDS)
             idle = fleet.log.appends
             await asyncio.sleep(seconds)
             print(f"idle: {(fleet.log.appends - idle) / seconds:.1f} appends/s")
