--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -42,21 +42,21 @@
 
 async def wait_loaded(engine: EngineServer, version: int) -> None:
     """Wait until the engine has the version, perhaps beside an old one."""
-    wanted = f"{MODEL}@{version}"
-    await wait_for(lambda: wanted in engine.models, wanted)
+    versioned_model = f"{MODEL}@{version}"
+    await wait_for(lambda: versioned_model in engine.models, versioned_model)
 
 
 async def wait_alone(engine: EngineServer, version: int) -> None:
     """Wait until the engine has that version alone."""
-    wanted = f"{MODEL}@{version}"
-    await wait_for(lambda: engine.models == [wanted], wanted)
+    versioned_model = f"{MODEL}@{version}"
+    await wait_for(lambda: engine.models == [versioned_model], versioned_model)
 
 
 async def run_rounds(rounds: int, freeze: bool, folder: Path) -> list[float]:
     """Return the seconds that each round took."""
     fleet = Fleet(folder)
     engine = EngineServer("engine-1")
-    taken = []
+    durations = []
     try:
         await fleet.start(entries=2, engines=0, gap=0.01)
         runner, url = await start_app(engine.build_app())
@@ -71,12 +71,12 @@
             started = time.monotonic()
             await publish_version(fleet, document, version)
             await wait_loaded(engine, version)
-            taken.append(time.monotonic() - started)
+            durations.append(time.monotonic() - started)
             fleet.entries[holder].thaw()
             await wait_alone(engine, version)
     finally:
         await fleet.close()
-    return taken
+    return durations
 
 
 def main() -> None:
@@ -87,8 +87,8 @@
     arguments = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
         rounds = run_rounds(arguments.rounds, arguments.freeze, Path(folder))
-        taken = sorted(asyncio.run(rounds))
-    shown = " ".join(f"{seconds:.1f}" for seconds in taken)
+        durations = sorted(asyncio.run(rounds))
+    shown = " ".join(f"{seconds:.1f}" for seconds in durations)
     print(f"seconds to loaded, sorted: {shown}")
 
 
