--- a/benchmarks/hot_path.py
+++ b/benchmarks/hot_path.py
@@ -154,8 +154,8 @@
     child: Child, source: Child, load: Workload, ramp: float, seconds: float
 ) -> Figures:
     """Run a load through ``child`` and beside it directly on the source."""
-    beside = Workload(source.url, "", MODEL, DIRECT_STREAMS, load.tokens, 50.0)
-    through, direct = LoadGenerator(load), LoadGenerator(beside)
+    direct_load = Workload(source.url, "", MODEL, DIRECT_STREAMS, load.tokens, 50.0)
+    through, direct = LoadGenerator(load), LoadGenerator(direct_load)
     await asyncio.gather(through.start(ramp), direct.start(ramp))
     through.tally.clear()
     direct.tally.clear()
@@ -170,7 +170,7 @@
     return figures
 
 
-def show(title: str, lines: list[str]) -> None:
+def print_figures(title: str, lines: list[str]) -> None:
     """Print the figures of one measurement."""
     print(f"\n{title}")
     for line in lines:
@@ -184,7 +184,9 @@
     tally = figures.through.tally
     cost = figures.cpu / max(1, tally.requests)
     rate = tally.requests / seconds
-    show("short answers", [f"requests/s {rate:.0f}", f"us/request {cost * 1e6:.0f}"])
+    print_figures(
+        "short answers", [f"requests/s {rate:.0f}", f"us/request {cost * 1e6:.0f}"]
+    )
 
 
 async def count_open(child: Child) -> int:
@@ -211,7 +213,7 @@
         )
         await generator.stop()
         await asyncio.sleep(1)
-    show("memory by open streams", lines)
+    print_figures("memory by open streams", lines)
 
 
 async def run(options: argparse.Namespace) -> None:
@@ -231,14 +233,14 @@
                 continue
             load = Workload(child.url, KEY, MODEL, 190, 253, 50.0)
             figures = await measure_load(child, source, load, ramp, seconds)
-            show(f"{name}: 190 streams of 253 tokens", figures.list_lines())
+            print_figures(f"{name}: 190 streams of 253 tokens", figures.list_lines())
             if options.short:
                 continue
             if name == "entry":
                 await measure_requests(child, source, seconds / 2)
             load = Workload(child.url, KEY, MODEL, 190, 4000, 5.0)
             figures = await measure_load(child, source, load, 2.0, seconds / 2)
-            show(f"{name}: saturated", figures.list_lines())
+            print_figures(f"{name}: saturated", figures.list_lines())
             if name == "entry":
                 await asyncio.sleep(1)
                 await measure_memory(child, [100, 500, 1000])
