--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -57,22 +57,22 @@
 
 KEY = "benchmark"
 POLL_SECONDS = 0.02
-BOUND_SECONDS = 60
+CONVERGENCE_TIMEOUT_SECONDS = 60
 SETTLE_SECONDS = 8
 
 app = typer.Typer(no_args_is_help=True, add_completion=False)
 
 
-class StoppingLog(LogService):
+class StoppableLog(LogService):
     """Log service that can stop once one follower has got the next append."""
 
-    armed = False
+    stop_after_append = False
     readers_left: int | None = None
 
     async def _append(self, request: web.Request) -> web.Response:
         response = await super()._append(request)
-        if self.armed:
-            self.armed = False
+        if self.stop_after_append:
+            self.stop_after_append = False
             self.readers_left = 1
         return response
 
@@ -88,13 +88,13 @@
             self.readers_left = 0
         return response
 
-    def mend(self) -> None:
+    def restore(self) -> None:
         """Answer everyone again."""
-        self.armed = False
+        self.stop_after_append = False
         self.readers_left = None
 
 
-class OnceList(InstanceList):
+class StoppableInstanceList(InstanceList):
     """Instance list that can stop once one reader has got the next change."""
 
     readers_left: int | None = None
@@ -111,8 +111,8 @@
 class Fleet:
     """Entries as processes, and the platform in this one."""
 
-    log: StoppingLog
-    instances: OnceList
+    log: StoppableLog
+    instances: StoppableInstanceList
     client: HttpLog
     urls: list[str]
     processes: list[psutil.Process]
@@ -129,17 +129,17 @@
         return list(await asyncio.gather(*(read(url) for url in self.urls)))
 
     async def time_all(
-        self, shows: Callable[[dict[str, Any]], bool], start: float
+        self, condition: Callable[[dict[str, Any]], bool], start: float
     ) -> list[float]:
         """Return when each entry first showed it, in seconds after ``start``."""
-        seen: dict[int, float] = {}
-        async with asyncio.timeout(BOUND_SECONDS):
-            while len(seen) < len(self.urls):
+        shown_after: dict[int, float] = {}
+        async with asyncio.timeout(CONVERGENCE_TIMEOUT_SECONDS):
+            while len(shown_after) < len(self.urls):
                 for number, status in enumerate(await self.read_statuses()):
-                    if number not in seen and shows(status):
-                        seen[number] = time.monotonic() - start
+                    if number not in shown_after and condition(status):
+                        shown_after[number] = time.monotonic() - start
                 await asyncio.sleep(POLL_SECONDS)
-        return list(seen.values())
+        return list(shown_after.values())
 
 
 def build_document(targets: int) -> dict[str, Any]:
@@ -165,7 +165,7 @@
 async def run_fleet(entries: int, targets: int) -> AsyncIterator[Fleet]:
     """Start everything and publish a first document."""
     async with AsyncExitStack() as stack:
-        log, instances = StoppingLog(), OnceList()
+        log, instances = StoppableLog(), StoppableInstanceList()
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         platform = {}
         for name, server in (("log", log), ("instances", instances)):
@@ -227,7 +227,7 @@
     if wait:
         await task
     else:
-        fleet.log.mend()
+        fleet.log.restore()
         await task
     return times
 
@@ -249,7 +249,7 @@
             times = []
             for number in range(repeats):
                 await asyncio.sleep(1.0)
-                fleet.log.armed = True
+                fleet.log.stop_after_append = True
                 times += await time_publish(fleet, document, number, wait=False)
             summarize("in force, log down after one reader", times, entries=entries)
 
@@ -337,7 +337,7 @@
     asyncio.run(run())
 
 
-async def _time_leaving(fleet: Fleet, number: int, once: bool) -> list[float]:
+async def _time_leaving(fleet: Fleet, number: int, single_reader: bool) -> list[float]:
     name = f"serving-{number}"
     fleet.instances.instances[name] = {
         "name": name,
@@ -345,11 +345,11 @@
         "state": "leaving",
         "incarnation": 1,
     }
-    if once:
+    if single_reader:
         fleet.instances.readers_left = 1
     start = time.monotonic()
     times = await fleet.time_all(lambda s: s["targets"][name]["leaving"], start)
-    if once:
+    if single_reader:
         # From the moment that the first entry knows it.
         times = [value - min(times) for value in times]
     fleet.instances.readers_left = None
@@ -422,13 +422,13 @@
                     continue
                 body = encode_gossip(effect.gossip)
                 sent += len(keys.sign(MessageKind.GOSSIP, body))
-        spent = time.process_time() - started
+        cpu_seconds = time.process_time() - started
         line = {
             "members": members,
             "targets": targets,
             "sent_bytes_per_s": round(sent / periods, 1),
             "received_bytes_per_s": round(received / periods, 1),
-            "core_percent": round(100 * spent / periods, 3),
+            "core_percent": round(100 * cpu_seconds / periods, 3),
         }
         print(json.dumps(line), flush=True)
 
@@ -466,14 +466,14 @@
     for number in range(repeats):
         data = {"edit": "e", "base": number - 1, "validation": 1, "document": content}
         reduce(entry, parse_record(LogRecord(number, 0, data), None), Millis(0))
-    spent = (time.process_time() - started) / repeats
+    cpu_seconds = (time.process_time() - started) / repeats
     encoded = orjson.dumps(content)
     line = {
         "engines": engines,
         "customers": customers,
         "bytes": len(encoded),
         "compressed_bytes": len(zlib.compress(encoded)),
-        "processor_ms_per_edit": round(1_000 * spent, 1),
+        "processor_ms_per_edit": round(1_000 * cpu_seconds, 1),
     }
     print(json.dumps(line), flush=True)
 
