--- a/tests/standins/test_engine_model.py
+++ b/tests/standins/test_engine_model.py
@@ -41,14 +41,14 @@
 
 
 def test_batch_memory_and_speed_set_the_step() -> None:
-    def time_of(speed: float, others: int) -> float:
+    def measure_end(speed: float, others: int) -> float:
         engine = EngineModel(EngineProfile(speed=speed))
         for number in range(others + 1):
             engine.start(Sequence(str(number), 100, prompt_tokens=200), 0)
         return collect(engine, 60_000)["0"][-1].at
 
-    assert time_of(1, 20) > 1.3 * time_of(1, 0)
-    assert time_of(1, 5) == 4 * time_of(4, 5)
+    assert measure_end(1, 20) > 1.3 * measure_end(1, 0)
+    assert measure_end(1, 5) == 4 * measure_end(4, 5)
 
 
 def test_cached_prefix_saves_prefill_until_it_is_evicted() -> None:
