--- a/tests/standins/test_balancer.py
+++ b/tests/standins/test_balancer.py
@@ -28,17 +28,20 @@
         balancer = Balancer(urls)
         await balancer.start()
         stack.push_async_callback(balancer.stop)
-        assert {await ask(balancer.url), await ask(balancer.url)} == {"a", "b"}
+        assert {await fetch_name(balancer.url), await fetch_name(balancer.url)} == {
+            "a",
+            "b",
+        }
         ready["a"] = False
         await wait_for(lambda: balancer.ready == ["b"], "a was dropped")
-        assert [await ask(balancer.url) for _ in range(3)] == ["b"] * 3
+        assert [await fetch_name(balancer.url) for _ in range(3)] == ["b"] * 3
         ready["b"] = False
         await wait_for(lambda: not balancer.ready, "b was dropped")
         with pytest.raises(aiohttp.ClientError):
-            await ask(balancer.url)
+            await fetch_name(balancer.url)
 
 
-async def ask(url: str) -> str:
+async def fetch_name(url: str) -> str:
     """Return the name of the entry that a new connection reaches."""
     async with aiohttp.ClientSession() as session, session.get(url) as response:
         return await response.text()
