--- a/tests/standins/test_proxy.py
+++ b/tests/standins/test_proxy.py
@@ -20,8 +20,8 @@
 )
 from tests.processes import run_figstep
 
-LONG = 30
-SHORT = 0.2
+TIMEOUT_SECONDS = 30
+SHORT_WAIT_SECONDS = 0.2
 
 
 class Echo:
@@ -68,7 +68,9 @@
         host, port = proxy.address.split(":")
         return cls(*await asyncio.open_connection(host, int(port)))
 
-    async def ask(self, line: bytes, wait: float = LONG) -> bytes | None:
+    async def send_line(
+        self, line: bytes, wait: float = TIMEOUT_SECONDS
+    ) -> bytes | None:
         """Return the answer, b"" for a closed connection, None for silence."""
         self.writer.write(line)
         try:
@@ -82,28 +84,31 @@
 async def test_passes_bytes_where_no_fault_is_set() -> None:
     async with run_echo() as (proxy, echo):
         client = await Client.connect(proxy)
-        assert await client.ask(b"one\n") == b"one\n"
+        assert await client.send_line(b"one\n") == b"one\n"
         client.writer.close()
-        await asyncio.wait_for(echo.closed.wait(), LONG)
+        await asyncio.wait_for(echo.closed.wait(), TIMEOUT_SECONDS)
 
 
-@pytest.mark.parametrize("fault", [Delay(SHORT), Drip(1, 0.01)])
+@pytest.mark.parametrize("fault", [Delay(SHORT_WAIT_SECONDS), Drip(1, 0.01)])
 async def test_slow_faults_lose_nothing(fault: Delay | Drip) -> None:
     async with run_echo() as (proxy, _):
         client = await Client.connect(proxy)
         proxy.set_fault(fault)
-        assert await client.ask(b"slow\n") == b"slow\n"
+        assert await client.send_line(b"slow\n") == b"slow\n"
 
 
 async def test_stall_holds_bytes_until_lifted() -> None:
     async with run_echo() as (proxy, echo):
         client = await Client.connect(proxy)
-        assert await client.ask(b"one\n") == b"one\n"
+        assert await client.send_line(b"one\n") == b"one\n"
         proxy.set_fault(Stall())
-        assert await client.ask(b"two\n", SHORT) is None
+        assert await client.send_line(b"two\n", SHORT_WAIT_SECONDS) is None
         assert echo.lines == [b"one\n"]
         proxy.clear_fault()
-        assert await asyncio.wait_for(client.reader.readline(), LONG) == b"two\n"
+        assert (
+            await asyncio.wait_for(client.reader.readline(), TIMEOUT_SECONDS)
+            == b"two\n"
+        )
 
 
 @pytest.mark.parametrize("fault", ["freeze", "half_open"])
@@ -112,12 +117,12 @@
 ) -> None:
     async with run_echo() as (proxy, echo):
         old = await Client.connect(proxy)
-        assert await old.ask(b"one\n") == b"one\n"
+        assert await old.send_line(b"one\n") == b"one\n"
         assert getattr(proxy, fault)() == 1
         proxy.clear_fault()
-        assert await old.ask(b"two\n", SHORT) is None
+        assert await old.send_line(b"two\n", SHORT_WAIT_SECONDS) is None
         new = await Client.connect(proxy)
-        assert await new.ask(b"three\n") == b"three\n"
+        assert await new.send_line(b"three\n") == b"three\n"
         assert b"two\n" not in echo.lines
         assert echo.closed.is_set() is (fault == "half_open")
 
@@ -125,15 +130,15 @@
 async def test_cut_resets_and_refuse_turns_new_ones_away() -> None:
     async with run_echo() as (proxy, _):
         client = await Client.connect(proxy)
-        assert await client.ask(b"one\n") == b"one\n"
+        assert await client.send_line(b"one\n") == b"one\n"
         await proxy.refuse()
         with pytest.raises(ConnectionRefusedError):
             await Client.connect(proxy)
-        assert await client.ask(b"two\n") == b"two\n"
+        assert await client.send_line(b"two\n") == b"two\n"
         assert proxy.cut() == 1
-        assert await client.ask(b"three\n") == b""
+        assert await client.send_line(b"three\n") == b""
         await proxy.accept_again()
-        assert await (await Client.connect(proxy)).ask(b"four\n") == b"four\n"
+        assert await (await Client.connect(proxy)).send_line(b"four\n") == b"four\n"
 
 
 @pytest.mark.parametrize(
@@ -144,7 +149,7 @@
     async with run_echo() as (proxy, echo):
         client = await Client.connect(proxy)
         proxy.set_fault(Lose(direction))
-        assert await client.ask(b"lost\n", SHORT) is None
+        assert await client.send_line(b"lost\n", SHORT_WAIT_SECONDS) is None
         assert echo.lines == taken
 
 
@@ -152,19 +157,19 @@
     async with run_echo() as (proxy, echo):
         proxy.set_fault(LoseAnswers(1, prefix=b"append"))
         client = await Client.connect(proxy)
-        assert await client.ask(b"read\n") == b"read\n"
-        assert await client.ask(b"append\n") == b""
+        assert await client.send_line(b"read\n") == b"read\n"
+        assert await client.send_line(b"append\n") == b""
         assert echo.lines == [b"read\n", b"append\n"]
-        assert await (await Client.connect(proxy)).ask(b"append\n") == b"append\n"
+        assert await (await Client.connect(proxy)).send_line(b"append\n") == b"append\n"
 
 
 async def test_cut_after_so_many_bytes() -> None:
     async with run_echo() as (proxy, _):
         proxy.set_fault(CutAfter(6))
         client = await Client.connect(proxy)
-        assert await client.ask(b"one\n") == b"one\n"
-        assert await client.ask(b"two\n") == b"tw"
-        assert await (await Client.connect(proxy)).ask(b"three\n") == b"three\n"
+        assert await client.send_line(b"one\n") == b"one\n"
+        assert await client.send_line(b"two\n") == b"tw"
+        assert await (await Client.connect(proxy)).send_line(b"three\n") == b"three\n"
 
 
 class Datagrams(asyncio.DatagramProtocol):
@@ -209,10 +214,10 @@
     ends = [(server.received, taken), (client.received, answered)]
     for queue, expected in ends:
         if expected:
-            assert await asyncio.wait_for(queue.get(), LONG) == b"hello"
+            assert await asyncio.wait_for(queue.get(), TIMEOUT_SECONDS) == b"hello"
             continue
         with pytest.raises(TimeoutError):
-            await asyncio.wait_for(queue.get(), SHORT)
+            await asyncio.wait_for(queue.get(), SHORT_WAIT_SECONDS)
     for transport in (listener, sender):
         transport.close()
     await proxy.stop()
@@ -228,11 +233,11 @@
     ):
         address = running.url.removeprefix("http://").split(":")
         client = Client(*await asyncio.open_connection(*address))
-        assert await client.ask(b"one\n") == b"one\n"
+        assert await client.send_line(b"one\n") == b"one\n"
         fault = {"kind": "lose", "direction": "to_target"}
         await control.put("/standin/fault", json=fault)
-        assert await client.ask(b"two\n", SHORT) is None
+        assert await client.send_line(b"two\n", SHORT_WAIT_SECONDS) is None
         await control.delete("/standin/fault")
         await control.post("/standin/strike/cut")
-        assert await client.ask(b"three\n") == b""
+        assert await client.send_line(b"three\n") == b""
     server.close()
