--- a/figstep/experiment/harness.py
+++ b/figstep/experiment/harness.py
@@ -115,7 +115,7 @@
     _dead_engines: set[str] = field(default_factory=set)
     _arrivals: dict[str, Arrival] = field(default_factory=dict)
     _attempts: dict[int, _Attempt] = field(default_factory=dict)
-    _by_generation: dict[str, _Attempt] = field(default_factory=dict)
+    _attempt_by_generation: dict[str, _Attempt] = field(default_factory=dict)
     _event_queue: list[tuple[float, int, Callable[..., None], Any]] = field(
         default_factory=list
     )
@@ -262,7 +262,7 @@
             effect.attempt, effect.request, effect.target, effect.generation
         )
         self._attempts[effect.attempt] = attempt
-        self._by_generation[effect.generation] = attempt
+        self._attempt_by_generation[effect.generation] = attempt
         self._schedule(
             self.now + LINK_DELAY, self._start_sequence, (attempt, effect.priority)
         )
@@ -298,7 +298,7 @@
         if sequence is None:
             self._fail_attempt(attempt, Loss.NOT_FOUND)
             return
-        self._by_generation[attempt.generation] = attempt
+        self._attempt_by_generation[attempt.generation] = attempt
         self._report_answered(attempt)
         missed = sequence.produced - after
         if missed > 0:
@@ -313,7 +313,7 @@
 
     def _end_attempt(self, attempt: _Attempt) -> None:
         self._attempts.pop(attempt.number, None)
-        self._by_generation.pop(attempt.generation, None)
+        self._attempt_by_generation.pop(attempt.generation, None)
         self._dispatch(
             self._state_by_request[attempt.request], AttemptEnded(attempt.number)
         )
@@ -323,8 +323,8 @@
         self._dispatch(state, AttemptAnswered(attempt.number))
 
     def _detach(self, attempt: _Attempt) -> None:
-        if self._by_generation.get(attempt.generation) is attempt:
-            del self._by_generation[attempt.generation]
+        if self._attempt_by_generation.get(attempt.generation) is attempt:
+            del self._attempt_by_generation[attempt.generation]
 
     def _fail_attempt(self, attempt: _Attempt, loss: Loss) -> None:
         self._attempts.pop(attempt.number, None)
@@ -347,7 +347,7 @@
         self._schedule_step(name)
 
     def _handle_token(self, token: Token) -> None:
-        attempt = self._by_generation.get(token.name)
+        attempt = self._attempt_by_generation.get(token.name)
         if attempt is None:
             return
         state = self._state_by_request[attempt.request]
