--- a/figstep/experiment/scenarios.py
+++ b/figstep/experiment/scenarios.py
@@ -60,7 +60,7 @@
     mixed: float = 0.1
 
 
-def _engine(speed: float, memory: int, running: int) -> EngineProfile:
+def _build_profile(speed: float, memory: int, running: int) -> EngineProfile:
     return EngineProfile(speed=speed, memory_tokens=memory, max_running=running)
 
 
@@ -68,11 +68,11 @@
     "bavaria": Deployment(
         "bavaria",
         (
-            _engine(1.0, 16_384, 32),
-            _engine(1.0, 12_288, 32),
-            _engine(2.0, 24_576, 48),
-            _engine(3.0, 32_768, 48),
-            _engine(4.0, 40_960, 64),
+            _build_profile(1.0, 16_384, 32),
+            _build_profile(1.0, 12_288, 32),
+            _build_profile(2.0, 24_576, 48),
+            _build_profile(3.0, 32_768, 48),
+            _build_profile(4.0, 40_960, 64),
         ),
         RequestKind("chat", 30, 0.7, 400, 60),
         RequestKind("completion", 700, 0.9, 8_000, 250),
@@ -81,11 +81,11 @@
     "ireland": Deployment(
         "ireland",
         (
-            _engine(1.0, 12_288, 32),
-            _engine(1.5, 16_384, 32),
-            _engine(2.0, 16_384, 48),
-            _engine(2.5, 24_576, 48),
-            _engine(4.0, 32_768, 64),
+            _build_profile(1.0, 12_288, 32),
+            _build_profile(1.5, 16_384, 32),
+            _build_profile(2.0, 16_384, 48),
+            _build_profile(2.5, 24_576, 48),
+            _build_profile(4.0, 32_768, 64),
         ),
         RequestKind("chat", 40, 0.6, 300, 40),
         RequestKind("completion", 900, 0.6, 4_000, 400),
