--- a/figstep/experiment/measures.py
+++ b/figstep/experiment/measures.py
@@ -131,7 +131,7 @@
             "spared_stall_p99_s": find_quantile(spared, 0.99) / 1_000,
             "stall_p95_s": find_quantile(stalls, 0.95) / 1_000,
             "mid_stall_p99_s": find_quantile(
-                [s.stalled - _first_stall(s) for s in streams], 0.99
+                [s.stalled - _compute_first_stall(s) for s in streams], 0.99
             )
             / 1_000,
             "preemptions_per_1000": 1_000 * preemptions / max(1, len(streams)),
@@ -169,7 +169,7 @@
         return {name: served.get(name, 0) / asked[name] for name in asked}
 
 
-def _first_stall(stream: Stream) -> float:
+def _compute_first_stall(stream: Stream) -> float:
     if stream.first is None:
         return stream.stalled
     wait = stream.first - stream.asked
