--- a/benchmarks/hot_path.py
+++ b/benchmarks/hot_path.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class Child:
+class ChildProcess:
     """A started process and the URL that it printed."""
 
     process: asyncio.subprocess.Process
@@ -53,7 +53,7 @@
         return float(self.usage.memory_info().rss / MEGABYTE)
 
 
-async def start(stack: AsyncExitStack, *arguments: str) -> Child:
+async def start(stack: AsyncExitStack, *arguments: str) -> ChildProcess:
     """Start ``python -m ARGUMENTS`` and wait for its ``KIND URL`` line."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -71,10 +71,10 @@
 
     stack.push_async_callback(end)
     line = await asyncio.wait_for(process.stdout.readline(), 60)
-    return Child(process, line.decode().split()[1])
+    return ChildProcess(process, line.decode().split()[1])
 
 
-def build_engine(number: int, source: Child) -> dict[str, Any]:
+def build_engine(number: int, source: ChildProcess) -> dict[str, Any]:
     """Return the inventory entry of an engine; all are the token source."""
     return {
         "name": f"source-{number}",
@@ -86,7 +86,9 @@
     }
 
 
-async def start_entry(stack: AsyncExitStack, source: Child, folder: Path) -> Child:
+async def start_entry(
+    stack: AsyncExitStack, source: ChildProcess, folder: Path
+) -> ChildProcess:
     """Start an entry before engines that are all the token source."""
     log = await start(stack, "figstep", "standin", "log")
     instances = await start(stack, "figstep", "standin", "instances")
@@ -151,7 +153,11 @@
 
 
 async def measure_load(
-    child: Child, source: Child, load: Workload, ramp: float, seconds: float
+    child: ChildProcess,
+    source: ChildProcess,
+    load: Workload,
+    ramp: float,
+    seconds: float,
 ) -> Figures:
     """Run a load through ``child`` and beside it directly on the source."""
     direct_load = Workload(source.url, "", MODEL, DIRECT_STREAMS, load.tokens, 50.0)
@@ -177,7 +183,9 @@
         print(f"  {line}", flush=True)
 
 
-async def measure_requests(child: Child, source: Child, seconds: float) -> None:
+async def measure_requests(
+    child: ChildProcess, source: ChildProcess, seconds: float
+) -> None:
     """Short answers: processor time per request."""
     load = Workload(child.url, KEY, MODEL, 20, 1, 50.0)
     figures = await measure_load(child, source, load, 1.0, seconds)
@@ -189,14 +197,14 @@
     )
 
 
-async def count_open(child: Child) -> int:
+async def count_open(child: ChildProcess) -> int:
     """Return how many requests an entry holds."""
     async with aiohttp.ClientSession() as session:
         async with session.get(child.url + "/status") as response:
             return int((await response.json())["requests"])
 
 
-async def measure_memory(child: Child, counts: list[int]) -> None:
+async def measure_memory(child: ChildProcess, counts: list[int]) -> None:
     """Resident memory by number of open streams, four tokens a second each."""
     lines = [f"streams 0 resident MB {child.read_memory():.1f}"]
     for count in counts:
