--- a/benchmarks/binary.py
+++ b/benchmarks/binary.py
@@ -54,11 +54,11 @@
     """Measure the file, cold and warm, and the package beside it."""
     with tempfile.TemporaryDirectory() as folder:
         settings = Path(folder) / "settings.yaml"
-        nowhere = "http://127.0.0.1:9"
+        closed_url = "http://127.0.0.1:9"
         document = {
             "node": "n-1",
             "failure_domain": "a",
-            "platform": {"log": nowhere, "instances": nowhere},
+            "platform": {"log": closed_url, "instances": closed_url},
             "notice_seconds": 0,
         }
         settings.write_text(yaml.safe_dump(document))
