--- a/tests/standins/test_proxy.py
+++ b/tests/standins/test_proxy.py
@@ -24,7 +24,7 @@
 SHORT_WAIT_SECONDS = 0.2
 
 
-class Echo:
+class EchoServer:
     """Answers each line with itself and keeps what it got."""
 
     def __init__(self) -> None:
@@ -43,8 +43,8 @@
 
 
 @asynccontextmanager
-async def run_echo() -> AsyncIterator[tuple[TcpProxy, Echo]]:
-    echo = Echo()
+async def run_echo() -> AsyncIterator[tuple[TcpProxy, EchoServer]]:
+    echo = EchoServer()
     server = await asyncio.start_server(echo.serve, "127.0.0.1", 0)
     proxy = TcpProxy(*server.sockets[0].getsockname())
     await proxy.start()
@@ -172,7 +172,7 @@
         assert await (await Client.connect(proxy)).send_line(b"three\n") == b"three\n"
 
 
-class Datagrams(asyncio.DatagramProtocol):
+class DatagramQueue(asyncio.DatagramProtocol):
     """Queues what comes; a server sends it back."""
 
     def __init__(self, echo: bool) -> None:
@@ -201,13 +201,13 @@
 async def test_datagrams(fault: Delay | None, answered: bool, taken: bool) -> None:
     loop = asyncio.get_running_loop()
     listener, server = await loop.create_datagram_endpoint(
-        lambda: Datagrams(True), local_addr=("127.0.0.1", 0)
+        lambda: DatagramQueue(True), local_addr=("127.0.0.1", 0)
     )
     proxy = UdpProxy(*listener.get_extra_info("sockname"))
     await proxy.start()
     host, port = proxy.address.split(":")
     sender, client = await loop.create_datagram_endpoint(
-        lambda: Datagrams(False), remote_addr=(host, int(port))
+        lambda: DatagramQueue(False), remote_addr=(host, int(port))
     )
     proxy.fault = fault
     sender.sendto(b"hello")
@@ -224,7 +224,7 @@
 
 
 async def test_runs_as_a_process_under_http_control() -> None:
-    echo = Echo()
+    echo = EchoServer()
     server = await asyncio.start_server(echo.serve, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
     async with (
