--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -26,7 +26,7 @@
     return [int(line.rpartition(":")[2]) for line in lines if line.startswith("id:")]
 
 
-async def test_continuation_goes_on_after_the_given_index() -> None:
+async def test_continuation_starts_after_the_given_index() -> None:
     async with serve(EngineServer("e", gap=0.0)) as session:
         headers = {**HEADERS, "X-Continue-After": "3"}
         body = {"prompt": "x", "continuation": "a b c", "standin_length": 6}
@@ -54,7 +54,7 @@
     assert engine.cancelled == ["e~0~1"]
 
 
-async def test_crash_cuts_streams_and_restart_forgets_them() -> None:
+async def test_crash_resets_streams_and_restart_loses_generations() -> None:
     engine = EngineServer("e", gap=0.01, length=100_000)
     async with serve(engine) as session:
         async with session.post("/v1/completions", json={}, headers=HEADERS) as r:
