--- a/tests/standins/test_engine_model.py
+++ b/tests/standins/test_engine_model.py
@@ -70,7 +70,7 @@
     assert engine.read_cache_events(1_500) == []
 
 
-def test_report_is_late() -> None:
+def test_load_report_is_delayed() -> None:
     engine = EngineModel(EngineProfile(report_lag=1_000))
     engine.read_load(0)
     engine.start(Sequence("a", 1_000), 500)
@@ -100,7 +100,7 @@
 
 @given(st.integers(0, 2**32))
 @settings(max_examples=50, derandomize=True, deadline=None)
-def test_every_sequence_ends_whole_and_memory_is_given_back(seed: int) -> None:
+def test_every_sequence_is_completed_and_memory_is_freed(seed: int) -> None:
     rng = random.Random(seed)
     engine = EngineModel(EngineProfile(memory_tokens=600, max_running=8))
     lengths = {}
