--- a/tests/standins/test_proxy.py
+++ b/tests/standins/test_proxy.py
@@ -127,7 +127,7 @@
         assert echo.closed.is_set() is (fault == "half_open")
 
 
-async def test_cut_resets_and_refuse_turns_new_ones_away() -> None:
+async def test_cut_resets_and_refuse_rejects_new_connections() -> None:
     async with run_echo() as (proxy, _):
         client = await Client.connect(proxy)
         assert await client.send_line(b"one\n") == b"one\n"
@@ -153,7 +153,7 @@
         assert echo.lines == taken
 
 
-async def test_lost_answer_leaves_the_effect() -> None:
+async def test_request_with_a_lost_answer_takes_effect() -> None:
     async with run_echo() as (proxy, echo):
         proxy.set_fault(LoseAnswers(1, prefix=b"append"))
         client = await Client.connect(proxy)
@@ -163,7 +163,7 @@
         assert await (await Client.connect(proxy)).send_line(b"append\n") == b"append\n"
 
 
-async def test_cut_after_so_many_bytes() -> None:
+async def test_connection_is_closed_after_the_given_bytes() -> None:
     async with run_echo() as (proxy, _):
         proxy.set_fault(CutAfter(6))
         client = await Client.connect(proxy)
