--- a/tests/experiment/test_harness.py
+++ b/tests/experiment/test_harness.py
@@ -40,7 +40,7 @@
     assert all(0 <= arrival.at <= DURATION for arrival in first)
 
 
-def test_memory_is_not_overfilled_where_a_baseline_does() -> None:
+def test_memory_is_not_overcommitted_where_a_baseline_does() -> None:
     """Engines at full load, answers of unknown length.
 
     Least in flight lets memory fill in the middle of answers; their streams
@@ -65,12 +65,12 @@
         assert result["lost"] == 0
 
 
-def test_entries_that_do_not_see_each_other_still_answer_everything() -> None:
+def test_entries_without_gossip_answer_every_request() -> None:
     result = run_policy("figstep", entries=4)
     assert result["whole"] == result["requests"]
 
 
-def test_measures_count_waits_as_callers_see_them() -> None:
+def test_measures_count_waits_of_callers() -> None:
     statistics = RunStatistics()
     stream = statistics.streams["r"] = Stream("c", 0.0, 3, 0.0)
     for at in (100.0, 130.0, 1_130.0):
