--- a/tests/tools/test_compare_days.py
+++ b/tests/tools/test_compare_days.py
@@ -9,7 +9,7 @@
 DAY_RUN = DayRun(Path("site.toml"), "scale-1", None)
 
 
-def test_the_error_is_that_of_paired_days() -> None:
+def test_the_error_is_computed_over_pairs() -> None:
     """Guards against errors of days that differ more than the two ways do."""
     pairs = [
         Pair(DAY_RUN, 0.2, 0.3, ()),
