--- a/figstep/application.py
+++ b/figstep/application.py
@@ -70,10 +70,10 @@
 
 # A document of a large fleet takes long to parse and is large: a fresh entry
 # that took all kept ones in one go would hold up its loop and its memory.
-DOCUMENTS_READ = 4
+MAX_DOCUMENTS_PER_READ = 4
 DRAIN_POLL_SECONDS = 0.05
-CUT_SECONDS = 2.0
-LEASES_REST_SECONDS = 2.0
+FORCED_STOP_TIMEOUT_SECONDS = 2.0
+LEASES_READ_DELAY_SECONDS = 2.0
 
 
 class Application(Service):
@@ -119,15 +119,18 @@
         self.configuration = StreamFollower(
             self._log_client,
             CONFIGURATION,
-            self._take_configuration,
-            limit=DOCUMENTS_READ,
+            self._handle_configuration_records,
+            limit=MAX_DOCUMENTS_PER_READ,
         )
         self.claims = StreamFollower(
-            self._log_client, CLAIMS, self._take_claims, dispatch=self.dispatch
+            self._log_client, CLAIMS, self._handle_claim_records, dispatch=self.dispatch
         )
         self.appender = StreamAppender(self._log_client, self.dispatch)
         self.leases = StreamFollower(
-            self._log_client, LEASES, self._take_leases, read_delay=LEASES_REST_SECONDS
+            self._log_client,
+            LEASES,
+            self._handle_lease_records,
+            read_delay=LEASES_READ_DELAY_SECONDS,
         )
         self.orders = OrderEdge(self.dispatch, self.find_target, self.clock)
         self.peers = PeerEdge(
@@ -191,7 +194,7 @@
                 while self.callers.unsent_bytes:
                     await asyncio.sleep(DRAIN_POLL_SECONDS)
 
-    async def cut_short(self) -> None:
+    async def force_stop(self) -> None:
         """End now: every caller gets a typed error, no stream is cancelled.
 
         Generations run on at their targets for a while, so callers of streams
@@ -200,7 +203,7 @@
         self.callers.ready = False
         self.dispatch(ShutdownForced())
         with suppress(TimeoutError):
-            async with asyncio.timeout(CUT_SECONDS):
+            async with asyncio.timeout(FORCED_STOP_TIMEOUT_SECONDS):
                 while self.exchanges or self.callers.unsent_bytes:
                     await asyncio.sleep(DRAIN_POLL_SECONDS)
 
@@ -210,13 +213,13 @@
             return True
         return bool(self.exchanges) or not self.appender.idle
 
-    def _take_configuration(self, records: list[LogRecord]) -> None:
+    def _handle_configuration_records(self, records: list[LogRecord]) -> None:
         for record in records:
             fold = self.entry_state.configuration
             if record.offset > fold.position:
                 self.dispatch(parse_record(record, fold.current))
 
-    def _take_claims(self, records: list[LogRecord]) -> None:
+    def _handle_claim_records(self, records: list[LogRecord]) -> None:
         self.dispatch(RecordsRead(CLAIMS, tuple(records)))
 
     def _read_snapshot(self) -> dict[str, Any] | None:
@@ -225,7 +228,7 @@
             return None
         return encode_snapshot(fold.current, fold.position)
 
-    def _take_leases(self, records: list[LogRecord]) -> None:
+    def _handle_lease_records(self, records: list[LogRecord]) -> None:
         self.dispatch(RecordsRead(LEASES, tuple(records)))
 
     def find_target(self, name: str) -> TargetInfo | None:
@@ -359,9 +362,9 @@
             exchange.end(problem)
 
     def _set_timer(self, timer: Timer, at: int) -> None:
-        before = self._timers.pop(timer, None)
-        if before is not None:
-            before.cancel()
+        previous = self._timers.pop(timer, None)
+        if previous is not None:
+            previous.cancel()
         delay = max(0, at - self.clock.now()) / 1000
         loop = asyncio.get_running_loop()
         self._timers[timer] = loop.call_later(delay, self._fire_timer, timer)
--- a/figstep/server.py
+++ b/figstep/server.py
@@ -49,7 +49,7 @@
         return EXIT_DRAINED
     drain.cancel()
     _log.warning("cut short", extra={"requests": len(application.exchanges)})
-    await application.cut_short()
+    await application.force_stop()
     return EXIT_CUT_SHORT
 
 
