--- a/figstep/server.py
+++ b/figstep/server.py
@@ -11,7 +11,7 @@
 from figstep.settings import Settings
 
 EXIT_DRAINED = 0
-EXIT_CUT_SHORT = 3
+EXIT_FORCED = 3
 
 _log = logbook.Logger("figstep.server")
 
@@ -21,7 +21,7 @@
 
     Returns:
         ``EXIT_DRAINED`` if every request ended in its own time, or
-        ``EXIT_CUT_SHORT`` after a second signal.
+        ``EXIT_FORCED`` after a second signal.
     """
     signals: asyncio.Queue[int] = asyncio.Queue()
     loop = asyncio.get_running_loop()
@@ -50,7 +50,7 @@
     drain.cancel()
     _log.warning("cut short", extra={"requests": len(application.exchanges)})
     await application.force_stop()
-    return EXIT_CUT_SHORT
+    return EXIT_FORCED
 
 
 def run_server(settings: Settings) -> int:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -11,7 +11,7 @@
 import aiohttp
 
 from figstep.demo import KEY, MODEL, build_document
-from figstep.server import EXIT_CUT_SHORT, EXIT_DRAINED
+from figstep.server import EXIT_DRAINED, EXIT_FORCED
 from tests.processes import Running, run_command, run_figstep, write_yaml
 from tests.test_path import wait_until_ready
 
@@ -121,4 +121,4 @@
         assert document["error"]["code"] == "entry_ended"
         assert document["ran"] == "yes"
         assert b"[DONE]" not in rest
-        assert await served.end() == EXIT_CUT_SHORT
+        assert await served.end() == EXIT_FORCED
