--- a/figstep/logs.py
+++ b/figstep/logs.py
@@ -10,7 +10,7 @@
 import logbook.compat
 import orjson
 
-MOST_LINES = 400
+MAX_LINES_PER_SECOND = 400
 """Lines a second. An entry at its share of the peak writes some tens; a flood
 of refusals would else spend its processor on writing about them."""
 
@@ -40,7 +40,7 @@
     written with the next line that does.
 
     Attributes:
-        left_out: Lines left out since the last one written.
+        dropped_lines: Lines left out since the last one written.
     """
 
     def __init__(
@@ -51,12 +51,12 @@
     ) -> None:
         super().__init__(sys.stdout, level=level)
         os.set_blocking(descriptor, False)
-        self.left_out = 0
+        self.dropped_lines = 0
         self._descriptor = descriptor
         self._read_clock = read_clock
         self._second = -1
         self._written = 0
-        self._rest = b""
+        self._unwritten = b""
 
     def emit(self, record: logbook.LogRecord) -> None:
         """Write a record, or count it as left out."""
@@ -64,29 +64,29 @@
         if second != self._second:
             self._second = second
             self._written = 0
-        if self._written >= MOST_LINES or not self._flush_rest():
-            self.left_out += 1
+        if self._written >= MAX_LINES_PER_SECOND or not self._flush_unwritten():
+            self.dropped_lines += 1
             return
         self._written += 1
-        if self.left_out:
-            record.extra["lines_left_out"] = self.left_out
+        if self.dropped_lines:
+            record.extra["lines_left_out"] = self.dropped_lines
         line = self.format(record).encode() + b"\n"
-        self.left_out = 0
-        self._rest = line
-        self._flush_rest()
+        self.dropped_lines = 0
+        self._unwritten = line
+        self._flush_unwritten()
 
-    def _flush_rest(self) -> bool:
+    def _flush_unwritten(self) -> bool:
         """Write what is left of a line; False while the reader takes none."""
-        while self._rest:
+        while self._unwritten:
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unwritten)
             except BlockingIOError:
                 return False
             except OSError:
                 # Nobody reads any more; there is nowhere to say so.
-                self._rest = b""
+                self._unwritten = b""
                 return True
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
         return True
 
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -11,7 +11,7 @@
 import orjson
 
 from figstep.demo import KEY, MODEL, run_deployment
-from figstep.logs import MOST_LINES, BoundedLinesHandler, JsonLinesHandler
+from figstep.logs import MAX_LINES_PER_SECOND, BoundedLinesHandler, JsonLinesHandler
 from tests.net.test_callers import open_raw
 
 SECRET = "unleavened-secret-words"
@@ -103,12 +103,12 @@
     handler = BoundedLinesHandler(writer, "INFO", lambda: now[0])
     log = logbook.Logger("bounded")
     with handler.applicationbound():
-        for _ in range(MOST_LINES + 7):
+        for _ in range(MAX_LINES_PER_SECOND + 7):
             log.info("refused")
         now[0] = 11.0
         log.info("later")
     lines = read_pipe(reader)
-    assert len(lines) == MOST_LINES + 1
+    assert len(lines) == MAX_LINES_PER_SECOND + 1
     assert lines[-1]["lines_left_out"] == 7
 
 
@@ -125,7 +125,7 @@
     with handler.applicationbound():
         for _ in range(300):
             log.info("x" * 1_000)
-        assert handler.left_out > 0
+        assert handler.dropped_lines > 0
         assert read_lines_until_torn(reader) > 0
         now[0] = 11.0
         log.info("later")
