--- a/figstep/account.py
+++ b/figstep/account.py
@@ -12,13 +12,13 @@
 
 import orjson
 
-NO_LOSS = "no target was lost"
+NO_TARGET_LOST = "no target was lost"
 
 
 class Outcome(Enum):
     """What became of a request."""
 
-    IN_TIME = "in time"
+    ON_TIME = "in time"
     LATE = "late"
     REFUSED = "refused"
     BROKEN = "broken"
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class LatencyLimits:
     """From when on an answer counts as late.
 
     Attributes:
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Course:
+class RequestTrace:
     """A request's lines, in the order in which they were written.
 
     Attributes:
@@ -79,9 +79,9 @@
     events: int
 
 
-def read_courses(lines: Iterable[str]) -> dict[str, Course]:
+def read_traces(lines: Iterable[str]) -> dict[str, RequestTrace]:
     """Return the lines of each request by its id; other lines are passed over."""
-    courses: dict[str, Course] = defaultdict(Course)
+    traces: dict[str, RequestTrace] = defaultdict(RequestTrace)
     for line in lines:
         start = line.find("{")
         if start < 0:
@@ -95,17 +95,19 @@
             continue
         request = document.get("request")
         if isinstance(request, str):
-            courses[request].lines.append(document)
-    return dict(courses)
+            traces[request].lines.append(document)
+    return dict(traces)
 
 
-def account_courses(courses: dict[str, Course], limits: Limits) -> list[Row]:
+def summarize_traces(
+    traces: dict[str, RequestTrace], limits: LatencyLimits
+) -> list[Row]:
     """Return how many requests of each route ended how and why, most first."""
     counts: Counter[tuple[str, Outcome, str]] = Counter()
     events: Counter[tuple[str, Outcome, str]] = Counter()
-    for course in courses.values():
-        end = course.find_last("request ended")
-        outcome, cause = judge_course(course, limits)
+    for trace in traces.values():
+        end = trace.find_last("request ended")
+        outcome, cause = classify_request(trace, limits)
         route = "" if end is None else str(end.get("route", ""))
         key = (route, outcome, cause)
         counts[key] += 1
@@ -115,44 +117,44 @@
     return rows
 
 
-def judge_course(course: Course, limits: Limits) -> tuple[Outcome, str]:
+def classify_request(trace: RequestTrace, limits: LatencyLimits) -> tuple[Outcome, str]:
     """Return what became of a request and why."""
-    end = course.find_last("request ended")
+    end = trace.find_last("request ended")
     if end is None:
-        turned_away = course.find_last("request turned away")
+        turned_away = trace.find_last("request turned away")
         if turned_away is not None:
             return Outcome.REFUSED, str(turned_away.get("reason", ""))
         return Outcome.OPEN, "its entry ended, or the log does"
     match end.get("outcome"):
         case "whole stream" | "answered":
-            return _judge_answer(course, end, limits)
+            return _classify_answer(trace, end, limits)
         case "refused":
             return Outcome.REFUSED, str(end.get("reason", ""))
         case "caller gone":
             return Outcome.CALLER_GONE, ""
         case _:
-            return Outcome.BROKEN, _explain_loss(course, end)
+            return Outcome.BROKEN, _explain_loss(trace, end)
 
 
-def _judge_answer(
-    course: Course, end: dict[str, Any], limits: Limits
+def _classify_answer(
+    trace: RequestTrace, end: dict[str, Any], limits: LatencyLimits
 ) -> tuple[Outcome, str]:
     if end.get("first_ms", 0) > limits.first:
-        return Outcome.LATE, _explain_late_start(course, limits)
+        return Outcome.LATE, _explain_late_start(trace, limits)
     if end.get("longest_pause_ms", 0) > limits.pause:
-        return Outcome.LATE, _explain_pause(course, limits)
-    return Outcome.IN_TIME, ""
+        return Outcome.LATE, _explain_pause(trace, limits)
+    return Outcome.ON_TIME, ""
 
 
-def _explain_late_start(course: Course, limits: Limits) -> str:
-    opened = course.find_first("attempt opened")
+def _explain_late_start(trace: RequestTrace, limits: LatencyLimits) -> str:
+    opened = trace.find_first("attempt opened")
     if opened is not None and opened.get("waited_ms", 0) > limits.first / 2:
         return "waited for room"
     return "its prompt was read late"
 
 
-def _explain_pause(course: Course, limits: Limits) -> str:
-    for line in course.lines:
+def _explain_pause(trace: RequestTrace, limits: LatencyLimits) -> str:
+    for line in trace.lines:
         if line["message"] != "stream goes on elsewhere":
             continue
         if line.get("pause_ms", 0) > limits.pause:
@@ -160,20 +162,20 @@
     return "its engine paused"
 
 
-def _explain_loss(course: Course, end: dict[str, Any]) -> str:
-    lost = course.find_last("attempt lost")
+def _explain_loss(trace: RequestTrace, end: dict[str, Any]) -> str:
+    lost = trace.find_last("attempt lost")
     if lost is None:
-        return str(end.get("reason", NO_LOSS))
+        return str(end.get("reason", NO_TARGET_LOST))
     if lost.get("standing") == "ready":
         return f"its target was lost without notice: {lost.get('loss')}"
-    if course.find_last("repeat denied by the fleet's budget") is not None:
+    if trace.find_last("repeat denied by the fleet's budget") is not None:
         return "the retry budget denied to go on"
-    return _explain_lost_in_notice(course, lost)
+    return _explain_lost_in_notice(trace, lost)
 
 
-def _explain_lost_in_notice(course: Course, lost: dict[str, Any]) -> str:
+def _explain_lost_in_notice(trace: RequestTrace, lost: dict[str, Any]) -> str:
     last = None
-    for line in course.lines:
+    for line in trace.lines:
         if line["message"] in ("copy ordered", "copy made", "copy failed"):
             last = line
         if line["message"] == "attempt opened" and line.get("goes_on_from"):
--- a/figstep/cli.py
+++ b/figstep/cli.py
@@ -350,11 +350,11 @@
     pause: Annotated[int, typer.Option(help="Longest pause, ms.")] = 180,
 ) -> None:
     """Tell from entries' logs which requests were lost, late or refused, and why."""
-    courses: dict[str, accounts.Course] = {}
+    traces: dict[str, accounts.RequestTrace] = {}
     for log in logs:
         with log.open(errors="replace") as lines:
-            courses.update(accounts.read_courses(lines))
-    rows = accounts.account_courses(courses, accounts.Limits(first, pause))
+            traces.update(accounts.read_traces(lines))
+    rows = accounts.summarize_traces(traces, accounts.LatencyLimits(first, pause))
     typer.echo(accounts.format_rows(rows))
 
 
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -8,13 +8,13 @@
 from typer.testing import CliRunner
 
 from figstep.account import (
-    Course,
-    Limits,
+    LatencyLimits,
     Outcome,
+    RequestTrace,
     Row,
-    account_courses,
-    judge_course,
-    read_courses,
+    classify_request,
+    read_traces,
+    summarize_traces,
 )
 from figstep.cli import app
 
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize(
     ("lines", "outcome", "cause"),
     [
-        ([OPENED, end("whole stream", first_ms=400)], Outcome.IN_TIME, ""),
+        ([OPENED, end("whole stream", first_ms=400)], Outcome.ON_TIME, ""),
         (
             [{**OPENED, "waited_ms": 1_500}, end("whole stream", first_ms=2_000)],
             Outcome.LATE,
@@ -106,13 +106,16 @@
 def test_a_request_is_judged_by_its_lines(
     lines: list[dict[str, Any]], outcome: Outcome, cause: str
 ) -> None:
-    assert judge_course(Course(lines), Limits()) == (outcome, cause)
+    assert classify_request(RequestTrace(lines), LatencyLimits()) == (outcome, cause)
 
 
 def test_an_engine_that_went_on_and_left_too_had_no_copy_of_its_own() -> None:
     lines = [OPENED, ORDERED, MADE, GOES_ON, {**LOST, "target": "e-2"}, end("broken")]
     cause = "no copy was ordered before its engine left"
-    assert judge_course(Course(lines), Limits()) == (Outcome.BROKEN, cause)
+    assert classify_request(RequestTrace(lines), LatencyLimits()) == (
+        Outcome.BROKEN,
+        cause,
+    )
 
 
 def write_line(request: str, document: dict[str, Any], prefix: str = "") -> str:
@@ -128,9 +131,9 @@
         "[1]",
         write_line("r-1", end("answered")),
     ]
-    courses = read_courses(lines)
-    assert list(courses) == ["r-1"]
-    assert len(courses["r-1"].lines) == 2
+    traces = read_traces(lines)
+    assert list(traces) == ["r-1"]
+    assert len(traces["r-1"].lines) == 2
 
 
 def test_requests_are_counted_by_route_outcome_and_cause() -> None:
@@ -139,9 +142,9 @@
         lines.append(write_line(f"r-{number}", OPENED))
         lines.append(write_line(f"r-{number}", end("whole stream", events=10)))
     lines.append(write_line("r-9", end("refused", reason="no_room")))
-    rows = account_courses(read_courses(lines), Limits())
+    rows = summarize_traces(read_traces(lines), LatencyLimits())
     assert rows == [
-        Row("plan", Outcome.IN_TIME, "", 3, 30),
+        Row("plan", Outcome.ON_TIME, "", 3, 30),
         Row("plan", Outcome.REFUSED, "no_room", 1, 0),
     ]
 
