--- a/figstep/audit.py
+++ b/figstep/audit.py
@@ -81,7 +81,7 @@
             event = parse_record(record, self._state.configuration.current)
             index += 1
             if isinstance(event, ConfigurationRead):
-                _judge(self._state.configuration, record, event, self._entries)
+                _record_verdict(self._state.configuration, record, event, self._entries)
             for effect in reduce(self._state, event, Millis(0)):
                 if isinstance(effect, ReadConfigurationFrom):
                     index = max(0, effect.offset - self._records[0].offset)
@@ -101,7 +101,7 @@
     return reader.trail
 
 
-def _judge(
+def _record_verdict(
     fold: ConfigurationFold,
     record: LogRecord,
     event: ConfigurationRead,
