--- a/figstep/measures.py
+++ b/figstep/measures.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-STALL_AFTER = 250.0
+STALL_THRESHOLD_MS = 250.0
 """A wait longer than this, in milliseconds, counts as a stall, whole."""
 
 
@@ -30,10 +30,10 @@
     def list_waits(self) -> list[float]:
         """Return the wait for the first token, then the gaps between tokens."""
         waits = []
-        before = self.asked
+        previous = self.asked
         for at in self.tokens:
-            waits.append(at - before)
-            before = at
+            waits.append(at - previous)
+            previous = at
         return waits
 
 
@@ -84,7 +84,7 @@
 
 def sum_stalls(stream: StreamTimes) -> float:
     """Return the time that a stream waited with nothing delivered, in ms."""
-    return sum(wait for wait in stream.list_waits() if wait > STALL_AFTER)
+    return sum(wait for wait in stream.list_waits() if wait > STALL_THRESHOLD_MS)
 
 
 def summarize_streams(streams: list[StreamTimes]) -> Summary:
