--- a/figstep/reporting.py
+++ b/figstep/reporting.py
@@ -11,8 +11,8 @@
 
 from figstep.metrics import Metrics
 
-PERIOD_SECONDS = 5.0
-_PAGE = os.sysconf("SC_PAGE_SIZE")
+REPORT_INTERVAL_SECONDS = 5.0
+_PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 _STATM = Path("/proc/self/statm")
 
 
@@ -49,9 +49,9 @@
     async def _report(self) -> None:
         loop = asyncio.get_running_loop()
         while not self.should_stop:
-            before = loop.time()
-            await self.sleep(PERIOD_SECONDS)
-            lag = max(0.0, loop.time() - before - PERIOD_SECONDS)
+            slept_at = loop.time()
+            await self.sleep(REPORT_INTERVAL_SECONDS)
+            lag = max(0.0, loop.time() - slept_at - REPORT_INTERVAL_SECONDS)
             report_load(self._metrics, self._read_load(), lag)
 
 
@@ -76,4 +76,4 @@
 
 def read_memory() -> int:
     """Return the resident memory of this process, in bytes."""
-    return int(_STATM.read_text().split()[1]) * _PAGE
+    return int(_STATM.read_text().split()[1]) * _PAGE_BYTES
