--- a/figstep/cli.py
+++ b/figstep/cli.py
@@ -216,18 +216,18 @@
         if entry.status is None:
             typer.echo(f"{entry.name} {entry.address} no answer")
             continue
-        told = entry.status
+        reported = entry.status
         leaving = [
             name
-            for name, target in told["targets"].items()
+            for name, target in reported["targets"].items()
             if target["leaving"] or target.get("draining")
         ]
         line = (
             f"{entry.name} {entry.address} offset {entry.offset}"
-            f" ready {told['ready']} requests {told['requests']}"
-            f" targets {len(told['targets'])} leaving {','.join(leaving) or 'none'}"
+            f" ready {reported['ready']} requests {reported['requests']}"
+            f" targets {len(reported['targets'])} leaving {','.join(leaving) or 'none'}"
         )
-        stalled = told.get("configuration_stalled")
+        stalled = reported.get("configuration_stalled")
         typer.echo(f"{line} STALLED: {stalled}" if stalled else line)
     if any(entry.status is None for entry in entries):
         raise typer.Exit(1)
