--- a/figstep/operations.py
+++ b/figstep/operations.py
@@ -44,9 +44,9 @@
 
 T = TypeVar("T")
 
-READ_BACK_SECONDS = 30.0
-RETRY_SECONDS = 0.5
-POLL_SECONDS = 0.1
+READ_BACK_TIMEOUT_SECONDS = 30.0
+READ_BACK_INTERVAL_SECONDS = 0.5
+STATUS_POLL_INTERVAL_SECONDS = 0.1
 STATUS_TIMEOUT = aiohttp.ClientTimeout(total=2.0)
 
 
@@ -121,7 +121,7 @@
     document: dict[str, Any],
     author: str,
     reason: str,
-    read_back_seconds: float = READ_BACK_SECONDS,
+    read_back_timeout: float = READ_BACK_TIMEOUT_SECONDS,
 ) -> int:
     """Append a document and return its offset once the fold accepts it.
 
@@ -135,7 +135,7 @@
     parse_inventory(document)
     reader = await follow_trail(log, TrailReader())
     edit = Edit(document, author, reason)
-    return await append_edit(log, reader, edit, read_back_seconds)
+    return await append_edit(log, reader, edit, read_back_timeout)
 
 
 @dataclass(frozen=True, slots=True)
@@ -148,7 +148,7 @@
 
 
 async def append_edit(
-    log: LogClient, reader: TrailReader, edit: Edit, read_back_seconds: float
+    log: LogClient, reader: TrailReader, edit: Edit, read_back_timeout: float
 ) -> int:
     """Append an edit made from what ``reader`` shows; see ``publish_document``."""
     trail = reader.trail
@@ -173,7 +173,7 @@
         # second append would be a second edit in the audit trail, and would
         # be reported refused although the first one won; the log itself tells.
         pass
-    entry = await _read_back(log, reader, name, read_back_seconds)
+    entry = await _read_back(log, reader, name, read_back_timeout)
     if entry.verdict != "accepted":
         raise PublishRefusedError(f"record {entry.offset} was refused: {entry.why}")
     return entry.offset
@@ -211,7 +211,7 @@
                 " it with figstep history before publishing again. Should it arrive"
                 " late, its base lets only one of both be accepted"
             )
-        await asyncio.sleep(RETRY_SECONDS)
+        await asyncio.sleep(READ_BACK_INTERVAL_SECONDS)
 
 
 async def drain_target(
@@ -295,7 +295,7 @@
 ) -> int:
     parse_inventory(document)
     edit = Edit(document, author, reason)
-    return await append_edit(log, reader, edit, READ_BACK_SECONDS)
+    return await append_edit(log, reader, edit, READ_BACK_TIMEOUT_SECONDS)
 
 
 async def compare_document(
@@ -335,16 +335,16 @@
     """Ask every live entry for its status."""
     async with aiohttp.ClientSession() as session:
         entries = await read_entries(session, instances_url)
-        return await _ask_entries(session, entries)
+        return await _query_entries(session, entries)
 
 
-async def _ask_entries(
+async def _query_entries(
     session: aiohttp.ClientSession, entries: list[InstanceInfo]
 ) -> list[EntryStatus]:
-    return list(await asyncio.gather(*(_ask_entry(session, e) for e in entries)))
+    return list(await asyncio.gather(*(_query_entry(session, e) for e in entries)))
 
 
-async def _ask_entry(
+async def _query_entry(
     session: aiohttp.ClientSession, entry: InstanceInfo
 ) -> EntryStatus:
     try:
@@ -358,7 +358,7 @@
 
 
 async def wait_in_force(
-    instances_url: str, offset: int, seconds: float, wanted: int | None = None
+    instances_url: str, offset: int, seconds: float, required_entries: int | None = None
 ) -> int:
     """Return how many entries show ``offset`` or later, once all live ones do.
 
@@ -366,7 +366,7 @@
         instances_url: Base URL of the instance list.
         offset: Offset of the accepted edit.
         seconds: Longest wait, in seconds.
-        wanted: Entries that must show it; all listed ones if None.
+        required_entries: Entries that must show it; all listed ones if None.
 
     Raises:
         NotInForceError: The time ran out; names the entries that lag.
@@ -375,14 +375,14 @@
     async with aiohttp.ClientSession() as session:
         while True:
             entries = await read_entries(session, instances_url)
-            statuses = await _ask_entries(session, entries)
+            statuses = await _query_entries(session, entries)
             lagging = [s for s in statuses if s.offset is None or s.offset < offset]
             shown = len(statuses) - len(lagging)
-            if statuses and shown >= (wanted or len(statuses)):
+            if statuses and shown >= (required_entries or len(statuses)):
                 return shown
             if time.monotonic() >= deadline:
                 raise NotInForceError(_describe_lag(offset, shown, lagging, seconds))
-            await asyncio.sleep(POLL_SECONDS)
+            await asyncio.sleep(STATUS_POLL_INTERVAL_SECONDS)
 
 
 def _describe_lag(
