--- a/figstep/cli.py
+++ b/figstep/cli.py
@@ -92,8 +92,10 @@
     first = wait.partition("-of-")[0]
     if wait != "all" and not first.isdigit():
         raise typer.BadParameter("--wait takes N, N-of-N or all")
-    wanted = None if wait == "all" else int(first)
-    shown = asyncio.run(operations.wait_in_force(instances, offset, timeout, wanted))
+    required_entries = None if wait == "all" else int(first)
+    shown = asyncio.run(
+        operations.wait_in_force(instances, offset, timeout, required_entries)
+    )
     typer.echo(f"in force on {shown} entries")
 
 
