--- a/figstep/inventory.py
+++ b/figstep/inventory.py
@@ -154,21 +154,29 @@
         services = {service.service for service in self.services}
         targets = {e.name for e in self.engines} | {s.name for s in self.services}
         for instance in self.instances:
-            _expect("instances", instance.failure_domain, domains, "failure_domains")
+            _require_listed(
+                "instances", instance.failure_domain, domains, "failure_domains"
+            )
         for priority in self.rules.priorities:
-            _expect("rules.priorities", priority.customer, customers, "customers")
-            _expect("rules.priorities", priority.model, models, "models")
-        for wanted in self.rules.placement:
-            _expect("rules.placement", wanted.model, models, "models")
-            for domain in wanted.failure_domains:
-                _expect("rules.placement", domain, domains, "failure_domains")
+            _require_listed(
+                "rules.priorities", priority.customer, customers, "customers"
+            )
+            _require_listed("rules.priorities", priority.model, models, "models")
+        for placement_rule in self.rules.placement:
+            _require_listed("rules.placement", placement_rule.model, models, "models")
+            for domain in placement_rule.failure_domains:
+                _require_listed("rules.placement", domain, domains, "failure_domains")
         for rule in self.rules.non_idempotent:
-            _expect("rules.non_idempotent", rule.service, services, "services")
-            _expect("rules.non_idempotent", rule.customer, customers, "customers")
+            _require_listed("rules.non_idempotent", rule.service, services, "services")
+            _require_listed(
+                "rules.non_idempotent", rule.customer, customers, "customers"
+            )
         for mark in self.draining:
-            _expect("draining", mark.target, targets, "engines or services")
+            _require_listed("draining", mark.target, targets, "engines or services")
         for evacuation in self.evacuated:
-            _expect("evacuated", evacuation.failure_domain, domains, "failure_domains")
+            _require_listed(
+                "evacuated", evacuation.failure_domain, domains, "failure_domains"
+            )
         return self
 
     @model_validator(mode="after")
@@ -196,7 +204,7 @@
         return self
 
 
-def _expect(place: str, name: str | None, listed: set[str], under: str) -> None:
+def _require_listed(place: str, name: str | None, listed: set[str], under: str) -> None:
     if name is None or name in listed:
         return
     raise ValueError(f"{place}: {name!r} is not listed; add it under {under}")
@@ -210,7 +218,7 @@
 VALIDATION = 2
 """Version of the rules below; any change of what is valid raises it."""
 
-FIRST_WITH_EVACUATIONS = 2
+MIN_VERSION_WITH_EVACUATIONS = 2
 """Version from which on a document may name evacuated failure domains."""
 
 
@@ -222,10 +230,10 @@
     """
     if not 1 <= validation <= VALIDATION:
         return None
-    if validation < FIRST_WITH_EVACUATIONS and "evacuated" in document:
+    if validation < MIN_VERSION_WITH_EVACUATIONS and "evacuated" in document:
         raise InventoryError(
             f"evacuated: unknown to validation version {validation};"
-            f" publish with version {FIRST_WITH_EVACUATIONS} or later"
+            f" publish with version {MIN_VERSION_WITH_EVACUATIONS} or later"
         )
     return parse_inventory(document)
 
