--- a/figstep/bench.py
+++ b/figstep/bench.py
@@ -15,7 +15,7 @@
 from figstep.errors import FigstepError
 
 PATH = "/v1/completions"
-_SENT = b'"sent_ns":'
+_SENT_FIELD = b'"sent_ns":'
 
 
 class BenchmarkError(FigstepError):
@@ -126,33 +126,33 @@
             "gap_ms": load.gap,
         }
         headers = {"Authorization": f"Bearer {load.key}"}
-        begun = time.monotonic()
+        sent_at = time.monotonic()
         async with session.post(
             load.url + PATH, data=orjson.dumps(body), headers=headers
         ) as response:
             if response.status != 200:
                 return f"{response.status} {(await response.text())[:200]}"
-            rest, first = b"", True
+            remainder, first = b"", True
             async for chunk in response.content.iter_any():
                 if first:
-                    self.tally.first.append((time.monotonic() - begun) * 1000)
+                    self.tally.first.append((time.monotonic() - sent_at) * 1000)
                     first = False
-                rest = self._take_chunk(rest + chunk)
-            return "" if rest.startswith(b"data: [DONE]") else "truncated"
+                remainder = self._handle_chunk(remainder + chunk)
+            return "" if remainder.startswith(b"data: [DONE]") else "truncated"
 
-    def _take_chunk(self, data: bytes) -> bytes:
+    def _handle_chunk(self, data: bytes) -> bytes:
         now = time.monotonic_ns()
-        *frames, rest = data.split(b"\n\n")
+        *frames, remainder = data.split(b"\n\n")
         for frame in frames:
-            position = frame.rfind(_SENT)
+            position = frame.rfind(_SENT_FIELD)
             if position >= 0:
-                sent = int(frame[position + len(_SENT) : -1])
+                sent = int(frame[position + len(_SENT_FIELD) : -1])
                 self.tally.delays.append((now - sent) / 1e6)
             if frame.startswith(b"id: "):
                 self.tally.tokens += 1
             if frame.startswith(b"data: [DONE]"):
                 return frame
-        return rest
+        return remainder
 
 
 @dataclass(frozen=True, slots=True)
