--- a/figstep/checker.py
+++ b/figstep/checker.py
@@ -9,11 +9,11 @@
 
 from figstep.core.problems import Ran
 
-COMMITTED = range(200, 300)
+SUCCESS_STATUSES = range(200, 300)
 
 
 @dataclass(frozen=True, slots=True)
-class SeenEvent:
+class ReceivedEvent:
     """A token event as the caller saw it.
 
     Attributes:
@@ -64,7 +64,7 @@
     tag: str
     identity: str = ""
     stream: bool = True
-    events: list[SeenEvent] = field(default_factory=list)
+    events: list[ReceivedEvent] = field(default_factory=list)
     outcomes: list[Outcome] = field(default_factory=list)
     text: str = ""
     abandoned: bool = False
@@ -206,15 +206,15 @@
     names = tuple(dict.fromkeys(event.generation for event in caller.events))
     if len(names) > 1:
         violations.append(Mixed(caller.tag, names))
-    seen: set[int] = set()
+    received: set[int] = set()
     expected = 1
     for event in caller.events:
-        if event.index in seen:
+        if event.index in received:
             violations.append(Repeated(caller.tag, event.index))
             continue
         if event.index != expected:
             violations.append(OutOfOrder(caller.tag, expected, event.index))
-        seen.add(event.index)
+        received.add(event.index)
         expected = event.index + 1
     return violations
 
@@ -225,7 +225,7 @@
         if last.problem or caller.abandoned:
             return []
         return [Unanswered(caller.tag)]
-    if not caller.stream or last.status not in COMMITTED:
+    if not caller.stream or last.status not in SUCCESS_STATUSES:
         return []
     finishes = [bool(event.finish) for event in caller.events]
     if finishes and finishes[-1] and not any(finishes[:-1]):
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -16,7 +16,7 @@
     ExecutedGeneration,
     History,
     Outcome,
-    SeenEvent,
+    ReceivedEvent,
 )
 from figstep.core.problems import Ran
 from figstep.demo import KEY, MODEL, build_document
@@ -172,7 +172,7 @@
             generation, _, index = name.rpartition(":")
             choice = orjson.loads(line[6:])["choices"][0]
             finish = choice["finish_reason"] or ""
-            event = SeenEvent(generation, int(index), choice["text"], finish)
+            event = ReceivedEvent(generation, int(index), choice["text"], finish)
             self.history.events.append(event)
         return Outcome(200)
 
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -13,8 +13,8 @@
     Outcome,
     OutOfOrder,
     RanAgain,
+    ReceivedEvent,
     Repeated,
-    SeenEvent,
     Truncated,
     Unanswered,
     Violation,
@@ -29,15 +29,15 @@
 
 def see(
     indexes: str, generation: str = "g", last: str = "stop", text: str = "menu "
-) -> list[SeenEvent]:
-    events = [SeenEvent(generation, int(index), text) for index in indexes]
+) -> list[ReceivedEvent]:
+    events = [ReceivedEvent(generation, int(index), text) for index in indexes]
     if last:
-        events[-1] = SeenEvent(generation, int(indexes[-1]), text, last)
+        events[-1] = ReceivedEvent(generation, int(indexes[-1]), text, last)
     return events
 
 
 def call(
-    events: list[SeenEvent], *outcomes: Outcome, tag: str = "menu", **kwargs: object
+    events: list[ReceivedEvent], *outcomes: Outcome, tag: str = "menu", **kwargs: object
 ) -> CallerHistory:
     return CallerHistory(tag, events=events, outcomes=list(outcomes), **kwargs)
 
