--- a/figstep/demo.py
+++ b/figstep/demo.py
@@ -23,7 +23,7 @@
 
 KEY = "demo-key"
 MODEL = "langar-8b"
-ENGINE_GAPS = (0.01, 0.02, 0.04)
+ENGINE_TOKEN_GAPS = (0.01, 0.02, 0.04)
 READY_POLL_SECONDS = 0.02
 
 
@@ -93,7 +93,7 @@
     entries: int = 2,
     limits: Limits | None = None,
     tls: Tls | None = None,
-    gaps: tuple[float, ...] = ENGINE_GAPS,
+    gaps: tuple[float, ...] = ENGINE_TOKEN_GAPS,
 ) -> AsyncIterator[Deployment]:
     """Start stand-ins and entries, publish the inventory, wait until in force.
 
