--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -27,7 +27,7 @@
 NOT_RUN = Outcome(503, problem="overload", ran=Ran.NO)
 
 
-def see(
+def build_events(
     indexes: str, generation: str = "g", last: str = "stop", text: str = "menu "
 ) -> list[ReceivedEvent]:
     events = [ReceivedEvent(generation, int(index), text) for index in indexes]
@@ -36,7 +36,7 @@
     return events
 
 
-def call(
+def build_caller(
     events: list[ReceivedEvent], *outcomes: Outcome, tag: str = "menu", **kwargs: object
 ) -> CallerHistory:
     return CallerHistory(tag, events=events, outcomes=list(outcomes), **kwargs)
@@ -45,50 +45,61 @@
 RAN = [ExecutedGeneration("engine-1", "g", "menu")]
 
 ACCEPTED = {
-    "whole": call(see("123"), WHOLE),
-    "finished for length": call(see("123", last="length"), WHOLE),
-    "returned": call(see("123"), BROKEN, WHOLE),
-    "left on its own": call(see("12", last=""), BROKEN, abandoned=True),
-    "typed end after some": call(
-        see("12", last=""), Outcome(200, problem="lost", ran=Ran.YES)
+    "whole": build_caller(build_events("123"), WHOLE),
+    "finished for length": build_caller(build_events("123", last="length"), WHOLE),
+    "returned": build_caller(build_events("123"), BROKEN, WHOLE),
+    "left on its own": build_caller(
+        build_events("12", last=""), BROKEN, abandoned=True
     ),
-    "refused, and ran": call([], Outcome(503, problem="lost", ran=Ran.UNKNOWN)),
-    "not a stream": call([], WHOLE, stream=False, text="for menu"),
+    "typed end after some": build_caller(
+        build_events("12", last=""), Outcome(200, problem="lost", ran=Ran.YES)
+    ),
+    "refused, and ran": build_caller([], Outcome(503, problem="lost", ran=Ran.UNKNOWN)),
+    "not a stream": build_caller([], WHOLE, stream=False, text="for menu"),
 }
 
 REFUSED = {
-    "gap": (call(see("124"), WHOLE), [OutOfOrder("menu", 3, 4)]),
-    "late start": (call(see("23"), WHOLE), [OutOfOrder("menu", 1, 2)]),
+    "gap": (build_caller(build_events("124"), WHOLE), [OutOfOrder("menu", 3, 4)]),
+    "late start": (build_caller(build_events("23"), WHOLE), [OutOfOrder("menu", 1, 2)]),
     "swapped": (
-        call(see("132"), WHOLE),
+        build_caller(build_events("132"), WHOLE),
         [OutOfOrder("menu", 2, 3), OutOfOrder("menu", 4, 2)],
     ),
-    "repeated on return": (call(see("1223"), BROKEN, WHOLE), [Repeated("menu", 2)]),
+    "repeated on return": (
+        build_caller(build_events("1223"), BROKEN, WHOLE),
+        [Repeated("menu", 2)],
+    ),
     "stitched": (
-        call(see("12", last="") + see("3", "h"), WHOLE),
+        build_caller(build_events("12", last="") + build_events("3", "h"), WHOLE),
         [Mixed("menu", ("g", "h")), Misdelivered("menu", "")],
     ),
-    "no end": (call(see("12", last=""), BROKEN), [Unanswered("menu")]),
-    "no answer": (call([]), [Unanswered("menu")]),
-    "end marker too early": (call(see("12", last=""), WHOLE), [Truncated("menu", 2)]),
-    "end marker alone": (call([], WHOLE), [Truncated("menu", 0)]),
+    "no end": (build_caller(build_events("12", last=""), BROKEN), [Unanswered("menu")]),
+    "no answer": (build_caller([]), [Unanswered("menu")]),
+    "end marker too early": (
+        build_caller(build_events("12", last=""), WHOLE),
+        [Truncated("menu", 2)],
+    ),
+    "end marker alone": (build_caller([], WHOLE), [Truncated("menu", 0)]),
     "more after the end": (
-        call(see("12") + see("3"), WHOLE),
+        build_caller(build_events("12") + build_events("3"), WHOLE),
         [Truncated("menu", 3)],
     ),
     "another's answer": (
-        call(see("12", "h"), WHOLE),
+        build_caller(build_events("12", "h"), WHOLE),
         [Misdelivered("menu", "")],
     ),
     "another's whole answer": (
-        call([], WHOLE, stream=False, text="for flour"),
+        build_caller([], WHOLE, stream=False, text="for flour"),
         [Misdelivered("menu", "")],
     ),
     "another's text": (
-        call(see("12", text="flour "), WHOLE),
+        build_caller(build_events("12", text="flour "), WHOLE),
         [Misdelivered("menu", "")],
     ),
-    "not run, but ran": (call([], NOT_RUN), [FalselyNotRun("menu", "engine-1")]),
+    "not run, but ran": (
+        build_caller([], NOT_RUN),
+        [FalselyNotRun("menu", "engine-1")],
+    ),
 }
 
 
@@ -106,7 +117,10 @@
 
 def test_crossed_answers_name_whose_they_were() -> None:
     generations = [*RAN, ExecutedGeneration("engine-2", "h", "guide")]
-    callers = [call(see("12", "h"), WHOLE), call(see("12"), WHOLE, tag="guide")]
+    callers = [
+        build_caller(build_events("12", "h"), WHOLE),
+        build_caller(build_events("12"), WHOLE, tag="guide"),
+    ]
     assert check_history(History(callers, generations)) == [
         Misdelivered("menu", "guide"),
         Misdelivered("guide", "menu"),
@@ -132,7 +146,7 @@
 
 def test_a_call_told_not_run_was_not_executed() -> None:
     calls = [ExecutedCall("planning-1", "order", "flour")]
-    caller = call([], NOT_RUN, tag="order", identity="flour", stream=False)
+    caller = build_caller([], NOT_RUN, tag="order", identity="flour", stream=False)
     assert check_history(History([caller], calls=calls)) == [
         FalselyNotRun("order", "planning-1")
     ]
