--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 
 pytest_plugins = ["pytester"]
 
-_LIST = pytest.StashKey[list["KnownRed"]]()
+_KNOWN_RED = pytest.StashKey[list["KnownRed"]]()
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,7 +20,7 @@
     issue: str
 
 
-def read_list(path: Path) -> list[KnownRed]:
+def read_known_red(path: Path) -> list[KnownRed]:
     """Return the lines of the list; a missing file is an empty one.
 
     Raises:
@@ -43,13 +43,13 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    config.stash[_LIST] = read_list(config.rootpath / "KNOWN-RED.txt")
+    config.stash[_KNOWN_RED] = read_known_red(config.rootpath / "KNOWN-RED.txt")
 
 
 def pytest_collection_modifyitems(
     config: pytest.Config, items: list[pytest.Item]
 ) -> None:
-    listed = {line.test: line for line in config.stash[_LIST]}
+    listed = {line.test: line for line in config.stash[_KNOWN_RED]}
     for item in items:
         line = listed.get(item.nodeid)
         if line is not None:
@@ -59,11 +59,11 @@
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter, config: pytest.Config
 ) -> None:
-    for line in config.stash[_LIST]:
+    for line in config.stash[_KNOWN_RED]:
         verdict = "not run"
-        if _was(terminalreporter, "xfailed", line.test):
+        if _has_report(terminalreporter, "xfailed", line.test):
             verdict = "FAILED"
-        if _was(terminalreporter, "xpassed", line.test):
+        if _has_report(terminalreporter, "xpassed", line.test):
             verdict = "passes: mend the list"
         terminalreporter.write_line(
             f"KNOWN-RED {line.test} {verdict}"
@@ -71,6 +71,6 @@
         )
 
 
-def _was(reporter: pytest.TerminalReporter, kind: str, test: str) -> bool:
+def _has_report(reporter: pytest.TerminalReporter, kind: str, test: str) -> bool:
     reports = reporter.stats.get(kind, [])
     return any(report.nodeid == test for report in reports)
