--- a/tests/integration/conftest.py
+++ b/tests/integration/conftest.py
@@ -146,7 +146,7 @@
 
 
 @when("both entries know that it leaves")
-def know_leaving(world: World) -> None:
+def wait_until_known_leaving(world: World) -> None:
     async def is_known() -> bool:
         for entry in world.fleet.entries.values():
             status = await world.fleet.read(entry.url + "/status")
@@ -187,7 +187,7 @@
 
 
 @when(parsers.parse("a caller sends a request that crashes engines through {entry}"))
-def send_deadly(world: World, entry: str) -> None:
+def send_crashing_request(world: World, entry: str) -> None:
     world.caller = world.call()
     world.caller.body["standin_crash_at"] = 1
     world.run(start(world.caller, world.fleet.entries[entry].url))
@@ -218,7 +218,7 @@
 
 
 @then(parsers.parse("its answer is whole with {tokens:d} tokens"))
-def is_whole(world: World, tokens: int) -> None:
+def assert_whole_answer(world: World, tokens: int) -> None:
     world.run(world.caller.finish())
     assert world.caller.last.ended, world.caller.history
     assert len(world.caller.history.events) == tokens
