--- a/tests/integration/test_configuration.py
+++ b/tests/integration/test_configuration.py
@@ -35,7 +35,7 @@
         return error
 
 
-async def ask_as(url: str, key: str) -> int:
+async def request_as(url: str, key: str) -> int:
     """Return the status that a customer gets from one entry."""
     body = {"model": MODEL, "prompt": "menu", "standin_length": 1}
     headers = {"Authorization": f"Bearer {key}"}
@@ -50,7 +50,7 @@
     for name, entry in world.fleet.entries.items():
 
         async def is_served(url: str = entry.url) -> bool:
-            return await ask_as(url, key) == 200
+            return await request_as(url, key) == 200
 
         await wait_for(is_served, f"{name} serves {key}")
 
@@ -72,7 +72,7 @@
 
 
 @then("one edit is accepted and the other is refused naming the winner")
-def judge_race(results: dict[str, Any]) -> None:
+def check_race_outcome(results: dict[str, Any]) -> None:
     winner, loser = sorted(
         results, key=lambda name: isinstance(results[name], Exception)
     )
@@ -88,7 +88,7 @@
             world.run(wait_served(world, name))
     for name, result in results.items():
         for entry in world.fleet.entries.values():
-            known = world.run(ask_as(entry.url, name)) == 200
+            known = world.run(request_as(entry.url, name)) == 200
             assert known is isinstance(result, int)
 
 
