--- a/tests/integration/test_replacement.py
+++ b/tests/integration/test_replacement.py
@@ -30,7 +30,9 @@
     return balancer
 
 
-async def keep_asking(world: World, url: str, tokens: int, stop: asyncio.Event) -> None:
+async def send_repeatedly(
+    world: World, url: str, tokens: int, stop: asyncio.Event
+) -> None:
     while not stop.is_set():
         caller = world.call(tokens=tokens)
         await caller.stream_whole(url)
@@ -53,7 +55,7 @@
         tasks = []
         for number in range(count):
             tokens = LONG if number % 2 else SHORT
-            work = keep_asking(world, balancer.url, tokens, stop)
+            work = send_repeatedly(world, balancer.url, tokens, stop)
             tasks.append(asyncio.create_task(work))
         exits = []
         for old in list(world.fleet.entries):
