--- a/tests/integration/test_configuration.py
+++ b/tests/integration/test_configuration.py
@@ -152,7 +152,7 @@
 
 
 @when("the log has forgotten the first edit")
-def forget(world: World) -> None:
+def expire_first_edit(world: World) -> None:
     log = world.fleet.log
     log.faults = replace(log.faults, keep_ms=KEEP_MS)
 
