--- a/tests/integration/test_orders.py
+++ b/tests/integration/test_orders.py
@@ -146,13 +146,13 @@
 
 
 @then("its caller is told that it did not run and when to come back")
-def told_not_run(world: World) -> None:
+def check_not_run(world: World) -> None:
     assert world.caller.last.ran is Ran.NO, world.caller.last
     assert int(world.caller.retry_after or 0) > 0
 
 
 @then("its caller is told that it may have run")
-def told_unknown(world: World) -> None:
+def check_may_have_run(world: World) -> None:
     last = world.caller.last
     assert last.problem and last.ran in (Ran.UNKNOWN, Ran.YES), last
 
