--- a/tests/integration/test_requests.py
+++ b/tests/integration/test_requests.py
@@ -53,7 +53,7 @@
             document = await response.json(content_type=None)
             return response.status, document, REPLAYED_HEADER in response.headers
 
-    async def ask(self, entry: int, **fields: Any) -> tuple[int, str]:
+    async def request_completion(self, entry: int, **fields: Any) -> tuple[int, str]:
         """Return status and text of a completion."""
         body = {"model": MODEL, "prompt": "menu", **fields}
         url = self._urls[entry] + "/v1/completions"
@@ -162,7 +162,7 @@
         deployment.log.available = False
         status, document, _ = await callers.order(0, "k")
         assert (status, document["ran"]) == (503, "no")
-        assert (await callers.ask(0))[0] == 200
+        assert (await callers.request_completion(0))[0] == 200
         assert deployment.service.executed == []
         deployment.log.available = True
         for entry in deployment.entries:
@@ -180,7 +180,7 @@
     The answer starts anew elsewhere and the caller gets it whole.
     """
     async with run_deployment() as deployment, run_callers(deployment) as callers:
-        asked = asyncio.create_task(callers.ask(0, standin_length=50))
+        task = asyncio.create_task(callers.request_completion(0, standin_length=50))
         await wait_for(lambda: find_running(deployment), "an engine runs it")
         engine = find_running(deployment)
         assert engine is not None
@@ -190,7 +190,7 @@
             "most of the answer has come",
         )
         engine.crash()
-        status, text = await asked
+        status, text = await task
         assert status == 200
         choice = orjson.loads(text)["choices"][0]
         assert len(choice["text"].split()) == 50
@@ -204,12 +204,12 @@
     After two deaths it is refused before the third engine, which goes on.
     """
     async with run_deployment() as deployment, run_callers(deployment) as callers:
-        status, text = await callers.ask(0, standin_crash_at=2)
+        status, text = await callers.request_completion(0, standin_crash_at=2)
         assert status == 422 and "request_quarantined" in text
         assert sum(engine.crashed for engine in deployment.engines) == 2
-        status, text = await callers.ask(0, standin_crash_at=2)
+        status, text = await callers.request_completion(0, standin_crash_at=2)
         assert status == 422
-        assert (await callers.ask(0))[0] == 200
+        assert (await callers.request_completion(0))[0] == 200
 
 
 async def test_a_frozen_connection_is_replaced_under_a_stream() -> None:
@@ -227,7 +227,9 @@
             proxies[item["name"]] = proxy
             item["address"] = proxy.url
         await publish_again(deployment)
-        asked = asyncio.create_task(callers.ask(0, stream=True, standin_length=60))
+        task = asyncio.create_task(
+            callers.request_completion(0, stream=True, standin_length=60)
+        )
         await wait_for(lambda: find_running(deployment), "an engine runs it")
         state = deployment.entries[0].entry_state
         await wait_for(
@@ -237,7 +239,7 @@
         engine = find_running(deployment)
         assert engine is not None
         assert proxies[engine.name].freeze() > 0
-        status, text = await asked
+        status, text = await task
         assert status == 200
         assert text.count("id: ") == 60
         assert text.endswith("data: [DONE]\n\n")
