--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -175,8 +175,8 @@
         assert "ann: shorter [accepted]" in output
         assert "+ rules.deadline_ms: 5000" in output
         output = (await run("history", "--json"))[1]
-        told = [json.loads(line) for line in output.splitlines()]
+        entries_listed = [json.loads(line) for line in output.splitlines()]
         change = {"path": "rules.deadline_ms", "before": None, "after": 5_000}
-        assert told[1]["changes"] == [change]
+        assert entries_listed[1]["changes"] == [change]
         code, output = await run("status")
         assert output.count("leaving engine-1") == 2
