--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -103,13 +103,13 @@
         ),
     ],
 )
-def test_a_request_is_judged_by_its_lines(
+def test_a_request_is_classified_by_its_log_lines(
     lines: list[dict[str, Any]], outcome: Outcome, cause: str
 ) -> None:
     assert classify_request(RequestTrace(lines), LatencyLimits()) == (outcome, cause)
 
 
-def test_an_engine_that_went_on_and_left_too_had_no_copy_of_its_own() -> None:
+def test_a_resumed_request_whose_new_engine_leaves_lacked_a_copy() -> None:
     lines = [OPENED, ORDERED, MADE, GOES_ON, {**LOST, "target": "e-2"}, end("broken")]
     cause = "no copy was ordered before its engine left"
     assert classify_request(RequestTrace(lines), LatencyLimits()) == (
@@ -122,7 +122,7 @@
     return prefix + orjson.dumps({**document, "request": request}).decode()
 
 
-def test_lines_with_a_prefix_are_read_and_others_passed_over() -> None:
+def test_lines_with_a_prefix_are_read_and_others_skipped() -> None:
     lines = [
         write_line("r-1", OPENED, "   1.25 entry muc-a-1 "),
         "Traceback (most recent call last):",
