--- a/tests/test_inventory.py
+++ b/tests/test_inventory.py
@@ -59,7 +59,7 @@
         parse_inventory(document)
 
 
-def test_documents_of_the_first_validation_version_hold_on() -> None:
+def test_documents_of_the_first_validation_version_stay_valid() -> None:
     """Guards against a log that an upgraded program can't read any more."""
     document = load_yaml(EXAMPLES / "bavaria.yaml")
     assert parse_version(document, 1) == parse_inventory(document)
@@ -67,5 +67,5 @@
         parse_version({**document, "evacuated": []}, 1)
 
 
-def test_unknown_validation_version_is_not_judged() -> None:
+def test_unknown_validation_version_is_not_validated() -> None:
     assert parse_version({"members": "of a later version"}, 99) is None
