--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -112,7 +112,7 @@
     assert lines[-1]["lines_left_out"] == 7
 
 
-def test_a_reader_that_stops_reading_holds_up_nobody() -> None:
+def test_a_blocked_log_reader_does_not_block_the_process() -> None:
     """Every caller would wait for whoever reads the logs.
 
     The reader stops, the pipe fills up, and the next line would wait for it.
