--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -17,7 +17,7 @@
     assert any(line.startswith("tokens/s") for line in report.list_lines())
 
 
-async def test_token_source_tells_the_delay() -> None:
+async def test_token_source_reports_the_delay() -> None:
     runner, url = await start_app(TokenSource().build_app())
     report = await measure(Workload(url, "", MODEL, 2, 10, 5.0), 0.1, 0.5)
     await runner.cleanup()
@@ -26,7 +26,7 @@
     assert min(report.tally.delays) > 0
 
 
-async def test_wrong_key_is_told_instead_of_a_zero() -> None:
+async def test_wrong_key_raises_instead_of_reporting_zero() -> None:
     async with run_deployment(1) as deployment:
         url = deployment.entries[0].callers.address
         with pytest.raises(BenchmarkError, match="check address, key and model"):
