--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -61,7 +61,7 @@
     assert (tmp_path / "plot.png").stat().st_size > 0
 
 
-async def test_a_dead_entry_is_left_for_another() -> None:
+async def test_a_caller_moves_from_a_dead_entry_to_another() -> None:
     """One of two entries is down.
 
     The caller's connection is refused; it comes back through the other entry
