--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize("caller", ACCEPTED.values(), ids=ACCEPTED.keys())
-def test_honest_histories_pass(caller: CallerHistory) -> None:
+def test_valid_histories_pass(caller: CallerHistory) -> None:
     assert check_history(History([caller], RAN)) == []
 
 
@@ -115,7 +115,7 @@
     assert check_history(History([caller], RAN)) == found
 
 
-def test_crossed_answers_name_whose_they_were() -> None:
+def test_crossed_answers_name_the_request_they_belong_to() -> None:
     generations = [*RAN, ExecutedGeneration("engine-2", "h", "guide")]
     callers = [
         build_caller(build_events("12", "h"), WHOLE),
@@ -144,7 +144,7 @@
     assert check_history(History(calls=calls)) == found
 
 
-def test_a_call_told_not_run_was_not_executed() -> None:
+def test_a_call_reported_as_not_run_was_not_executed() -> None:
     calls = [ExecutedCall("planning-1", "order", "flour")]
     caller = build_caller([], NOT_RUN, tag="order", identity="flour", stream=False)
     assert check_history(History([caller], calls=calls)) == [
