--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -47,7 +47,7 @@
     assert str(caught.value).startswith(f"{path}: {message}")
 
 
-def test_all_wrong_fields_are_told_at_once(tmp_path: Path) -> None:
+def test_all_wrong_fields_are_reported_at_once(tmp_path: Path) -> None:
     path = write_yaml(tmp_path / "bad.yaml", {"node": "N"})
     with pytest.raises(SettingsError) as caught:
         load_settings(path)
@@ -106,7 +106,7 @@
     assert "node" in schema["required"]
 
 
-async def test_entry_tells_why_it_cannot_start(tmp_path: Path) -> None:
+async def test_entry_reports_why_it_cannot_start(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         port = taken.getsockname()[1]
         starts = [
