--- a/tests/integration/test_requests.py
+++ b/tests/integration/test_requests.py
@@ -198,7 +198,7 @@
         assert sum(len(engine.executed) for engine in deployment.engines) == 2
 
 
-async def test_a_request_that_kills_engines_is_refused_at_last() -> None:
+async def test_a_request_that_crashes_engines_is_finally_refused() -> None:
     """A request crashes each engine that runs it; its neighbours are innocent.
 
     After two deaths it is refused before the third engine, which goes on.
