--- a/tests/faults/__main__.py
+++ b/tests/faults/__main__.py
@@ -16,11 +16,11 @@
 from tests.faults.records import Record
 from tests.faults.sites import Site
 
-SECONDS = 10.0
+FAULT_PHASE_SECONDS = 10.0
 """Length of the part of a run in which faults come."""
 
 
-async def play_seed(
+async def run_seed(
     seed: int,
     folder: Path,
     entries: int = 3,
@@ -33,7 +33,9 @@
     gc.collect()
     gc.freeze()
     try:
-        await site.play(draw_plan(seed, entries, SECONDS, extras), SECONDS)
+        await site.play(
+            draw_plan(seed, entries, FAULT_PHASE_SECONDS, extras), FAULT_PHASE_SECONDS
+        )
     finally:
         gc.unfreeze()
     return site.record, check_promises(site.record)
@@ -55,15 +57,15 @@
     return f"{len(record.disturbances)} faults; {told}"
 
 
-async def _play_all(arguments: argparse.Namespace, seeds: list[int]) -> int:
+async def _run_all(arguments: argparse.Namespace, seeds: list[int]) -> int:
     room = asyncio.Semaphore(arguments.jobs)
     failed = 0
 
-    async def play(seed: int) -> None:
+    async def run_one(seed: int) -> None:
         nonlocal failed
         async with room:
             folder = Path(tempfile.mkdtemp(prefix=f"faults-{seed}-"))
-            code, lines = await _play_apart(seed, folder, arguments)
+            code, lines = await _run_in_subprocess(seed, folder, arguments)
             if code == 0:
                 shutil.rmtree(folder)
                 print(f"seed {seed}: held; {lines[-1]}", flush=True)
@@ -73,11 +75,11 @@
             for line in lines:
                 print(f"  {line}", flush=True)
 
-    await asyncio.gather(*(play(seed) for seed in seeds))
+    await asyncio.gather(*(run_one(seed) for seed in seeds))
     return failed
 
 
-async def _play_apart(
+async def _run_in_subprocess(
     seed: int, folder: Path, arguments: argparse.Namespace
 ) -> tuple[int, list[str]]:
     # A process of its own: one busy loop for several sites would be late itself.
@@ -115,14 +117,14 @@
     logging.getLogger("aiohttp.server").setLevel(logging.CRITICAL)
     if arguments.seed is not None:
         folder = arguments.folder or Path(tempfile.mkdtemp(prefix="faults-"))
-        playing = play_seed(
+        seed_run = run_seed(
             arguments.seed,
             folder,
             arguments.entries,
             arguments.engines,
             () if arguments.plain else ALL_EXTRAS,
         )
-        record, breaches = asyncio.run(playing)
+        record, breaches = asyncio.run(seed_run)
         for breach in breaches:
             print(f"{breach.promise}: {breach.detail}", flush=True)
         print(describe_record(record))
@@ -130,7 +132,7 @@
     first = random.SystemRandom().getrandbits(24)
     print(f"seeds {first} to {first + arguments.runs - 1}", flush=True)
     failed = asyncio.run(
-        _play_all(arguments, list(range(first, first + arguments.runs)))
+        _run_all(arguments, list(range(first, first + arguments.runs)))
     )
     print(f"{arguments.runs - failed} passed, {failed} failed", flush=True)
     sys.exit(1 if failed else 0)
--- a/tests/faults/test_soak.py
+++ b/tests/faults/test_soak.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.faults.__main__ import describe_record, play_seed
+from tests.faults.__main__ import describe_record, run_seed
 from tests.faults.plans import ALL_EXTRAS, WORDS, Extra
 
 SEEDS = [11, 2398170]
@@ -67,7 +67,7 @@
     and crash, and the store goes away, as the seed draws it. Every promise is
     checked on what callers and targets saw.
     """
-    record, breaches = await play_seed(seed, tmp_path, extras=())
+    record, breaches = await run_seed(seed, tmp_path, extras=())
     assert breaches == [], describe_record(record)
     assert sum(attempt.status == 200 for attempt in record.attempts) > 50
 
@@ -77,7 +77,7 @@
     seed: int, extras: tuple[Extra, ...], tmp_path: Path
 ) -> None:
     """Guards against entries that don't act on what answers of targets say."""
-    record, breaches = await play_seed(seed, tmp_path, extras=extras)
+    record, breaches = await run_seed(seed, tmp_path, extras=extras)
     assert breaches == [], describe_record(record)
     assert sum(attempt.status == 200 for attempt in record.attempts) > 50
 
@@ -87,6 +87,6 @@
     seed: int, extras: tuple[Extra, ...], tmp_path: Path
 ) -> None:
     """Guards against targets that crash one after another under one request."""
-    record, breaches = await play_seed(seed, tmp_path, extras=extras)
+    record, breaches = await run_seed(seed, tmp_path, extras=extras)
     assert breaches == [], describe_record(record)
     assert any(run.crashed for run in record.runs)
