--- a/tests/faults/__main__.py
+++ b/tests/faults/__main__.py
@@ -33,7 +33,7 @@
     gc.collect()
     gc.freeze()
     try:
-        await site.play(
+        await site.run_plan(
             draw_plan(seed, entries, FAULT_PHASE_SECONDS, extras), FAULT_PHASE_SECONDS
         )
     finally:
--- a/tests/faults/sites.py
+++ b/tests/faults/sites.py
@@ -156,7 +156,7 @@
         self._keys = ["key-1", "key-2"]
         self._dropped_keys: list[str] = []
 
-    async def play(self, steps: list[Step], seconds: float) -> None:
+    async def run_plan(self, steps: list[Step], seconds: float) -> None:
         """Play a plan, then a calm end; the record tells what was seen."""
         try:
             await self._start()
@@ -166,7 +166,7 @@
                 asyncio.create_task(self._watch_doors()),
                 asyncio.create_task(watch_itself(self.record)),
             ]
-            await self._play_steps(steps, seconds)
+            await self._run_steps(steps, seconds)
             await asyncio.gather(*self._tasks)
             self.record.calm_from = read_clock() + CALM_SECONDS
             await asyncio.sleep(CALM_SECONDS + FINAL_SECONDS)
@@ -177,7 +177,7 @@
         finally:
             await self._end()
 
-    async def _play_steps(self, steps: list[Step], seconds: float) -> None:
+    async def _run_steps(self, steps: list[Step], seconds: float) -> None:
         start = read_clock()
         for step in steps:
             await asyncio.sleep(max(0.0, start + step.at - read_clock()))
