--- a/tests/faults/__main__.py
+++ b/tests/faults/__main__.py
@@ -43,27 +43,27 @@
 
 def describe_record(record: Record) -> str:
     """Return how the attempts of a run ended, in one line."""
-    ends: Counter[str] = Counter()
+    outcomes: Counter[str] = Counter()
     for attempt in record.attempts:
         if attempt.left:
-            ends["left"] += 1
+            outcomes["left"] += 1
         elif attempt.status == 200 and attempt.whole:
-            ends["served"] += 1
+            outcomes["served"] += 1
         else:
-            ends[str(attempt.status or attempt.error)] += 1
-    told = ", ".join(f"{count} {end}" for end, count in sorted(ends.items()))
+            outcomes[str(attempt.status or attempt.error)] += 1
+    summary = ", ".join(f"{count} {end}" for end, count in sorted(outcomes.items()))
     for start, end in record.still:
-        told += f"; stood still at {start:.2f} until {end:.2f}"
-    return f"{len(record.disturbances)} faults; {told}"
+        summary += f"; stood still at {start:.2f} until {end:.2f}"
+    return f"{len(record.disturbances)} faults; {summary}"
 
 
 async def _run_all(arguments: argparse.Namespace, seeds: list[int]) -> int:
-    room = asyncio.Semaphore(arguments.jobs)
+    job_slots = asyncio.Semaphore(arguments.jobs)
     failed = 0
 
     async def run_one(seed: int) -> None:
         nonlocal failed
-        async with room:
+        async with job_slots:
             folder = Path(tempfile.mkdtemp(prefix=f"faults-{seed}-"))
             code, lines = await _run_in_subprocess(seed, folder, arguments)
             if code == 0:
@@ -129,10 +129,10 @@
             print(f"{breach.promise}: {breach.detail}", flush=True)
         print(describe_record(record))
         sys.exit(1 if breaches else 0)
-    first = random.SystemRandom().getrandbits(24)
-    print(f"seeds {first} to {first + arguments.runs - 1}", flush=True)
+    first_seed = random.SystemRandom().getrandbits(24)
+    print(f"seeds {first_seed} to {first_seed + arguments.runs - 1}", flush=True)
     failed = asyncio.run(
-        _run_all(arguments, list(range(first, first + arguments.runs)))
+        _run_all(arguments, list(range(first_seed, first_seed + arguments.runs)))
     )
     print(f"{arguments.runs - failed} passed, {failed} failed", flush=True)
     sys.exit(1 if failed else 0)
