--- a/tests/faults/__main__.py
+++ b/tests/faults/__main__.py
@@ -52,7 +52,7 @@
         else:
             outcomes[str(attempt.status or attempt.error)] += 1
     summary = ", ".join(f"{count} {end}" for end, count in sorted(outcomes.items()))
-    for start, end in record.still:
+    for start, end in record.loop_stalls:
         summary += f"; stood still at {start:.2f} until {end:.2f}"
     return f"{len(record.disturbances)} faults; {summary}"
 
--- a/tests/faults/records.py
+++ b/tests/faults/records.py
@@ -186,7 +186,7 @@
         rates: Spans in which targets named rates.
         leavers: When targets began to say in their answers that they leave.
         pauses: Pauses that targets asked for: time, target, request, seconds.
-        still: Spans in which this process, with all stand-ins, stood still. They
+        loop_stalls: Spans in which this process, with all stand-ins, stood still. They
             are told, and excuse nothing.
         calm_from: When all faults had been lifted for good.
     """
@@ -202,7 +202,7 @@
     rates: list[NamedRate] = field(default_factory=list)
     leavers: dict[str, float] = field(default_factory=dict)
     pauses: list[tuple[float, str, str, float]] = field(default_factory=list)
-    still: list[tuple[float, float]] = field(default_factory=list)
+    loop_stalls: list[tuple[float, float]] = field(default_factory=list)
     calm_from: float = 0.0
 
     def begin(
--- a/tests/faults/sites.py
+++ b/tests/faults/sites.py
@@ -548,7 +548,7 @@
         await asyncio.sleep(WATCH_PERIOD)
         woken = read_clock()
         if woken - due > STOOD_STILL:
-            record.still.append((due, woken))
+            record.loop_stalls.append((due, woken))
 
 
 async def _harm(proxy: TcpProxy, how: str, seconds: float) -> None:
--- a/tests/faults/test_promises.py
+++ b/tests/faults/test_promises.py
@@ -166,7 +166,7 @@
     record, _, run = build_record(Kind.PLAN)
     run.ended = START + 3
     record.runs.append(Run("r1", "i-2", "g1", START, START + 3, customer="gurdwara"))
-    record.still.append((START - 1, START - 0.5))
+    record.loop_stalls.append((START - 1, START - 0.5))
     assert list_promises(record) == {"handover"}
 
 
--- a/tests/faults/test_sites.py
+++ b/tests/faults/test_sites.py
@@ -12,9 +12,9 @@
     record = Record()
     watching = asyncio.create_task(watch_itself(record))
     await asyncio.sleep(2 * WATCH_PERIOD)
-    assert not record.still
+    assert not record.loop_stalls
     time.sleep(2 * STOOD_STILL)  # noqa: ASYNC251
     await asyncio.sleep(2 * WATCH_PERIOD)
     watching.cancel()
-    [(start, end)] = record.still
+    [(start, end)] = record.loop_stalls
     assert end - start > STOOD_STILL
