--- a/tests/faults/sites.py
+++ b/tests/faults/sites.py
@@ -51,8 +51,8 @@
 CALM_SECONDS = 4.0
 """Seconds after the last fault within which all has to work again."""
 
-WATCH_PERIOD = 0.05
-STOOD_STILL = 0.2
+LOOP_CHECK_INTERVAL = 0.05
+LOOP_STALL_THRESHOLD = 0.2
 """Seconds by which a timer of WATCH_PERIOD is late where this process stood still:
 its targets, callers, links and store all did, and entries took them for silent."""
 
@@ -164,7 +164,7 @@
             calling = asyncio.create_task(self._traffic.run(self._ended))
             watching = [
                 asyncio.create_task(self._watch_doors()),
-                asyncio.create_task(watch_itself(self.record)),
+                asyncio.create_task(record_loop_stalls(self.record)),
             ]
             await self._run_steps(steps, seconds)
             await asyncio.gather(*self._tasks)
@@ -541,13 +541,13 @@
         await self._store.stop()
 
 
-async def watch_itself(record: Record) -> None:
+async def record_loop_stalls(record: Record) -> None:
     """Note each time at which this process stood still."""
     while True:
-        due = read_clock() + WATCH_PERIOD
-        await asyncio.sleep(WATCH_PERIOD)
+        due = read_clock() + LOOP_CHECK_INTERVAL
+        await asyncio.sleep(LOOP_CHECK_INTERVAL)
         woken = read_clock()
-        if woken - due > STOOD_STILL:
+        if woken - due > LOOP_STALL_THRESHOLD:
             record.loop_stalls.append((due, woken))
 
 
--- a/tests/faults/test_sites.py
+++ b/tests/faults/test_sites.py
@@ -4,17 +4,21 @@
 import time
 
 from tests.faults.records import Record
-from tests.faults.sites import STOOD_STILL, WATCH_PERIOD, watch_itself
+from tests.faults.sites import (
+    LOOP_CHECK_INTERVAL,
+    LOOP_STALL_THRESHOLD,
+    record_loop_stalls,
+)
 
 
 async def test_a_process_that_stood_still_is_noted() -> None:
     """Guards against failures whose report hides that the soak stood still."""
     record = Record()
-    watching = asyncio.create_task(watch_itself(record))
-    await asyncio.sleep(2 * WATCH_PERIOD)
+    watching = asyncio.create_task(record_loop_stalls(record))
+    await asyncio.sleep(2 * LOOP_CHECK_INTERVAL)
     assert not record.loop_stalls
-    time.sleep(2 * STOOD_STILL)  # noqa: ASYNC251
-    await asyncio.sleep(2 * WATCH_PERIOD)
+    time.sleep(2 * LOOP_STALL_THRESHOLD)  # noqa: ASYNC251
+    await asyncio.sleep(2 * LOOP_CHECK_INTERVAL)
     watching.cancel()
     [(start, end)] = record.loop_stalls
-    assert end - start > STOOD_STILL
+    assert end - start > LOOP_STALL_THRESHOLD
