--- a/tests/faults/__main__.py
+++ b/tests/faults/__main__.py
@@ -45,7 +45,7 @@
     """Return how the attempts of a run ended, in one line."""
     outcomes: Counter[str] = Counter()
     for attempt in record.attempts:
-        if attempt.left:
+        if attempt.disconnected:
             outcomes["left"] += 1
         elif attempt.status == 200 and attempt.whole:
             outcomes["served"] += 1
--- a/tests/faults/callers.py
+++ b/tests/faults/callers.py
@@ -121,7 +121,7 @@
         if not done:
             call.cancel()
             await asyncio.wait({call})
-            attempt.left = not attempt.whole
+            attempt.disconnected = not attempt.whole
         attempt.ended = read_clock()
 
     async def send_crashing(self, kind: Kind, name: str) -> None:
--- a/tests/faults/promises.py
+++ b/tests/faults/promises.py
@@ -174,7 +174,7 @@
 
 
 def _check_gone(record: Record, attempt: Attempt, runs: list[Run]) -> list[Breach]:
-    if not attempt.left:
+    if not attempt.disconnected:
         return []
     limit = attempt.ended + GONE + SLACK
     if not record.is_calm(attempt.entry, attempt.ended - CONTACT, limit):
@@ -228,7 +228,7 @@
 
 
 def _was_cut_by(record: Record, attempt: Attempt, asked: float, ended: float) -> bool:
-    if attempt.status or attempt.left or attempt.kind in STREAMS:
+    if attempt.status or attempt.disconnected or attempt.kind in STREAMS:
         return False
     if not asked <= attempt.ended <= ended + SLACK:
         return False
@@ -393,7 +393,7 @@
     newest = record.versions[-1]
     late = []
     for one in record.attempts:
-        if one.is_crashing or one.left:
+        if one.is_crashing or one.disconnected:
             continue
         if one.sent >= record.calm_from and _is_allowed(one, newest):
             late.append(one)
--- a/tests/faults/records.py
+++ b/tests/faults/records.py
@@ -70,7 +70,7 @@
         stamp: Signature of the target that answered.
         body: What came of the body.
         whole: Whether the answer ended as a whole one.
-        left: Whether the caller left before the end.
+        disconnected: Whether the caller left before the end.
         error: How the connection ended otherwise.
     """
 
@@ -86,7 +86,7 @@
     stamp: str = ""
     body: bytes = b""
     whole: bool = False
-    left: bool = False
+    disconnected: bool = False
     error: str = ""
 
     @property
--- a/tests/faults/test_promises.py
+++ b/tests/faults/test_promises.py
@@ -134,7 +134,7 @@
 
 def test_work_for_a_caller_that_left_is_found() -> None:
     record, attempt, run = build_record()
-    attempt.left, attempt.whole, attempt.status = True, False, 0
+    attempt.disconnected, attempt.whole, attempt.status = True, False, 0
     run.ended = attempt.ended + 3
     assert list_promises(record) == {"gone"}
 
