--- a/tests/faults/promises.py
+++ b/tests/faults/promises.py
@@ -162,12 +162,12 @@
 def _check_drain(record: Record, attempt: Attempt, runs: list[Run]) -> list[Breach]:
     breaches = []
     for run in runs:
-        left = record.departures.get(run.target)
-        if left is None or run.began <= left + DRAIN + SLACK:
+        departed_at = record.departures.get(run.target)
+        if departed_at is None or run.began <= departed_at + DRAIN + SLACK:
             continue
-        if not record.is_calm(attempt.entry, left - CONTACT, run.began):
+        if not record.is_calm(attempt.entry, departed_at - CONTACT, run.began):
             continue
-        if attempt.sent < left + DRAIN:
+        if attempt.sent < departed_at + DRAIN:
             continue
         breaches.append(Breach("drain", f"{attempt.id} went to {run.target}"))
     return breaches
