--- a/tests/faults/sites.py
+++ b/tests/faults/sites.py
@@ -480,8 +480,8 @@
         self._begin(self._replace(target, "crash"))
 
     def _choose_staying(self, number: int) -> SoakTarget:
-        left = self.record.departures | self.record.leavers
-        staying = [one for one in self._targets if one.name not in left]
+        departing = self.record.departures | self.record.leavers
+        staying = [one for one in self._targets if one.name not in departing]
         return staying[number % len(staying)]
 
     async def _say_leaving(self, fault: SayLeaving) -> None:
