--- a/tests/faults/promises.py
+++ b/tests/faults/promises.py
@@ -135,7 +135,7 @@
     record: Record, attempt: Attempt, runs: list[Run]
 ) -> list[Breach]:
     since = attempt.sent - CONFIGURATION - SLACK
-    if not record.is_calm(attempt.entry, since - CONTACT, attempt.sent):
+    if not record.is_undisturbed(attempt.entry, since - CONTACT, attempt.sent):
         since = 0.0
     allowed = set()
     for index, version in enumerate(record.versions):
@@ -165,7 +165,7 @@
         departed_at = record.departures.get(run.target)
         if departed_at is None or run.began <= departed_at + DRAIN + SLACK:
             continue
-        if not record.is_calm(attempt.entry, departed_at - CONTACT, run.began):
+        if not record.is_undisturbed(attempt.entry, departed_at - CONTACT, run.began):
             continue
         if attempt.sent < departed_at + DRAIN:
             continue
@@ -177,11 +177,11 @@
     if not attempt.disconnected:
         return []
     limit = attempt.ended + GONE + SLACK
-    if not record.is_calm(attempt.entry, attempt.ended - CONTACT, limit):
+    if not record.is_undisturbed(attempt.entry, attempt.ended - CONTACT, limit):
         return []
     breaches = []
     for run in runs:
-        if not record.is_target_calm(run.target, attempt.ended - CONTACT, limit):
+        if not record.is_target_undisturbed(run.target, attempt.ended - CONTACT, limit):
             continue
         if run.ended is None or run.ended > limit:
             breaches.append(Breach("gone", f"{attempt.id} still at {run.target}"))
@@ -197,9 +197,11 @@
             continue
         if _was_given_up(after, limit):
             continue
-        if not record.is_calm(attempt.entry, after.began - CONTACT, limit):
+        if not record.is_undisturbed(attempt.entry, after.began - CONTACT, limit):
             continue
-        if not record.is_target_calm(before.target, after.began - CONTACT, limit):
+        if not record.is_target_undisturbed(
+            before.target, after.began - CONTACT, limit
+        ):
             continue
         places = f"{before.target} and {after.target}"
         return [Breach("handover", f"{attempt.id} runs at {places}")]
@@ -216,7 +218,7 @@
     for stop in record.stops:
         name = f"entry {stop.entry}"
         if stop.took is None:
-            if record.is_calm(stop.entry, stop.at - CONTACT, stop.at - 0.01):
+            if record.is_undisturbed(stop.entry, stop.at - CONTACT, stop.at - 0.01):
                 breaches.append(Breach("stop", f"{name} did not end in its grace time"))
             continue
         for attempt in record.attempts:
@@ -234,7 +236,7 @@
         return False
     runs = [run for run in record.runs if run.request == attempt.id]
     for run in runs:
-        if not record.is_target_calm(run.target, asked - CONTACT, ended):
+        if not record.is_target_undisturbed(run.target, asked - CONTACT, ended):
             return False
     stopped = [one for one in record.disturbances if one.name == "stop"]
     calm = all(
@@ -294,13 +296,13 @@
         for end, _ in reached:
             if end < span.start + CONTACT or end > (span.end or end):
                 continue
-            if not record.is_target_calm(span.target, end - CONTACT, end):
+            if not record.is_target_undisturbed(span.target, end - CONTACT, end):
                 continue
             count = 0
             for at, entry in reached:
                 counts = end - RATE_WINDOW < at <= end and entry in told
                 if counts and told[entry] <= end - TOLD:
-                    count += record.is_entry_calm(entry, span.start, end)
+                    count += record.is_entry_undisturbed(entry, span.start, end)
             if count > RATE_RATIO * RATE_WINDOW * span.rate + RATE_EXTRA:
                 what = f"{span.target} got {count} at {span.rate} a second"
                 breaches.append(Breach("rate", what))
@@ -321,7 +323,7 @@
             heard = told[attempt.entry]
             if attempt.sent <= heard + DRAIN + SLACK:
                 continue
-            if record.is_entry_calm(attempt.entry, heard, at):
+            if record.is_entry_undisturbed(attempt.entry, heard, at):
                 breaches.append(Breach("leaver", f"{request} went to {target}"))
     return breaches
 
@@ -332,9 +334,9 @@
     for asked, target, request, pause in record.pauses:
         entry = entries.get(request)
         begins, ends = asked + PAUSE_BEGINS, asked + pause
-        if entry is None or not record.is_entry_calm(entry, asked - SLACK, ends):
+        if entry is None or not record.is_entry_undisturbed(entry, asked - SLACK, ends):
             continue
-        if not record.is_target_calm(target, asked - SLACK, ends):
+        if not record.is_target_undisturbed(target, asked - SLACK, ends):
             continue
         count = 0
         for at, name, other in record.reached:
@@ -363,7 +365,9 @@
         for run in runs:
             attempt = attempts[run.request]
             if run.began > known + SLACK:
-                late += record.is_entry_calm(attempt.entry, known - CONTACT, run.began)
+                late += record.is_entry_undisturbed(
+                    attempt.entry, known - CONTACT, run.began
+                )
         if late > MOST_RETRIES:
             breaches.append(Breach("crashes", f"{path} reached targets {late} times"))
     return breaches
@@ -395,7 +399,7 @@
     for one in record.attempts:
         if one.is_crashing or one.disconnected:
             continue
-        if one.sent >= record.calm_from and _is_allowed(one, newest):
+        if one.sent >= record.final_phase_start and _is_allowed(one, newest):
             late.append(one)
     served = [one for one in late if one.status == 200 and one.whole]
     if late and len(served) * 4 < len(late) * 3:
--- a/tests/faults/records.py
+++ b/tests/faults/records.py
@@ -188,7 +188,7 @@
         pauses: Pauses that targets asked for: time, target, request, seconds.
         loop_stalls: Spans in which this process, with all stand-ins, stood still. They
             are told, and excuse nothing.
-        calm_from: When all faults had been lifted for good.
+        final_phase_start: When all faults had been lifted for good.
     """
 
     runs: list[Run] = field(default_factory=list)
@@ -203,7 +203,7 @@
     leavers: dict[str, float] = field(default_factory=dict)
     pauses: list[tuple[float, str, str, float]] = field(default_factory=list)
     loop_stalls: list[tuple[float, float]] = field(default_factory=list)
-    calm_from: float = 0.0
+    final_phase_start: float = 0.0
 
     def begin(
         self, name: str, entry: int | None = None, target: str = ""
@@ -213,7 +213,7 @@
         self.disturbances.append(found)
         return found
 
-    def is_calm(self, entry: int, start: float, end: float) -> bool:
+    def is_undisturbed(self, entry: int, start: float, end: float) -> bool:
         """Tell whether nothing was done to an entry or the store in a span."""
         for one in self.disturbances:
             if one.target or one.entry not in (None, entry):
@@ -222,7 +222,7 @@
                 return False
         return True
 
-    def is_entry_calm(self, entry: int, start: float, end: float) -> bool:
+    def is_entry_undisturbed(self, entry: int, start: float, end: float) -> bool:
         """Tell whether nothing was done to an entry itself in a span."""
         for one in self.disturbances:
             if one.target or one.entry != entry:
@@ -231,7 +231,7 @@
                 return False
         return True
 
-    def is_target_calm(self, target: str, start: float, end: float) -> bool:
+    def is_target_undisturbed(self, target: str, start: float, end: float) -> bool:
         """Tell whether nothing was done to a target in a span."""
         for one in self.disturbances:
             if one.target != target:
--- a/tests/faults/sites.py
+++ b/tests/faults/sites.py
@@ -168,7 +168,7 @@
             ]
             await self._run_steps(steps, seconds)
             await asyncio.gather(*self._tasks)
-            self.record.calm_from = read_clock() + CALM_SECONDS
+            self.record.final_phase_start = read_clock() + CALM_SECONDS
             await asyncio.sleep(CALM_SECONDS + FINAL_SECONDS)
             self._ended.set()
             await calling
--- a/tests/faults/test_promises.py
+++ b/tests/faults/test_promises.py
@@ -28,7 +28,7 @@
     attempt.stamp, attempt.body = "stamp-i-1", b"answer"
     if kind in (Kind.PLAN, Kind.CHECK):
         attempt.body = list_events(EVENTS[kind])
-    record = Record(runs=[run], attempts=[attempt], calm_from=1e9)
+    record = Record(runs=[run], attempts=[attempt], final_phase_start=1e9)
     record.versions.append(Version(1, 0.0, PATHS, frozenset({"key-1"})))
     return record, attempt, run
 
@@ -244,14 +244,14 @@
 def test_a_path_without_a_route_need_not_be_served_in_the_end() -> None:
     record, attempt, _ = build_record()
     record.runs.clear()
-    attempt.status, attempt.path, record.calm_from = 404, "/never/", START - 1
+    attempt.status, attempt.path, record.final_phase_start = 404, "/never/", START - 1
     assert check_promises(record) == []
 
 
 def test_callers_that_are_not_served_in_the_end_are_found() -> None:
     record, attempt, _ = build_record()
     record.runs.clear()
-    attempt.status, record.calm_from = 503, START - 1
+    attempt.status, record.final_phase_start = 503, START - 1
     assert check_promises(record) == [Breach("recovery", "0 of 1 served at the end")]
 
 
