--- a/tests/faults/sites.py
+++ b/tests/faults/sites.py
@@ -48,7 +48,7 @@
 SERVES_AFTER_NOTICE = 2.5
 """Seconds that a target serves after it has said that it leaves."""
 
-CALM_SECONDS = 4.0
+RECOVERY_SECONDS = 4.0
 """Seconds after the last fault within which all has to work again."""
 
 LOOP_CHECK_INTERVAL = 0.05
@@ -56,7 +56,7 @@
 """Seconds by which a timer of WATCH_PERIOD is late where this process stood still:
 its targets, callers, links and store all did, and entries took them for silent."""
 
-FINAL_SECONDS = 2.0
+FINAL_TRAFFIC_SECONDS = 2.0
 """Seconds of traffic after that."""
 
 SETTINGS = """
@@ -168,8 +168,8 @@
             ]
             await self._run_steps(steps, seconds)
             await asyncio.gather(*self._tasks)
-            self.record.final_phase_start = read_clock() + CALM_SECONDS
-            await asyncio.sleep(CALM_SECONDS + FINAL_SECONDS)
+            self.record.final_phase_start = read_clock() + RECOVERY_SECONDS
+            await asyncio.sleep(RECOVERY_SECONDS + FINAL_TRAFFIC_SECONDS)
             self._ended.set()
             await calling
             for task in watching:
