--- a/tests/faults/promises.py
+++ b/tests/faults/promises.py
@@ -239,7 +239,7 @@
         if not record.is_target_undisturbed(run.target, asked - CONTACT, ended):
             return False
     stopped = [one for one in record.disturbances if one.name == "stop"]
-    calm = all(
+    undisturbed = all(
         one in stopped
         or one.entry not in (None, attempt.entry)
         or bool(one.target)
@@ -247,7 +247,7 @@
         or one.start > ended
         for one in record.disturbances
     )
-    return calm and bool(runs)
+    return undisturbed and bool(runs)
 
 
 def _check_budget(record: Record) -> list[Breach]:
