--- a/tests/faults/records.py
+++ b/tests/faults/records.py
@@ -147,7 +147,7 @@
     start: float
     end: float | None = None
 
-    def meets(self, start: float, end: float) -> bool:
+    def overlaps(self, start: float, end: float) -> bool:
         """Tell whether it lasted in any part of a span."""
         return self.start <= end and (self.end is None or self.end >= start)
 
@@ -205,7 +205,7 @@
     loop_stalls: list[tuple[float, float]] = field(default_factory=list)
     final_phase_start: float = 0.0
 
-    def begin(
+    def begin_disturbance(
         self, name: str, entry: int | None = None, target: str = ""
     ) -> Disturbance:
         """Note that something is done from now on."""
@@ -218,7 +218,7 @@
         for one in self.disturbances:
             if one.target or one.entry not in (None, entry):
                 continue
-            if one.meets(start, end):
+            if one.overlaps(start, end):
                 return False
         return True
 
@@ -227,7 +227,7 @@
         for one in self.disturbances:
             if one.target or one.entry != entry:
                 continue
-            if one.meets(start, end):
+            if one.overlaps(start, end):
                 return False
         return True
 
@@ -236,7 +236,7 @@
         for one in self.disturbances:
             if one.target != target:
                 continue
-            if one.meets(start, end):
+            if one.overlaps(start, end):
                 return False
         return True
 
--- a/tests/faults/sites.py
+++ b/tests/faults/sites.py
@@ -348,7 +348,7 @@
                 await self._configure()
 
     async def _strike_entry(self, how: str, host: EntryHost, seconds: float) -> None:
-        span = self.record.begin(how, host.number)
+        span = self.record.begin_disturbance(how, host.number)
         match how:
             case "kill" if host.stopping:
                 # Whoever stops it, or starts it again, sees to the rest.
@@ -414,17 +414,22 @@
     async def _strike_link(self, fault: StrikeLink) -> None:
         if fault.where == "target":
             target = self._targets[fault.number % len(self._targets)]
-            proxy, span = target.proxy, self.record.begin(fault.how, None, target.name)
+            proxy, span = (
+                target.proxy,
+                self.record.begin_disturbance(fault.how, None, target.name),
+            )
         else:
             host = self._hosts[fault.number % len(self._hosts)]
             proxy = host.store if fault.where == "store" else host.front
-            span = self.record.begin(f"{fault.where} {fault.how}", host.number)
+            span = self.record.begin_disturbance(
+                f"{fault.where} {fault.how}", host.number
+            )
         if proxy is not None:
             await _harm(proxy, fault.how, fault.seconds)
         span.end = read_clock()
 
     async def _strike_store(self, how: str, seconds: float) -> None:
-        span = self.record.begin(f"store {how}")
+        span = self.record.begin_disturbance(f"store {how}")
         if how == "away":
             self._store.unavailable = True
             await asyncio.sleep(seconds)
@@ -436,7 +441,7 @@
 
     async def _strike_target(self, fault: StrikeTarget) -> None:
         target = self._choose_staying(fault.number)
-        span = self.record.begin(fault.how, None, target.name)
+        span = self.record.begin_disturbance(fault.how, None, target.name)
         match fault.how:
             case "crash" | "leave" | "drain":
                 await self._replace(target, fault.how)
@@ -471,7 +476,7 @@
             await asyncio.sleep(fault.pause)
 
     def _crash(self, target: SoakTarget) -> None:
-        self.record.begin("crash", None, target.name)
+        self.record.begin_disturbance("crash", None, target.name)
         if target.name in self.record.departures:
             self._begin(target.kill())
             return
@@ -492,7 +497,7 @@
         if target.name in self.record.departures:
             # It has crashed meanwhile.
             return
-        self.record.begin("drain", None, target.name)
+        self.record.begin_disturbance("drain", None, target.name)
         await self._replace(target, "drain")
 
     async def _replace(self, target: SoakTarget, how: str) -> None:
