--- a/tests/faults/sites.py
+++ b/tests/faults/sites.py
@@ -181,10 +181,10 @@
         start = read_clock()
         for step in steps:
             await asyncio.sleep(max(0.0, start + step.at - read_clock()))
-            self._begin(self._strike(step.fault))
+            self._start_task(self._strike(step.fault))
         await asyncio.sleep(max(0.0, start + seconds - read_clock()))
 
-    def _begin(self, work: Awaitable[None]) -> None:
+    def _start_task(self, work: Awaitable[None]) -> None:
         self._tasks.add(asyncio.ensure_future(work))
 
     async def _start(self) -> None:
@@ -478,11 +478,11 @@
     def _crash(self, target: SoakTarget) -> None:
         self.record.begin_disturbance("crash", None, target.name)
         if target.name in self.record.departures:
-            self._begin(target.kill())
+            self._start_task(target.kill())
             return
         # Before the task runs another request may crash it as well.
         self.record.departures[target.name] = float("inf")
-        self._begin(self._replace(target, "crash"))
+        self._start_task(self._replace(target, "crash"))
 
     def _choose_staying(self, number: int) -> SoakTarget:
         departing = self.record.departures | self.record.leavers
