--- a/tests/faults/targets.py
+++ b/tests/faults/targets.py
@@ -115,7 +115,7 @@
             return self._refuse(number, pause)
         if self.full and copy is None:
             return self._refuse(number)
-        run = self._begin(request, copy)
+        run = self._begin_run(request, copy)
         try:
             if CRASHING in request.path:
                 await asyncio.sleep(CRASH_SECONDS)
@@ -137,7 +137,7 @@
         headers.update(self._speak())
         return web.Response(status=503, headers=headers)
 
-    def _begin(self, request: web.Request, copy: str | None) -> Run:
+    def _begin_run(self, request: web.Request, copy: str | None) -> Run:
         headers = request.headers
         number = headers.get("Request-Id", "")
         forged = tuple(name for name in ONLY_SYSTEM if headers.get(name) == FORGED)
