--- a/tests/faults/promises.py
+++ b/tests/faults/promises.py
@@ -288,18 +288,18 @@
     breaches = []
     for span in record.rates:
         told = _list_told(record, span.target, span.start, entries)
-        reached = [
+        target_arrivals = [
             (at, entries[request])
-            for at, target, request in record.reached
+            for at, target, request in record.target_arrivals
             if target == span.target and request in entries
         ]
-        for end, _ in reached:
+        for end, _ in target_arrivals:
             if end < span.start + CONTACT or end > (span.end or end):
                 continue
             if not record.is_target_undisturbed(span.target, end - CONTACT, end):
                 continue
             count = 0
-            for at, entry in reached:
+            for at, entry in target_arrivals:
                 counts = end - RATE_WINDOW < at <= end and entry in told
                 if counts and told[entry] <= end - TOLD:
                     count += record.is_entry_undisturbed(entry, span.start, end)
@@ -314,9 +314,9 @@
     attempts = {attempt.id: attempt for attempt in record.attempts}
     entries = {attempt.id: attempt.entry for attempt in record.attempts}
     breaches = []
-    for target, since in record.leavers.items():
+    for target, since in record.leaving_since.items():
         told = _list_told(record, target, since, entries)
-        for at, name, request in record.reached:
+        for at, name, request in record.target_arrivals:
             attempt = attempts.get(request)
             if name != target or attempt is None or attempt.entry not in told:
                 continue
@@ -339,7 +339,7 @@
         if not record.is_target_undisturbed(target, asked - SLACK, ends):
             continue
         count = 0
-        for at, name, other in record.reached:
+        for at, name, other in record.target_arrivals:
             if name == target and begins < at < ends - SLACK:
                 count += entries.get(other) == entry
         if count > MOST_IN_A_PAUSE:
--- a/tests/faults/records.py
+++ b/tests/faults/records.py
@@ -182,9 +182,9 @@
         disturbances: What was done.
         arrivals: Requests as they came to targets, refused ones included: time,
             service and id.
-        reached: The same with the name of the target: time, target and id.
+        target_arrivals: The same with the name of the target: time, target and id.
         rates: Spans in which targets named rates.
-        leavers: When targets began to say in their answers that they leave.
+        leaving_since: When targets began to say in their answers that they leave.
         pauses: Pauses that targets asked for: time, target, request, seconds.
         loop_stalls: Spans in which this process, with all stand-ins, stood still. They
             are told, and excuse nothing.
@@ -198,9 +198,9 @@
     stops: list[Stop] = field(default_factory=list)
     disturbances: list[Disturbance] = field(default_factory=list)
     arrivals: list[tuple[float, str, str]] = field(default_factory=list)
-    reached: list[tuple[float, str, str]] = field(default_factory=list)
+    target_arrivals: list[tuple[float, str, str]] = field(default_factory=list)
     rates: list[NamedRate] = field(default_factory=list)
-    leavers: dict[str, float] = field(default_factory=dict)
+    leaving_since: dict[str, float] = field(default_factory=dict)
     pauses: list[tuple[float, str, str, float]] = field(default_factory=list)
     loop_stalls: list[tuple[float, float]] = field(default_factory=list)
     final_phase_start: float = 0.0
--- a/tests/faults/sites.py
+++ b/tests/faults/sites.py
@@ -485,13 +485,13 @@
         self._start_task(self._replace(target, "crash"))
 
     def _choose_staying(self, number: int) -> SoakTarget:
-        departing = self.record.departures | self.record.leavers
+        departing = self.record.departures | self.record.leaving_since
         staying = [one for one in self._targets if one.name not in departing]
         return staying[number % len(staying)]
 
     async def _say_leaving(self, fault: SayLeaving) -> None:
         target = self._choose_staying(fault.number)
-        self.record.leavers[target.name] = read_clock()
+        self.record.leaving_since[target.name] = read_clock()
         await self._add_target(target.service)
         await asyncio.sleep(fault.seconds)
         if target.name in self.record.departures:
@@ -502,7 +502,7 @@
 
     async def _replace(self, target: SoakTarget, how: str) -> None:
         self.record.departures[target.name] = float("inf")
-        if target.name not in self.record.leavers:
+        if target.name not in self.record.leaving_since:
             await self._add_target(target.service)
         if how == "crash":
             await target.kill()
--- a/tests/faults/targets.py
+++ b/tests/faults/targets.py
@@ -103,7 +103,7 @@
             return web.Response(status=421)
         body = await request.read()
         self.record.arrivals.append((read_clock(), self.service, number))
-        self.record.reached.append((read_clock(), self.name, number))
+        self.record.target_arrivals.append((read_clock(), self.name, number))
         copy = None
         if "Kv-From" in request.headers:
             copy = self.copies.pop(number, None)
@@ -159,7 +159,7 @@
 
     def _speak(self) -> dict[str, str]:
         words = {"Server-Limit": str(min(self.rates))} if self.rates else {}
-        if self.name in self.record.leavers:
+        if self.name in self.record.leaving_since:
             words["Server-Leaving"] = "1"
         return words
 
@@ -208,6 +208,6 @@
         return web.Response()
 
     async def _report(self, request: web.Request) -> web.Response:
-        leaving = self.name in self.record.departures | self.record.leavers
+        leaving = self.name in self.record.departures | self.record.leaving_since
         state = "draining" if leaving else "ready"
         return web.Response(body=orjson.dumps({"state": state}))
--- a/tests/faults/test_promises.py
+++ b/tests/faults/test_promises.py
@@ -190,7 +190,9 @@
     """Return a record of a target that names a rate of 1 and gets requests."""
     record, _, _ = build_record()
     record.rates.append(NamedRate("i-1", 1.0, START - 1, START + 20))
-    record.reached += [(START + 4 + i / 10, "i-1", "r1") for i in range(requests)]
+    record.target_arrivals += [
+        (START + 4 + i / 10, "i-1", "r1") for i in range(requests)
+    ]
     return record
 
 
@@ -208,10 +210,10 @@
 def build_leaving_record(sent: float) -> Record:
     """Return a record of a target that says that it leaves, and a later request."""
     record, _, _ = build_record()
-    record.leavers["i-1"] = START - 1
+    record.leaving_since["i-1"] = START - 1
     late = Attempt("r2", Kind.LOOKUP, 0, 0, "/lookup/", "key-1", START + sent)
     record.attempts.append(late)
-    record.reached.append((START + sent, "i-1", "r2"))
+    record.target_arrivals.append((START + sent, "i-1", "r2"))
     return record
 
 
@@ -235,9 +237,9 @@
 def test_requests_in_a_pause_are_found() -> None:
     record, _, _ = build_record()
     record.pauses.append((START, "i-1", "r1", 3.0))
-    record.reached += [(START + 1 + i / 10, "i-1", "r1") for i in range(2)]
+    record.target_arrivals += [(START + 1 + i / 10, "i-1", "r1") for i in range(2)]
     assert list_promises(record) == set()
-    record.reached.append((START + 2, "i-1", "r1"))
+    record.target_arrivals.append((START + 2, "i-1", "r1"))
     assert list_promises(record) == {"pause"}
 
 
