--- a/tests/faults/callers.py
+++ b/tests/faults/callers.py
@@ -20,13 +20,13 @@
 from tests.faults.targets import FORGED, ONLY_SYSTEM
 from tests.platform.standins import ROUTE_HOST
 
-REQUEST_SECONDS = 0.07
+MEAN_REQUEST_INTERVAL = 0.07
 """Mean time between two requests of all callers."""
 
-PATIENCE = 6.0
+ANSWER_TIMEOUT_SECONDS = 6.0
 """Seconds that a caller waits for its answer."""
 
-LEAVERS = 0.06
+DISCONNECT_SHARE = 0.06
 """Part of the callers that leave in mid-answer."""
 
 CONNECTIONS = 4
@@ -35,11 +35,11 @@
 METHODS = ("POST", "POST", "GET", "PUT", "DELETE")
 """Methods of calls: what may be repeated follows from their route."""
 
-_SHARES = {Kind.PLAN: 0.25, Kind.CHECK: 0.2, Kind.ORDER: 0.3, Kind.LOOKUP: 0.25}
+_KIND_SHARES = {Kind.PLAN: 0.25, Kind.CHECK: 0.2, Kind.ORDER: 0.3, Kind.LOOKUP: 0.25}
 
 
 @dataclass(slots=True)
-class Door:
+class EntryEndpoint:
     """Where callers reach one entry.
 
     Attributes:
@@ -62,7 +62,7 @@
     Attributes:
         record: Where it notes them.
         rng: Draws them.
-        doors: The entries.
+        endpoints: The entries.
         list_paths: Returns paths that have, had or never had a route.
         list_keys: Returns keys that are, or were, in force.
         methods: Draws the methods of calls.
@@ -70,7 +70,7 @@
 
     record: Record
     rng: random.Random
-    doors: list[Door]
+    endpoints: list[EntryEndpoint]
     list_paths: Callable[[], list[str]]
     list_keys: Callable[[], list[str]]
     methods: random.Random
@@ -80,10 +80,10 @@
 
     async def run(self, ended: asyncio.Event) -> None:
         """Send requests, and wait for their answers in the end."""
-        for door in self.doors:
-            self._sessions[door.entry] = aiohttp.ClientSession(
+        for endpoint in self.endpoints:
+            self._sessions[endpoint.entry] = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=30),
-                timeout=aiohttp.ClientTimeout(total=PATIENCE),
+                timeout=aiohttp.ClientTimeout(total=ANSWER_TIMEOUT_SECONDS),
                 auto_decompress=False,
                 middlewares=(send_once,),
             )
@@ -92,31 +92,31 @@
                 task = asyncio.create_task(self._send())
                 self._calls.add(task)
                 task.add_done_callback(self._calls.discard)
-                await asyncio.sleep(self.rng.expovariate(1 / REQUEST_SECONDS))
+                await asyncio.sleep(self.rng.expovariate(1 / MEAN_REQUEST_INTERVAL))
             await asyncio.gather(*self._calls)
         finally:
             for session in self._sessions.values():
                 await session.close()
 
-    def _choose_door(self) -> Door:
-        ready = [door for door in self.doors if door.ready]
-        return self.rng.choice(ready or self.doors)
+    def _choose_endpoint(self) -> EntryEndpoint:
+        ready = [endpoint for endpoint in self.endpoints if endpoint.ready]
+        return self.rng.choice(ready or self.endpoints)
 
     async def _send(self) -> None:
-        door = self._choose_door()
-        kinds = list(_SHARES)
-        kind = self.rng.choices(kinds, list(_SHARES.values()))[0]
+        endpoint = self._choose_endpoint()
+        kinds = list(_KIND_SHARES)
+        kind = self.rng.choices(kinds, list(_KIND_SHARES.values()))[0]
         path = f"/{kind.value}/"
         key = "key-1"
         if self.rng.random() < 0.15:
             kind = Kind.LOOKUP
             path = self.rng.choice(self.list_paths())
             key = self.rng.choice(self.list_keys())
-        attempt = self._add_attempt(door, kind, f"{path}x", key)
+        attempt = self._add_attempt(endpoint, kind, f"{path}x", key)
         leaves = None
-        if self.rng.random() < LEAVERS:
+        if self.rng.random() < DISCONNECT_SHARE:
             leaves = self.rng.uniform(0.05, 1.0)
-        call = asyncio.create_task(self._call(door, attempt))
+        call = asyncio.create_task(self._call(endpoint, attempt))
         done, _ = await asyncio.wait({call}, timeout=leaves)
         if not done:
             call.cancel()
@@ -126,19 +126,21 @@
 
     async def send_crashing(self, kind: Kind, name: str) -> None:
         """Send a request that crashes the targets that run it."""
-        door = self._choose_door()
+        endpoint = self._choose_endpoint()
         path = f"/{kind.value}/{CRASHING}{name}"
-        attempt = self._add_attempt(door, kind, path, "key-1")
-        await self._call(door, attempt)
+        attempt = self._add_attempt(endpoint, kind, path, "key-1")
+        await self._call(endpoint, attempt)
         attempt.ended = read_clock()
 
-    def _add_attempt(self, door: Door, kind: Kind, path: str, key: str) -> Attempt:
+    def _add_attempt(
+        self, endpoint: EntryEndpoint, kind: Kind, path: str, key: str
+    ) -> Attempt:
         self._count += 1
         attempt = Attempt(
             f"r{self._count}",
             kind,
-            door.entry,
-            door.incarnation,
+            endpoint.entry,
+            endpoint.incarnation,
             path,
             key,
             read_clock(),
@@ -146,12 +148,12 @@
         self.record.attempts.append(attempt)
         return attempt
 
-    async def _call(self, door: Door, attempt: Attempt) -> None:
+    async def _call(self, endpoint: EntryEndpoint, attempt: Attempt) -> None:
         headers = {
             "Host": ROUTE_HOST,
             "Request-Id": attempt.id,
             "Credential": attempt.key,
-            "Deadline-Ms": str(int(PATIENCE * 1000)),
+            "Deadline-Ms": str(int(ANSWER_TIMEOUT_SECONDS * 1000)),
         }
         if attempt.kind in STREAMS:
             output = EVENTS[attempt.kind] * 4
@@ -166,9 +168,9 @@
         if attempt.is_crashing:
             # It is the same request only with the same method and body.
             method, body = "POST" if attempt.kind in STREAMS else "GET", b""
-        url = f"http://{door.address}{attempt.path}"
+        url = f"http://{endpoint.address}{attempt.path}"
         try:
-            async with self._sessions[door.entry].request(
+            async with self._sessions[endpoint.entry].request(
                 method, url, data=body or None, headers=headers
             ) as response:
                 attempt.status = response.status
--- a/tests/faults/sites.py
+++ b/tests/faults/sites.py
@@ -12,7 +12,7 @@
 import aiohttp
 
 from figstep.standins.proxy import Delay, Direction, Lose, LoseAnswers, Stall, TcpProxy
-from tests.faults.callers import Door, Traffic
+from tests.faults.callers import EntryEndpoint, Traffic
 from tests.faults.plans import (
     AskPause,
     Configure,
@@ -89,7 +89,7 @@
         number: Its number, from 0.
         ip: Its own loopback address.
         ready: Where it tells whether callers may come, as "ip:port".
-        door: Where callers reach it.
+        endpoint: Where callers reach it.
         settings: Its settings file.
         store: Proxy between it and the store.
         front: Proxy between callers and it.
@@ -102,7 +102,7 @@
     number: int
     ip: str
     ready: str
-    door: Door
+    endpoint: EntryEndpoint
     settings: Path
     store: TcpProxy
     front: TcpProxy
@@ -216,7 +216,7 @@
             number,
             ip,
             f"{ip}:{ports[1]}",
-            Door(number, front.address),
+            EntryEndpoint(number, front.address),
             path,
             store,
             front,
@@ -249,7 +249,7 @@
         return Traffic(
             self.record,
             self._rng,
-            [host.door for host in self._hosts],
+            [host.endpoint for host in self._hosts],
             lambda: [*self._paths, *self._dropped_paths, "/never/"],
             lambda: [*self._keys, *self._dropped_keys],
             self._methods,
@@ -270,7 +270,7 @@
     async def _watch_doors(self) -> None:
         while True:
             for host in self._hosts:
-                host.door.ready = await self._ask_ready(host)
+                host.endpoint.ready = await self._ask_ready(host)
             await asyncio.sleep(READY_PERIOD)
 
     async def _add_target(self, service: str) -> None:
@@ -377,7 +377,7 @@
         assert host.process is not None
         host.stopping = True
         asked = read_clock()
-        incarnation = host.door.incarnation
+        incarnation = host.endpoint.incarnation
         host.send_signal(signal.SIGTERM)
         took: float | None = None
         try:
@@ -401,11 +401,11 @@
         host.starting = True
         async with asyncio.timeout(READY_SECONDS):
             if again:
-                host.door.incarnation += 1
+                host.endpoint.incarnation += 1
                 await host.start()
             while not await self._ask_ready(host):
                 if host.process is not None and host.process.returncode is not None:
-                    host.door.incarnation += 1
+                    host.endpoint.incarnation += 1
                     await host.start()
                 await asyncio.sleep(0.1)
         host.starting = False
