--- a/tests/faults/sites.py
+++ b/tests/faults/sites.py
@@ -163,7 +163,7 @@
             self._traffic = self._build_traffic()
             calling = asyncio.create_task(self._traffic.run(self._ended))
             watching = [
-                asyncio.create_task(self._watch_doors()),
+                asyncio.create_task(self._watch_readiness()),
                 asyncio.create_task(record_loop_stalls(self.record)),
             ]
             await self._run_steps(steps, seconds)
@@ -267,7 +267,7 @@
         except (aiohttp.ClientError, OSError, TimeoutError):
             return False
 
-    async def _watch_doors(self) -> None:
+    async def _watch_readiness(self) -> None:
         while True:
             for host in self._hosts:
                 host.endpoint.ready = await self._ask_ready(host)
