--- a/tests/faults/callers.py
+++ b/tests/faults/callers.py
@@ -78,7 +78,7 @@
     _calls: set[asyncio.Task[None]] = field(default_factory=set)
     _count: int = 0
 
-    async def run(self, ended: asyncio.Event) -> None:
+    async def run(self, stop_event: asyncio.Event) -> None:
         """Send requests, and wait for their answers in the end."""
         for endpoint in self.endpoints:
             self._sessions[endpoint.entry] = aiohttp.ClientSession(
@@ -88,7 +88,7 @@
                 middlewares=(send_once,),
             )
         try:
-            while not ended.is_set():
+            while not stop_event.is_set():
                 task = asyncio.create_task(self._send())
                 self._calls.add(task)
                 task.add_done_callback(self._calls.discard)
@@ -113,11 +113,11 @@
             path = self.rng.choice(self.list_paths())
             key = self.rng.choice(self.list_keys())
         attempt = self._add_attempt(endpoint, kind, f"{path}x", key)
-        leaves = None
+        disconnect_after = None
         if self.rng.random() < DISCONNECT_SHARE:
-            leaves = self.rng.uniform(0.05, 1.0)
+            disconnect_after = self.rng.uniform(0.05, 1.0)
         call = asyncio.create_task(self._call(endpoint, attempt))
-        done, _ = await asyncio.wait({call}, timeout=leaves)
+        done, _ = await asyncio.wait({call}, timeout=disconnect_after)
         if not done:
             call.cancel()
             await asyncio.wait({call})
