--- a/tests/faults/sites.py
+++ b/tests/faults/sites.py
@@ -148,7 +148,7 @@
         self._targets: list[SoakTarget] = []
         self._hosts: list[EntryHost] = []
         self._entries = entries
-        self._ended = asyncio.Event()
+        self._stop_traffic = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
         self._names = 0
         self._paths: dict[str, str] = {}
@@ -161,7 +161,7 @@
         try:
             await self._start()
             self._traffic = self._build_traffic()
-            calling = asyncio.create_task(self._traffic.run(self._ended))
+            calling = asyncio.create_task(self._traffic.run(self._stop_traffic))
             watching = [
                 asyncio.create_task(self._watch_readiness()),
                 asyncio.create_task(record_loop_stalls(self.record)),
@@ -170,7 +170,7 @@
             await asyncio.gather(*self._tasks)
             self.record.final_phase_start = read_clock() + RECOVERY_SECONDS
             await asyncio.sleep(RECOVERY_SECONDS + FINAL_TRAFFIC_SECONDS)
-            self._ended.set()
+            self._stop_traffic.set()
             await calling
             for task in watching:
                 task.cancel()
