--- a/tests/faults/callers.py
+++ b/tests/faults/callers.py
@@ -17,7 +17,7 @@
     Record,
     read_clock,
 )
-from tests.faults.targets import FORGED, ONLY_SYSTEM
+from tests.faults.targets import FORGED, SYSTEM_ONLY_HEADERS
 from tests.platform.standins import ROUTE_HOST
 
 MEAN_REQUEST_INTERVAL = 0.07
@@ -161,7 +161,7 @@
             headers["Token-Count"] = f"600,{output}"
             headers["Length-Hint"] = str(output)
         if self.rng.random() < 0.1:
-            headers[self.rng.choice(ONLY_SYSTEM)] = FORGED
+            headers[self.rng.choice(SYSTEM_ONLY_HEADERS)] = FORGED
         method, body = "POST", b"flour" * self.rng.choice([0, 1, 2000])
         if attempt.kind not in STREAMS:
             method = self.methods.choice(METHODS)
--- a/tests/faults/targets.py
+++ b/tests/faults/targets.py
@@ -16,7 +16,7 @@
 FORGED = "forged"
 """Value of the headers that callers may not set."""
 
-ONLY_SYSTEM = ("Hold", "Pin-Ms", "Kv-Backup", "Kv-From", "Tenant")
+SYSTEM_ONLY_HEADERS = ("Hold", "Pin-Ms", "Kv-Backup", "Kv-From", "Tenant")
 
 CRASH_SECONDS = 0.05
 """From when a target begins to run a request that crashes it until it has."""
@@ -140,7 +140,9 @@
     def _begin_run(self, request: web.Request, copy: str | None) -> Run:
         headers = request.headers
         number = headers.get("Request-Id", "")
-        forged = tuple(name for name in ONLY_SYSTEM if headers.get(name) == FORGED)
+        forged = tuple(
+            name for name in SYSTEM_ONLY_HEADERS if headers.get(name) == FORGED
+        )
         run = Run(
             number,
             self.name,
