--- a/tests/faults/plans.py
+++ b/tests/faults/plans.py
@@ -4,23 +4,23 @@
 from dataclasses import dataclass
 from enum import Enum
 
-QUIET_BEFORE = 1.0
+FIRST_FAULT_DELAY = 1.0
 """Seconds of traffic before the first fault."""
 
-LASTING = (0.3, 2.5)
+FAULT_DURATION_RANGE = (0.3, 2.5)
 """Seconds that a fault lasts, shortest and longest."""
 
 
-WORD_LASTING = (5.0, 9.0)
+SIGNAL_DURATION_RANGE = (5.0, 9.0)
 """Seconds for which a target says something in its answers."""
 
 RATES = (0.5, 1.0, 2.0, 4.0)
 """Requests a second that targets name."""
 
-PAUSES = (0.8, 1.5, 3.0)
+RETRY_AFTERS = (0.8, 1.5, 3.0)
 """Seconds that targets ask for."""
 
-RETURNS = (0.02, 0.4, 1.2, 2.5)
+CRASHING_RETRY_INTERVALS = (0.02, 0.4, 1.2, 2.5)
 """Seconds after which the caller of a request that crashes targets comes again."""
 
 
@@ -33,80 +33,80 @@
     CRASHES = "crashes"
 
 
-WORDS = (Extra.RATE, Extra.LEAVING, Extra.PAUSE)
+SIGNALS = (Extra.RATE, Extra.LEAVING, Extra.PAUSE)
 """What a target may say of itself in its answers."""
 
 ALL_EXTRAS = tuple(Extra)
 
 
 @dataclass(frozen=True, slots=True)
-class StrikeEntry:
+class EntryFault:
     """Do something to one entry's process.
 
     Attributes:
-        how: ``kill``, ``stop``, ``freeze`` or ``reload``.
+        action: ``kill``, ``stop``, ``freeze`` or ``reload``.
         entry: Number of the entry.
         seconds: How long it lasts.
     """
 
-    how: str
+    action: str
     entry: int
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
-class KillAll:
+class AllEntriesKilled:
     """Kill all entries at once; they are restarted."""
 
 
 @dataclass(frozen=True, slots=True)
-class StrikeLink:
+class LinkFault:
     """Harm a link.
 
     Attributes:
-        how: ``delay``, ``stall``, ``lose_to``, ``lose_from``, ``cut``,
+        action: ``delay``, ``stall``, ``lose_to``, ``lose_from``, ``cut``,
             ``freeze``, ``half_open`` or ``lose_answers``.
-        where: ``store`` of an entry, ``caller`` of an entry, or ``target``.
+        link: ``store`` of an entry, ``caller`` of an entry, or ``target``.
         number: Number of the entry or target, taken modulo what there is.
         seconds: How long it lasts.
     """
 
-    how: str
-    where: str
+    action: str
+    link: str
     number: int
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
-class StrikeStore:
+class StoreFault:
     """Let the store misbehave for all.
 
     Attributes:
-        how: ``away`` or ``forget``.
+        action: ``away`` or ``forget``.
         seconds: How long it lasts.
     """
 
-    how: str
+    action: str
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
-class StrikeTarget:
+class TargetFault:
     """Do something to a target.
 
     Attributes:
-        how: ``crash``, ``leave``, ``drain``, ``grey``, ``mute`` or ``full``.
+        action: ``crash``, ``leave``, ``drain``, ``grey``, ``mute`` or ``full``.
         number: Number of the target, taken modulo what there is.
         seconds: How long it lasts.
     """
 
-    how: str
+    action: str
     number: int
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
-class NameRate:
+class RateSignal:
     """Let a target name the requests a second that it takes in all its answers.
 
     Attributes:
@@ -121,7 +121,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SayLeaving:
+class LeavingSignal:
     """Let a target say in all its answers that it leaves; the store learns later.
 
     Attributes:
@@ -134,7 +134,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskPause:
+class PauseSignal:
     """Let a target turn requests away and ask for a pause.
 
     Attributes:
@@ -149,7 +149,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendCrashing:
+class CrashingRequests:
     """Let a caller send a request that crashes targets, again and again.
 
     Attributes:
@@ -164,27 +164,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Configure:
+class ConfigurationChange:
     """Write a new version of the configuration.
 
     Attributes:
-        how: ``add_route``, ``drop_route``, ``add_key`` or ``drop_key``.
+        action: ``add_route``, ``drop_route``, ``add_key`` or ``drop_key``.
     """
 
-    how: str
+    action: str
 
 
 Fault = (
-    StrikeEntry
-    | KillAll
-    | StrikeLink
-    | StrikeStore
-    | StrikeTarget
-    | NameRate
-    | SayLeaving
-    | AskPause
-    | SendCrashing
-    | Configure
+    EntryFault
+    | AllEntriesKilled
+    | LinkFault
+    | StoreFault
+    | TargetFault
+    | RateSignal
+    | LeavingSignal
+    | PauseSignal
+    | CrashingRequests
+    | ConfigurationChange
 )
 
 
@@ -212,7 +212,7 @@
     rng = random.Random(seed)
     steps = []
     for _ in range(rng.randint(4, 14)):
-        at = rng.uniform(QUIET_BEFORE, seconds)
+        at = rng.uniform(FIRST_FAULT_DELAY, seconds)
         fault = _draw_fault(rng, entries)
         steps.append(Step(at, fault))
         if rng.random() < 0.25:
@@ -227,32 +227,34 @@
 def _draw_extra(extra: Extra, rng: random.Random, seconds: float) -> list[Step]:
     steps = []
     for _ in range(rng.randint(1, 3)):
-        lasting = round(rng.uniform(*WORD_LASTING), 2)
+        duration = round(rng.uniform(*SIGNAL_DURATION_RANGE), 2)
         number = rng.randrange(100)
         match extra:
             case Extra.RATE:
-                fault: Fault = NameRate(number, rng.choice(RATES), lasting)
+                fault: Fault = RateSignal(number, rng.choice(RATES), duration)
             case Extra.LEAVING:
-                fault = SayLeaving(number, lasting)
+                fault = LeavingSignal(number, duration)
             case Extra.PAUSE:
-                fault = AskPause(number, rng.choice(PAUSES), lasting)
+                fault = PauseSignal(number, rng.choice(RETRY_AFTERS), duration)
             case Extra.CRASHES:
                 stream = rng.random() < 0.4
-                fault = SendCrashing(stream, rng.choice(RETURNS), lasting)
-        steps.append(Step(rng.uniform(QUIET_BEFORE, seconds / 2), fault))
+                fault = CrashingRequests(
+                    stream, rng.choice(CRASHING_RETRY_INTERVALS), duration
+                )
+        steps.append(Step(rng.uniform(FIRST_FAULT_DELAY, seconds / 2), fault))
     return steps
 
 
 def _draw_fault(rng: random.Random, entries: int) -> Fault:
-    lasting = round(rng.uniform(*LASTING), 2)
+    duration = round(rng.uniform(*FAULT_DURATION_RANGE), 2)
     draw = rng.random()
     if draw < 0.22:
-        how = rng.choice(["kill", "stop", "freeze", "reload"])
-        return StrikeEntry(how, rng.randrange(entries), lasting)
+        action = rng.choice(["kill", "stop", "freeze", "reload"])
+        return EntryFault(action, rng.randrange(entries), duration)
     if draw < 0.25:
-        return KillAll()
+        return AllEntriesKilled()
     if draw < 0.50:
-        how = rng.choice(
+        action = rng.choice(
             [
                 "delay",
                 "stall",
@@ -264,11 +266,15 @@
                 "lose_answers",
             ]
         )
-        where = rng.choice(["store", "caller", "target", "target"])
-        return StrikeLink(how, where, rng.randrange(100), lasting)
+        link = rng.choice(["store", "caller", "target", "target"])
+        return LinkFault(action, link, rng.randrange(100), duration)
     if draw < 0.58:
-        return StrikeStore(rng.choice(["away", "forget"]), lasting)
+        return StoreFault(rng.choice(["away", "forget"]), duration)
     if draw < 0.85:
-        how = rng.choice(["crash", "leave", "leave", "drain", "grey", "mute", "full"])
-        return StrikeTarget(how, rng.randrange(100), lasting)
-    return Configure(rng.choice(["add_route", "drop_route", "add_key", "drop_key"]))
+        action = rng.choice(
+            ["crash", "leave", "leave", "drain", "grey", "mute", "full"]
+        )
+        return TargetFault(action, rng.randrange(100), duration)
+    return ConfigurationChange(
+        rng.choice(["add_route", "drop_route", "add_key", "drop_key"])
+    )
--- a/tests/faults/sites.py
+++ b/tests/faults/sites.py
@@ -14,18 +14,18 @@
 from figstep.standins.proxy import Delay, Direction, Lose, LoseAnswers, Stall, TcpProxy
 from tests.faults.callers import EntryEndpoint, Traffic
 from tests.faults.plans import (
-    AskPause,
-    Configure,
+    AllEntriesKilled,
+    ConfigurationChange,
+    CrashingRequests,
+    EntryFault,
     Fault,
-    KillAll,
-    NameRate,
-    SayLeaving,
-    SendCrashing,
+    LeavingSignal,
+    LinkFault,
+    PauseSignal,
+    RateSignal,
     Step,
-    StrikeEntry,
-    StrikeLink,
-    StrikeStore,
-    StrikeTarget,
+    StoreFault,
+    TargetFault,
 )
 from tests.faults.promises import RETRY_EXTRA, RETRY_RATIO, RETRY_WINDOW
 from tests.faults.records import Kind, NamedRate, Record, Stop, Version, read_clock
@@ -320,36 +320,36 @@
 
     async def _strike(self, fault: Fault) -> None:
         match fault:
-            case StrikeEntry(how=how, entry=number, seconds=seconds):
-                await self._strike_entry(how, self._hosts[number], seconds)
-            case KillAll():
+            case EntryFault(action=action, entry=number, seconds=seconds):
+                await self._strike_entry(action, self._hosts[number], seconds)
+            case AllEntriesKilled():
                 await asyncio.gather(
                     *(self._strike_entry("kill", host, 0.0) for host in self._hosts)
                 )
-            case StrikeLink():
+            case LinkFault():
                 await self._strike_link(fault)
-            case StrikeStore(how=how, seconds=seconds):
-                await self._strike_store(how, seconds)
-            case StrikeTarget():
+            case StoreFault(action=action, seconds=seconds):
+                await self._strike_store(action, seconds)
+            case TargetFault():
                 await self._strike_target(fault)
-            case NameRate():
+            case RateSignal():
                 await self._name_rate(fault)
-            case SayLeaving():
+            case LeavingSignal():
                 await self._say_leaving(fault)
-            case AskPause():
+            case PauseSignal():
                 target = self._targets[fault.number % len(self._targets)]
                 target.pauses.append(fault.pause)
                 await asyncio.sleep(fault.seconds)
                 target.pauses.remove(fault.pause)
-            case SendCrashing():
+            case CrashingRequests():
                 await self._send_crashing(fault)
-            case Configure(how=how):
-                self._change_configuration(how)
+            case ConfigurationChange(action=action):
+                self._change_configuration(action)
                 await self._configure()
 
-    async def _strike_entry(self, how: str, host: EntryHost, seconds: float) -> None:
-        span = self.record.begin_disturbance(how, host.number)
-        match how:
+    async def _strike_entry(self, action: str, host: EntryHost, seconds: float) -> None:
+        span = self.record.begin_disturbance(action, host.number)
+        match action:
             case "kill" if host.stopping:
                 # Whoever stops it, or starts it again, sees to the rest.
                 host.send_signal(signal.SIGKILL)
@@ -411,26 +411,26 @@
         host.starting = False
         host.stopping = False
 
-    async def _strike_link(self, fault: StrikeLink) -> None:
-        if fault.where == "target":
+    async def _strike_link(self, fault: LinkFault) -> None:
+        if fault.link == "target":
             target = self._targets[fault.number % len(self._targets)]
             proxy, span = (
                 target.proxy,
-                self.record.begin_disturbance(fault.how, None, target.name),
+                self.record.begin_disturbance(fault.action, None, target.name),
             )
         else:
             host = self._hosts[fault.number % len(self._hosts)]
-            proxy = host.store if fault.where == "store" else host.front
+            proxy = host.store if fault.link == "store" else host.front
             span = self.record.begin_disturbance(
-                f"{fault.where} {fault.how}", host.number
+                f"{fault.link} {fault.action}", host.number
             )
         if proxy is not None:
-            await _harm(proxy, fault.how, fault.seconds)
+            await _harm(proxy, fault.action, fault.seconds)
         span.end = read_clock()
 
-    async def _strike_store(self, how: str, seconds: float) -> None:
-        span = self.record.begin_disturbance(f"store {how}")
-        if how == "away":
+    async def _strike_store(self, action: str, seconds: float) -> None:
+        span = self.record.begin_disturbance(f"store {action}")
+        if action == "away":
             self._store.unavailable = True
             await asyncio.sleep(seconds)
             self._store.unavailable = False
@@ -439,12 +439,12 @@
                 self._store.delete_all(topic)
         span.end = read_clock()
 
-    async def _strike_target(self, fault: StrikeTarget) -> None:
+    async def _strike_target(self, fault: TargetFault) -> None:
         target = self._choose_staying(fault.number)
-        span = self.record.begin_disturbance(fault.how, None, target.name)
-        match fault.how:
+        span = self.record.begin_disturbance(fault.action, None, target.name)
+        match fault.action:
             case "crash" | "leave" | "drain":
-                await self._replace(target, fault.how)
+                await self._replace(target, fault.action)
                 return
             case "grey":
                 target.grey = 0.5
@@ -456,7 +456,7 @@
         target.grey, target.mute, target.full = 0.0, False, False
         span.end = read_clock()
 
-    async def _name_rate(self, fault: NameRate) -> None:
+    async def _name_rate(self, fault: RateSignal) -> None:
         target = self._targets[fault.number % len(self._targets)]
         span = NamedRate(target.name, fault.rate, read_clock())
         self.record.rates.append(span)
@@ -465,7 +465,7 @@
         target.rates.remove(fault.rate)
         span.end = read_clock()
 
-    async def _send_crashing(self, fault: SendCrashing) -> None:
+    async def _send_crashing(self, fault: CrashingRequests) -> None:
         assert self._traffic is not None
         self._names += 1
         name = str(self._names)
@@ -489,7 +489,7 @@
         staying = [one for one in self._targets if one.name not in departing]
         return staying[number % len(staying)]
 
-    async def _say_leaving(self, fault: SayLeaving) -> None:
+    async def _say_leaving(self, fault: LeavingSignal) -> None:
         target = self._choose_staying(fault.number)
         self.record.leaving_since[target.name] = read_clock()
         await self._add_target(target.service)
@@ -500,26 +500,26 @@
         self.record.begin_disturbance("drain", None, target.name)
         await self._replace(target, "drain")
 
-    async def _replace(self, target: SoakTarget, how: str) -> None:
+    async def _replace(self, target: SoakTarget, action: str) -> None:
         self.record.departures[target.name] = float("inf")
         if target.name not in self.record.leaving_since:
             await self._add_target(target.service)
-        if how == "crash":
+        if action == "crash":
             await target.kill()
             await asyncio.sleep(1.0)
             await self._store.put("keyed.servers", target.name, b"")
-        elif how == "drain":
+        elif action == "drain":
             await target.register(self._store, "draining")
         else:
             await self._store.put("keyed.servers", target.name, b"")
         self.record.departures[target.name] = read_clock()
-        if how != "crash":
+        if action != "crash":
             await asyncio.sleep(SERVES_AFTER_NOTICE)
             await target.kill()
         self._targets.remove(target)
 
-    def _change_configuration(self, how: str) -> None:
-        match how:
+    def _change_configuration(self, action: str) -> None:
+        match action:
             case "add_route":
                 self._names += 1
                 self._paths[f"/late-{self._names}/"] = "safe"
@@ -556,8 +556,8 @@
             record.loop_stalls.append((due, woken))
 
 
-async def _harm(proxy: TcpProxy, how: str, seconds: float) -> None:
-    match how:
+async def _harm(proxy: TcpProxy, action: str, seconds: float) -> None:
+    match action:
         case "cut":
             proxy.cut()
             return
--- a/tests/faults/test_soak.py
+++ b/tests/faults/test_soak.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.faults.__main__ import describe_record, run_seed
-from tests.faults.plans import ALL_EXTRAS, WORDS, Extra
+from tests.faults.plans import ALL_EXTRAS, SIGNALS, Extra
 
 SEEDS = [11, 2398170]
 """Played in each run of the tests; one that ever failed is added with its cause.
@@ -18,8 +18,8 @@
     (8381831, (Extra.RATE,)),
     (8381837, (Extra.RATE,)),
     (12, (Extra.LEAVING, Extra.PAUSE)),
-    (3103866, WORDS),
-    (3103878, WORDS),
+    (3103866, SIGNALS),
+    (3103878, SIGNALS),
 ]
 """The same, with targets that say things of themselves in their answers.
 
