--- a/tests/faults/promises.py
+++ b/tests/faults/promises.py
@@ -8,28 +8,28 @@
 
 from tests.faults.records import EVENTS, STREAMS, Attempt, Kind, Record, Run, Version
 
-CONTACT = 3.0
+STABILIZATION_SECONDS = 3.0
 """Seconds without disturbance after which bounds on time hold again."""
 
-CONFIGURATION = 2.0
+CONFIGURATION_SECONDS = 2.0
 """Seconds until a version is in force at an entry in touch."""
 
-DRAIN = 2.0
+DRAIN_SECONDS = 2.0
 """Seconds after which a leaving target gets nothing new."""
 
-MOST_CRASHES = 3
-MOST_RETRIES = 3
+CRASHES_BEFORE_REFUSAL = 3
+MAX_LATE_RUNS = 3
 """Crashes under one request after which no more than so many retries of it, sent
 later than CONTACT, reach targets."""
 
-PAUSE_BEGINS = 0.5
-MOST_IN_A_PAUSE = 2
+PAUSE_START_DELAY = 0.5
+MAX_IN_PAUSE = 2
 """Requests of one entry to a target within a pause, from so many seconds on."""
 
-GONE = 0.5
+CANCEL_SECONDS = 0.5
 """Seconds after which nothing runs for a caller that left."""
 
-HANDOVER = 0.4
+HANDOVER_SECONDS = 0.4
 """Seconds for which two engines may be at work on one run."""
 
 RETRY_WINDOW = 10.0
@@ -42,14 +42,14 @@
 RATE_EXTRA = 5
 """What a target gets that names a rate: in a window, so much of it, and more."""
 
-TOLD = 0.5
+RATE_START_DELAY = 0.5
 """Seconds after an answer that named a rate from which its entry counts."""
 
-SLACK = 0.4
+TIMING_SLACK = 0.4
 """Seconds that a busy machine of eight cores may add to any of these: entries,
 callers and targets share it, and timers there fire late."""
 
-NOT_RUN = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 _EVENT = re.compile(rb"id: (\d+)\ndata: (\S+) (\S+)\n\n")
 
@@ -90,7 +90,7 @@
 
 
 def _check_refusal(record: Record, attempt: Attempt, runs: list[Run]) -> list[Breach]:
-    if attempt.status not in NOT_RUN or not runs:
+    if attempt.status not in NOT_RUN_STATUSES or not runs:
         return []
     if attempt.kind is Kind.LOOKUP:
         return []
@@ -126,23 +126,25 @@
     breaches = []
     for run in runs:
         if run.forged or run.customer != "gurdwara":
-            told = f"{run.customer!r} with {run.forged}"
-            breaches.append(Breach("headers", f"{attempt.id} ran as {told}"))
+            first_answers = f"{run.customer!r} with {run.forged}"
+            breaches.append(Breach("headers", f"{attempt.id} ran as {first_answers}"))
     return breaches
 
 
 def _check_configuration(
     record: Record, attempt: Attempt, runs: list[Run]
 ) -> list[Breach]:
-    since = attempt.sent - CONFIGURATION - SLACK
-    if not record.is_undisturbed(attempt.entry, since - CONTACT, attempt.sent):
+    since = attempt.sent - CONFIGURATION_SECONDS - TIMING_SLACK
+    if not record.is_undisturbed(
+        attempt.entry, since - STABILIZATION_SECONDS, attempt.sent
+    ):
         since = 0.0
     allowed = set()
     for index, version in enumerate(record.versions):
         later = record.versions[index + 1 :]
         if later and later[0].acknowledged < since:
             continue
-        if version.acknowledged > attempt.ended + SLACK:
+        if version.acknowledged > attempt.ended + TIMING_SLACK:
             continue
         allowed.add(_is_allowed(attempt, version))
     if not allowed:
@@ -163,11 +165,16 @@
     breaches = []
     for run in runs:
         departed_at = record.departures.get(run.target)
-        if departed_at is None or run.began <= departed_at + DRAIN + SLACK:
+        if (
+            departed_at is None
+            or run.began <= departed_at + DRAIN_SECONDS + TIMING_SLACK
+        ):
             continue
-        if not record.is_undisturbed(attempt.entry, departed_at - CONTACT, run.began):
+        if not record.is_undisturbed(
+            attempt.entry, departed_at - STABILIZATION_SECONDS, run.began
+        ):
             continue
-        if attempt.sent < departed_at + DRAIN:
+        if attempt.sent < departed_at + DRAIN_SECONDS:
             continue
         breaches.append(Breach("drain", f"{attempt.id} went to {run.target}"))
     return breaches
@@ -176,12 +183,16 @@
 def _check_gone(record: Record, attempt: Attempt, runs: list[Run]) -> list[Breach]:
     if not attempt.disconnected:
         return []
-    limit = attempt.ended + GONE + SLACK
-    if not record.is_undisturbed(attempt.entry, attempt.ended - CONTACT, limit):
+    limit = attempt.ended + CANCEL_SECONDS + TIMING_SLACK
+    if not record.is_undisturbed(
+        attempt.entry, attempt.ended - STABILIZATION_SECONDS, limit
+    ):
         return []
     breaches = []
     for run in runs:
-        if not record.is_target_undisturbed(run.target, attempt.ended - CONTACT, limit):
+        if not record.is_target_undisturbed(
+            run.target, attempt.ended - STABILIZATION_SECONDS, limit
+        ):
             continue
         if run.ended is None or run.ended > limit:
             breaches.append(Breach("gone", f"{attempt.id} still at {run.target}"))
@@ -191,24 +202,26 @@
 def _check_handover(record: Record, attempt: Attempt, runs: list[Run]) -> list[Breach]:
     if attempt.kind is Kind.LOOKUP:
         return []
-    for before, after in itertools.pairwise(runs):
-        limit = after.began + HANDOVER + SLACK
-        if before.ended is not None and before.ended <= limit:
+    for earlier, later_run in itertools.pairwise(runs):
+        limit = later_run.began + HANDOVER_SECONDS + TIMING_SLACK
+        if earlier.ended is not None and earlier.ended <= limit:
             continue
-        if _was_given_up(after, limit):
+        if _was_abandoned(later_run, limit):
             continue
-        if not record.is_undisturbed(attempt.entry, after.began - CONTACT, limit):
+        if not record.is_undisturbed(
+            attempt.entry, later_run.began - STABILIZATION_SECONDS, limit
+        ):
             continue
         if not record.is_target_undisturbed(
-            before.target, after.began - CONTACT, limit
+            earlier.target, later_run.began - STABILIZATION_SECONDS, limit
         ):
             continue
-        places = f"{before.target} and {after.target}"
+        places = f"{earlier.target} and {later_run.target}"
         return [Breach("handover", f"{attempt.id} runs at {places}")]
     return []
 
 
-def _was_given_up(run: Run, limit: float) -> bool:
+def _was_abandoned(run: Run, limit: float) -> bool:
     """Tell whether a run ended by a time, and not because it was whole."""
     return not run.whole and run.ended is not None and run.ended <= limit
 
@@ -218,32 +231,38 @@
     for stop in record.stops:
         name = f"entry {stop.entry}"
         if stop.took is None:
-            if record.is_undisturbed(stop.entry, stop.at - CONTACT, stop.at - 0.01):
+            if record.is_undisturbed(
+                stop.entry, stop.at - STABILIZATION_SECONDS, stop.at - 0.01
+            ):
                 breaches.append(Breach("stop", f"{name} did not end in its grace time"))
             continue
         for attempt in record.attempts:
             if (attempt.entry, attempt.incarnation) != (stop.entry, stop.incarnation):
                 continue
-            if _was_cut_by(record, attempt, stop.at, stop.at + stop.took):
+            if _was_cut_by_stop(record, attempt, stop.at, stop.at + stop.took):
                 breaches.append(Breach("stop", f"{attempt.id} was cut by {name}"))
     return breaches
 
 
-def _was_cut_by(record: Record, attempt: Attempt, asked: float, ended: float) -> bool:
+def _was_cut_by_stop(
+    record: Record, attempt: Attempt, asked: float, ended: float
+) -> bool:
     if attempt.status or attempt.disconnected or attempt.kind in STREAMS:
         return False
-    if not asked <= attempt.ended <= ended + SLACK:
+    if not asked <= attempt.ended <= ended + TIMING_SLACK:
         return False
     runs = [run for run in record.runs if run.request == attempt.id]
     for run in runs:
-        if not record.is_target_undisturbed(run.target, asked - CONTACT, ended):
+        if not record.is_target_undisturbed(
+            run.target, asked - STABILIZATION_SECONDS, ended
+        ):
             return False
     stopped = [one for one in record.disturbances if one.name == "stop"]
     undisturbed = all(
         one in stopped
         or one.entry not in (None, attempt.entry)
         or bool(one.target)
-        or (one.end is not None and one.end < asked - CONTACT)
+        or (one.end is not None and one.end < asked - STABILIZATION_SECONDS)
         or one.start > ended
         for one in record.disturbances
     )
@@ -258,20 +277,22 @@
         )
         kinds = STREAMS if service == "engines" else (Kind.ORDER, Kind.LOOKUP)
         sent = sorted(one.sent for one in record.attempts if one.kind in kinds)
-        worst = _find_worst_window(arrivals, sent)
-        if worst > 0:
-            breaches.append(Breach("budget", f"{service}: {worst:.1f} too many"))
+        largest_excess = _find_largest_excess(arrivals, sent)
+        if largest_excess > 0:
+            breaches.append(
+                Breach("budget", f"{service}: {largest_excess:.1f} too many")
+            )
     return breaches
 
 
-def _find_worst_window(arrivals: list[tuple[float, str]], sent: list[float]) -> float:
-    seen: set[str] = set()
+def _find_largest_excess(arrivals: list[tuple[float, str]], sent: list[float]) -> float:
+    known_requests: set[str] = set()
     repeats = []
     for at, request in arrivals:
-        if request in seen:
+        if request in known_requests:
             repeats.append(at)
-        seen.add(request)
-    worst = 0.0
+        known_requests.add(request)
+    largest_excess = 0.0
     for end in repeats:
         start = end - RETRY_WINDOW
         count = sum(start < at <= end for at in repeats)
@@ -279,33 +300,35 @@
         for shift in (0.0, RETRY_WINDOW / 2, RETRY_WINDOW):
             windows.append(sum(start - shift < at <= end - shift for at in sent))
         bound = RETRY_RATIO * max(windows) + RETRY_EXTRA
-        worst = max(worst, count - bound)
-    return worst
+        largest_excess = max(largest_excess, count - bound)
+    return largest_excess
 
 
 def _check_rates(record: Record) -> list[Breach]:
     entries = {attempt.id: attempt.entry for attempt in record.attempts}
     breaches = []
     for span in record.rates:
-        told = _list_told(record, span.target, span.start, entries)
+        first_answers = _find_first_answers(record, span.target, span.start, entries)
         target_arrivals = [
             (at, entries[request])
             for at, target, request in record.target_arrivals
             if target == span.target and request in entries
         ]
         for end, _ in target_arrivals:
-            if end < span.start + CONTACT or end > (span.end or end):
+            if end < span.start + STABILIZATION_SECONDS or end > (span.end or end):
                 continue
-            if not record.is_target_undisturbed(span.target, end - CONTACT, end):
+            if not record.is_target_undisturbed(
+                span.target, end - STABILIZATION_SECONDS, end
+            ):
                 continue
             count = 0
             for at, entry in target_arrivals:
-                counts = end - RATE_WINDOW < at <= end and entry in told
-                if counts and told[entry] <= end - TOLD:
+                counts = end - RATE_WINDOW < at <= end and entry in first_answers
+                if counts and first_answers[entry] <= end - RATE_START_DELAY:
                     count += record.is_entry_undisturbed(entry, span.start, end)
             if count > RATE_RATIO * RATE_WINDOW * span.rate + RATE_EXTRA:
-                what = f"{span.target} got {count} at {span.rate} a second"
-                breaches.append(Breach("rate", what))
+                description = f"{span.target} got {count} at {span.rate} a second"
+                breaches.append(Breach("rate", description))
                 break
     return breaches
 
@@ -315,15 +338,15 @@
     entries = {attempt.id: attempt.entry for attempt in record.attempts}
     breaches = []
     for target, since in record.leaving_since.items():
-        told = _list_told(record, target, since, entries)
+        first_answers = _find_first_answers(record, target, since, entries)
         for at, name, request in record.target_arrivals:
             attempt = attempts.get(request)
-            if name != target or attempt is None or attempt.entry not in told:
+            if name != target or attempt is None or attempt.entry not in first_answers:
                 continue
-            heard = told[attempt.entry]
-            if attempt.sent <= heard + DRAIN + SLACK:
+            informed_at = first_answers[attempt.entry]
+            if attempt.sent <= informed_at + DRAIN_SECONDS + TIMING_SLACK:
                 continue
-            if record.is_entry_undisturbed(attempt.entry, heard, at):
+            if record.is_entry_undisturbed(attempt.entry, informed_at, at):
                 breaches.append(Breach("leaver", f"{request} went to {target}"))
     return breaches
 
@@ -333,18 +356,20 @@
     breaches = []
     for asked, target, request, pause in record.pauses:
         entry = entries.get(request)
-        begins, ends = asked + PAUSE_BEGINS, asked + pause
-        if entry is None or not record.is_entry_undisturbed(entry, asked - SLACK, ends):
+        begins, ends = asked + PAUSE_START_DELAY, asked + pause
+        if entry is None or not record.is_entry_undisturbed(
+            entry, asked - TIMING_SLACK, ends
+        ):
             continue
-        if not record.is_target_undisturbed(target, asked - SLACK, ends):
+        if not record.is_target_undisturbed(target, asked - TIMING_SLACK, ends):
             continue
         count = 0
         for at, name, other in record.target_arrivals:
-            if name == target and begins < at < ends - SLACK:
+            if name == target and begins < at < ends - TIMING_SLACK:
                 count += entries.get(other) == entry
-        if count > MOST_IN_A_PAUSE:
-            what = f"{target} got {count} of entry {entry} in {pause} s"
-            breaches.append(Breach("pause", what))
+        if count > MAX_IN_PAUSE:
+            description = f"{target} got {count} of entry {entry} in {pause} s"
+            breaches.append(Breach("pause", description))
     return breaches
 
 
@@ -358,17 +383,17 @@
     breaches = []
     for path, runs in sent.items():
         crashes = [run.ended for run in runs if run.crashed and run.ended is not None]
-        if len(crashes) < MOST_CRASHES:
+        if len(crashes) < CRASHES_BEFORE_REFUSAL:
             continue
-        known = sorted(crashes)[MOST_CRASHES - 1] + CONTACT
+        known = sorted(crashes)[CRASHES_BEFORE_REFUSAL - 1] + STABILIZATION_SECONDS
         late = 0
         for run in runs:
             attempt = attempts[run.request]
-            if run.began > known + SLACK:
+            if run.began > known + TIMING_SLACK:
                 late += record.is_entry_undisturbed(
-                    attempt.entry, known - CONTACT, run.began
+                    attempt.entry, known - STABILIZATION_SECONDS, run.began
                 )
-        if late > MOST_RETRIES:
+        if late > MAX_LATE_RUNS:
             breaches.append(Breach("crashes", f"{path} reached targets {late} times"))
     return breaches
 
@@ -379,18 +404,18 @@
     return [Breach("blamed", f"{attempt.id} is refused for what crashed beside it")]
 
 
-def _list_told(
+def _find_first_answers(
     record: Record, target: str, since: float, entries: dict[str, int]
 ) -> dict[int, float]:
     """Return when each entry first got an answer of a target begun after a time."""
-    told: dict[int, float] = {}
+    first_answers: dict[int, float] = {}
     for run in record.runs:
         if run.target != target or run.ended is None or run.request not in entries:
             continue
         if run.began >= since and run.whole:
             entry = entries[run.request]
-            told[entry] = min(told.get(entry, run.ended), run.ended)
-    return told
+            first_answers[entry] = min(first_answers.get(entry, run.ended), run.ended)
+    return first_answers
 
 
 def _check_recovery(record: Record) -> list[Breach]:
