--- a/tests/faults/sites.py
+++ b/tests/faults/sites.py
@@ -447,13 +447,17 @@
                 await self._replace(target, fault.action)
                 return
             case "grey":
-                target.grey = 0.5
+                target.failure_rate = 0.5
             case "mute":
-                target.mute = True
+                target.unresponsive = True
             case "full":
-                target.full = True
+                target.rejects_calls = True
         await asyncio.sleep(fault.seconds)
-        target.grey, target.mute, target.full = 0.0, False, False
+        target.failure_rate, target.unresponsive, target.rejects_calls = (
+            0.0,
+            False,
+            False,
+        )
         span.end = read_clock()
 
     async def _name_rate(self, fault: RateSignal) -> None:
--- a/tests/faults/targets.py
+++ b/tests/faults/targets.py
@@ -36,10 +36,10 @@
         service: Its service.
         record: Where it notes what it ran.
         rng: Draws which calls fail while it is grey.
-        fleet: All targets by the address that they registered.
-        grey: Part of its calls that fail.
-        mute: Whether it runs calls and never answers.
-        full: Whether it turns calls away as not run.
+        targets_by_address: All targets by the address that they registered.
+        failure_rate: Part of its calls that fail.
+        unresponsive: Whether it runs calls and never answers.
+        rejects_calls: Whether it turns calls away as not run.
         rates: Rates that it names now; its answers tell the lowest.
         pauses: Pauses that it asks for now as it turns calls away.
         copies: Generations that it holds copies of, by request.
@@ -51,11 +51,11 @@
     service: str
     record: Record
     rng: random.Random
-    fleet: dict[str, "SoakTarget"]
+    targets_by_address: dict[str, "SoakTarget"]
     crash: Callable[["SoakTarget"], None]
-    grey: float = 0.0
-    mute: bool = False
-    full: bool = False
+    failure_rate: float = 0.0
+    unresponsive: bool = False
+    rejects_calls: bool = False
     rates: list[float] = field(default_factory=list)
     pauses: list[float] = field(default_factory=list)
     copies: dict[str, str] = field(default_factory=dict)
@@ -80,7 +80,7 @@
         host, _, port = address.rpartition(":")
         self.proxy = TcpProxy(host, int(port))
         await self.proxy.start()
-        self.fleet[self.address] = self
+        self.targets_by_address[self.address] = self
         await self.register(store)
 
     async def register(self, store: FakeStore, state: str = "ready") -> None:
@@ -113,7 +113,7 @@
             pause = max(self.pauses)
             self.record.pauses.append((read_clock(), self.name, number, pause))
             return self._refuse(number, pause)
-        if self.full and copy is None:
+        if self.rejects_calls and copy is None:
             return self._refuse(number)
         run = self._begin_run(request, copy)
         try:
@@ -121,7 +121,7 @@
                 await asyncio.sleep(CRASH_SECONDS)
                 run.crashed = True
                 self.crash(self)
-            if self.mute or run.crashed:
+            if self.unresponsive or run.crashed:
                 await asyncio.sleep(60)
             if "Token-Count" in request.headers:
                 return await self._stream(request, run)
@@ -168,7 +168,7 @@
     async def _call(self, request: web.Request, run: Run, body: bytes) -> web.Response:
         await asyncio.sleep(CALL_SECONDS * (1 + self.rng.random()))
         run.whole = True
-        if self.rng.random() < self.grey:
+        if self.rng.random() < self.failure_rate:
             run.status = 500
         run.body = f"{run.request} at {self.name} of {len(body)}".encode()
         return web.Response(
@@ -179,7 +179,7 @@
         response = web.StreamResponse(headers=self._sign(run.request))
         response.content_type = "text/event-stream"
         await response.prepare(request)
-        holder = self.fleet.get(request.headers.get("Kv-Backup", ""))
+        holder = self.targets_by_address.get(request.headers.get("Kv-Backup", ""))
         kind = Kind(request.path.split("/")[1])
         first = int(request.headers.get("Last-Event-Id", "0")) + 1
         for index in range(first, EVENTS[kind] + 1):
@@ -197,7 +197,7 @@
     async def _copy_run(self, request: web.Request) -> web.Response:
         order = orjson.loads(await request.read())
         run = self.running.get(order["id"])
-        holder = self.fleet.get(order["target"])
+        holder = self.targets_by_address.get(order["target"])
         if run is None:
             return web.Response(status=404)
         if holder is None:
