--- a/tests/faults/sites.py
+++ b/tests/faults/sites.py
@@ -144,7 +144,7 @@
         self._folder = folder
         self._engines = engines
         self._store = FakeStore()
-        self._fleet: dict[str, SoakTarget] = {}
+        self._targets_by_address: dict[str, SoakTarget] = {}
         self._targets: list[SoakTarget] = []
         self._hosts: list[EntryHost] = []
         self._entries = entries
@@ -280,7 +280,7 @@
             service,
             self.record,
             random.Random(self._rng.random()),
-            self._fleet,
+            self._targets_by_address,
             self._crash,
         )
         await target.start(self._store)
@@ -545,7 +545,7 @@
                 await host.process.wait()
             await host.store.stop()
             await host.front.stop()
-        for target in list(self._fleet.values()):
+        for target in list(self._targets_by_address.values()):
             await target.kill()
         await self._store.stop()
 
