--- a/tests/faults/targets.py
+++ b/tests/faults/targets.py
@@ -18,11 +18,11 @@
 
 SYSTEM_ONLY_HEADERS = ("Hold", "Pin-Ms", "Kv-Backup", "Kv-From", "Tenant")
 
-CRASH_SECONDS = 0.05
+CRASH_DELAY = 0.05
 """From when a target begins to run a request that crashes it until it has."""
 
-EVENT_SECONDS = 0.02
-CALL_SECONDS = 0.03
+EVENT_INTERVAL = 0.02
+MIN_CALL_SECONDS = 0.03
 
 _generations = count(1)
 
@@ -98,27 +98,27 @@
             run.ended = run.ended or read_clock()
 
     async def _answer(self, request: web.Request) -> web.StreamResponse:
-        number = request.headers.get("Request-Id", "")
+        request_id = request.headers.get("Request-Id", "")
         if request.headers.get("Expect-Instance") != self.name:
             return web.Response(status=421)
         body = await request.read()
-        self.record.arrivals.append((read_clock(), self.service, number))
-        self.record.target_arrivals.append((read_clock(), self.name, number))
+        self.record.arrivals.append((read_clock(), self.service, request_id))
+        self.record.target_arrivals.append((read_clock(), self.name, request_id))
         copy = None
         if "Kv-From" in request.headers:
-            copy = self.copies.pop(number, None)
+            copy = self.copies.pop(request_id, None)
             if copy is None:
-                return self._refuse(number)
+                return self._refuse(request_id)
         if self.pauses and copy is None:
             pause = max(self.pauses)
-            self.record.pauses.append((read_clock(), self.name, number, pause))
-            return self._refuse(number, pause)
+            self.record.pauses.append((read_clock(), self.name, request_id, pause))
+            return self._refuse(request_id, pause)
         if self.rejects_calls and copy is None:
-            return self._refuse(number)
+            return self._refuse(request_id)
         run = self._begin_run(request, copy)
         try:
             if CRASHING in request.path:
-                await asyncio.sleep(CRASH_SECONDS)
+                await asyncio.sleep(CRASH_DELAY)
                 run.crashed = True
                 self.crash(self)
             if self.unresponsive or run.crashed:
@@ -128,23 +128,23 @@
             return await self._call(request, run, body)
         finally:
             run.ended = read_clock()
-            if self.running.get(number) is run:
-                del self.running[number]
+            if self.running.get(request_id) is run:
+                del self.running[request_id]
 
-    def _refuse(self, number: str, pause: float = 0.1) -> web.Response:
-        headers = {"Request-Id": number, "Not-Executed": "1"}
+    def _refuse(self, request_id: str, pause: float = 0.1) -> web.Response:
+        headers = {"Request-Id": request_id, "Not-Executed": "1"}
         headers["Retry-After"] = str(pause)
-        headers.update(self._speak())
+        headers.update(self._build_signal_headers())
         return web.Response(status=503, headers=headers)
 
     def _begin_run(self, request: web.Request, copy: str | None) -> Run:
         headers = request.headers
-        number = headers.get("Request-Id", "")
+        request_id = headers.get("Request-Id", "")
         forged = tuple(
             name for name in SYSTEM_ONLY_HEADERS if headers.get(name) == FORGED
         )
         run = Run(
-            number,
+            request_id,
             self.name,
             copy or f"g{next(_generations)}",
             read_clock(),
@@ -152,38 +152,44 @@
             forged=forged,
         )
         self.record.runs.append(run)
-        self.running[number] = run
+        self.running[request_id] = run
         return run
 
-    def _sign(self, number: str) -> dict[str, str]:
+    def _build_answer_headers(self, request_id: str) -> dict[str, str]:
         stamp = f"stamp-{self.name}"
-        return {"Request-Id": number, "Server-Stamp": stamp, **self._speak()}
-
-    def _speak(self) -> dict[str, str]:
-        words = {"Server-Limit": str(min(self.rates))} if self.rates else {}
+        return {
+            "Request-Id": request_id,
+            "Server-Stamp": stamp,
+            **self._build_signal_headers(),
+        }
+
+    def _build_signal_headers(self) -> dict[str, str]:
+        signal_headers = {"Server-Limit": str(min(self.rates))} if self.rates else {}
         if self.name in self.record.leaving_since:
-            words["Server-Leaving"] = "1"
-        return words
+            signal_headers["Server-Leaving"] = "1"
+        return signal_headers
 
     async def _call(self, request: web.Request, run: Run, body: bytes) -> web.Response:
-        await asyncio.sleep(CALL_SECONDS * (1 + self.rng.random()))
+        await asyncio.sleep(MIN_CALL_SECONDS * (1 + self.rng.random()))
         run.whole = True
         if self.rng.random() < self.failure_rate:
             run.status = 500
         run.body = f"{run.request} at {self.name} of {len(body)}".encode()
         return web.Response(
-            status=run.status, body=run.body, headers=self._sign(run.request)
+            status=run.status,
+            body=run.body,
+            headers=self._build_answer_headers(run.request),
         )
 
     async def _stream(self, request: web.Request, run: Run) -> web.StreamResponse:
-        response = web.StreamResponse(headers=self._sign(run.request))
+        response = web.StreamResponse(headers=self._build_answer_headers(run.request))
         response.content_type = "text/event-stream"
         await response.prepare(request)
         holder = self.targets_by_address.get(request.headers.get("Kv-Backup", ""))
         kind = Kind(request.path.split("/")[1])
         first = int(request.headers.get("Last-Event-Id", "0")) + 1
         for index in range(first, EVENTS[kind] + 1):
-            await asyncio.sleep(EVENT_SECONDS)
+            await asyncio.sleep(EVENT_INTERVAL)
             if holder is not None:
                 holder.copies[run.request] = run.generation
             data = f"id: {index}\ndata: {run.generation} {run.request}\n\n"
