--- a/tests/faults/sites.py
+++ b/tests/faults/sites.py
@@ -33,19 +33,19 @@
 from tests.platform.standins import FakeStore, build_configuration, find_free_port
 from tests.processes import ROOT
 
-GRACE = 4.0
+GRACE_SECONDS = 4.0
 """Seconds that an entry has for a graceful end."""
 
-RESTART_SECONDS = 0.3
+RESTART_DELAY = 0.3
 """How soon an entry that ended is started again."""
 
-READY_SECONDS = 20.0
+READY_TIMEOUT_SECONDS = 20.0
 """Longest that a start may take, also while the store is away."""
 
-READY_PERIOD = 0.5
+READY_POLL_INTERVAL = 0.5
 """How often callers learn which entries are ready."""
 
-SERVES_AFTER_NOTICE = 2.5
+SERVE_AFTER_NOTICE_SECONDS = 2.5
 """Seconds that a target serves after it has said that it leaves."""
 
 RECOVERY_SECONDS = 4.0
@@ -59,7 +59,7 @@
 FINAL_TRAFFIC_SECONDS = 2.0
 """Seconds of traffic after that."""
 
-SETTINGS = """
+SETTINGS_TEMPLATE = """
 node = "entry-{number}"
 ip = "{ip}"
 zone = "muc-a"
@@ -142,15 +142,15 @@
         self._methods = random.Random(f"{seed} methods")
         self._traffic: Traffic | None = None
         self._folder = folder
-        self._engines = engines
+        self._engine_count = engines
         self._store = FakeStore()
         self._targets_by_address: dict[str, SoakTarget] = {}
         self._targets: list[SoakTarget] = []
         self._hosts: list[EntryHost] = []
-        self._entries = entries
+        self._entry_count = entries
         self._stop_traffic = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._names = 0
+        self._name_count = 0
         self._paths: dict[str, str] = {}
         self._dropped_paths: list[str] = []
         self._keys = ["key-1", "key-2"]
@@ -161,8 +161,8 @@
         try:
             await self._start()
             self._traffic = self._build_traffic()
-            calling = asyncio.create_task(self._traffic.run(self._stop_traffic))
-            watching = [
+            traffic_task = asyncio.create_task(self._traffic.run(self._stop_traffic))
+            watch_tasks = [
                 asyncio.create_task(self._watch_readiness()),
                 asyncio.create_task(record_loop_stalls(self.record)),
             ]
@@ -171,17 +171,17 @@
             self.record.final_phase_start = read_clock() + RECOVERY_SECONDS
             await asyncio.sleep(RECOVERY_SECONDS + FINAL_TRAFFIC_SECONDS)
             self._stop_traffic.set()
-            await calling
-            for task in watching:
+            await traffic_task
+            for task in watch_tasks:
                 task.cancel()
         finally:
-            await self._end()
+            await self._shut_down()
 
     async def _run_steps(self, steps: list[Step], seconds: float) -> None:
         start = read_clock()
         for step in steps:
             await asyncio.sleep(max(0.0, start + step.at - read_clock()))
-            self._start_task(self._strike(step.fault))
+            self._start_task(self._apply_fault(step.fault))
         await asyncio.sleep(max(0.0, start + seconds - read_clock()))
 
     def _start_task(self, work: Awaitable[None]) -> None:
@@ -190,17 +190,17 @@
     async def _start(self) -> None:
         await self._store.start()
         await self._configure()
-        for _ in range(self._engines):
+        for _ in range(self._engine_count):
             await self._add_target("engines")
         for _ in range(2):
             await self._add_target("bookings")
         ports = [find_free_port() for _ in range(3)]
-        for number in range(self._entries):
+        for number in range(self._entry_count):
             self._hosts.append(await self._build_host(number, ports))
         for host in self._hosts:
             await host.start()
         for host in self._hosts:
-            await self._await_ready(host, again=False)
+            await self._wait_until_ready(host, launch=False)
 
     async def _build_host(self, number: int, ports: list[int]) -> EntryHost:
         # One process id names one network, so that runs side by side don't meet.
@@ -229,7 +229,7 @@
     def _write_settings(
         self, host: EntryHost, ports: list[int], seeds: list[str]
     ) -> None:
-        text = SETTINGS.format(
+        text = SETTINGS_TEMPLATE.format(
             number=host.number,
             ip=host.ip,
             first="true",
@@ -238,7 +238,7 @@
             front=ports[0],
             ready=ports[1],
             store=host.store.address,
-            grace=GRACE,
+            grace=GRACE_SECONDS,
             ratio=RETRY_RATIO,
             extra=RETRY_EXTRA,
             window=RETRY_WINDOW,
@@ -255,7 +255,7 @@
             self._methods,
         )
 
-    async def _ask_ready(self, host: EntryHost) -> bool:
+    async def _query_ready(self, host: EntryHost) -> bool:
         url = f"http://{host.ready}/figstep/readyz"
         timeout = aiohttp.ClientTimeout(total=0.5)
         try:
@@ -270,13 +270,13 @@
     async def _watch_readiness(self) -> None:
         while True:
             for host in self._hosts:
-                host.endpoint.ready = await self._ask_ready(host)
-            await asyncio.sleep(READY_PERIOD)
+                host.endpoint.ready = await self._query_ready(host)
+            await asyncio.sleep(READY_POLL_INTERVAL)
 
     async def _add_target(self, service: str) -> None:
-        self._names += 1
+        self._name_count += 1
         target = SoakTarget(
-            f"i-{service}-{self._names}",
+            f"i-{service}-{self._name_count}",
             service,
             self.record,
             random.Random(self._rng.random()),
@@ -318,24 +318,27 @@
             Version(number, read_clock(), paths, frozenset(self._keys))
         )
 
-    async def _strike(self, fault: Fault) -> None:
+    async def _apply_fault(self, fault: Fault) -> None:
         match fault:
             case EntryFault(action=action, entry=number, seconds=seconds):
-                await self._strike_entry(action, self._hosts[number], seconds)
+                await self._apply_entry_fault(action, self._hosts[number], seconds)
             case AllEntriesKilled():
                 await asyncio.gather(
-                    *(self._strike_entry("kill", host, 0.0) for host in self._hosts)
+                    *(
+                        self._apply_entry_fault("kill", host, 0.0)
+                        for host in self._hosts
+                    )
                 )
             case LinkFault():
-                await self._strike_link(fault)
+                await self._apply_link_fault(fault)
             case StoreFault(action=action, seconds=seconds):
-                await self._strike_store(action, seconds)
+                await self._apply_store_fault(action, seconds)
             case TargetFault():
-                await self._strike_target(fault)
+                await self._apply_target_fault(fault)
             case RateSignal():
-                await self._name_rate(fault)
+                await self._announce_rate(fault)
             case LeavingSignal():
-                await self._say_leaving(fault)
+                await self._announce_leaving(fault)
             case PauseSignal():
                 target = self._targets[fault.number % len(self._targets)]
                 target.pauses.append(fault.pause)
@@ -347,7 +350,9 @@
                 self._change_configuration(action)
                 await self._configure()
 
-    async def _strike_entry(self, action: str, host: EntryHost, seconds: float) -> None:
+    async def _apply_entry_fault(
+        self, action: str, host: EntryHost, seconds: float
+    ) -> None:
         span = self.record.begin_disturbance(action, host.number)
         match action:
             case "kill" if host.stopping:
@@ -381,7 +386,7 @@
         host.send_signal(signal.SIGTERM)
         took: float | None = None
         try:
-            async with asyncio.timeout(GRACE):
+            async with asyncio.timeout(GRACE_SECONDS):
                 await host.process.wait()
             took = read_clock() - asked
         except TimeoutError:
@@ -392,18 +397,18 @@
     async def _restart(self, host: EntryHost) -> None:
         assert host.process is not None
         await host.process.wait()
-        await asyncio.sleep(RESTART_SECONDS)
+        await asyncio.sleep(RESTART_DELAY)
         text = host.settings.read_text()
         host.settings.write_text(text.replace("bootstrap = true", "bootstrap = false"))
-        await self._await_ready(host, again=True)
+        await self._wait_until_ready(host, launch=True)
 
-    async def _await_ready(self, host: EntryHost, again: bool) -> None:
+    async def _wait_until_ready(self, host: EntryHost, launch: bool) -> None:
         host.starting = True
-        async with asyncio.timeout(READY_SECONDS):
-            if again:
+        async with asyncio.timeout(READY_TIMEOUT_SECONDS):
+            if launch:
                 host.endpoint.incarnation += 1
                 await host.start()
-            while not await self._ask_ready(host):
+            while not await self._query_ready(host):
                 if host.process is not None and host.process.returncode is not None:
                     host.endpoint.incarnation += 1
                     await host.start()
@@ -411,7 +416,7 @@
         host.starting = False
         host.stopping = False
 
-    async def _strike_link(self, fault: LinkFault) -> None:
+    async def _apply_link_fault(self, fault: LinkFault) -> None:
         if fault.link == "target":
             target = self._targets[fault.number % len(self._targets)]
             proxy, span = (
@@ -425,10 +430,10 @@
                 f"{fault.link} {fault.action}", host.number
             )
         if proxy is not None:
-            await _harm(proxy, fault.action, fault.seconds)
+            await _disturb_proxy(proxy, fault.action, fault.seconds)
         span.end = read_clock()
 
-    async def _strike_store(self, action: str, seconds: float) -> None:
+    async def _apply_store_fault(self, action: str, seconds: float) -> None:
         span = self.record.begin_disturbance(f"store {action}")
         if action == "away":
             self._store.unavailable = True
@@ -439,8 +444,8 @@
                 self._store.delete_all(topic)
         span.end = read_clock()
 
-    async def _strike_target(self, fault: TargetFault) -> None:
-        target = self._choose_staying(fault.number)
+    async def _apply_target_fault(self, fault: TargetFault) -> None:
+        target = self._choose_remaining(fault.number)
         span = self.record.begin_disturbance(fault.action, None, target.name)
         match fault.action:
             case "crash" | "leave" | "drain":
@@ -460,7 +465,7 @@
         )
         span.end = read_clock()
 
-    async def _name_rate(self, fault: RateSignal) -> None:
+    async def _announce_rate(self, fault: RateSignal) -> None:
         target = self._targets[fault.number % len(self._targets)]
         span = NamedRate(target.name, fault.rate, read_clock())
         self.record.rates.append(span)
@@ -471,8 +476,8 @@
 
     async def _send_crashing(self, fault: CrashingRequests) -> None:
         assert self._traffic is not None
-        self._names += 1
-        name = str(self._names)
+        self._name_count += 1
+        name = str(self._name_count)
         kind = Kind.CHECK if fault.stream else Kind.LOOKUP
         until = read_clock() + fault.seconds
         while read_clock() < until:
@@ -488,13 +493,13 @@
         self.record.departures[target.name] = float("inf")
         self._start_task(self._replace(target, "crash"))
 
-    def _choose_staying(self, number: int) -> SoakTarget:
+    def _choose_remaining(self, number: int) -> SoakTarget:
         departing = self.record.departures | self.record.leaving_since
-        staying = [one for one in self._targets if one.name not in departing]
-        return staying[number % len(staying)]
+        remaining = [one for one in self._targets if one.name not in departing]
+        return remaining[number % len(remaining)]
 
-    async def _say_leaving(self, fault: LeavingSignal) -> None:
-        target = self._choose_staying(fault.number)
+    async def _announce_leaving(self, fault: LeavingSignal) -> None:
+        target = self._choose_remaining(fault.number)
         self.record.leaving_since[target.name] = read_clock()
         await self._add_target(target.service)
         await asyncio.sleep(fault.seconds)
@@ -518,26 +523,26 @@
             await self._store.put("keyed.servers", target.name, b"")
         self.record.departures[target.name] = read_clock()
         if action != "crash":
-            await asyncio.sleep(SERVES_AFTER_NOTICE)
+            await asyncio.sleep(SERVE_AFTER_NOTICE_SECONDS)
             await target.kill()
         self._targets.remove(target)
 
     def _change_configuration(self, action: str) -> None:
         match action:
             case "add_route":
-                self._names += 1
-                self._paths[f"/late-{self._names}/"] = "safe"
+                self._name_count += 1
+                self._paths[f"/late-{self._name_count}/"] = "safe"
             case "drop_route" if self._paths:
                 path = next(iter(self._paths))
                 del self._paths[path]
                 self._dropped_paths.append(path)
             case "add_key":
-                self._names += 1
-                self._keys.append(f"late-key-{self._names}")
+                self._name_count += 1
+                self._keys.append(f"late-key-{self._name_count}")
             case "drop_key" if len(self._keys) > 1:
                 self._dropped_keys.append(self._keys.pop(1))
 
-    async def _end(self) -> None:
+    async def _shut_down(self) -> None:
         for host in self._hosts:
             host.send_signal(signal.SIGCONT)
             host.send_signal(signal.SIGKILL)
@@ -555,12 +560,12 @@
     while True:
         due = read_clock() + LOOP_CHECK_INTERVAL
         await asyncio.sleep(LOOP_CHECK_INTERVAL)
-        woken = read_clock()
-        if woken - due > LOOP_STALL_THRESHOLD:
-            record.loop_stalls.append((due, woken))
+        woke_at = read_clock()
+        if woke_at - due > LOOP_STALL_THRESHOLD:
+            record.loop_stalls.append((due, woke_at))
 
 
-async def _harm(proxy: TcpProxy, action: str, seconds: float) -> None:
+async def _disturb_proxy(proxy: TcpProxy, action: str, seconds: float) -> None:
     match action:
         case "cut":
             proxy.cut()
