--- a/tests/faults/test_soak.py
+++ b/tests/faults/test_soak.py
@@ -14,7 +14,7 @@
 on over the same connection, which no network does; the entry had delivered all 80.
 """
 
-SPEAKING_SEEDS = [
+SIGNAL_SEEDS = [
     (8381831, (Extra.RATE,)),
     (8381837, (Extra.RATE,)),
     (12, (Extra.LEAVING, Extra.PAUSE)),
@@ -72,7 +72,7 @@
     assert sum(attempt.status == 200 for attempt in record.attempts) > 50
 
 
-@pytest.mark.parametrize(("seed", "extras"), SPEAKING_SEEDS)
+@pytest.mark.parametrize(("seed", "extras"), SIGNAL_SEEDS)
 async def test_promises_hold_as_targets_speak_of_themselves(
     seed: int, extras: tuple[Extra, ...], tmp_path: Path
 ) -> None:
