--- a/tests/faults/test_plans.py
+++ b/tests/faults/test_plans.py
@@ -11,11 +11,11 @@
 def test_a_plan_without_words_is_part_of_the_one_with_them() -> None:
     """Guards against seeds that showed a fault and play otherwise later."""
     for seed in range(50):
-        silent = draw_plan(seed, 3, 10.0, extras=())
+        base = draw_plan(seed, 3, 10.0, extras=())
         for extra in ALL_EXTRAS:
-            spoken = draw_plan(seed, 3, 10.0, extras=(extra,))
-            assert [step for step in spoken if step in silent] == silent
-            assert len(spoken) > len(silent)
+            extended = draw_plan(seed, 3, 10.0, extras=(extra,))
+            assert [step for step in extended if step in base] == base
+            assert len(extended) > len(base)
 
 
 def test_steps_come_in_order_and_in_time() -> None:
