--- a/tests/faults/test_promises.py
+++ b/tests/faults/test_promises.py
@@ -257,7 +257,7 @@
     assert check_promises(record) == [Breach("recovery", "0 of 1 served at the end")]
 
 
-def build_crashes(retries: int, entry: int = 0) -> Record:
+def build_crashing_record(retries: int, entry: int = 0) -> Record:
     """Return a record of a read that crashed three targets and is sent again."""
     record, _, _run = build_record()
     times = [START, START + 0.1, START + 1.0]
@@ -275,12 +275,12 @@
 
 
 def test_a_request_that_goes_on_crashing_targets_is_found() -> None:
-    assert "crashes" not in list_promises(build_crashes(3))
-    assert "crashes" in list_promises(build_crashes(4))
+    assert "crashes" not in list_promises(build_crashing_record(3))
+    assert "crashes" in list_promises(build_crashing_record(4))
 
 
 def test_retries_of_an_entry_that_was_stopped_are_not_counted() -> None:
-    record = build_crashes(4)
+    record = build_crashing_record(4)
     record.disturbances.append(Disturbance("freeze", 0, "", START, START + 2.0))
     assert "crashes" not in list_promises(record)
 
