--- a/tests/faults/test_plans.py
+++ b/tests/faults/test_plans.py
@@ -8,7 +8,7 @@
     assert draw_plan(7, 3, 10.0) != draw_plan(8, 3, 10.0)
 
 
-def test_a_plan_without_words_is_part_of_the_one_with_them() -> None:
+def test_an_extra_leaves_the_base_plan_unchanged() -> None:
     """Guards against seeds that showed a fault and play otherwise later."""
     for seed in range(50):
         base = draw_plan(seed, 3, 10.0, extras=())
@@ -18,7 +18,7 @@
             assert len(extended) > len(base)
 
 
-def test_steps_come_in_order_and_in_time() -> None:
+def test_steps_are_sorted_and_within_the_fault_phase() -> None:
     for seed in range(50):
         times = [step.at for step in draw_plan(seed, 3, 10.0)]
         assert times == sorted(times)
