--- a/tests/faults/test_promises.py
+++ b/tests/faults/test_promises.py
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("kind", list(Kind))
-def test_a_request_served_well_breaks_nothing(kind: Kind) -> None:
+def test_a_correctly_served_request_breaks_no_promise(kind: Kind) -> None:
     assert check_promises(build_record(kind)[0]) == []
 
 
@@ -100,7 +100,7 @@
     assert list_promises(record) == {"headers"}
 
 
-def test_a_dropped_key_that_works_on_is_found() -> None:
+def test_a_dropped_key_that_still_works_is_found() -> None:
     record, _, _ = build_record()
     record.versions.append(Version(2, START - 5, PATHS, frozenset()))
     assert list_promises(record) == {"configuration"}
@@ -112,7 +112,7 @@
     assert check_promises(record) == []
 
 
-def test_an_entry_out_of_touch_may_keep_an_old_version() -> None:
+def test_a_disturbed_entry_may_keep_an_old_version() -> None:
     record, _, _ = build_record()
     record.versions.append(Version(2, START - 5, PATHS, frozenset()))
     record.disturbances.append(Disturbance("freeze", 0, "", START - 6, START - 1))
@@ -150,7 +150,7 @@
     ("lasted", "whole", "found"),
     [(0.7, False, set()), (0.7, True, {"handover"}), (0.9, False, {"handover"})],
 )
-def test_a_run_that_is_given_up_as_it_begins_is_no_second_one(
+def test_a_run_that_is_abandoned_as_it_begins_is_not_counted(
     lasted: float, whole: bool, found: set[str]
 ) -> None:
     """Guards against entries blamed for requests that reach a target late."""
@@ -161,7 +161,7 @@
     assert list_promises(record) == found
 
 
-def test_a_standstill_of_the_soak_excuses_nothing() -> None:
+def test_a_loop_stall_excuses_no_breach() -> None:
     """Guards against faults of entries that hide behind a busy machine."""
     record, _, run = build_record(Kind.PLAN)
     run.ended = START + 3
@@ -217,18 +217,18 @@
     return record
 
 
-def test_work_for_a_target_that_said_that_it_leaves_is_found() -> None:
+def test_work_for_a_target_that_announced_leaving_is_found() -> None:
     assert list_promises(build_leaving_record(1.9)) == set()
     assert list_promises(build_leaving_record(3.0)) == {"leaver"}
 
 
-def test_a_store_that_is_away_excuses_no_work_for_a_leaver() -> None:
+def test_an_unavailable_store_excuses_no_work_for_a_leaving_target() -> None:
     record = build_leaving_record(3.0)
     record.disturbances.append(Disturbance("store away", None, "", START, START + 9))
     assert list_promises(record) == {"leaver"}
 
 
-def test_an_entry_that_was_killed_has_forgotten_a_leaver() -> None:
+def test_a_killed_entry_may_send_to_a_leaving_target() -> None:
     record = build_leaving_record(3.0)
     record.disturbances.append(Disturbance("kill", 0, "", START + 1, START + 2))
     assert list_promises(record) == set()
@@ -274,7 +274,7 @@
     return record
 
 
-def test_a_request_that_goes_on_crashing_targets_is_found() -> None:
+def test_a_request_that_keeps_crashing_targets_is_found() -> None:
     assert "crashes" not in list_promises(build_crashing_record(3))
     assert "crashes" in list_promises(build_crashing_record(4))
 
