--- a/tests/faults/test_sites.py
+++ b/tests/faults/test_sites.py
@@ -11,14 +11,14 @@
 )
 
 
-async def test_a_process_that_stood_still_is_noted() -> None:
+async def test_a_blocked_event_loop_is_recorded() -> None:
     """Guards against failures whose report hides that the soak stood still."""
     record = Record()
-    watching = asyncio.create_task(record_loop_stalls(record))
+    recorder = asyncio.create_task(record_loop_stalls(record))
     await asyncio.sleep(2 * LOOP_CHECK_INTERVAL)
     assert not record.loop_stalls
     time.sleep(2 * LOOP_STALL_THRESHOLD)  # noqa: ASYNC251
     await asyncio.sleep(2 * LOOP_CHECK_INTERVAL)
-    watching.cancel()
+    recorder.cancel()
     [(start, end)] = record.loop_stalls
     assert end - start > LOOP_STALL_THRESHOLD
