--- a/tests/faults/test_soak.py
+++ b/tests/faults/test_soak.py
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize(("seed", "extras"), SIGNAL_SEEDS)
-async def test_promises_hold_as_targets_speak_of_themselves(
+async def test_promises_hold_as_targets_send_signals(
     seed: int, extras: tuple[Extra, ...], tmp_path: Path
 ) -> None:
     """Guards against entries that don't act on what answers of targets say."""
