--- a/tests/contracts/test_targets.py
+++ b/tests/contracts/test_targets.py
@@ -177,7 +177,7 @@
     engines = build_engines(fault)
     async with run_entry(engines, PlainService("planning-1")) as url:
         caller = Caller("tag", TOKENS, stream)
-        await caller.stream_whole(url)
+        await caller.stream_to_end(url)
     generations = []
     for engine in engines:
         for name, prompt in engine.prompts.items():
@@ -191,7 +191,7 @@
     engines = build_engines(Answer(422))
     async with run_entry(engines, PlainService("planning-1")) as url:
         caller = Caller("tag", TOKENS)
-        await caller.stream_whole(url)
+        await caller.stream_to_end(url)
     assert (caller.last.status, caller.last.ran) == (400, Ran.NO)
     assert [engine.executed for engine in engines] == [[], []]
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -29,24 +29,24 @@
 from figstep.standins.service import PlainService
 from tests.processes import Running, run_figstep, write_yaml
 
-BOUND = 60
-POLL = 0.02
+TIMEOUT_SECONDS = 60
+POLL_INTERVAL = 0.02
 HEADERS = {"Authorization": f"Bearer {KEY}"}
 
 
-async def wait_for(condition: Callable[[], Any], what: str) -> None:
+async def wait_for(condition: Callable[[], Any], description: str) -> None:
     """Poll until ``condition`` is true; the bound is far above any need."""
     try:
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while True:
                 found = condition()
                 if asyncio.iscoroutine(found):
                     found = await found
                 if found:
                     return
-                await asyncio.sleep(POLL)
+                await asyncio.sleep(POLL_INTERVAL)
     except TimeoutError:
-        raise AssertionError(f"never came true: {what}") from None
+        raise AssertionError(f"never came true: {description}") from None
 
 
 class Caller:
@@ -74,7 +74,7 @@
         """Target whose generation the caller sees."""
         return self.history.events[-1].generation.partition("~")[0]
 
-    def ask(self, url: str) -> None:
+    def start_generation(self, url: str) -> None:
         """Start asking; where events were seen, only the rest is asked for."""
         self._task = asyncio.create_task(self._generate(url))
 
@@ -87,14 +87,14 @@
     async def finish(self) -> None:
         """Wait until the connection ended, in whatever way."""
         assert self._task is not None
-        await asyncio.wait_for(self._task, BOUND)
+        await asyncio.wait_for(self._task, TIMEOUT_SECONDS)
 
-    async def stream_whole(self, url: str) -> None:
+    async def stream_to_end(self, url: str) -> None:
         """Ask, and wait until the connection ended."""
-        self.ask(url)
+        self.start_generation(url)
         await self.finish()
 
-    async def wait_seen(self, count: int) -> None:
+    async def wait_for_events(self, count: int) -> None:
         """Wait until so many events were seen."""
         events = self.history.events
         await wait_for(
@@ -102,7 +102,7 @@
             f"{self.history.tag} sees {count} events",
         )
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         """Close the connection from the caller's side."""
         assert self._task is not None
         self.history.abandoned = True
@@ -122,7 +122,7 @@
 
     async def _send(self, url: str, body: bytes, headers: dict[str, str]) -> None:
         status = 0
-        timeout = aiohttp.ClientTimeout(total=None, sock_connect=BOUND)
+        timeout = aiohttp.ClientTimeout(total=None, sock_connect=TIMEOUT_SECONDS)
         try:
             async with (
                 aiohttp.ClientSession(timeout=timeout) as session,
@@ -238,7 +238,7 @@
     async def start(self, entries: int, engines: int, gap: float) -> None:
         """Start everything and wait until the inventory is in force."""
         log_url = await self._serve(self.log.build_app())
-        self.log_proxy = await self._relay(log_url)
+        self.log_proxy = await self._start_proxy(log_url)
         self.log_client = HttpLog(log_url)
         self.stack.push_async_callback(self.log_client.close)
         self._instances_url = await self._serve(self.instances.build_app())
@@ -246,7 +246,7 @@
             service = PlainService(f"planning-{number}")
             self.services[service.name] = service
             url = await self._serve(service.build_app())
-            self.links[service.name] = await self._relay(url)
+            self.links[service.name] = await self._start_proxy(url)
         names = [f"engine-{number}" for number in range(1, engines + 1)]
         starts = [self._start_engine(name, gap) for name in names]
         for number in range(1, entries + 1):
@@ -279,7 +279,7 @@
         self.stack.push_async_callback(runner.cleanup)
         return url
 
-    async def _relay(self, url: str) -> TcpProxy:
+    async def _start_proxy(self, url: str) -> TcpProxy:
         host, _, port = url.removeprefix("http://").rpartition(":")
         proxy = TcpProxy(host, int(port))
         await proxy.start()
@@ -291,7 +291,7 @@
             run_figstep("standin", "engine", "--name", name, "--gap", str(gap))
         )
         self.engines[name] = running
-        self.links[name] = await self._relay(running.url)
+        self.links[name] = await self._start_proxy(running.url)
 
     async def start_entry(self, name: str) -> None:
         """Start an entry process."""
@@ -316,7 +316,7 @@
 
     async def read(self, url: str) -> dict[str, Any]:
         """Return the JSON that ``url`` answers; empty where it does not."""
-        timeout = aiohttp.ClientTimeout(total=BOUND)
+        timeout = aiohttp.ClientTimeout(total=TIMEOUT_SECONDS)
         try:
             async with (
                 aiohttp.ClientSession(timeout=timeout) as session,
@@ -344,7 +344,7 @@
 
     async def kill_engine(self, name: str) -> None:
         """Keep what an engine executed, then kill it."""
-        await self._keep_executed(name)
+        await self._record_executed(name)
         running = self.engines.pop(name)
         running.kill()
         await running.process.wait()
@@ -353,27 +353,27 @@
         """Return the engine that runs a request, once one does."""
         found: list[str] = []
 
-        async def look() -> list[str]:
+        async def find_running() -> list[str]:
             for name in self.engines:
-                await self._keep_executed(name)
+                await self._record_executed(name)
                 if tag in self._executed[name].values():
                     found.append(name)
             return found
 
-        await wait_for(look, f"an engine runs {tag}")
+        await wait_for(find_running, f"an engine runs {tag}")
         return found[0]
 
-    async def _keep_executed(self, name: str) -> None:
+    async def _record_executed(self, name: str) -> None:
         document = await self.read(self.engines[name].url + "/standin/executed")
-        kept = self._executed.setdefault(name, {})
+        recorded = self._executed.setdefault(name, {})
         for generation, prompt in document.get("prompts", {}).items():
-            kept[generation] = prompt.split()[-1]
+            recorded[generation] = prompt.split()[-1]
 
-    async def collect(self) -> History:
+    async def collect_history(self) -> History:
         """Return all that callers saw and targets executed so far."""
         history = History([caller.history for caller in self.callers])
         for name in self.engines:
-            await self._keep_executed(name)
+            await self._record_executed(name)
         for name, executed in self._executed.items():
             for generation, tag in executed.items():
                 history.generations.append(ExecutedGeneration(name, generation, tag))
--- a/tests/integration/conftest.py
+++ b/tests/integration/conftest.py
@@ -65,7 +65,7 @@
 
 
 async def start(caller: Caller, url: str) -> None:
-    caller.ask(url)
+    caller.start_generation(url)
 
 
 @when(parsers.parse("a caller asks for {tokens:d} tokens in one piece through {entry}"))
@@ -76,7 +76,7 @@
 
 @when(parsers.parse("it has seen {count:d} tokens"))
 def see(world: World, count: int) -> None:
-    world.run(world.caller.wait_seen(count))
+    world.run(world.caller.wait_for_events(count))
 
 
 @when("its engine runs it")
@@ -168,7 +168,7 @@
         urls = [entry.url for entry in world.fleet.entries.values()]
         for number in range(count):
             caller = world.call(tokens=tokens)
-            caller.ask(urls[number % len(urls)])
+            caller.start_generation(urls[number % len(urls)])
             world.others.append(caller)
         await asyncio.gather(*(caller.finish() for caller in world.others))
 
@@ -183,7 +183,7 @@
         caller = world.call(tokens=tokens)
         world.run(start(caller, world.fleet.entries[entry].url))
         world.others.append(caller)
-        world.run(caller.wait_seen(1))
+        world.run(caller.wait_for_events(1))
 
 
 @when(parsers.parse("a caller sends a request that crashes engines through {entry}"))
@@ -203,7 +203,7 @@
     for name in world.fleet.entries:
         caller = world.call(tokens=3)
         caller_url = world.fleet.entries[name].url
-        world.run(caller.stream_whole(caller_url))
+        world.run(caller.stream_to_end(caller_url))
         assert caller.last.ended
 
 
@@ -264,7 +264,7 @@
 
 @then(parsers.parse("at most {count:d} engines ran it"))
 def count_crashes(world: World, count: int) -> None:
-    history = world.run(world.fleet.collect())
+    history = world.run(world.fleet.collect_history())
     tag = world.caller.history.tag
     ran = [item for item in history.generations if item.tag == tag]
     assert len(ran) <= count
@@ -277,7 +277,7 @@
     async def is_quarantined() -> bool:
         again = Caller(world.caller.history.tag)
         again.body = world.caller.body
-        await again.stream_whole(world.fleet.entries[entry].url)
+        await again.stream_to_end(world.fleet.entries[entry].url)
         return again.last.problem == "request_quarantined"
 
     world.run(wait_for(is_quarantined, "the request is quarantined"))
@@ -291,7 +291,7 @@
             again = Caller(caller.history.tag, stream=False)
             again.body = {**caller.body, "stream": False}
             world.fleet.callers.append(again)
-            await again.stream_whole(world.fleet.entries["entry-1"].url)
+            await again.stream_to_end(world.fleet.entries["entry-1"].url)
             assert again.last.status == 200, again.document
 
     world.run(run())
@@ -299,4 +299,4 @@
 
 @then("every promise held")
 def check(world: World) -> None:
-    assert check_history(world.run(world.fleet.collect())) == []
+    assert check_history(world.run(world.fleet.collect_history())) == []
--- a/tests/integration/test_replacement.py
+++ b/tests/integration/test_replacement.py
@@ -6,7 +6,7 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from figstep.standins.balancer import Balancer
-from tests.fleet import BOUND
+from tests.fleet import TIMEOUT_SECONDS
 from tests.integration.conftest import GAP, World
 
 scenarios("replacement.feature")
@@ -35,14 +35,14 @@
 ) -> None:
     while not stop.is_set():
         caller = world.call(tokens=tokens)
-        await caller.stream_whole(url)
+        await caller.stream_to_end(url)
 
 
 async def end_entry(world: World, name: str) -> int:
     process = world.fleet.entries.pop(name).process
     world.fleet.instances.instances[name]["state"] = "leaving"
     process.send_signal(signal.SIGTERM)
-    return await asyncio.wait_for(process.wait(), BOUND)
+    return await asyncio.wait_for(process.wait(), TIMEOUT_SECONDS)
 
 
 @when(
@@ -93,6 +93,6 @@
         ]:
             await asyncio.sleep(0.02)
         process.send_signal(signal.SIGTERM)
-        await asyncio.wait_for(process.wait(), BOUND)
+        await asyncio.wait_for(process.wait(), TIMEOUT_SECONDS)
 
     world.run(run())
