--- a/figstep/platform/__init__.py
+++ b/figstep/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: translation between its protocol and the gateway's types."""
+"""Adapter between the protocol of the users' platform and the gateway's types."""
--- a/figstep/platform/answers.py
+++ b/figstep/platform/answers.py
@@ -1,4 +1,4 @@
-"""What targets' answers say, beside what goes to the caller."""
+"""Headers and reports in which targets describe their own state."""
 
 import math
 from dataclasses import dataclass
@@ -18,11 +18,12 @@
 
 
 class RefusedError(Exception):
-    """The target says that it did not run the request.
+    """The target reported that it did not run the request.
 
     Attributes:
-        loss: Why.
-        retry_after: For how long it wants nothing, or None.
+        loss: Kind of the refusal.
+        retry_after: Time in milliseconds for which the target wants no requests; None
+            if it named none.
     """
 
     def __init__(self, loss: Loss, retry_after: Millis | None) -> None:
@@ -33,13 +34,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetSignals:
-    """What an answer says of the target that gave it.
+    """State of a target according to one of its answers.
 
     Attributes:
         leaving: Whether the target leaves.
-        rate: Requests a second that it takes from all callers; None if it names
-            none.
-        ends_rate: Whether it shows that a rate named before holds no more.
+        rate: Requests a second that the target accepts from all callers; None if it
+            names no rate.
+        ends_rate: Whether the answer ends a rate that the target named before.
     """
 
     leaving: bool = False
@@ -48,14 +49,14 @@
 
 
 def read_target_signals(response: aiohttp.ClientResponse) -> TargetSignals:
-    """Return what an answer says of its target."""
+    """Return what the headers of an answer report about its target."""
     if response.status == 421:
-        # Another target has the address and speaks of itself.
+        # Another target has the address, and its headers describe that target.
         return TargetSignals()
     leaving = names.LEAVING in response.headers
     text = response.headers.get(names.RATE)
     if text is None:
-        # Only the answer to a request, which is signed, shows that a need is over.
+        # Only the answer to a request, which is signed, shows that the limit is over.
         return TargetSignals(leaving, None, names.SIGNATURE in response.headers)
     try:
         return TargetSignals(leaving, parse_rate(text))
@@ -65,11 +66,15 @@
 
 
 def check_answer(response: aiohttp.ClientResponse, request_id: str | None) -> None:
-    """Check that an answer is that of a request which ran.
+    """Check that an answer belongs to a request and that the request may have run.
+
+    Args:
+        response: Answer of the target.
+        request_id: Id of the request; None if the caller gave none.
 
     Raises:
-        RefusedError: If it proves that nothing ran.
-        FrameError: If it belongs to another request.
+        RefusedError: If the answer proves that the request did not run.
+        FrameError: If the answer belongs to another request.
     """
     if response.status == 421:
         raise RefusedError(Loss.MISDIRECTED, None)
@@ -77,23 +82,27 @@
         raise RefusedError(Loss.REFUSED, read_retry_after(response))
     echoed = response.headers.get(names.REQUEST_ID)
     if request_id is not None and echoed != request_id:
-        raise FrameError(f"answer to {echoed!r} came for {request_id!r}")
+        raise FrameError(f"received the answer to {echoed!r} for {request_id!r}")
 
 
 def read_retry_after(response: aiohttp.ClientResponse) -> Millis | None:
-    """Return for how long a target wants nothing; None if it doesn't say."""
+    """Return for how long a target wants no requests, in milliseconds.
+
+    Returns:
+        The time in its Retry-After header; None if the header is missing or invalid.
+    """
     text = response.headers.get(names.RETRY_AFTER)
     if text is None:
         return None
     try:
         return parse_retry_after(text)
     except ValueError as error:
-        _log.info("no pause", extra={"error": str(error)})
+        _log.info("invalid Retry-After", extra={"error": str(error)})
         return None
 
 
 def read_head(response: aiohttp.ClientResponse) -> AnswerHead:
-    """Return what of an answer's head goes to the caller."""
+    """Return the status of an answer and the headers that are sent to the caller."""
     headers = []
     for name, value in response.headers.items():
         if name.lower() not in names.CONNECTION_HEADERS:
@@ -102,19 +111,19 @@
 
 
 def parse_rate(text: str) -> float:
-    """Return the requests a second that a target takes.
+    """Return the rate that a target accepts, in requests a second.
 
     Raises:
-        ValueError: If it is no number of zero or more.
+        ValueError: If the text is not a finite number of at least zero.
     """
     return _parse_number(text)
 
 
 def parse_retry_after(text: str) -> Millis:
-    """Return the pause that a target asks for.
+    """Return the time in a Retry-After header given in seconds, in milliseconds.
 
     Raises:
-        ValueError: If it is no number of seconds of zero or more.
+        ValueError: If the text is not a finite number of at least zero.
     """
     return Millis(round(_parse_number(text) * 1_000))
 
@@ -130,15 +139,19 @@
     model_config = ConfigDict(extra="ignore")
 
     state: str = "ready"
-    leaves_ms: float | None = None  # told only once the engine knows its end
-    kv_used: int | None = None  # tokens of its memory that can't yield
+    leaves_ms: float | None = None  # set once the engine knows when it ends
+    kv_used: int | None = None  # tokens in memory that cannot be evicted
 
 
 def parse_report(target: str, body: bytes) -> EngineReported:
-    """Return what an engine says of itself.
+    """Return the state that an engine reports.
+
+    Args:
+        target: Name of the engine.
+        body: Report as JSON.
 
     Raises:
-        ValueError: If the report can't be read.
+        ValueError: If the report is not valid.
     """
     report = _Report.model_validate(orjson.loads(body))
     ending = report.leaves_ms is not None
--- a/figstep/platform/callers.py
+++ b/figstep/platform/callers.py
@@ -1,4 +1,4 @@
-"""The platform's callers: requests in, answers out, readiness."""
+"""HTTP server for the platform's callers, readiness checks and metrics."""
 
 import asyncio
 import hashlib
@@ -28,18 +28,20 @@
 METRICS_PATH = "/metrics"
 
 BODY_TIMEOUT_SECONDS = 10.0
-"""How long a caller may take to send its body."""
+"""Timeout of reading a caller's body, in seconds."""
 
 MAX_BODY_BYTES = 8_388_608
-"""Largest body that is read at all; the configuration's own bound is lower."""
+"""Largest body that is read at all, in bytes; the limit in the configuration is
+lower."""
 
 READINESS_STOP_TIMEOUT_SECONDS = 0.1
-"""How long the listener of the readiness checks waits for an open one as it
-stops; the checks themselves take a millisecond."""
+"""How long the readiness listener waits for open checks when it stops, in seconds; a
+check takes a millisecond."""
 
 MAX_UNREAD_BYTES = 262_144
-"""Bytes of a stream that wait for a slow reader before it is cut: a few
-thousand such readers would else fill the memory."""
+"""Largest number of bytes of a stream that may wait for a slow reader before the
+stream is cut: a few thousand such readers would otherwise fill the memory. No code of
+this module enforces it."""
 
 LISTEN_LIMITS = Limits(
     body_bytes=MAX_BODY_BYTES,
@@ -51,13 +53,18 @@
 
 
 class CallerExchange:
-    """One caller's request, and its answer as it comes.
+    """A caller's request, and the parts of its answer as they arrive.
 
     Attributes:
         method: HTTP method.
-        path: Path with its query, as it came.
-        headers: Headers that are handed on.
-        body: The whole body.
+        path: Path with its query, as received.
+        headers: Headers that are forwarded to targets.
+        body: The complete body.
+        head: Status and headers of a stream; None until it has begun.
+        answer: Complete answer of a target; None where there is none.
+        problem: Answer of the gateway's own; None where there is none.
+        finished: Whether a stream has ended as complete.
+        broken: Whether a stream has to be cut off.
     """
 
     def __init__(
@@ -81,31 +88,31 @@
 
     @property
     def request_id(self) -> str | None:
-        """The caller's own id of this attempt; None if it gave none."""
+        """The id that the caller gave this request; None if it gave none."""
         return dict(self.headers).get(names.REQUEST_ID)
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more will come."""
+        """Whether the answer is final and no more parts follow."""
         has_answer = self.answer is not None or self.problem is not None
         return has_answer or self.finished or self.broken
 
     def add(self, data: bytes) -> None:
-        """Take bytes of a stream."""
+        """Append bytes of a stream and wake the handler."""
         self._pieces.append(data)
         self._changed.set()
 
     def wake_handler(self) -> None:
-        """Wake the handler."""
+        """Wake the handler of the request after a change of this exchange."""
         self._changed.set()
 
     def pop_data(self) -> bytes:
-        """Return the bytes that came since the last call."""
+        """Return and remove the bytes of the stream since the last call."""
         pieces, self._pieces = self._pieces, []
         return b"".join(pieces)
 
     async def wait(self) -> None:
-        """Return when there is something to do."""
+        """Wait for the next change of this exchange."""
         await self._changed.wait()
         self._changed.clear()
 
@@ -114,9 +121,9 @@
     """HTTP server for the platform's callers and its readiness checks.
 
     Attributes:
-        ready: Whether new callers should come here.
-        closing: Whether connections are closed after their answer.
-        exchanges: Requests without a final answer, by number.
+        ready: Whether readiness checks may succeed.
+        closing: Whether connections are closed after their current answer.
+        exchanges: Open requests, by number.
     """
 
     def __init__(
@@ -142,7 +149,11 @@
         self.exchanges: dict[int, CallerExchange] = {}
 
     async def on_start(self) -> None:
-        """Listen for callers and for readiness checks."""
+        """Listen for callers and for readiness checks.
+
+        Raises:
+            OSError: If an address is in use or does not belong to this machine.
+        """
         app = web.Application(client_max_size=MAX_BODY_BYTES)
         app.router.add_route("*", "/{path:.*}", self._serve)
         app.on_response_prepare.append(self._prepare_response)
@@ -180,8 +191,8 @@
     async def _prepare_response(
         self, request: web.Request, response: web.StreamResponse
     ) -> None:
-        # A kept connection would bring its next request here after the
-        # process has ended, and lose it.
+        # On a connection that stays open, the next request would be sent after the
+        # process has ended, and be lost.
         if self.closing:
             response.headers["Connection"] = "close"
             response.force_close()
@@ -229,7 +240,7 @@
     ) -> web.StreamResponse:
         head = exchange.head
         if head is None:
-            raise ConnectionError("the stream broke before it began")
+            raise ConnectionError("the stream broke before its first byte")
         response = web.StreamResponse(status=head.status)
         _set_headers(response, head)
         response.enable_chunked_encoding()
@@ -245,48 +256,48 @@
         if exchange.finished:
             await response.write_eof()
             return response
-        # Without the last chunk the answer can't be taken for a whole one.
+        # Without the last chunk the caller cannot take the answer for complete.
         response.force_close()
         if request.transport is not None:
             request.transport.close()
-        raise ConnectionError("the stream was broken off")
+        raise ConnectionError("the stream was cut off")
 
     def begin_stream(self, number: int, head: AnswerHead) -> None:
-        """Start a stream."""
+        """Start a stream to a caller."""
         exchange = self.exchanges.get(number)
         if exchange is not None:
             exchange.head = head
             exchange.wake_handler()
 
     def deliver(self, number: int, data: bytes) -> None:
-        """Hand on bytes of a stream."""
+        """Send bytes of a stream to a caller."""
         exchange = self.exchanges.get(number)
         if exchange is not None:
             exchange.add(data)
 
     def finish_stream(self, number: int) -> None:
-        """End a stream as whole."""
+        """End a stream as complete."""
         exchange = self.exchanges.get(number)
         if exchange is not None:
             exchange.finished = True
             exchange.wake_handler()
 
     def break_stream(self, number: int) -> None:
-        """Cut a stream so that it can't look whole."""
+        """Cut a stream off so that it cannot look complete."""
         exchange = self.exchanges.get(number)
         if exchange is not None:
             exchange.broken = True
             exchange.wake_handler()
 
     def answer(self, number: int, answer: WholeAnswer) -> None:
-        """Give a caller a target's whole answer."""
+        """Send a caller a target's complete answer."""
         exchange = self.exchanges.get(number)
         if exchange is not None:
             exchange.answer = answer
             exchange.wake_handler()
 
     def refuse(self, number: int, problem: Problem) -> None:
-        """Give a caller an answer of our own."""
+        """Send a caller an answer of the gateway's own."""
         exchange = self.exchanges.get(number)
         if exchange is not None:
             exchange.problem = problem
@@ -294,7 +305,11 @@
 
 
 def select_headers(request: web.Request) -> tuple[tuple[str, str], ...]:
-    """Return the caller's headers that targets get."""
+    """Return the headers of a request that are forwarded to targets.
+
+    Headers of the connection, those that the Connection header lists, and those that
+    only this system may set are left out.
+    """
     connection_options = {
         name.strip().lower()
         for value in request.headers.getall("Connection", [])
@@ -312,7 +327,13 @@
 
 
 def read_request(number: int, request: web.Request, body: bytes) -> RoutedRequest:
-    """Return a request as the gateway's decisions see it."""
+    """Return a request in the form that the gateway's decisions use.
+
+    Args:
+        number: Number of the request at this entry.
+        request: Request as the HTTP server parsed it.
+        body: Its complete body.
+    """
     headers = request.headers
     key = headers.get(names.CREDENTIAL)
     digest = hashlib.sha256(f"{key} {request.method} {request.raw_path}\n".encode())
@@ -333,7 +354,11 @@
 
 
 def read_prompt(headers: CIMultiDictProxy[str]) -> Prompt | None:
-    """Return what a generation needs, or None for other requests."""
+    """Return the prompt that the headers of a generation describe.
+
+    Returns:
+        The prompt; None if the request is not a generation.
+    """
     size = headers.get(names.TOKEN_COUNT)
     if size is None:
         return None
@@ -373,11 +398,11 @@
 
 
 def build_problem_response(problem: Problem) -> web.Response:
-    """Return the response that tells a caller of a problem."""
+    """Return the HTTP response that carries a problem."""
     headers = {"Content-Type": "application/problem+json"}
     if problem.retry_after is not None:
-        # Fractions are understood here: most callers can be back in less than
-        # a second.
+        # The platform's callers accept fractions of a second, and most can retry in
+        # less than a second.
         headers[names.RETRY_AFTER] = f"{problem.retry_after / 1000:.3f}"
     if problem.ran is Ran.NO and problem.status in (408, 429, 503):
         headers[names.NOT_RUN] = "1"
--- a/figstep/platform/documents.py
+++ b/figstep/platform/documents.py
@@ -1,4 +1,4 @@
-"""Records of the platform's store as the gateway's types."""
+"""Parsers that turn records of the platform's store into the gateway's types."""
 
 from typing import Any
 
@@ -19,7 +19,7 @@
 from figstep.gateway.targets import Registration
 
 EVACUATION_PREFIX = "evacuate/"
-"""Start of the keys that evacuate a failure domain; their values say nothing."""
+"""Prefix of the keys that evacuate a failure domain; their values have no meaning."""
 
 
 class _Model(BaseModel):
@@ -35,7 +35,7 @@
     name: str
     host: str
     prefix: str
-    type: RouteKind  # what may be repeated
+    type: RouteKind  # determines which requests may be repeated
     service: str = ""
     split: tuple[_Share, ...] = ()
     attempts: int = 1
@@ -45,7 +45,7 @@
     priority: int = 0
     public: bool = False
     resumable: bool = False
-    regions_allowed: tuple[str, ...] = ()  # none for any region
+    regions_allowed: tuple[str, ...] = ()  # empty: all regions are allowed
 
 
 class _Engine(_Model):
@@ -53,8 +53,8 @@
     kv_capacity: int = Field(default=1 << 30, gt=0)
     backups: bool = False
     moves: bool = False
-    stride: int = Field(default=1, gt=0)  # tokens in one event of a stream
-    handle_s: float = Field(default=5.0, gt=0)  # how long a copy is kept unused
+    stride: int = Field(default=1, gt=0)  # tokens in an event of a stream
+    handle_s: float = Field(default=5.0, gt=0)  # how long an unused copy is kept
 
 
 class _Service(_Model):
@@ -62,7 +62,7 @@
     max_conns: int = 100
     engine: _Engine | None = None
     warmup_s: float = Field(default=0.0, ge=0)
-    warmup_per_s: float = Field(default=0.0, ge=0)  # requests that a cold target bears
+    warmup_per_s: float = Field(default=0.0, ge=0)  # rate of a cold target
 
 
 class _Limits(_Model):
@@ -96,14 +96,18 @@
     slots: int = Field(ge=1)
     state: str = Field(pattern=r"^(ready|draining)$")
     warmup_left_ms: float = Field(default=0.0, ge=0)
-    born: int = 0  # Unix millisecond of the target's start
+    born: int = 0  # start of the target, in ms since the Unix epoch
 
 
 def parse_configuration(value: bytes) -> RoutingTable:
-    """Return the configuration that a record holds.
+    """Return the routing table of a configuration record.
+
+    Args:
+        value: Configuration as JSON.
 
     Raises:
-        ValueError: If it can't be read; the platform takes valid ones only.
+        ValueError: If the configuration is not valid; the platform should accept only
+            valid ones.
     """
     parsed = _Configuration.model_validate(orjson.loads(value))
     services = {}
@@ -183,17 +187,21 @@
 
 
 def parse_evacuation(key: str) -> str | None:
-    """Return the failure domain that a key evacuates; None for any other key."""
+    """Return the failure domain that a record's key evacuates; None for other keys."""
     if not key.startswith(EVACUATION_PREFIX):
         return None
     return key.removeprefix(EVACUATION_PREFIX) or None
 
 
 def parse_registration(key: str, value: bytes) -> Registration | None:
-    """Return what a target says of itself, or None where it names no target.
+    """Return a target's registration, or None if the record does not describe a target.
+
+    Other programs may write records to the topic: one with an unknown state, missing
+    fields or invalid JSON is ignored.
 
-    Entries may come from other writers: unknown states, missing fields or
-    unreadable bytes name nothing to use.
+    Args:
+        key: Name of the target.
+        value: Registration as JSON.
     """
     try:
         document: Any = orjson.loads(value)
--- a/figstep/platform/engines.py
+++ b/figstep/platform/engines.py
@@ -1,4 +1,4 @@
-"""The platform's targets: requests out, answers and copies of runs back."""
+"""HTTP client for the platform's targets: requests, queries and copies of runs."""
 
 import asyncio
 import errno
@@ -42,20 +42,23 @@
 _log = logbook.Logger("figstep.targets")
 
 CONNECT_TIMEOUT_SECONDS = 0.5
-"""Time to open a connection: targets answer within a few milliseconds, and one
-that doesn't may be given up on without a doubt whether it ran anything."""
+"""Timeout of opening a connection, in seconds. Targets accept within a few
+milliseconds, and a request whose connection was not opened has certainly not run."""
 
 COPY_TIMEOUT_SECONDS = 2.0
-"""Time for a copy of a run; an engine that leaves is gone by then."""
+"""Timeout of an order to copy a run, in seconds; a leaving engine has ended by
+then."""
 
 REPORT_TIMEOUT_SECONDS = 0.4
-"""Time for an engine's report; it needs no slot."""
+"""Timeout of a query of an engine's state, in seconds; the query needs no slot of the
+engine."""
 
 MAX_ANSWER_BYTES = 8_388_608
-"""Largest answer that is gathered for a caller."""
+"""Largest complete answer that may be sent to a caller, in bytes. A larger one counts
+as a lost attempt."""
 
 MIN_DEADLINE = 1
-"""Targets reject a deadline of nothing."""
+"""Smallest deadline that is sent to a target, in milliseconds: targets reject 0."""
 
 _SUPPRESSED_CLIENT_HEADERS = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
 
@@ -63,11 +66,11 @@
 
 
 class TargetEdge(Service, TargetPort):
-    """HTTP client towards targets; each request has a connection of its own.
+    """HTTP client for targets that opens a new connection for each request.
 
-    A kept connection can bring an answer that belongs to an earlier request,
-    or be reset as the next one is sent, when nobody can tell whether it ran.
-    A new one costs a millisecond and leaves no such doubt.
+    A reused connection can deliver the answer of an earlier request, or be reset
+    while the next one is sent, and then it is unknown whether that request ran. A new
+    connection costs a millisecond and avoids both.
     """
 
     def __init__(
@@ -89,14 +92,14 @@
         self._answers: dict[int, WholeAnswer] = {}
 
     async def on_start(self) -> None:
-        """Open the client."""
+        """Open the HTTP session."""
         connector = ResetAwareConnector(limit=0, force_close=True)
         self._session = open_target_session(
             connector, CONNECT_TIMEOUT_SECONDS, _SUPPRESSED_CLIENT_HEADERS
         )
 
     async def on_stop(self) -> None:
-        """Drop all attempts."""
+        """Cancel all attempts and background tasks, and close the session."""
         tasks = [*self._attempt_tasks.values(), *self._background]
         for task in tasks:
             task.cancel()
@@ -105,11 +108,15 @@
             await self._session.close()
 
     def open_attempt(self, effect: OpenAttempt) -> None:
-        """Send a request to a target."""
+        """Send a request to a target.
+
+        The result is dispatched as events. AttemptLost is dispatched where the caller
+        or the target is already gone.
+        """
         exchange = self._find_exchange(effect.number)
         target = self._find_target(effect.target)
         if exchange is None or target is None:
-            self._schedule_loss(effect.attempt, "no caller or target any more")
+            self._schedule_loss(effect.attempt, "caller or target is gone")
             return
         coroutine = self._run_attempt(effect, exchange, target)
         task = asyncio.get_running_loop().create_task(coroutine)
@@ -120,7 +127,7 @@
         asyncio.get_running_loop().call_soon(self._dispatch, event)
 
     def close_attempt(self, attempt: int) -> None:
-        """Drop an attempt's connection."""
+        """Close an attempt's connection."""
         task = self._attempt_tasks.get(attempt)
         if task is not None:
             task.cancel()
@@ -130,7 +137,7 @@
         return self._heads[attempt]
 
     def find_answer(self, attempt: int) -> WholeAnswer:
-        """Return the whole answer of an attempt while its event is handled."""
+        """Return the complete answer of an attempt while its event is handled."""
         return self._answers[attempt]
 
     async def _run_attempt(
@@ -154,7 +161,7 @@
             event = AttemptLost(number, Loss.BROKEN, detail=_describe_error(error))
         finally:
             self._attempt_tasks.pop(number, None)
-            # Its event is handled below, in the same turn of the loop.
+            # The event is dispatched below, before the loop calls this.
             asyncio.get_running_loop().call_soon(self._discard_answer, number)
         self._dispatch(event)
 
@@ -184,7 +191,13 @@
     def _dispatch_target_signals(
         self, response: aiohttp.ClientResponse, target: Target, requested_at: Millis
     ) -> None:
-        """Hand on what an answer says of the target itself and isn't known yet."""
+        """Dispatch what an answer reports of its target and this entry does not know.
+
+        Args:
+            response: Answer of the target.
+            target: Target that was sent the request.
+            requested_at: When the request was sent.
+        """
         signals = answers.read_target_signals(response)
         if signals.leaving and not target.announced_leaving:
             self._dispatch(TargetLeaving(target.info.incarnation))
@@ -243,8 +256,8 @@
         self._answers[effect.attempt] = WholeAnswer(answers.read_head(response), body)
         if response.status < 500 and response.status not in (408, 429):
             return AnswerArrived(effect.attempt, response.status)
-        # 408, 429 and 503 would tell the caller that it did not run, which the
-        # target did not say; they can't be handed on.
+        # A caller takes 408, 429 and 503 to mean that its request did not run. The
+        # target did not report this, so these statuses are not forwarded.
         forwarded_status = (
             None if response.status in (408, 429, 503) else response.status
         )
@@ -257,15 +270,22 @@
         )
 
     def copy_run(self, effect: CopyRun) -> None:
-        """Order an engine to copy a run to another."""
+        """Order an engine to copy a run to another engine.
+
+        RunCopied or RunNotCopied is dispatched unless the caller or one of the engines
+        is gone.
+        """
         self._run_in_background(self._order_copy(effect))
 
     def drop_copy(self, copy: RunCopy) -> None:
-        """Free a copy."""
+        """Free a copy of a run at the engine that holds it."""
         self._run_in_background(self._free_copy(copy))
 
     def probe_target(self, target: str) -> None:
-        """Look whether a target still listens at its address."""
+        """Probe whether a target still listens at its address.
+
+        TargetDown is dispatched if it does not.
+        """
         self._run_in_background(self._probe(target))
 
     async def _probe(self, name: str) -> None:
@@ -276,16 +296,16 @@
         try:
             listens = await is_listening(host, int(port), CONNECT_TIMEOUT_SECONDS)
         except OSError as error:
-            # A link that fails proves nothing of the target.
+            # A network failure does not prove that the target is down.
             _log.info(
-                "no probe", extra={"target": name, "error": _describe_error(error)}
+                "probe failed", extra={"target": name, "error": _describe_error(error)}
             )
             return
         if not listens:
             self._dispatch(TargetDown(target.info.incarnation))
 
     def read_report(self, target: str) -> None:
-        """Ask an engine for its state."""
+        """Query an engine for its state; its report is dispatched as an event."""
         self._run_in_background(self._read_report(target))
 
     async def _read_report(self, name: str) -> None:
@@ -307,7 +327,8 @@
             event = answers.parse_report(name, body)
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
             _log.info(
-                "no report", extra={"target": name, "error": _describe_error(error)}
+                "cannot read engine report",
+                extra={"target": name, "error": _describe_error(error)},
             )
             return
         self._dispatch(event)
@@ -370,12 +391,12 @@
             ):
                 return
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            # The engine frees it by itself after some seconds.
+            # The engine frees the copy by itself after some seconds.
             _log.info("copy not freed", extra={"error": _describe_error(error)})
 
 
 def _is_connection_refused(error: BaseException) -> bool:
-    """Tell whether a connection failed because nobody listens."""
+    """Return whether a connection failed because no process listens at the address."""
     if not isinstance(error, aiohttp.ClientConnectorError):
         return False
     return error.os_error.errno == errno.ECONNREFUSED
--- a/figstep/platform/entry.py
+++ b/figstep/platform/entry.py
@@ -1,4 +1,4 @@
-"""An entry on the platform: parts, life cycle, signals."""
+"""An entry on the platform: its services, life cycle and signals."""
 
 import asyncio
 import gc
@@ -70,44 +70,56 @@
 _log = logbook.Logger("figstep.entry")
 
 DRAIN_FRACTION = 0.88
-"""Part of the grace time after which open answers are cut: the rest is for the
-cut to reach callers before the process is killed."""
+"""Fraction of the grace time after which open answers are cut off. In the rest of it
+the cut reaches callers, before the process is killed."""
 
 DRAIN_POLL_SECONDS = 0.05
+"""Interval in seconds at which a draining entry checks for open answers."""
 
 LARGE_FLEET_READ_DELAY_SECONDS = 0.2
-"""Pause between two reads of the store in a large fleet, where calls are dear:
-an engine's notice is 1.5 s long, and another reader may tell of it earlier."""
+"""Delay between two reads of the store in a large fleet, in seconds.
+
+Calls are costly there. An engine's notice is 1.5 s long, so the delay leaves enough
+of it, and another reader may relay the record earlier.
+"""
 
 FIRST_START_READ_DELAY_SECONDS = 2.0
-"""Pause after an entry's first read where the whole system starts for the first
-time: all start at once, no caller comes yet, and they have to find each other."""
+"""Delay after an entry's first read of the store where the whole system starts for
+the first time, in seconds. All entries start at once and have to find each other, and
+no callers come yet."""
 
 RESTART_READ_DELAY_SECONDS = 0.3
-"""The same of an entry that starts again: the seeds answer it within this."""
+"""Delay after the first read of the store by an entry that starts again, in seconds;
+the seeds answer it within this time."""
 
 FIRST_READ_TIMEOUT = Millis(300)
-"""How long a starting entry waits for the store's records before it takes callers
-in; the most impatient ones wait half a second."""
+"""Longest time in milliseconds that a starting entry waits for the store's records
+before it accepts callers. The shortest deadline of a caller is half a second."""
 
 FIRST_READ_POLL_SECONDS = 0.005
+"""Interval in seconds at which a starting entry checks whether records were read."""
 
 STOP_TIMEOUT_SECONDS = 0.4
-"""Time for the parts to stop."""
+"""Timeout of stopping an entry's services, in seconds."""
 
 STOP_RESERVE = Millis(600)
-"""Least that the grace time leaves for the parts to stop and the process to end."""
+"""Part of the grace time, in milliseconds, that is always kept for the services to
+stop and the process to end."""
 
 MAX_RECENT_REGISTRATIONS = 6
-"""Registrations that a message holds: those of an engine or two that change
-together. Who misses one asks for all."""
+"""Most registrations in a message to peers: enough for an engine or two that change
+together. An entry that misses a registration requests all of them."""
 
 RECENT_ANNOUNCE_DURATION = Millis(1_500)
-"""How long they are told: twice at least, as a datagram may be lost."""
+"""Time in milliseconds for which registrations just read are sent to peers. Each is
+sent twice at least, as a datagram may be lost."""
 
 
 class Entry(Service, PeerPort, LinkHost):
-    """One entry instance on the platform."""
+    """One entry instance on the platform.
+
+    It connects the gateway with callers, targets, peers and the store.
+    """
 
     def __init__(
         self,
@@ -185,7 +197,7 @@
         )
 
     async def on_start(self) -> None:
-        """Start the parts; callers are taken in last."""
+        """Start the services; callers are accepted last."""
         for part in (
             self.targets,
             self.configuration,
@@ -198,24 +210,24 @@
         await self.add_runtime_dependency(self.callers)
 
     async def _wait_for_records(self) -> None:
-        # Callers that wait in the listener's queue are served a moment later;
-        # taken in before the configuration is read they would be refused.
+        # Callers wait in the listener's queue and are served a moment later. If they
+        # were accepted before the configuration is read, they would be refused.
         deadline = self._clock.now() + FIRST_READ_TIMEOUT
         while not self.is_ready() and self._clock.now() < deadline:
             await asyncio.sleep(FIRST_READ_POLL_SECONDS)
 
     async def on_shutdown(self) -> None:
-        """Close the store's client, which the followers use until they end."""
+        """Close the store's client, which the followers use until they have stopped."""
         if self._fetch_task is not None:
             self._fetch_task.cancel()
         await self._store.close()
 
     def is_ready(self) -> bool:
-        """Tell whether callers can be served."""
+        """Return whether the configuration and the registrations have been read."""
         return self.gateway.known.table is not None and self._registrations_read
 
     def find_exchange(self, number: int) -> CallerExchange | None:
-        """Return what the edge holds of a request."""
+        """Return the exchange with a request's caller; None once it has ended."""
         return self.callers.exchanges.get(number)
 
     def _apply_operator_snapshot(
@@ -244,14 +256,16 @@
         before = known.evacuations.domains
         self.gateway.dispatch(EvacuationsRead(evacuations))
         if known.evacuations.domains != before and known.is_large:
-            # Others wait to be told: few entries read the store for all.
+            # In a large fleet few entries read the store and relay its records.
             self.link.announce_records()
 
     def _read_configuration(self, value: bytes) -> None:
         try:
             table = parse_configuration(value)
         except ValueError as error:
-            _log.error("configuration unreadable", extra={"error": str(error)[:300]})
+            _log.error(
+                "invalid configuration ignored", extra={"error": str(error)[:300]}
+            )
             return
         self.gateway.dispatch(ConfigurationRead(table))
         known = self.gateway.known.table
@@ -292,7 +306,9 @@
             return None
         registration = parse_registration(record.key, record.value)
         if registration is None:
-            _log.info("foreign registration", extra={"key": record.key[:80]})
+            _log.info(
+                "registration of another format ignored", extra={"key": record.key[:80]}
+            )
             return None
         self._registrations[record.key] = record.value
         return registration
@@ -301,32 +317,37 @@
         return LARGE_FLEET_READ_DELAY_SECONDS if self.gateway.known.is_large else 0.0
 
     def reads_store(self) -> bool:
-        """Tell whether this entry reads the store's records as they come."""
+        """Return whether this entry reads new records from the store itself."""
         return reads_store(self.gateway.known, self._clock.now())
 
     def describe_entry(self) -> PeerHeard:
-        """Return what the entries that hear all of each other are told."""
+        """Return the message to the entries that exchange messages with all others."""
         return describe_entry(self.gateway.known, self._clock.now())
 
     def describe_domain(self) -> PeerHeard:
-        """Return what other failure domains are told."""
+        """Return the message to other failure domains."""
         return describe_domain(self.gateway.known, self._clock.now())
 
     def describe_domain_at(self, target: str) -> PeerHeard:
-        """Return what other failure domains are told of one target."""
+        """Return the message to other failure domains about one target."""
         return describe_domain_at(self.gateway.known, target, self._clock.now())
 
     def is_domain_representative(self) -> bool:
-        """Tell whether this entry tells other failure domains of its own."""
+        """Return whether this entry reports for its domain to other failure domains."""
         return is_domain_representative(self.gateway.known, self._clock.now())
 
     def update_entry_count(self, entries: int) -> None:
-        """Take in how many entries are known."""
+        """Record how many entries are known, this one included."""
         if entries != self.gateway.known.entries:
             self.gateway.dispatch(EntriesCounted(entries))
 
     def list_recent_registrations(self) -> tuple[tuple[str, bytes], ...]:
-        """Return the registrations read last, up to the position told."""
+        """Return the registrations read last, as keys and values.
+
+        The last one is the record before the position that the entry reports. The
+        list is empty in a small fleet, in an entry that does not read the store, and
+        once they were announced for RECENT_ANNOUNCE_DURATION.
+        """
         known = self.gateway.known
         if not known.is_large or not self.reads_store():
             return ()
@@ -337,7 +358,11 @@
     def handle_message(
         self, message: PeerHeard, records: tuple[tuple[str, bytes], ...]
     ) -> None:
-        """Take in a message, and the registrations that its sender read last."""
+        """Apply a peer's message, and the registrations that the peer read last.
+
+        The registrations are applied only where they close the gap to the peer's
+        position and this entry does not read the store itself.
+        """
         missing = message.position - self.gateway.known.position
         if 0 < missing <= len(records) and not self.reads_store():
             relayed = [
@@ -348,7 +373,7 @@
         self.gateway.dispatch(message)
 
     def read_copy(self) -> RecordCopy:
-        """Return what was read of the store, for a peer that can't read it."""
+        """Return the records read from the store, for a peer that cannot read it."""
         return RecordCopy(
             self._configuration,
             self.gateway.known.position,
@@ -356,24 +381,27 @@
         )
 
     def fetch_records(self, address: str) -> None:
-        """Ask a peer for what it has read of the store."""
+        """Request from a peer the records that it has read from the store.
+
+        Nothing happens while an earlier request is still open.
+        """
         if self._fetch_task is None or self._fetch_task.done():
             coroutine = self._fetch_records(address)
             self._fetch_task = asyncio.get_running_loop().create_task(coroutine)
 
     def announce(self) -> None:
-        """Tell the other entries of this one's loads at once."""
+        """Send this entry's loads to its peers at once."""
         self.link.announce()
 
     def announce_target(self, target: str) -> None:
-        """Tell other failure domains what this one has open at a target."""
+        """Report to other failure domains what this one has open at a target."""
         self.link.announce_target(target)
 
     async def _fetch_records(self, address: str) -> None:
         try:
             copy = await self.link.fetch_copy(address)
         except PeerMessageError as error:
-            _log.info("no records from peer", extra={"error": str(error)})
+            _log.info("cannot fetch records from peer", extra={"error": str(error)})
             return
         if copy.configuration:
             self._read_configuration(copy.configuration)
@@ -383,10 +411,10 @@
             self._apply_registration_list(records, copy.position)
 
     def apply_settings(self, settings: EntrySettings) -> None:
-        """Take settings that were read again.
+        """Apply settings that were read again.
 
-        Addresses and names hold until the process ends; bounds and seeds are
-        taken at once.
+        Seeds, retry bounds and regions change at once. Addresses and names stay as
+        they were at the start of the process.
         """
         self.settings = settings
         self.link.set_seeds(settings.seed_addresses)
@@ -401,12 +429,17 @@
         _log.info("settings read again", extra={"node": settings.node})
 
     async def drain(self) -> None:
-        """End gracefully: readiness falls, open answers go on to their end."""
+        """Fail readiness checks and wait until open answers have ended.
+
+        Callers are still served, as the platform sends some for up to
+        READINESS_NOTICE, and each connection is closed after its answer. The wait ends
+        after the time that ``choose_drain_time`` returns, if not earlier.
+        """
         self.callers.ready = False
         self.callers.closing = True
         deadline = Millis(self._clock.now() + choose_drain_time(self.settings.grace))
         self.gateway.dispatch(ShutdownRequested(deadline))
-        # The platform sends callers here until it has asked twice in vain.
+        # The platform sends callers here until two readiness checks have failed.
         quiet_from = Millis(self._clock.now() + READINESS_NOTICE)
         while self._clock.now() < deadline:
             await asyncio.sleep(DRAIN_POLL_SECONDS)
@@ -415,16 +448,26 @@
 
 
 READINESS_NOTICE = Millis(3_000)
-"""Time that new callers may still come after readiness fell."""
+"""Time in milliseconds for which new callers may still arrive after the readiness
+checks began to fail."""
 
 
 def choose_drain_time(grace: Millis) -> Millis:
-    """Return how long open answers go on after a process was asked to end."""
+    """Return how long open answers may continue after SIGTERM, in milliseconds.
+
+    Args:
+        grace: Time from SIGTERM until the process is killed.
+    """
     return Millis(max(0, min(round(grace * DRAIN_FRACTION), grace - STOP_RESERVE)))
 
 
 def build_state(settings: EntrySettings, now: Millis) -> State:
-    """Return the state that an entry starts with."""
+    """Return the initial state of an entry.
+
+    Args:
+        settings: Settings of the entry.
+        now: Time of the start.
+    """
     budget = RetryBudget(
         settings.retry_ratio,
         settings.retry_allowance,
@@ -443,10 +486,10 @@
 
 
 def choose_first_read_delay(settings: EntrySettings) -> float:
-    """Return how long an entry waits after its first read of the store.
+    """Return how long an entry waits after its first read of the store, in seconds.
 
-    Reading on at once, each entry of a large fleet would read record by record
-    how all targets register themselves.
+    Without the wait, each entry of a large fleet would read the registration of each
+    target one by one, although one reader can relay them.
     """
     if not settings.seeds:
         return 0.0
@@ -458,7 +501,17 @@
 
 
 async def serve_until_signal(path: Path, listener: socket.socket | None = None) -> None:
-    """Serve until SIGTERM or SIGINT, then drain."""
+    """Serve callers until SIGTERM or SIGINT, then drain and stop.
+
+    SIGHUP reads the settings file again.
+
+    Args:
+        path: Settings file.
+        listener: Socket that already listens for callers; None to open one.
+
+    Raises:
+        SettingsError: If the settings file is not valid.
+    """
     loop = asyncio.get_running_loop()
     stopping = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -479,18 +532,21 @@
         async with asyncio.timeout(STOP_TIMEOUT_SECONDS):
             await entry.stop()
     except TimeoutError:
-        # Waiting for what is still open would run into the platform's kill,
-        # which counts the process as one that doesn't end when asked.
-        _log.warning("parts did not stop in time")
+        # If the process waited for open requests, the platform would kill it and
+        # count it as one that does not end when asked.
+        _log.warning("services did not stop before the timeout")
 
 
 def run_entry(listener: socket.socket | None = None) -> None:
-    """Run an entry by the platform's settings file until it is told to end.
+    """Run an entry with the platform's settings file until a signal ends it.
 
     Args:
-        listener: Socket that listens for callers already, or None to open one.
+        listener: Socket that already listens for callers; None to open one.
+
+    Raises:
+        SettingsError: If the settings file is not named or not valid.
     """
     install_bounded_logs("INFO")
     uvloop.run(serve_until_signal(read_path(), listener))
-    # The interpreter's last collection would use up what is left of the grace time.
+    # The garbage collection at exit would use up the rest of the grace time.
     gc.freeze()
--- a/figstep/platform/listeners.py
+++ b/figstep/platform/listeners.py
@@ -1,9 +1,9 @@
-"""Callers' listening socket, open before the program's libraries are loaded.
+"""Listening socket for callers, opened before the program's libraries are loaded.
 
-Loading them takes a third of a second. A process that is started again in place
-of one that was killed would refuse its callers for that long; with the socket open
-their connections wait in its queue and are served as soon as the program runs.
-Only the standard library's quickest modules are imported here for the same reason.
+Loading them takes a third of a second. A process that replaces a killed one would
+refuse connections for that long. With the socket open, connections wait in its queue
+and are served as soon as the program runs. For the same reason this module imports
+only modules of the standard library that load quickly.
 """
 
 import os
@@ -11,16 +11,19 @@
 import tomllib
 
 PATH_VARIABLE = "FIGSTEP_CONFIG"
+"""Environment variable that holds the path of the settings file."""
 
 BACKLOG = 512
-"""Connections that may wait to be accepted."""
+"""Largest number of connections that wait to be accepted."""
 
 
 def open_caller_listener() -> socket.socket | None:
-    """Return a socket that listens where the settings file says, or None.
+    """Return a socket that listens at the callers' address in the settings file.
 
-    Settings that can't be read or name no address are reported, with what to
-    mend, by whoever validates the whole file a moment later.
+    Returns:
+        The socket; None if the settings cannot be read, name no address, or the
+        address cannot be used. The validation of the whole file a moment later
+        reports what to correct.
     """
     try:
         with open(os.environ.get(PATH_VARIABLE, ""), "rb") as file:
@@ -32,10 +35,10 @@
 
 
 def listen(host: str, port: int) -> socket.socket:
-    """Return a socket that listens at an address.
+    """Return a non-blocking socket that listens at an address.
 
     Raises:
-        OSError: If the address is in use or not this machine's.
+        OSError: If the address is in use or does not belong to this machine.
     """
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
--- a/figstep/platform/names.py
+++ b/figstep/platform/names.py
@@ -1,4 +1,4 @@
-"""Header names of the platform, and who may set them."""
+"""HTTP header names of the platform, and which of them are not forwarded."""
 
 REQUEST_ID = "Request-Id"
 DEADLINE = "Deadline-Ms"
@@ -8,16 +8,16 @@
 EXPECTED_TARGET = "Expect-Instance"
 NOT_RUN = "Not-Executed"
 RETRY_AFTER = "Retry-After"
-LEAVING = "Server-Leaving"  # the target takes no new work
-RATE = "Server-Limit"  # requests a second that the target takes from all callers
+LEAVING = "Server-Leaving"  # the target accepts no new requests
+RATE = "Server-Limit"  # requests a second that the target accepts from all callers
 LAST_EVENT = "Last-Event-Id"
 MODEL = "Model"
-TOKEN_COUNT = "Token-Count"  # tokens of the prompt and most tokens of the output
-PREFIX_PARTS = "Prefix-Hash"  # id and tokens of each part of the prompt
+TOKEN_COUNT = "Token-Count"  # tokens of the prompt, and maximum tokens of the output
+PREFIX_PARTS = "Prefix-Hash"  # id and token count of each part of the prompt
 LENGTH_HINT = "Length-Hint"
 PRIORITY = "Request-Priority"
-BACKUP = "Kv-Backup"  # engine that gets a running copy
-COPY_SOURCE = "Kv-From"  # copy that a run goes on from
+BACKUP = "Kv-Backup"  # engine that receives a running backup
+COPY_SOURCE = "Kv-From"  # copy from which a run is resumed
 EXPECTED_VERSION = "Expect-Version"
 
 CONNECTION_HEADERS = frozenset(
@@ -35,7 +35,8 @@
         "content-length",
     }
 )
-"""Headers that concern one connection only; the length is set anew."""
+"""Headers that apply to a single connection, and the length, which is set again for
+each message. They are not forwarded; names are in lower case."""
 
 SYSTEM_HEADERS = frozenset(
     name.lower()
@@ -54,5 +55,6 @@
         "Kv-Fetch",
     )
 )
-"""Headers that only this system sets: a caller's are taken off, or it could
-take on another customer's name or reach another run's memory."""
+"""Headers that only this system sets, in lower case. They are removed from callers'
+requests: a caller could otherwise pose as another customer or reach the memory of
+another run."""
--- a/figstep/platform/settings.py
+++ b/figstep/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, as this entry's own settings."""
+"""Loader of the platform's settings file, which configures an entry."""
 
 import os
 import tomllib
@@ -45,7 +45,7 @@
     ip: str
     zone: str
     region: str = ""
-    zones: dict[str, str] = {}  # region of each failure domain
+    zones: dict[str, str] = {}  # failure domain -> region
     bootstrap: bool = False
     port_range: tuple[int, int]
     seeds: tuple[str, ...] = ()
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """An IP address and a port."""
+    """An IP address and a port number."""
 
     host: str
     port: int
@@ -65,23 +65,23 @@
 
 @dataclass(frozen=True, slots=True)
 class EntrySettings:
-    """What an entry learns at its start.
+    """Settings of an entry.
 
     Attributes:
         node: Name of this instance.
-        failure_domain: Its failure domain.
-        callers: Where callers connect.
-        readiness: Where the platform asks whether callers may come.
-        peers: Where other entries reach this one, by UDP and TCP.
-        seeds: Where other entries may be reached.
-        store: Address of the platform's store.
+        failure_domain: Failure domain of this instance.
+        callers: Address at which callers connect.
+        readiness: Address at which the platform checks readiness.
+        peers: Address at which other entries reach this one, by UDP and TCP.
+        seeds: Addresses at which other entries may be reached.
+        store: Address of the platform's store, as "ip:port".
         first_start: Whether the whole system starts for the first time.
-        grace: Time from the request to end until the process is killed.
-        retry_ratio: Repeats for each request in the fleet.
-        retry_allowance: Repeats of the fleet beyond the ratio in a window.
-        retry_window: Length of that window.
-        memory_bytes: Memory over which the process is killed.
-        descriptors: Most open files and sockets.
+        grace: Time from SIGTERM until the process is killed, in milliseconds.
+        retry_ratio: Repeats that the fleet may send per request.
+        retry_allowance: Repeats that the fleet may send beyond the ratio in a window.
+        retry_window: Length of that window in milliseconds.
+        memory_bytes: Memory in bytes above which the process is killed.
+        descriptors: Largest number of open files and sockets.
         regions: Region of each failure domain.
     """
 
@@ -103,7 +103,7 @@
 
     @property
     def seed_addresses(self) -> tuple[str, ...]:
-        """Its seeds, as "ip:port"."""
+        """Addresses of the seeds, as "ip:port"."""
         return tuple(f"{seed.host}:{seed.port}" for seed in self.seeds)
 
 
@@ -111,7 +111,7 @@
     """Return the path of the settings file.
 
     Raises:
-        SettingsError: If the platform names none.
+        SettingsError: If the environment variable FIGSTEP_CONFIG is not set.
     """
     path = os.environ.get(PATH_VARIABLE)
     if not path:
@@ -123,7 +123,8 @@
     """Read and validate the platform's settings file.
 
     Raises:
-        SettingsError: Naming the file, each wrong field and what to write.
+        SettingsError: If the file cannot be read or is not valid; the error names the
+            file, each wrong field and what to write.
     """
     try:
         document = tomllib.loads(path.read_text())
@@ -133,10 +134,15 @@
 
 
 def parse_settings(document: dict[str, Any], origin: str) -> EntrySettings:
-    """Return the settings that a document holds.
+    """Return the settings in a parsed settings file.
+
+    Args:
+        document: Content of the file.
+        origin: Name of the file, for error messages.
 
     Raises:
-        SettingsError: Naming each wrong field and what to write.
+        SettingsError: If the document is not valid; the error names each wrong field
+            and what to write.
     """
     try:
         parsed = _Document.model_validate(document)
@@ -144,8 +150,8 @@
         lines = [f"{origin}: {line}" for line in describe_errors(error)]
         raise SettingsError("\n".join(lines)) from error
     peer_port = parsed.port_range[0]
-    # Seeds name where other entries are controlled; peers listen at the same
-    # port of the free range on every machine.
+    # The file lists the control addresses of other entries as seeds. Their peer port
+    # is the first of the free range, which is the same on every machine.
     seeds = tuple(Address(split_address(seed).host, peer_port) for seed in parsed.seeds)
     return EntrySettings(
         node=parsed.node,
@@ -167,10 +173,10 @@
 
 
 def split_address(text: str) -> Address:
-    """Return the parts of "ip:port".
+    """Return the host and port of an "ip:port" text.
 
     Raises:
-        SettingsError: If it is neither.
+        SettingsError: If the host is empty or the port is not a number.
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit():
--- a/figstep/platform/store.py
+++ b/figstep/platform/store.py
@@ -1,4 +1,7 @@
-"""Client of the platform's store: keyed topics, read whole and followed."""
+"""Client of the platform's store, which keeps records in keyed topics.
+
+A follower reads the newest record of each key first, then each new record.
+"""
 
 import asyncio
 import base64
@@ -21,19 +24,25 @@
 CONFIGURATION_KEY = "config"
 
 LONG_POLL_SECONDS = 25.0
-"""How long a read waits for a record. The store allows 30 s; dead connections
-are found by probes below HTTP, so that longer waits only save calls."""
+"""How long a read waits for a new record, in seconds (long polling).
+
+The store allows 30 s. TCP keep-alive probes detect dead connections, so a longer
+wait costs nothing and saves calls.
+"""
 
 CALL_TIMEOUT_SECONDS = 2.0
-"""Time for an answer beyond what the call itself waits."""
+"""Timeout of a call in seconds, beyond the time that the store waits for a record."""
 
 IDLE_POLL_SECONDS = 0.25
-"""How soon an entry whose reading is not wanted looks whether it is."""
+"""Interval in seconds at which an entry that relies on other readers of the store
+checks whether it has to read the store itself."""
 
 INITIAL_BACKOFF_SECONDS = 0.1
+"""Backoff after the first failed read, in seconds; each further failure doubles it."""
+
 MAX_BACKOFF_SECONDS = 1.0
-"""Seconds between reads that fail: a configuration has to be in force two
-seconds after the store is well again."""
+"""Longest backoff after failed reads, in seconds. A configuration has to be in force
+two seconds after the store has recovered."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,8 +50,8 @@
     """A record of a keyed topic.
 
     Attributes:
-        key: Its key.
-        value: Its value; None if the key is dropped.
+        key: Key of the record.
+        value: Value of the key; None where the record deletes the key.
     """
 
     key: str
@@ -51,11 +60,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The newest record of each key.
+    """The newest record of each key of a topic.
 
     Attributes:
-        records: The records.
-        end: Offset from which on records are newer for certain.
+        records: Newest record of each key that is not deleted.
+        end: Offset of the topic; all records that are not in the snapshot have this
+            offset or a later one.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -63,11 +73,11 @@
 
 
 class Store(ABC):
-    """What the entry reads of the store."""
+    """Port through which an entry reads the store."""
 
     @abstractmethod
     async def read_newest(self, topic: str) -> Snapshot:
-        """Return the newest record of each key.
+        """Return the newest record of each key of a topic.
 
         Raises:
             LogUnavailableError: If the store gave no answer.
@@ -75,7 +85,7 @@
 
     @abstractmethod
     async def read_records(self, topic: str, start: int) -> list[KeyedRecord]:
-        """Return the records from ``start`` on, waiting for one if there is none.
+        """Return a topic's records from offset ``start`` on; wait if there is none.
 
         Raises:
             LogTruncatedError: If records from ``start`` on were deleted.
@@ -88,14 +98,21 @@
 
 
 class HttpStore(Store):
-    """The store, by its HTTP interface."""
+    """Client of the store's HTTP interface.
+
+    It opens its session at the first call.
+    """
 
     def __init__(self, address: str) -> None:
         self._base_url = f"http://{address}"
         self._session: aiohttp.ClientSession | None = None
 
     async def read_newest(self, topic: str) -> Snapshot:
-        """Return the newest record of each key, page by page."""
+        """Return the newest record of each key of a topic, read page by page.
+
+        Raises:
+            LogUnavailableError: If the store gave no answer.
+        """
         records: dict[str, KeyedRecord] = {}
         end: int | None = None
         after = None
@@ -108,15 +125,20 @@
                 value = base64.b64decode(item["value"])
                 records[item["key"]] = KeyedRecord(item["key"], value or None)
             if end is None:
-                # Pages are read one after another: what changes meanwhile is
-                # read again from the end that the first page told.
+                # Records may change between two pages. The follower reads on from
+                # the end in the first page, so it gets these changes again.
                 end = page["end"]
             if not page["has_more"] or not page["items"]:
                 return Snapshot(tuple(records.values()), end)
             after = page["items"][-1]["key"]
 
     async def read_records(self, topic: str, start: int) -> list[KeyedRecord]:
-        """Return the records from ``start`` on."""
+        """Return a topic's records from offset ``start`` on.
+
+        Raises:
+            LogTruncatedError: If records from ``start`` on were deleted.
+            LogUnavailableError: If the store gave no answer.
+        """
         query = {
             "topic": topic,
             "part": "0",
@@ -150,7 +172,7 @@
 
 
 def _open_session() -> aiohttp.ClientSession:
-    # A connection on which an answer was lost brings nothing more; the client
+    # A connection on which an answer was lost delivers nothing more; the client
     # closes it when a call on it times out.
     connector = ResetAwareConnector(limit=8)
     return aiohttp.ClientSession(
@@ -159,7 +181,11 @@
 
 
 def decode_records(raw: bytes) -> list[KeyedRecord]:
-    """Return the records of a read's answer, past its two leading offsets."""
+    """Return the records in the answer to a read.
+
+    The answer begins with two offsets of 8 bytes. Each record follows as its length
+    in 4 bytes, big-endian, and its content.
+    """
     records = []
     position = 16
     while position + 4 <= len(raw):
@@ -177,13 +203,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TopicSink:
-    """Where a followed topic goes.
+    """Callbacks that receive the records of a followed topic.
 
     Attributes:
-        apply_snapshot: Gets all newest records at once, and their end.
-        apply_records: Gets records in order, and the offset behind them.
-        handle_store_lost: Called when the store stops answering, with the reason.
-        handle_store_regained: Called when it answers again.
+        apply_snapshot: Called with the newest record of each key, and the offset of
+            the next record.
+        apply_records: Called with records in order, and the offset after the last.
+        handle_store_lost: Called with the reason when the store stops answering.
+        handle_store_regained: Called when the store answers again.
     """
 
     apply_snapshot: Callable[[tuple[KeyedRecord, ...], int], None]
@@ -193,7 +220,7 @@
 
 
 class TopicFollower(Service):
-    """Reads a keyed topic whole, then each record as it comes."""
+    """Reads the newest record of each key of a topic, then each new record."""
 
     def __init__(
         self,
@@ -207,13 +234,14 @@
         """Follow a topic.
 
         Args:
-            store: Where it is read.
-            topic: Its name.
-            sink: Where its records go.
-            should_read: Whether this entry is to read on.
-            choose_read_delay: Seconds between two reads that bring records.
-            first_read_delay: Seconds after the first read, in which an entry learns
-                whether others read for it.
+            store: Store that holds the topic.
+            topic: Name of the topic.
+            sink: Callbacks that receive the records.
+            should_read: Whether this entry is to read new records itself.
+            choose_read_delay: Returns the delay in seconds after a read that
+                returned records.
+            first_read_delay: Delay in seconds after the first read, in which an
+                entry finds out whether other entries read for it.
         """
         super().__init__()
         self._first_read_delay = first_read_delay
@@ -230,17 +258,17 @@
     async def _follow(self) -> None:
         while not self.should_stop:
             if self._next_offset is not None and not self._should_read():
-                # Others read and tell this entry. Should the store turn it away,
-                # asking again each second would cost calls and tell nothing.
+                # Other entries read and relay the records to this one. If the store
+                # rejects this entry, reading again each second would only cost calls.
                 self._report_store_regained()
                 await self.sleep(IDLE_POLL_SECONDS)
                 continue
             try:
                 await self._read_next()
             except LogTruncatedError as error:
-                # What was deleted can't be told record by record any more.
+                # The deleted records cannot be read one by one any more.
                 _log.info(
-                    "records deleted",
+                    "records deleted from the store",
                     extra={"topic": self._topic, "earliest": error.earliest},
                 )
                 if self._should_read():
@@ -249,8 +277,8 @@
                 self._report_store_lost(str(error))
                 await self._back_off()
             except Exception:
-                # Were it to end here, this entry would answer by an old
-                # configuration for good and send work to targets long gone.
+                # If the follower ended here, this entry would keep its old
+                # configuration and send requests to departed targets forever.
                 _log.exception("records not taken in", extra={"topic": self._topic})
                 self._next_offset = None
                 await self._back_off()
@@ -272,16 +300,16 @@
         records = await self._store.read_records(self._topic, start)
         self._report_store_regained()
         if self._next_offset != start:
-            # A peer told of later records while this read was waiting.
+            # A peer relayed later records while this read was waiting.
             return
         if records:
             self._next_offset += len(records)
             self._sink.apply_records(records, self._next_offset)
-            # Records come in bunches; a rest saves a call for each of them.
+            # Records come in bursts; a delay saves a call for each of them.
             await self.sleep(self._choose_read_delay())
 
     def skip_to(self, position: int) -> None:
-        """Read on from an offset up to which a peer gave all records."""
+        """Continue at an offset up to which a peer has relayed all records."""
         if self._next_offset is None or position > self._next_offset:
             self._next_offset = position
 
--- a/figstep/platform/watch.py
+++ b/figstep/platform/watch.py
@@ -1,4 +1,4 @@
-"""Watch over the settings file while an entry runs."""
+"""Reload of the settings file while an entry runs."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,11 +12,15 @@
 _log = logbook.Logger("figstep.entry")
 
 CHECK_INTERVAL_SECONDS = 2.0
-"""How often the settings file is looked at; its bounds change rarely."""
+"""Interval between two checks of the settings file, in seconds; its bounds change
+rarely."""
 
 
 class SettingsWatch:
-    """Reads the settings file again on a signal, and when it has changed."""
+    """Reads the settings file again on a signal and when the file has changed.
+
+    A change is detected by the modification time and the size of the file.
+    """
 
     def __init__(self, path: Path, apply: Callable[[EntrySettings], None]) -> None:
         self._path = path
@@ -27,22 +31,22 @@
         try:
             status = self._path.stat()
         except OSError as error:
-            _log.warning("settings file not found", extra={"error": str(error)})
+            _log.warning("cannot read the settings file", extra={"error": str(error)})
             return (0, 0)
         return (status.st_mtime_ns, status.st_size)
 
     def reload(self) -> None:
-        """Read the file; wrong settings leave those in force as they are."""
+        """Read the file and apply its settings; invalid ones change nothing."""
         self._last_stamp = self._read_stamp()
         try:
             settings = load_settings(self._path)
         except SettingsError as error:
-            _log.error("settings refused", extra={"error": str(error)})
+            _log.error("invalid settings ignored", extra={"error": str(error)})
             return
         self._apply(settings)
 
     async def run(self) -> None:
-        """Look at the file now and then; the platform may change it silently."""
+        """Check the file periodically; the platform may change it without a signal."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             if self._read_stamp() != self._last_stamp:
--- a/tests/platform/__init__.py
+++ b/tests/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of figstep.platform."""
+"""Tests of figstep.platform, the adapter to the users' platform."""
--- a/tests/platform/places.py
+++ b/tests/platform/places.py
@@ -1,4 +1,4 @@
-"""A store, targets and entries on the platform's stand-ins."""
+"""Helpers that start a fake store, fake targets and entries for a test."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -18,7 +18,7 @@
 
 
 class Place:
-    """A store, targets, and an entry before them."""
+    """A fake store, fake targets, and entries that serve callers."""
 
     def __init__(self) -> None:
         self.store = FakeStore()
@@ -88,14 +88,14 @@
 
 
 async def add_fleet(place: Place, entries: int, targets: int) -> None:
-    """Add plain targets, and entries that know each other."""
+    """Add targets of the plain service, and entries that know each other."""
     for number in range(1, targets + 1):
         await place.add_target(f"i-b{number}", "bookings")
     await start_fleet(place, entries, targets)
 
 
 async def start_fleet(place: Place, entries: int, targets: int) -> None:
-    """Start entries that know each other and the targets."""
+    """Start entries and wait until they know each other and all targets."""
     seeds: list[object] = []
     for number in range(entries):
         entry = await place.add_entry(node=f"entry-{number}", seeds=tuple(seeds))
@@ -109,7 +109,7 @@
 async def send_calls(
     place: Place, entry: Entry, name: str, seconds: float, rate: int
 ) -> list[int]:
-    """Send calls to an entry, so many a second; returns their statuses."""
+    """Send ``rate`` calls a second to an entry and return their statuses."""
     calls = []
     for number in range(round(seconds * rate)):
         calls.append(
@@ -122,7 +122,7 @@
 async def send_calls_to_all(
     place: Place, name: str, seconds: float, rate: int = 10
 ) -> list[int]:
-    """Send calls to all entries, so many a second to each; returns their statuses."""
+    """Send ``rate`` calls a second to each entry and return all their statuses."""
     coroutines = [
         send_calls(place, entry, f"{name}-{number}", seconds, rate)
         for number, entry in enumerate(place.entries)
--- a/tests/platform/standins.py
+++ b/tests/platform/standins.py
@@ -1,4 +1,4 @@
-"""Small stand-ins of the users' platform: its store, engines and services."""
+"""Fake store and targets of the users' platform, with documents as it writes them."""
 
 import asyncio
 import base64
@@ -29,18 +29,25 @@
 addr = "127.0.0.1:8742"
 [bounds]
 """
-"""A settings file as the platform writes it."""
+"""Settings file as the platform writes it; the table of bounds is open at its end."""
 
 
 def write_settings(path: Path, ports: list[int], store: str, bounds: str = "") -> None:
-    """Write a settings file: ports for callers, readiness checks and peers."""
+    """Write a settings file.
+
+    Args:
+        path: File to write.
+        ports: Ports for callers, readiness checks and peers.
+        store: Address of the store, as "ip:port".
+        bounds: Lines to append to the table of bounds.
+    """
     text = SETTINGS.replace("8740", str(ports[0])).replace("8749", str(ports[1]))
     text = text.replace("7200, 7215", f"{ports[2]}, {ports[2]}")
     path.write_text(text.replace("127.0.0.1:8742", store) + bounds)
 
 
 def find_free_port() -> int:
-    """Return a port that nobody listens at."""
+    """Return a port at which no process listens."""
     with socket.socket() as probe:
         probe.bind((HOST, 0))
         port: int = probe.getsockname()[1]
@@ -48,7 +55,7 @@
 
 
 async def start_app(app: web.Application, port: int = 0) -> tuple[web.AppRunner, str]:
-    """Serve an application; returns its runner and its "ip:port"."""
+    """Serve an application and return its runner and its "ip:port"."""
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
     await runner.setup()
     site = web.TCPSite(runner, HOST, port)
@@ -58,13 +65,14 @@
 
 
 class FakeStore:
-    """The platform's store: keyed topics with their newest records.
+    """Fake of the platform's store, which holds keyed topics in memory.
 
     Attributes:
-        address: Where it listens.
+        delay: Delay in seconds before it answers a read of the newest records.
+        address: "ip:port" at which it listens.
         unavailable: Whether it answers 503 to all calls.
-        page: Most records in a page of the newest ones.
-        calls: Paths asked for.
+        page: Largest number of records in a page of the newest ones.
+        calls: Received calls, "newest" or "read".
     """
 
     def __init__(self) -> None:
@@ -79,7 +87,7 @@
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening at a free port."""
         app = web.Application()
         app.router.add_get("/figstep/log-newest", self._read_newest)
         app.router.add_get("/figstep/log-read", self._read)
@@ -91,17 +99,23 @@
             await self._runner.cleanup()
 
     async def put(self, topic: str, key: str, value: bytes) -> None:
-        """Append a record; an empty value drops the key."""
+        """Append a record; an empty value deletes the key."""
         async with self._changed:
             self._records.setdefault(topic, []).append((key, value))
             self._changed.notify_all()
 
     def delete_before(self, topic: str, offset: int) -> None:
-        """Delete old records; the newest of each key stay known."""
+        """Delete the records of a topic before an offset.
+
+        The newest record of each key can still be read.
+        """
         self._first[topic] = offset
 
     def delete_all(self, topic: str) -> None:
-        """Delete all records; the newest of each key stay known."""
+        """Delete all records of a topic.
+
+        The newest record of each key can still be read.
+        """
         self.delete_before(topic, len(self._records.get(topic, [])))
 
     async def _read_newest(self, request: web.Request) -> web.Response:
@@ -158,7 +172,7 @@
 def build_registration(
     service: str, address: str, state: str, failure_domain: str = "muc-a"
 ) -> bytes:
-    """Return a target's registration as it writes it."""
+    """Return the registration that a target writes to the store."""
     registration = {
         "service": service,
         "addr": address,
@@ -179,22 +193,25 @@
 
 @dataclass
 class FakeTarget:
-    """A target that registers itself, echoes ids and signs its answers.
+    """Fake target that registers itself, echoes request ids and signs its answers.
 
     Attributes:
-        name: Its id.
-        service: Its service.
-        events: Events of each stream.
+        name: Name under which it registers.
+        service: Service to which it belongs.
+        events: Number of events in each stream.
         event_interval: Seconds between two events.
-        handler: Answers instead of the usual ones, if set.
-        received_headers: Headers of the requests that came, oldest first.
-        bodies: Their bodies.
-        aborted: Requests whose connection closed before their end.
-        copies: Runs that another engine has copied here.
-        extra_headers: Headers that all its answers carry besides.
-        arrivals: When the requests came, by the loop's clock.
-        reports: How often it was asked for its state.
-        failure_domain: Its failure domain.
+        handler: Handler that answers requests in place of the usual ones, if set.
+        address: "ip:port" at which it listens.
+        received_headers: Headers of received requests, oldest first.
+        bodies: Bodies of received requests, oldest first.
+        aborted: Ids of requests whose connection closed before their end.
+        copies: Ids of runs that another engine has copied to this one.
+        extra_headers: Headers added to all its answers.
+        arrivals: Arrival times of requests in seconds, by the loop's clock.
+        reports: Number of queries of its state.
+        peers: Other targets, by address, to which it may copy runs.
+        runner: Server of the target; None before its start.
+        failure_domain: Failure domain of the target.
     """
 
     name: str
@@ -215,7 +232,7 @@
     failure_domain: str = "muc-a"
 
     async def start(self, store: FakeStore, port: int = 0) -> None:
-        """Listen and register."""
+        """Start listening and register in the store."""
         app = web.Application()
         app.router.add_post("/figstep/kv-move", self._move)
         app.router.add_get("/figstep/report", self._report)
@@ -224,14 +241,14 @@
         await self.register(store)
 
     async def register(self, store: FakeStore, state: str = "ready") -> None:
-        """Write the registration."""
+        """Write the target's registration to the store."""
         registration = build_registration(
             self.service, self.address, state, self.failure_domain
         )
         await store.put("keyed.servers", self.name, registration)
 
     async def kill(self) -> None:
-        """End with all connections."""
+        """Stop the server and close all connections."""
         if self.runner is not None:
             await self.runner.cleanup()
 
@@ -247,7 +264,7 @@
                 transport.abort()
 
     def sign(self, request: web.Request) -> dict[str, str]:
-        """Return the headers of an answer."""
+        """Return the headers of the answer to a request."""
         return {
             "Request-Id": request.headers.get("Request-Id", ""),
             "Server-Stamp": f"stamp-{self.name}",
@@ -302,7 +319,12 @@
 
 
 def build_configuration(version: int = 1, **fields: object) -> bytes:
-    """Return a configuration as the operator writes it."""
+    """Return a configuration as the operator writes it.
+
+    Args:
+        version: Version of the configuration.
+        fields: Top-level fields to add or replace.
+    """
     routes = [
         {"prefix": "/plan/", "type": "stream", "service": "engines"},
         {"prefix": "/order/", "type": "unsafe", "service": "bookings"},
@@ -345,7 +367,13 @@
 def build_settings(
     store: str, node: str = "entry-1", **fields: object
 ) -> EntrySettings:
-    """Return settings of an entry on free ports."""
+    """Return the settings of an entry on free ports.
+
+    Args:
+        store: Address of the store, as "ip:port".
+        node: Name of the entry.
+        fields: Settings to replace.
+    """
     given: dict[str, object] = {
         "node": node,
         "failure_domain": "muc-a",
--- a/tests/platform/test_answers.py
+++ b/tests/platform/test_answers.py
@@ -1,4 +1,4 @@
-"""Tests of what targets say of themselves in answers and reports."""
+"""Tests of the headers and reports in which targets describe their state."""
 
 from types import SimpleNamespace
 
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("text", ["", "soon", "-1", "nan", "inf"])
 def test_an_invalid_rate_is_refused(text: str) -> None:
-    """Guards against a header that stops all requests or lifts every limit."""
+    """Guards against an invalid rate that stops all requests or removes the limit."""
     with pytest.raises(ValueError, match=r".+"):
         parse_rate(text)
 
@@ -62,13 +62,13 @@
 
 @pytest.mark.parametrize("text", ["", "nan", "inf", "-3", "Thu, 03 Dec 2026"])
 def test_an_invalid_retry_after_is_refused(text: str) -> None:
-    """Guards against an answer that is lost for the header of its refusal."""
+    """Guards against an answer that is lost because its Retry-After is invalid."""
     with pytest.raises(ValueError, match=r".+"):
         parse_retry_after(text)
 
 
 @pytest.mark.parametrize(
-    ("status", "headers", "words"),
+    ("status", "headers", "signals"),
     [
         (200, {"server-limit": "1.9"}, TargetSignals(rate=1.9)),
         (503, {"Server-Limit": "0", "Server-Leaving": "1"}, TargetSignals(True, 0.0)),
@@ -82,6 +82,6 @@
 def test_target_signals_of_an_answer(
     status: int, headers: dict[str, str], signals: TargetSignals
 ) -> None:
-    """Guards against words that are missed, misread, or those of another target."""
+    """Guards against headers that are missed, misread, or applied to another target."""
     response = SimpleNamespace(status=status, headers=CIMultiDict(headers))
     assert read_target_signals(response) == signals  # type: ignore[arg-type]
--- a/tests/platform/test_crashes.py
+++ b/tests/platform/test_crashes.py
@@ -1,4 +1,4 @@
-"""Requests that crash the targets that run them, before entries that share work."""
+"""Tests of requests that crash their targets, with several entries."""
 
 import asyncio
 from collections.abc import AsyncIterator, Iterator
@@ -17,30 +17,34 @@
 CRASHING_PATH = "/lookup/crashes"
 
 CRASH_SECONDS = 0.05
-"""From when a target begins to run such a request until it crashes."""
+"""Time in seconds from the start of a crashing request until its target crashes."""
 
 RESTART_DELAY_SECONDS = 0.5
-"""Until it starts again, at its address and under a new id."""
+"""Time in seconds from a crash until a target with a new name starts at the same
+address."""
 
 RETRY_INTERVAL_SECONDS = 1.0
-"""Time between two sendings by the caller."""
+"""Time in seconds between two attempts of the caller."""
 
 PROPAGATION_SECONDS = 0.6
-"""From when on the third crash is known to all; a part of RETURN_SECONDS as it is on
-the users' deployments, where callers return every 3.6 s."""
+"""Time in seconds after which all entries know of the third crash. Its ratio to
+RETRY_INTERVAL_SECONDS is that of the users' deployments, where callers retry every
+3.6 s."""
 
 MAX_LATE_RUNS = 3
-"""Sendings later than that which are borne."""
+"""Tolerated runs of the crashing request once all entries know of the third crash."""
 
 
 @dataclass
 class Crashes:
-    """What became of the targets of a place.
+    """Targets that a request can crash, and a record of their crashes.
 
     Attributes:
-        run_times: When the request that crashes them reached one.
-        crash_times: When each target crashed.
-        restarts: Targets that are starting again.
+        place: Store, targets and entries of the test.
+        run_times: Loop times in seconds at which the crashing request reached a target.
+        crash_times: Loop times in seconds at which a target crashed.
+        restarts: Tasks that restart crashed targets.
+        numbers: Numbers for the names of targets.
     """
 
     place: Place
@@ -50,7 +54,7 @@
     numbers: Iterator[int] = field(default_factory=lambda: count(1))
 
     async def add_target(self, failure_domain: str) -> FakeTarget:
-        """Add a target that a request for CRASHING crashes."""
+        """Add a target that crashes when it runs a request for CRASHING_PATH."""
         target = FakeTarget(
             f"i-b{next(self.numbers)}", "bookings", failure_domain=failure_domain
         )
@@ -58,7 +62,7 @@
         return target
 
     async def start(self, target: FakeTarget, port: int = 0) -> None:
-        """Start a target."""
+        """Start a target that crashes when it runs a request for CRASHING_PATH."""
 
         async def answer(request: web.Request) -> web.StreamResponse:
             if request.path != CRASHING_PATH:
@@ -88,7 +92,7 @@
         await self.place.store.put("keyed.servers", target.name, b"")
 
     def count_late_runs(self) -> int:
-        """Return the sendings since the third crash was known to all."""
+        """Return the number of runs since all entries know of the third crash."""
         if len(self.crash_times) < 3:
             return 0
         known = sorted(self.crash_times)[2] + PROPAGATION_SECONDS
@@ -97,7 +101,7 @@
 
 @asynccontextmanager
 async def open_crashing_place() -> AsyncIterator[Crashes]:
-    """Open a place whose targets lie in failure domains of their own."""
+    """Start entries, and one target in each failure domain."""
     async with open_place() as place:
         crashes = Crashes(place)
         for failure_domain in DOMAINS:
@@ -110,12 +114,12 @@
 
 
 def read_clock() -> float:
-    """Return the loop's time, in seconds."""
+    """Return the time of the event loop in seconds."""
     return asyncio.get_running_loop().time()
 
 
 async def read(place: Place, entry: Entry, path: str, number: str) -> int:
-    """Send a read to an entry; returns its status."""
+    """Send a read to an entry and return the status of its answer."""
     headers = place.headers(number)
     async with place.session.get(place.url(path, entry), headers=headers) as response:
         await response.read()
@@ -123,7 +127,7 @@
 
 
 async def test_a_read_that_crashes_its_targets_is_kept_away() -> None:
-    """Guards against crashes that look like targets that could not be reached."""
+    """Guards against crashes that are mistaken for unreachable targets."""
     async with open_crashing_place() as crashes:
         place = crashes.place
         for number in range(6):
@@ -134,7 +138,11 @@
 
 
 async def read_often(place: Place, stop: asyncio.Event) -> list[tuple[float, int]]:
-    """Send the same few reads to all entries; returns when, and their statuses."""
+    """Send seven different reads in turn until stopped.
+
+    Returns:
+        The time at which each read was sent, and its status.
+    """
     reads: list[asyncio.Task[tuple[float, int]]] = []
 
     async def read_one(number: int) -> tuple[float, int]:
@@ -149,7 +157,7 @@
 
 
 async def test_reads_beside_one_that_crashes_targets_are_served() -> None:
-    """Guards against reads refused for what crashed beside them."""
+    """Guards against reads that are refused for a crash that another request caused."""
     stop = asyncio.Event()
     async with open_crashing_place() as crashes:
         place = crashes.place
--- a/tests/platform/test_departures.py
+++ b/tests/platform/test_departures.py
@@ -1,4 +1,4 @@
-"""Targets that say in their answers that they leave, or want a pause."""
+"""Tests of targets whose answers announce that they leave or ask for a pause."""
 
 import asyncio
 
@@ -10,20 +10,25 @@
 LEAVING_TARGET = "i-b1"
 
 DRAIN_SECONDS = 2.0
-"""Time after an answer that says so from which a leaving target gets nothing."""
+"""Time in seconds after which a target that announced that it leaves gets no
+requests."""
 
 PAUSE_SECONDS = 2.0
+"""Pause in seconds that the target asks for."""
+
 PAUSE_BEGINS_SECONDS = 0.5
+"""Time in seconds after the first request from which the pause has to be kept."""
+
 MAX_IN_PAUSE = 2
-"""Requests of one entry that may reach a target within its pause."""
+"""Largest number of requests of an entry that may reach a target within its pause."""
 
 
 async def test_a_target_that_says_that_it_leaves_gets_nothing_new() -> None:
-    """Guards against departures that are known from the store alone."""
+    """Guards against entries that learn of departures from the store only."""
     async with open_place() as place:
         await add_fleet(place, ENTRIES, 2)
         target = place.targets[LEAVING_TARGET]
-        # The store is never told: it would be the same if it were away.
+        # The registration in the store does not change, as if the store were down.
         target.extra_headers = {"Server-Leaving": "1"}
         statuses = await send_calls_to_all(place, "first", 1.0)
         announced_at = asyncio.get_running_loop().time()
@@ -34,7 +39,7 @@
 
 
 async def test_a_target_that_wants_a_pause_gets_one() -> None:
-    """Guards against requests to a target that has said when to come back."""
+    """Guards against requests to a target before the end of its Retry-After."""
     async with open_place() as place:
         await add_fleet(place, 1, 2)
         target = place.targets[LEAVING_TARGET]
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Tests of the store's records as the gateway's types."""
+"""Tests of the parsers of the store's records."""
 
 import orjson
 import pytest
@@ -85,7 +85,7 @@
 
 
 def test_allowed_regions_and_warmups_are_read() -> None:
-    """Guards against regions and warm-up rates that are read and not kept."""
+    """Guards against allowed regions and warm-up rates that are parsed but dropped."""
     document = orjson.loads(build_configuration())
     document["routes"][0]["regions_allowed"] = ["bayern", "eire"]
     document["tenants"][0]["regions_allowed"] = ["eire"]
@@ -103,7 +103,7 @@
 
 
 def test_an_empty_region_list_allows_any_region() -> None:
-    """Guards against an empty list of regions that shuts a route for all."""
+    """Guards against an empty list of regions that closes a route to all callers."""
     document = orjson.loads(build_configuration())
     document["routes"][0]["regions_allowed"] = []
     table = parse_configuration(orjson.dumps(document))
@@ -126,12 +126,12 @@
 def test_only_evacuation_keys_name_a_failure_domain(
     key: str, domain: str | None
 ) -> None:
-    """Guards against other keys that shut a failure domain."""
+    """Guards against other keys that evacuate a failure domain."""
     assert parse_evacuation(key) == domain
 
 
 @given(st.text(max_size=80))
 def test_any_key_can_be_read(key: str) -> None:
-    """Guards against a key that ends the reading of the operator's records."""
+    """Guards against a key that stops the parsing of the operator's records."""
     domain = parse_evacuation(key)
     assert domain is None or key == f"evacuate/{domain}"
--- a/tests/platform/test_entry.py
+++ b/tests/platform/test_entry.py
@@ -1,4 +1,4 @@
-"""The whole path on the platform's stand-ins, with faults."""
+"""End-to-end tests of an entry with a fake store and fake targets, with faults."""
 
 import asyncio
 import os
@@ -70,11 +70,11 @@
 
 
 async def test_a_stream_survives_the_loss_of_its_engine(place: Place) -> None:
-    """The caller would lose its plan in mid-answer.
+    """Guards against a caller that loses its plan in the middle of the answer.
 
-    The engine's registration is dropped and the engine dies a little later.
-    The run goes on at the engine that holds its backup, inside the same
-    answer, with the first engine's signature.
+    The engine's registration is deleted and the engine ends a little later. The run
+    resumes on the engine that holds its backup, inside the same answer, with the
+    first engine's signature.
     """
     for target in place.targets.values():
         target.events, target.event_interval = 60, 0.02
@@ -117,14 +117,14 @@
 
 
 async def break_connection(request: web.Request) -> web.StreamResponse:
-    """Run a request, and break its connection before the answer."""
+    """Run a request and abort its connection before the answer."""
     assert request.transport is not None
     request.transport.abort()
     return web.Response()
 
 
 async def test_an_order_is_sent_once_and_reported_as_uncertain(place: Place) -> None:
-    """A doubled flour order lands two pallets.
+    """Guards against a non-idempotent order that runs twice.
 
     The service runs the order and its connection breaks before the answer.
     """
@@ -140,7 +140,7 @@
 
 @pytest.mark.parametrize("method", ["GET", "PUT", "DELETE"])
 async def test_an_order_by_any_method_is_sent_once(place: Place, method: str) -> None:
-    """Guards against an HTTP client that sends some methods again by itself."""
+    """Guards against an HTTP client that repeats some methods by itself."""
     target = place.targets["i-b1"]
     target.handler = break_connection
     url, headers = place.url("/order/a"), place.headers("r-1")
@@ -199,7 +199,13 @@
 async def add_entry_without_store(
     place: Place, healthy_entry: Entry
 ) -> tuple[FakeStore, Entry]:
-    """Add an entry that the store turns away; a peer is all that it hears."""
+    """Add an entry whose store answers 503 to all calls.
+
+    The entry receives records from its only peer, ``healthy_entry``.
+
+    Returns:
+        The store of the entry, which the test has to stop, and the entry.
+    """
     rejecting_store = FakeStore()
     await rejecting_store.start()
     rejecting_store.unavailable = True
@@ -215,9 +221,9 @@
 
 
 async def test_an_entry_that_the_store_rejects_reads_from_a_peer() -> None:
-    """A key that was taken away would work on at this entry for good.
+    """Guards against a revoked key that this entry would accept forever.
 
-    The store answers one entry 503 for all calls, and serves the other. The
+    The store answers 503 to all calls of one entry and serves the other. The
     operator's configuration reaches the first through the second.
     """
     async with open_place() as place:
@@ -241,7 +247,7 @@
 
 @pytest.mark.parametrize("value", [b"{}", b"\xff\x00 no document"])
 async def test_an_evacuated_domain_gets_no_call(place: Place, value: bytes) -> None:
-    """Guards against an operator's record that nobody acts on."""
+    """Guards against an evacuation record that has no effect."""
     entry = place.entries[0]
     domain = next(iter(entry.gateway.known.targets.targets.values()))
     key = f"evacuate/{domain.info.failure_domain}"
@@ -255,7 +261,7 @@
 
 
 async def test_evacuations_are_read_after_records_were_deleted() -> None:
-    """Guards against evacuations begun and ended in records that are gone."""
+    """Guards against evacuations that began or ended in records deleted since."""
     async with open_place() as place:
         await place.add_target("i-b1", "bookings")
         await place.store.put("keyed.op", "evacuate/muc-b", b"{}")
@@ -273,7 +279,7 @@
 
 
 async def test_an_entry_without_the_store_receives_an_evacuation_from_a_peer() -> None:
-    """Guards against one entry of several that sends on to an evacuated domain."""
+    """Guards against an entry that keeps sending requests to an evacuated domain."""
     async with open_place() as place:
         await place.add_target("i-b1", "bookings")
         healthy_entry = await place.add_entry(node="entry-1")
@@ -333,17 +339,17 @@
     ("grace", "drain"), [(8_000, 7_040), (4_000, 3_400), (1_000, 400), (500, 0)]
 )
 def test_a_short_grace_time_leaves_enough_to_stop(grace: int, drain: int) -> None:
-    """Guards against a process that is killed as it closes what was open."""
+    """Guards against a process that is killed while it closes open connections."""
     assert choose_drain_time(Millis(grace)) == drain
 
 
 async def test_an_entry_stops_within_its_grace_time_with_open_answers(
     tmp_path: Path, unused_tcp_port_factory: Callable[[], int]
 ) -> None:
-    """The platform kills a process that is still there after its grace time.
+    """Guards against a process that the platform kills at the end of its grace time.
 
-    A caller's answer is still open as the entry gives up on it. Its listener
-    would wait for that answer for a second, and the kill comes before.
+    A caller's answer is still open at the end of the drain. The listener would wait
+    another second for it, and the process would be killed before.
     """
     ports = [unused_tcp_port_factory() for _ in range(3)]
     async with open_place() as place:
--- a/tests/platform/test_limits.py
+++ b/tests/platform/test_limits.py
@@ -1,4 +1,4 @@
-"""Targets that name a rate, before entries that share their work."""
+"""Tests of targets whose answers name a rate, with several entries."""
 
 import asyncio
 
@@ -8,19 +8,25 @@
 TARGETS = 3
 LIMITED_TARGET = "i-b1"
 RATE = 1.0
+"""Rate that the target names, in requests a second."""
 
 CALLS_BEFORE_LIMIT = 4
 """Calls a second to each entry before a target names its rate. They count in the
-first window, and more of them would fill it before any entry can know."""
+first window, and more would fill it before any entry can know of the rate."""
 
 WINDOW_SECONDS = 4.0
+"""Length in seconds of the window over which requests are counted."""
+
 PROPAGATION_SECONDS = 3.0
+"""Time in seconds after which all entries have to keep to a named rate."""
+
 MAX_IN_WINDOW = 1.5 * RATE * WINDOW_SECONDS + 5
-"""What a target that names a rate bears, from CONTACT_SECONDS after it did so."""
+"""Largest number of requests that a target with a rate may get in a window, from
+PROPAGATION_SECONDS after it named the rate."""
 
 
 def count_busiest(arrivals: list[float], since: float) -> int:
-    """Return the most arrivals of a window that ends after a time."""
+    """Return the most arrivals in any window that ends at ``since`` or later."""
     counts = [0]
     for end in arrivals:
         if end >= since:
@@ -29,7 +35,7 @@
 
 
 async def test_a_target_in_need_gets_no_more_than_the_rate_that_it_names() -> None:
-    """Guards against entries that go on as if a target had named no rate."""
+    """Guards against entries that ignore the rate that a target named."""
     async with open_place() as place:
         await add_fleet(place, ENTRIES, TARGETS)
         await send_calls_to_all(place, "before", 1.0, CALLS_BEFORE_LIMIT)
@@ -43,7 +49,7 @@
 
 
 async def test_a_report_without_a_rate_does_not_end_the_limit() -> None:
-    """Guards against answers to the entry's own questions that name no rate."""
+    """Guards against reports without a rate that end the limit of a target."""
     async with open_place() as place:
         target = await place.add_target("i-e1", "engines")
         entry = await place.add_entry()
--- a/tests/platform/test_listeners.py
+++ b/tests/platform/test_listeners.py
@@ -1,4 +1,4 @@
-"""The callers' socket that listens before the program has loaded."""
+"""Tests of the callers' socket, which listens before the program has loaded."""
 
 import asyncio
 import os
@@ -19,12 +19,13 @@
     monkeypatch: pytest.MonkeyPatch,
     unused_tcp_port_factory: Callable[[], int],
 ) -> None:
-    """A killed entry starts again while callers keep coming.
+    """Guards against callers that a restarting entry refuses.
 
-    They were refused a connection until its libraries were loaded, and then
-    told that no configuration is in force; with few tries left, some were never
-    served. Their connections wait in the socket's queue, and the entry reads the
-    store's records before it takes them in.
+    A killed entry starts again while callers connect. Their connections were refused
+    until its libraries were loaded, and their requests until a configuration was in
+    force; with few attempts left, some callers were never served. Now connections
+    wait in the socket's queue, and the entry reads the store's records before it
+    accepts them.
     """
     async with open_place() as place:
         await place.add_target("i-b1", "bookings")
@@ -53,10 +54,10 @@
     monkeypatch: pytest.MonkeyPatch,
     unused_tcp_port_factory: Callable[[], int],
 ) -> None:
-    """A killed entry starts again while the store is down.
+    """Guards against callers that wait for records while the store is down.
 
-    Its callers must not wait for records that don't come: they are told within
-    a fraction of a second that their request has not run.
+    A killed entry starts again during an outage of the store. Within a fraction of a
+    second its callers receive the answer that their request has not run.
     """
     async with open_place() as place:
         path = tmp_path / "boot.toml"
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's settings file."""
+"""Tests of the loader of the platform's settings file."""
 
 from pathlib import Path
 
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of the store's client, against the stand-in."""
+"""Tests of the client of the store, with a fake store."""
 
 import asyncio
 
@@ -71,10 +71,10 @@
 
 
 async def test_a_follower_rereads_a_topic_whose_records_were_deleted() -> None:
-    """A target that left in the gap would get work for good.
+    """Guards against a departed target that would get requests forever.
 
-    The store deletes its history while the follower can't read. The record
-    that told of the departure is gone with it.
+    The store deletes its records while the follower cannot read, and with them the
+    record of the departure.
     """
     fake, store = await open_store()
     await fake.put(TOPIC, "k1", b"value")
@@ -107,10 +107,10 @@
 
 
 async def test_a_follower_that_stops_reading_reports_the_store_regained() -> None:
-    """An entry would go on asking engines for their state, which is dear.
+    """Guards against an entry that keeps querying engines, which is costly.
 
-    The store turns the entry away, and others read and tell it. It stops
-    reading, and must not take the store for lost until it reads again.
+    The store rejects the entry, and other entries read and relay the records. The
+    entry stops reading, and must not consider the store lost until it reads again.
     """
     fake, store = await open_store()
     reports: list[str] = []
@@ -142,10 +142,10 @@
 
 
 async def test_a_follower_survives_an_error_of_its_sink() -> None:
-    """Callers would be served by an old configuration for good.
+    """Guards against an entry that would keep its old configuration forever.
 
-    What takes the records in fails at one of them. The follower reads the
-    topic anew, and later records are taken in.
+    The sink fails at one record. The follower reads the whole topic again, and later
+    records are applied.
     """
     fake, store = await open_store()
     applied_ends: list[int] = []
@@ -153,7 +153,7 @@
     def apply(records: object, end: int) -> None:
         if not applied_ends:
             applied_ends.append(-1)
-            raise RuntimeError("a record that nobody thought of")
+            raise RuntimeError("unexpected record")
         applied_ends.append(end)
 
     sink = TopicSink(apply, apply, lambda reason: None, lambda: None)
--- a/tests/platform/test_watch.py
+++ b/tests/platform/test_watch.py
@@ -1,4 +1,4 @@
-"""Tests of the watch over the settings file."""
+"""Tests of the reload of the settings file."""
 
 from pathlib import Path
 
@@ -8,7 +8,7 @@
 
 
 async def test_settings_are_read_again_and_wrong_ones_refused(tmp_path: Path) -> None:
-    """A file that is half written would end the process or drop its bounds."""
+    """Guards against a half-written file that ends the process or resets its bounds."""
     path = tmp_path / "boot.toml"
     path.write_text(SETTINGS)
     applied: list[EntrySettings] = []
