--- a/figstep/net/__init__.py
+++ b/figstep/net/__init__.py
@@ -1,1 +1,4 @@
-"""Edges: bytes to events and effects to bytes; nothing is decided here."""
+"""Network edges, which convert bytes to events and effects to bytes.
+
+Decisions are made by the reducers, not here.
+"""
--- a/figstep/net/answers.py
+++ b/figstep/net/answers.py
@@ -1,4 +1,4 @@
-"""Whole answers for callers that did not ask for a stream."""
+"""Complete answers for callers that did not request a stream."""
 
 from typing import Any
 
@@ -14,11 +14,11 @@
 
 
 def assemble_answer(frames: list[bytes], chat: bool) -> dict[str, Any]:
-    """Join the events of one generation into one answer.
+    """Assemble the events of one generation into one answer.
 
     Args:
-        frames: All events, in order.
-        chat: Whether it is a chat completion or a plain one.
+        frames: All events of the generation, in order.
+        chat: Whether the answer is a chat completion rather than a text completion.
 
     Returns:
         The body of an OpenAI-compatible answer.
--- a/figstep/net/arrivals.py
+++ b/figstep/net/arrivals.py
@@ -1,4 +1,4 @@
-"""Border of callers' requests: HTTP in, specs and exchanges out."""
+"""Conversion of callers' HTTP requests into specs and exchanges."""
 
 import asyncio
 import hashlib
@@ -26,21 +26,23 @@
 
 
 class RequestReader:
-    """Turns validated HTTP requests into exchanges."""
+    """Validates HTTP requests and converts them into exchanges."""
 
     def __init__(self, node: str, limits: Limits, clock: Clock) -> None:
-        # A new process under the same name must not repeat an id: the log and
-        # the targets may still know the old one.
+        # A new process with the same node name must not reuse an id: the log and
+        # the targets may still hold the earlier one.
         self._prefix = f"{node}-{os.urandom(4).hex()}"
         self._limits = limits
         self._clock = clock
         self._next_request = 1
 
     async def read_body(self, request: web.Request) -> bytes:
-        """Return the body.
+        """Return the body of a request.
+
+        The size is bounded by aiohttp.
 
         Raises:
-            RefusedError: If it takes too long; aiohttp bounds its size.
+            RefusedError: If the body takes longer than ``body_seconds``.
         """
         try:
             async with asyncio.timeout(self._limits.body_seconds):
@@ -60,10 +62,11 @@
         customer: CustomerInfo,
         inventory: Inventory,
     ) -> Exchange:
-        """Return the exchange of a generation.
+        """Return the exchange of a request for a generation.
 
         Raises:
-            RefusedError: If the body is not valid or the model not served.
+            RefusedError: If the body or a header is invalid, or the model is not
+                served.
         """
         chat = request.path == CHAT_PATH
         document, body = _parse_body(raw, chat)
@@ -93,7 +96,7 @@
         customer: CustomerInfo,
         inventory: Inventory,
     ) -> Exchange:
-        """Return the exchange of a call of a plain service.
+        """Return the exchange of a call to a plain service.
 
         Raises:
             RefusedError: If the service is not in the inventory.
@@ -109,7 +112,7 @@
         for header in _FORWARDED_HEADERS:
             if header in request.headers:
                 forwarded[header] = request.headers[header]
-        # The raw path, as the target must see the caller's own quoting.
+        # The raw path keeps the caller's percent-encoding for the target.
         raw_path = request.rel_url.raw_path_qs.removeprefix(f"/services/{name}")
         return Exchange(spec, request.method, raw_path, forwarded, raw)
 
@@ -157,7 +160,7 @@
 
 
 def digest_request(method: str, path: str, body: bytes) -> str:
-    """Return the SHA-256 of what a request asks for, in hexadecimal."""
+    """Return the SHA-256 of method, path and body of a request, in hexadecimal."""
     digest = hashlib.sha256(f"{method} {path}\n".encode())
     digest.update(body)
     return digest.hexdigest()
--- a/figstep/net/bodies.py
+++ b/figstep/net/bodies.py
@@ -1,14 +1,15 @@
-"""Border of callers' bodies: the fields that the router reads."""
+"""Models of callers' request bodies, with the fields that routing reads."""
 
 from typing import Any, Literal
 
 from pydantic import BaseModel, ConfigDict, Field
 
 CHARACTERS_PER_TOKEN = 4
+"""Characters of a prompt that count as one token when its length is estimated."""
 
 
 class _Body(BaseModel):
-    """Fields that both kinds share; unknown ones are handed on as they are."""
+    """Fields of chat and text completions; unknown fields are forwarded unchanged."""
 
     model_config = ConfigDict(extra="allow", strict=True, hide_input_in_errors=True)
 
@@ -18,12 +19,12 @@
     n: Literal[1] | None = None
 
     def get_max_tokens(self) -> int | None:
-        """Return the most tokens that the caller wants, or None."""
+        """Return the most tokens that the caller requests, or None for no limit."""
         return self.max_tokens
 
 
 class Message(BaseModel):
-    """One message of a chat."""
+    """One message of a chat completion request."""
 
     model_config = ConfigDict(extra="allow", strict=True, hide_input_in_errors=True)
 
@@ -38,7 +39,10 @@
     max_completion_tokens: int | None = Field(default=None, gt=0)
 
     def get_max_tokens(self) -> int | None:
-        """Return the most tokens that the caller wants, or None."""
+        """Return the most tokens that the caller requests, or None for no limit.
+
+        ``max_completion_tokens`` takes precedence over ``max_tokens``.
+        """
         return self.max_completion_tokens or self.max_tokens
 
 
@@ -49,7 +53,7 @@
 
 
 def count_prompt_tokens(body: ChatBody | CompletionBody) -> int:
-    """Estimate the length of the prompt, in tokens."""
+    """Return an estimate of the prompt's length, in tokens."""
     if isinstance(body, CompletionBody):
         characters = len(body.prompt)
     else:
--- a/figstep/net/callers.py
+++ b/figstep/net/callers.py
@@ -1,4 +1,4 @@
-"""Edge towards callers: OpenAI-compatible HTTP and plain services."""
+"""HTTP server for callers: OpenAI-compatible endpoints and plain services."""
 
 import asyncio
 from collections.abc import Callable
@@ -29,6 +29,8 @@
 _log = logbook.Logger("figstep.callers")
 
 DONE = b"data: [DONE]\n\n"
+"""End marker of a stream, as sent to callers."""
+
 STREAM_HEADERS = {"Content-Type": "text/event-stream", "Cache-Control": "no-cache"}
 
 
@@ -36,9 +38,9 @@
     """HTTP server for callers and for health checks.
 
     Attributes:
-        ready: Whether new callers should come here.
-        address: Base URL, once listening.
-        streams: Open streams towards callers.
+        ready: Whether load balancers should send new callers to this entry.
+        address: Base URL; empty until the server listens.
+        streams: Open streams to callers.
     """
 
     def __init__(
@@ -68,7 +70,12 @@
         self.address = ""
 
     async def on_start(self) -> None:
-        """Listen for callers."""
+        """Start to listen for callers.
+
+        Raises:
+            ListenError: If the address cannot be bound or the TLS files cannot be
+                used.
+        """
         self._runner = build_runner(self._build_app(), self._settings.limits)
         await self._runner.setup()
         listen = self._settings.callers
@@ -99,7 +106,7 @@
         return app
 
     async def on_stop(self) -> None:
-        """Close the listener."""
+        """Cancel grace periods and close the listener and its connections."""
         for task in self._grace_tasks:
             task.cancel()
         if self._runner is not None:
@@ -107,7 +114,7 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes of answers that wait in the buffers of their connections."""
+        """Bytes of answers that are buffered in the connections to callers."""
         server = None if self._runner is None else self._runner.server
         if server is None:
             return 0
@@ -120,10 +127,10 @@
     async def _prepare_response(
         self, request: web.Request, response: web.StreamResponse
     ) -> None:
-        # A kept connection would bring its next request here after the
-        # listener closed, and lose it; closing sends the caller elsewhere.
-        # The header tells the caller; without it, its next request on the
-        # connection would meet the close and be lost.
+        # On a kept-alive connection the caller's next request would arrive after
+        # the listener closed and be lost. Closing the connection makes the caller
+        # connect to another entry. The header announces the close: without it the
+        # next request on the connection could meet the close and be lost.
         if not self.ready:
             response.headers["Connection"] = "close"
             response.force_close()
@@ -228,7 +235,12 @@
         return response
 
     def _handle_disconnect(self, exchange: Exchange, grace: float) -> None:
-        """Cancel the generation of a vanished caller, now or after its grace."""
+        """Cancel the generation of a disconnected caller, now or after its grace.
+
+        Args:
+            exchange: The caller's request.
+            grace: How long the generation runs on without its caller, in seconds.
+        """
         if not grace or exchange.sink is None or exchange.ended:
             self._dispatch(CallerGone(exchange.spec.request))
             self._finish(exchange)
@@ -246,9 +258,9 @@
             async with asyncio.timeout(grace):
                 await exchange.wait_end()
         except TimeoutError:
-            # The caller may read the same generation through another entry by
-            # now, where a cancel would cut its answer. Without one the target
-            # ends the generation if nobody reads it.
+            # The caller may meanwhile read the same generation through another
+            # entry, where a cancellation would cut off its answer. Without a
+            # cancellation the target ends the generation if nobody reads it.
             self._dispatch(CallerGone(exchange.spec.request, cancel=False))
         finally:
             self._finish(exchange)
@@ -279,8 +291,8 @@
         if exchange.problem is None:
             await response.write_eof(DONE)
             return response
-        # The bound on the buffer has cut this reader: waiting for it to drain
-        # would keep the buffer for as long as it likes.
+        # The reader may have exceeded the buffer limit: waiting for the buffer to
+        # drain would hold its memory until the reader reads.
         document = orjson.dumps(build_document(exchange.problem))
         response.force_close()
         await writer.write(b"event: error\ndata: " + document + b"\n\n", drain=False)
--- a/figstep/net/clock.py
+++ b/figstep/net/clock.py
@@ -6,8 +6,8 @@
 
 
 class SystemClock(Clock):
-    """Monotonic clock of the machine."""
+    """Monotonic clock of the operating system."""
 
     def now(self) -> Millis:
-        """Return monotonic milliseconds."""
+        """Return the monotonic time, in milliseconds."""
         return Millis(time.monotonic_ns() // 1_000_000)
--- a/figstep/net/configuration.py
+++ b/figstep/net/configuration.py
@@ -1,4 +1,4 @@
-"""Border of the configuration stream: records in, events out."""
+"""Conversion of records of the configuration stream into events."""
 
 import time
 from typing import Any
@@ -18,7 +18,7 @@
 
 class _Record(BaseModel):
     # Members that a newer program adds are ignored: only the validation
-    # version decides whether a record can be judged here.
+    # version decides whether this program can validate a record.
     model_config = ConfigDict(extra="ignore", frozen=True)
 
     edit: str = ""
@@ -48,11 +48,14 @@
 def parse_record(
     record: LogRecord, current: Checkpoint | None
 ) -> ConfigurationRead | SnapshotRead:
-    """Turn a log record into an event; a bad one becomes problems.
+    """Convert a log record into an event.
+
+    A record that is invalid becomes an event that holds its problems.
 
     Args:
-        record: The record.
-        current: The document in force before it, which its changes apply to.
+        record: The record of the configuration stream.
+        current: The document in force before the record, to which the changes of
+            an edit apply; None if there is none.
     """
     try:
         if record.data.get("kind") == SNAPSHOT:
@@ -100,7 +103,13 @@
 
 
 def _build_document(model: _EditRecord, current: Checkpoint | None) -> dict[str, Any]:
-    """Return the edit's whole document; the fold refuses it for a wrong base."""
+    """Return the whole document of an edit.
+
+    The base of an edit that holds a whole document is checked by the core.
+
+    Raises:
+        ChangeError: If the edit holds changes to a document that is not in force.
+    """
     if model.document is not None:
         return model.document
     if current is None or current.accepted != model.base:
@@ -115,10 +124,12 @@
 
 
 def parse_checkpoint(data: dict[str, Any]) -> Checkpoint:
-    """Turn an encoded checkpoint into data; an unreadable document is None.
+    """Convert a decoded snapshot record into a checkpoint.
+
+    The inventory of the checkpoint is None if its document is invalid.
 
     Raises:
-        ValidationError: If it is not a checkpoint at all.
+        ValidationError: If the data is not a snapshot record.
     """
     model = _SnapshotRecord.model_validate(data)
     try:
--- a/figstep/net/connectors.py
+++ b/figstep/net/connectors.py
@@ -1,4 +1,4 @@
-"""Connector of the HTTP client that tells a reset from an end."""
+"""Connector of the HTTP client that distinguishes a reset from a normal close."""
 
 import functools
 from typing import Any
@@ -10,14 +10,14 @@
 
 
 class _ResetAwareHandler(ResponseHandler):
-    """Fails a body that ends with a reset of its connection.
+    """Reports an error for a body whose connection is reset.
 
-    An answer without a length ends with its connection. The library takes a
-    reset for such an end too: half an answer would go on as a whole one.
+    An answer without a length ends with its connection. aiohttp treats a reset as
+    such an end too, which would forward half an answer as a complete one.
     """
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Fail the body that is being read, if the connection was reset."""
+        """Set an error on the body being read if the connection was reset."""
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
             payload.set_exception(aiohttp.ClientPayloadError(f"reset: {exc}"))
@@ -25,7 +25,7 @@
 
 
 class ResetAwareConnector(aiohttp.TCPConnector):
-    """Opens watched sockets and tells a reset from an end."""
+    """Opens sockets with TCP keep-alive and distinguishes resets from closes."""
 
     def __init__(self, **options: Any) -> None:
         super().__init__(socket_factory=open_keepalive_socket, **options)
--- a/figstep/net/deliveries.py
+++ b/figstep/net/deliveries.py
@@ -1,4 +1,4 @@
-"""Streams of events towards callers: writing, keep-alives, slow readers."""
+"""Streams of events to callers: writing, keep-alives and slow readers."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,10 +12,14 @@
 from figstep.settings import Limits
 
 KEEP_ALIVE = b": keep-alive\n\n"
+"""Comment that is sent on an idle stream."""
 
 
 STALL_SECONDS = 0.25
-"""A wait counts as a stall, whole, from this many seconds."""
+"""Shortest wait between deliveries that counts as a stall, in seconds.
+
+The whole wait counts, not only the part beyond this bound.
+"""
 
 
 @dataclass(slots=True)
@@ -23,8 +27,8 @@
     """Waits between deliveries to one caller, in seconds.
 
     Attributes:
-        last: When something was delivered last.
-        longest: Longest wait.
+        last: Time of the last delivery.
+        longest: Longest wait so far.
         stalled: Sum of the waits that count as stalls.
     """
 
@@ -33,7 +37,11 @@
     stalled: float = 0.0
 
     def add(self, now: float) -> None:
-        """Note a delivery."""
+        """Record a delivery.
+
+        Args:
+            now: Monotonic time, in seconds.
+        """
         gap = now - self.last
         self.last = now
         if gap > self.longest:
@@ -43,11 +51,11 @@
 
 
 class StreamSink(FrameSink):
-    """Writes events to one caller, in the same turn of the loop.
+    """Writes events to one caller without a switch to another task.
 
     Attributes:
         finished: Whether nothing more will be written.
-        gaps: Waits of its caller.
+        gaps: Waits between deliveries to the caller.
     """
 
     def __init__(
@@ -69,23 +77,25 @@
 
     @property
     def waiting(self) -> int:
-        """Bytes that the reader has not taken."""
+        """Bytes in the write buffer of the connection."""
         return self._transport.get_write_buffer_size()
 
     def write(self, frames: list[bytes]) -> Problem | None:
-        """Write events; a reader that is too slow gets a problem."""
+        """Write events; return a problem if the reader is too slow, else None."""
         self._idle = False
         self.gaps.add(self._read_clock())
         self._write_now(frames[0] if len(frames) == 1 else b"".join(frames))
-        # A reader that stops reading would pile up its whole answer here;
-        # a few thousand of them end the process. Past the bound it is cut.
+        # The whole answer of a reader that stops reading would collect in this
+        # buffer; a few thousand such readers exhaust the process's memory. A
+        # reader that exceeds the bound is therefore disconnected.
         if self.waiting > self._max_bytes:
             return _build_too_slow_problem()
         return None
 
     def _write_now(self, data: bytes) -> None:
-        # Waiting for the drain would cost a task switch per token; the bound
-        # above does its work. Without a drain the coroutine never suspends.
+        # Waiting for the drain would cost a task switch per token; the bound in
+        # ``write`` limits the buffer instead. Without a drain the coroutine never
+        # suspends.
         writing = self._writer.write(data, drain=False)
         try:
             writing.send(None)
@@ -94,10 +104,14 @@
         except ClientConnectionResetError:
             return  # the handler is cancelled as the connection closes
         writing.close()
-        raise RuntimeError("the stream writer suspended although told not to drain")
+        raise RuntimeError("the stream writer suspended although drain=False")
 
     def keep_alive(self) -> bool:
-        """Write a comment if nothing was written since the last call."""
+        """Write a comment if nothing was written since the last call.
+
+        Returns:
+            Whether a comment was written.
+        """
         was_idle, self._idle = self._idle, True
         if not was_idle or self.finished or self.waiting:
             return False
@@ -105,7 +119,15 @@
         return True
 
     def abort_if_stalled(self, now: float, stalled_seconds: float) -> bool:
-        """Cut the connection of a reader that has taken nothing for long."""
+        """Abort the connection if its reader has read nothing for too long.
+
+        Args:
+            now: Monotonic time, in seconds.
+            stalled_seconds: Time without progress after which to abort.
+
+        Returns:
+            Whether the connection was aborted.
+        """
         waiting = self.waiting
         sent = self._writer.output_size - waiting
         if not waiting or sent > self._sent or self._stalled_since is None:
@@ -120,7 +142,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Sweep:
-    """What one sweep over the open streams did."""
+    """Result of one sweep over the open streams.
+
+    Attributes:
+        kept_alive: Number of streams that got a keep-alive comment.
+        aborted: Number of connections aborted.
+    """
 
     kept_alive: int
     aborted: int
@@ -137,20 +164,23 @@
         return len(self._sinks)
 
     def add(self, sink: StreamSink) -> None:
-        """Look after a sink."""
+        """Include a sink in the sweeps."""
         self._sinks.add(sink)
 
     def finish(self, sink: StreamSink) -> None:
-        """Forget a sink once its caller has read everything."""
+        """Mark a sink as finished and remove it if nothing is left to send.
+
+        A sink with unsent bytes stays until a sweep finds its buffer empty.
+        """
         sink.finished = True
         if not sink.waiting:
             self._sinks.discard(sink)
 
     def sweep(self, now: float) -> Sweep:
-        """Keep quiet streams alive and cut stalled readers.
+        """Send keep-alives on idle streams and abort stalled readers.
 
-        One pass over all streams each period costs nothing per token; a timer
-        for each stream would have to be moved with every token.
+        One pass over all streams per period costs nothing per token; a timer for
+        each stream would have to be rescheduled with every token.
 
         Args:
             now: Monotonic time, in seconds.
--- a/figstep/net/exchanges.py
+++ b/figstep/net/exchanges.py
@@ -1,4 +1,4 @@
-"""What the edges hold of a request: its body, and its answer so far."""
+"""State of a request at the edges: its body and its answer so far."""
 
 import asyncio
 from abc import ABC, abstractmethod
@@ -9,11 +9,12 @@
 from figstep.core.specs import RequestSpec
 
 REPLAYED_HEADER = "Idempotent-Replayed"
+"""Header of an answer that was recorded for an earlier request with the same key."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceAnswer:
-    """Whole answer of a plain service."""
+    """Complete answer of a plain service."""
 
     status: int
     headers: dict[str, str]
@@ -21,18 +22,18 @@
 
 
 class FrameSink(ABC):
-    """Where events go as they arrive."""
+    """Receiver of the events of a generation as they arrive."""
 
     @abstractmethod
     def write(self, frames: list[bytes]) -> Problem | None:
-        """Take events; returns why the caller can take no more, or None."""
+        """Write events; return a problem if the caller accepts no more, else None."""
 
 
 class NullSink(FrameSink):
-    """Takes the events of a caller that is away; the target keeps them."""
+    """Discards events while the caller is disconnected; the target keeps them."""
 
     def write(self, frames: list[bytes]) -> Problem | None:
-        """Drop the events."""
+        """Discard the events."""
         return None
 
 
@@ -41,19 +42,19 @@
     """One caller's request and its answer.
 
     Attributes:
-        spec: The request as the reducer sees it.
-        method: HTTP method towards the target.
-        path: Path towards the target, with its query.
-        headers: Headers to hand on.
-        body: Body to hand on.
+        spec: The request as the reducer represents it.
+        method: HTTP method of the request to the target.
+        path: Path of the request to the target, with its query.
+        headers: Headers to forward.
+        body: Body to forward.
         max_bytes: Most bytes that ``frames`` may hold.
-        frames: Events that nobody has taken yet.
-        frames_bytes: Size of ``frames``.
-        sink: Takes events as they arrive, instead of ``frames``.
-        completed: Whether the answer is whole.
+        frames: Events collected and not yet read.
+        frames_bytes: Size of ``frames``, in bytes.
+        sink: Receives events as they arrive, instead of ``frames``.
+        completed: Whether the answer is complete.
         problem: Final problem, if the answer ended with one.
         answer: Answer of a plain service.
-        received_at: When it came in (monotonic).
+        received_at: Time at which the request was received (monotonic).
     """
 
     spec: RequestSpec
@@ -73,14 +74,15 @@
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more will come."""
+        """Whether the answer has ended, completely or with a problem."""
         return self.completed or self.problem is not None
 
     def deliver(self, frames: list[bytes]) -> bool:
-        """Take the next events.
+        """Pass the next events to the sink, or collect them without one.
 
         Returns:
-            False once the caller can take no more; ``problem`` says why.
+            False if the caller accepts no more events; ``problem`` holds the
+            reason.
         """
         if self.sink is not None:
             problem = self.sink.write(frames)
@@ -101,12 +103,12 @@
         return None
 
     def discard(self) -> None:
-        """Forget the events that nobody has taken."""
+        """Discard the collected events."""
         self.frames.clear()
         self.frames_bytes = 0
 
     def end(self, problem: Problem | None) -> None:
-        """Mark the answer as whole, or as ended by ``problem``."""
+        """Mark the answer as complete, or as ended by ``problem``."""
         if self.ended:
             return
         self.problem = problem
@@ -118,12 +120,12 @@
             self._waiter.set_result(None)
 
     async def wait(self) -> None:
-        """Return when there are frames to take or the answer ended."""
+        """Wait until frames are collected or the answer has ended."""
         while not self.frames and not self.ended:
             await self._wait_change()
 
     async def wait_end(self) -> None:
-        """Return when the answer ended."""
+        """Wait until the answer has ended."""
         while not self.ended:
             await self._wait_change()
 
@@ -135,7 +137,7 @@
             self._waiter = None
 
     def pop_frames(self) -> list[bytes]:
-        """Return the frames gathered since the last call."""
+        """Remove and return the frames collected since the last call."""
         frames, self.frames, self.frames_bytes = self.frames, [], 0
         return frames
 
--- a/figstep/net/frames.py
+++ b/figstep/net/frames.py
@@ -1,8 +1,8 @@
-"""Server-sent events as they pass through, without decoding their JSON.
+"""Splitting of server-sent events without decoding their JSON.
 
-A target writes ``id: <generation>:<index>`` as the first line of each event,
-so a frame is handed on as it came. A general decoder costs more per token
-than the rest of the path together, see docs/DESIGN.md.
+A target writes ``id: <generation>:<index>`` as the first line of each event, so a
+frame is forwarded unchanged. A general decoder costs more per token than the rest
+of the path together, see docs/DESIGN.md.
 """
 
 from dataclasses import dataclass
@@ -10,9 +10,16 @@
 from figstep.errors import FrameError
 
 BOUNDARY = b"\n\n"
+"""Blank line that ends an event."""
+
 DONE = b"data: [DONE]"
+"""Start of the end marker, the last event of a stream."""
+
 ID_PREFIX = b"id: "
+"""Start of the first line of an event."""
+
 MAX_FRAME_BYTES = 1_048_576
+"""Longest event that is buffered while its end is awaited, in bytes."""
 
 
 @dataclass(slots=True)
@@ -20,7 +27,7 @@
     """Consecutive events of one generation.
 
     Attributes:
-        generation: Generation that the events name.
+        generation: Generation in the ids of the events.
         first: Index of the first event.
         frames: The events, each with its closing blank line.
     """
@@ -31,10 +38,10 @@
 
 
 class FrameSplitter:
-    """Cuts a byte stream into runs of events.
+    """Splits a byte stream into runs of events.
 
     Attributes:
-        ended: Whether the end marker was seen.
+        ended: Whether the end marker was received.
     """
 
     def __init__(self) -> None:
@@ -42,10 +49,12 @@
         self._incomplete = b""
 
     def feed(self, chunk: bytes) -> list[FrameRun]:
-        """Take bytes and return the runs of events that they complete.
+        """Add bytes and return the runs of events that they complete.
+
+        Comments and events without an id are dropped.
 
         Raises:
-            FrameError: If an event has no index or never ends.
+            FrameError: If an id has no index or an event is too long.
         """
         parts = (self._incomplete + chunk).split(BOUNDARY)
         self._incomplete = parts.pop()
@@ -89,8 +98,8 @@
     """An event whose id is a plain number.
 
     Attributes:
-        index: The number.
-        data: The event's bytes, with the closing blank line.
+        index: Number in the id of the event.
+        data: Bytes of the event, with the closing blank line.
     """
 
     index: int
@@ -98,21 +107,21 @@
 
 
 class EventSplitter:
-    """Cuts a stream of numbered events, byte for byte."""
+    """Splits a stream of numbered events, preserving every byte."""
 
     def __init__(self) -> None:
         self._incomplete = b""
 
     @property
     def incomplete(self) -> bytes:
-        """Bytes after the last whole event."""
+        """Bytes after the last complete event."""
         return self._incomplete
 
     def feed(self, chunk: bytes) -> list[NumberedEvent]:
-        """Take bytes and return the events that they complete.
+        """Add bytes and return the events that they complete.
 
         Raises:
-            FrameError: If an event has no number or never ends.
+            FrameError: If an event has no number or is too long.
         """
         parts = (self._incomplete + chunk).split(BOUNDARY)
         self._incomplete = parts.pop()
--- a/figstep/net/headers.py
+++ b/figstep/net/headers.py
@@ -1,4 +1,4 @@
-"""Border of callers' headers: deadline, idempotency, return, grace."""
+"""Validation of callers' headers: deadline, idempotency, resumption and grace."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -36,7 +36,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LastEvent:
-    """Last event that a returning caller saw."""
+    """Last event that a reconnecting caller received.
+
+    Attributes:
+        generation: Generation that the event belongs to.
+        index: Index of the event.
+    """
 
     generation: str
     index: int
@@ -44,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerHeaders:
-    """What a caller asks for by headers.
+    """Options that a caller sets by headers.
 
     Attributes:
         deadline: Longest wait for the first event, in milliseconds, or None.
         grace: How long the generation runs on without its caller, in seconds.
         idempotency_key: The caller's key for this request, or None.
         non_idempotent: Whether the request may run only once.
-        last_event: Where a returning caller goes on, or None.
+        last_event: Event after which a reconnecting caller resumes, or None.
     """
 
     deadline: int | None = None
@@ -65,7 +70,8 @@
     """Validate the headers that figstep reads.
 
     Raises:
-        RefusedError: Naming the header and what to write.
+        RefusedError: If a header is invalid or repeated; the detail names the header
+            and the accepted value.
     """
     given = {}
     for field in _Headers.model_fields.values():
--- a/figstep/net/hellos.py
+++ b/figstep/net/hellos.py
@@ -1,4 +1,4 @@
-"""Messages between gateways, as they go over the wire."""
+"""Codec of the messages and record copies that gateways exchange."""
 
 import zlib
 from dataclasses import dataclass
@@ -20,20 +20,27 @@
 _schema: Any = capnp.load(str(Path(__file__).with_name("links.capnp")))
 
 MAX_COPY_BYTES = 32 * 1024 * 1024
-"""Largest copy that is taken: thousands of routes and targets take a few MB."""
+"""Largest copy of records that is accepted, in bytes.
+
+The limit applies before and after decompression. The records of thousands of routes
+and targets take a few MB.
+"""
 
 COPY_COMPRESSION_LEVEL = 1
-"""Level of compression; the records are text that repeats its field names."""
+"""zlib compression level of record copies.
+
+The fastest level is enough: the records are text that repeats its field names.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class RecordCopy:
-    """What an entry has read of the store, as it was written there.
+    """Records that an entry has read from the store, in their stored form.
 
     Attributes:
         configuration: The newest configuration; empty for none.
-        position: Registrations read so far, as an offset; -1 for none.
-        registrations: The newest registration of each target.
+        position: Offset up to which registrations were read; -1 for none.
+        registrations: Key and value of the newest registration of each target.
     """
 
     configuration: bytes = b""
@@ -43,14 +50,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """A message as it came.
+    """A message between gateways.
 
     Attributes:
-        content: What the gateway learns from it. Its address is that of the entry
-            that wrote it, which others may have passed on.
-        session: Drawn anew by each process of the sender.
-        sequence: Grows with each message of a session.
-        members: Other entries that the sender has heard of late.
+        content: Content that the gateway handles. Its address is that of the entry
+            that wrote the message, which another entry may have forwarded.
+        session: Random number drawn by each process of the sender.
+        sequence: Number that grows with each message of a session.
+        members: Other entries from which the sender recently received messages.
         records: Registrations that the sender read last, up to its position.
         requests_failure_domain: Whether the sender doesn't know the receiver's failure
             domain yet.
@@ -65,7 +72,7 @@
 
 
 def encode_hello(hello: Hello) -> bytes:
-    """Return a message as it goes over the wire."""
+    """Return the datagram of a message."""
     own = hello.content
     message = _schema.Hello.new_message(
         node=own.node,
@@ -128,14 +135,14 @@
 
 
 def decode_hello(data: bytes, sender: str) -> Hello:
-    """Return a message.
+    """Return the message of a datagram.
 
     Args:
-        data: A datagram.
-        sender: Where it came from, as "ip:port".
+        data: Payload of the datagram.
+        sender: Source address, as "ip:port"; used if the message names none.
 
     Raises:
-        PeerMessageError: If it can't be read.
+        PeerMessageError: If the datagram cannot be decoded.
     """
     try:
         message = _schema.Hello.from_bytes_packed(data)
@@ -206,7 +213,9 @@
             for member in message.members
         )
     except (capnp.KjException, ValueError) as error:
-        raise PeerMessageError("damaged message; check who sends here") from error
+        raise PeerMessageError(
+            "malformed message; check which process sends to this port"
+        ) from error
     return Hello(
         content,
         message.session,
@@ -218,7 +227,7 @@
 
 
 def encode_copy(copy: RecordCopy) -> bytes:
-    """Return a copy of records as it goes over the wire."""
+    """Return a copy of records in its encoded and compressed form."""
     message = _schema.Copy.new_message(
         configuration=copy.configuration, position=copy.position
     )
@@ -229,10 +238,11 @@
 
 
 def decode_copy(data: bytes) -> RecordCopy:
-    """Return a copy of records.
+    """Return the copy of records that a peer sent.
 
     Raises:
-        PeerMessageError: If it can't be read.
+        PeerMessageError: If the data cannot be decoded, or exceeds
+            ``MAX_COPY_BYTES`` after decompression.
     """
     try:
         message = _schema.Copy.from_bytes_packed(_decompress(data))
@@ -241,12 +251,12 @@
         )
         return RecordCopy(bytes(message.configuration), message.position, entries)
     except (capnp.KjException, ValueError, zlib.error) as error:
-        raise PeerMessageError("damaged copy; another peer may give one") from error
+        raise PeerMessageError("malformed copy of records; try another peer") from error
 
 
 def _decompress(data: bytes) -> bytes:
     decoder = zlib.decompressobj()
     expanded = decoder.decompress(data, MAX_COPY_BYTES)
     if not decoder.eof:
-        raise PeerMessageError(f"copy cut short, or of over {MAX_COPY_BYTES} bytes")
+        raise PeerMessageError(f"copy is truncated or exceeds {MAX_COPY_BYTES} bytes")
     return expanded
--- a/figstep/net/instances.py
+++ b/figstep/net/instances.py
@@ -9,18 +9,22 @@
 from figstep.core.events import Event, InstanceInfo, InstancesListed
 
 MIN_POLL_SECONDS = 1.0
+"""Shortest interval between two reads of the list by one entry, in seconds."""
+
 MAX_FLEET_POLLS_PER_SECOND = 8
-"""Reads a second by all entries together, whatever their number.
+"""Most reads of the list a second by all entries together.
 
-The list is read whole and grows with the fleet: at 370 entries and 670 targets
-one read a second by each would be some 100 KB/s. Whoever reads of a leaving
-target tells the others at once, so the fleet learns as early as before.
+The list is read whole and grows with the fleet: at 370 entries and 670 targets one
+read a second by each entry would be some 100 KB/s. An entry that reads that a target
+is leaving announces it to the others at once, so fewer reads do not delay the news.
 """
+
 TIMEOUT_SECONDS = 5.0
+"""Timeout of one read of the list, in seconds."""
 
 
 class InstanceEdge(Service):
-    """Polls the instance list."""
+    """Polls the instance list and dispatches each version read."""
 
     def __init__(
         self,
@@ -43,19 +47,29 @@
                         document = orjson.loads(await response.read())
                     self._dispatch(parse_instances(document))
                 except (aiohttp.ClientError, TimeoutError, OSError):
-                    self.log.info("instance list not read; trying again")
+                    self.log.info("instance list not read; will retry")
                 except (ValueError, KeyError, TypeError):
-                    self.log.warning("instance list not understood; trying again")
+                    self.log.warning("instance list is malformed; will retry")
                 await self.sleep(compute_poll_interval(self._count_entries()))
 
 
 def compute_poll_interval(entries: int) -> float:
-    """Return seconds between two reads by one of so many entries."""
+    """Return the interval between two reads by one entry, in seconds.
+
+    Args:
+        entries: Number of entries that read the list.
+    """
     return max(MIN_POLL_SECONDS, entries / MAX_FLEET_POLLS_PER_SECOND)
 
 
 def parse_instances(document: dict[str, list[dict[str, str]]]) -> InstancesListed:
-    """Turn the list's JSON into an event."""
+    """Convert the decoded instance list into an event.
+
+    Raises:
+        KeyError: If the list or an instance lacks a required member.
+        ValueError: If an incarnation is not a number.
+        TypeError: If a value has the wrong type.
+    """
     instances = []
     for item in document["instances"]:
         instances.append(
--- a/figstep/net/keys.py
+++ b/figstep/net/keys.py
@@ -1,4 +1,4 @@
-"""Customers by the key that their requests carry."""
+"""Lookup of customers by the key in their requests."""
 
 from collections.abc import Callable, Mapping
 
@@ -12,7 +12,7 @@
 
 
 class CustomerKeys:
-    """Customers of the inventory in force, by the hash of their key."""
+    """Customers of the inventory in force, indexed by the hash of their key."""
 
     def __init__(self, read_inventory: Callable[[], Inventory | None]) -> None:
         self._read_inventory = read_inventory
@@ -23,7 +23,8 @@
         """Return the customer that a request belongs to.
 
         Raises:
-            RefusedError: Without a configuration, a key or a known key.
+            RefusedError: If no configuration is in force, or the request has no key or
+                an unknown one.
         """
         self._refresh()
         scheme, _, key = headers.get("Authorization", "").partition(" ")
--- a/figstep/net/links.capnp
+++ b/figstep/net/links.capnp
@@ -1,42 +1,42 @@
 @0xd3a1f0c27be94415;
-# Messages between gateways. Members are only ever added; a reader ignores those
-# that it does not know.
+# Messages between gateways. Members are added and never removed; a reader ignores
+# members that it does not know.
 
 struct Hello {
   node @0 :Text;
-  session @1 :UInt64;        # drawn anew by each process
+  session @1 :UInt64;        # random number of each process
   sequence @2 :UInt64;
   closing @3 :Bool;
   configuration @4 :Int64;   # version in force, -1 for none
   position @5 :Int64;        # registrations read, -1 for none
   loads @6 :List(Load);
   crashes @7 :List(Crash);
-  retired8 @8 :List(Text);   # no longer told
+  retired8 @8 :List(Text);   # no longer sent
   uses @9 :List(Use);
   failureDomain @10 :Text;
   entries @11 :UInt32;
   far @12 :Bool;             # loads are sums of the sender's failure domain
   storeWell @13 :Bool;
-  records @14 :List(Entry);  # registrations that were read last
-  asksDomain @15 :Bool;      # the receiver's failure domain is not known yet
-  address @16 :Text;         # of the entry that wrote it, "ip:port"
-  members @17 :List(Member); # heard of late
-  reading @18 :Bool;         # reads the store's records as they come
-  retired19 @19 :List(Text); # no longer told
-  partial @20 :Bool;         # loads are only those that changed
-  refused @21 :List(Refusal); # refused of late for want of room
-  evacuated @22 :List(Text); # failure domains that are to get no more work
-  evacuatedAt @23 :Int64 = -1; # how far the operator's records were read for them
-  unreached @24 :List(Text); # targets that could not be connected to of late
-  rates @25 :List(Rate);     # named of late in answers of targets
-  leaving @26 :List(Incarnation); # targets that said that they leave
-  cleared @27 :List(Clearance); # suspected requests that have run of late
-  unanswered @28 :Bool;      # the store does not answer the sender's own reads
+  records @14 :List(Entry);  # registrations read last
+  asksDomain @15 :Bool;      # the sender does not know the receiver's failure domain
+  address @16 :Text;         # of the entry that wrote the message, "ip:port"
+  members @17 :List(Member); # entries that sent messages recently
+  reading @18 :Bool;         # the sender reads new records of the store
+  retired19 @19 :List(Text); # no longer sent
+  partial @20 :Bool;         # loads hold only those that changed
+  refused @21 :List(Refusal); # recent refusals for lack of free capacity
+  evacuated @22 :List(Text); # failure domains that must get no new work
+  evacuatedAt @23 :Int64 = -1; # offset up to which evacuation records were read
+  unreached @24 :List(Text); # targets to which connections failed recently
+  rates @25 :List(Rate);     # rates recently reported in answers of targets
+  leaving @26 :List(Incarnation); # targets that announced that they leave
+  cleared @27 :List(Clearance); # suspected requests that ran successfully recently
+  unanswered @28 :Bool;      # the store does not answer the sender's reads
 }
 
 struct Refusal {
   digest @0 :Text;
-  age @1 :UInt32;            # milliseconds since its caller first came
+  age @1 :UInt32;            # milliseconds since the caller's first request
 }
 
 struct Member {
@@ -50,8 +50,8 @@
   memory @2 :UInt32;
   reading @3 :UInt32;
   readRate @4 :Float32;      # 0 for unknown
-  retired5 @5 :UInt16;       # no longer told
-  incoming @6 :UInt32;       # tokens that are being copied to it
+  retired5 @5 :UInt16;       # no longer sent
+  incoming @6 :UInt32;       # tokens that are being copied to the target
   outgoing @7 :UInt32;
 }
 
@@ -69,16 +69,16 @@
 struct Rate {
   target @0 :Text;
   born @1 :Int64;            # Unix millisecond of the target's start
-  named @2 :Bool;            # false: the target takes any rate
-  rate @3 :Float64;          # requests a second from all gateways together
+  named @2 :Bool;            # false: the target accepts any rate
+  rate @3 :Float64;          # requests a second, for all gateways together
   age @4 :UInt32;            # milliseconds since the answer
-  turn @5 :UInt32;           # how often the rate had passed to other gateways
+  turn @5 :UInt32;           # number of times that the rate was handed to other gateways
 }
 
 struct Crash {
-  digest @0 :Text;           # of a request that was there
-  crash @1 :Text;            # the life of the target that ended
-  age @2 :UInt32;            # milliseconds since then
+  digest @0 :Text;           # of a request that was at the target
+  crash @1 :Text;            # the incarnation of the target that ended
+  age @2 :UInt32;            # milliseconds since the crash
 }
 
 struct Clearance {
@@ -87,7 +87,7 @@
 }
 
 struct Copy {
-  # What one gateway hands to another that can't read the store itself.
+  # Records that a gateway sends to one that cannot read the store.
   configuration @0 :Data;    # the record as the operator wrote it
   position @1 :Int64;
   registrations @2 :List(Entry);
--- a/figstep/net/links.py
+++ b/figstep/net/links.py
@@ -1,4 +1,4 @@
-"""Links between gateways: loads by UDP, copies of the store's records by TCP."""
+"""Links between gateways: loads over UDP, copies of the store's records over TCP."""
 
 import asyncio
 import random
@@ -30,81 +30,107 @@
 _log = logbook.Logger("figstep.links")
 
 HELLO_INTERVAL_SECONDS = 1.0
-"""Period of messages that tell nothing new: three in a row may be lost before
-a peer counts as silent."""
+"""Interval of messages while nothing changes, in seconds.
+
+Three messages in a row may be lost before a peer counts as silent.
+"""
 
 POLL_SECONDS = 0.1
-"""How soon a change of this entry's loads is told: requests come a few a
-second to each entry, and an engine's own reports are half a second old."""
+"""Interval at which an entry checks whether its loads have changed, in seconds.
+
+It bounds the delay of a report. Each entry gets a few requests a second, and an
+engine's own load reports are half a second old.
+"""
 
 LARGE_FLEET_POLL_SECONDS = 0.4
-"""The same in a large fleet, whose prompts are announced as they are sent: what
-changes besides is the growth of runs."""
+"""Interval at which an entry of a large fleet checks its loads, in seconds.
+
+A large fleet announces prompts as they are sent; besides these, only the growth of
+running generations changes the loads.
+"""
 
 REMOTE_UPDATE_SECONDS = 0.4
-"""How often another failure domain is told what has changed."""
+"""Interval of partial messages to other failure domains, in seconds."""
 
 REMOTE_FULL_REPORT_SECONDS = 2.0
-"""How often it is told all: some messages are lost."""
+"""Interval of full messages to other failure domains, in seconds.
+
+Full messages make up for partial ones that were lost.
+"""
 
 MAX_DOMAIN_REQUESTS = 8
-"""Entries of unknown failure domain that are asked for it in a second."""
+"""Most entries whose unknown failure domain is queried in one second."""
 
 COPY_TIMEOUT_SECONDS = 2.0
-"""Time for a copy of the records; the next try may go to another peer."""
+"""Timeout of a transfer of copied records, in seconds.
+
+The next attempt may go to another peer.
+"""
 
 MAX_DATAGRAM_BYTES = 60_000
-"""Largest datagram; loads of some hundred targets stay far below it."""
+"""Largest datagram that is sent, in bytes.
+
+The loads of some hundred targets stay far below it.
+"""
 
 
 @dataclass(slots=True)
 class _LastReport:
-    """What was told last, and when."""
+    """Content and time of the last message to the local entries.
+
+    Attributes:
+        at: Monotonic time of the message, in seconds.
+        content: Content of the message; None before the first one.
+    """
 
     at: float = -1e9
     content: PeerHeard | None = None
 
 
 class LinkHost(ABC):
-    """What a link asks of the entry that it belongs to."""
+    """Operations that a link needs from the entry to which it belongs."""
 
     @abstractmethod
     def describe_entry(self) -> PeerHeard:
-        """Return what the entries that hear all of each other are told."""
+        """Return the content of messages to entries that exchange all their loads."""
 
     @abstractmethod
     def describe_domain(self) -> PeerHeard:
-        """Return what other failure domains are told."""
+        """Return the content of messages to other failure domains."""
 
     @abstractmethod
     def describe_domain_at(self, target: str) -> PeerHeard:
-        """Return what other failure domains are told of one target."""
+        """Return the content of a message to other failure domains on one target."""
 
     @abstractmethod
     def is_domain_representative(self) -> bool:
-        """Tell whether this entry tells other failure domains of its own."""
+        """Return whether this entry sends its domain's loads to other domains."""
 
     @abstractmethod
     def read_copy(self) -> RecordCopy:
-        """Return what was read of the store, for one that can't read it."""
+        """Return the records read from the store, for an entry that can't read it."""
 
     @abstractmethod
     def list_recent_registrations(self) -> tuple[tuple[str, bytes], ...]:
-        """Return the registrations read last, up to the position told."""
+        """Return the registrations read last, up to the position in messages."""
 
     @abstractmethod
     def handle_message(
         self, message: PeerHeard, records: tuple[tuple[str, bytes], ...]
     ) -> None:
-        """Take in a message, and the registrations that its sender read last."""
+        """Handle a message and the registrations that its sender read last."""
 
     @abstractmethod
     def update_entry_count(self, entries: int) -> None:
-        """Take in how many entries are known."""
+        """Handle the number of known entries, including this one."""
 
 
 class PeerLink(Service):
-    """Sends this entry's loads to the others and takes in theirs."""
+    """Sends this entry's loads to the other entries and receives theirs.
+
+    In a small fleet all entries exchange all loads. In a large one this holds within a
+    failure domain, and one entry sends the sums of its domain to the others.
+    """
 
     def __init__(
         self,
@@ -136,7 +162,7 @@
         self._server: asyncio.Server | None = None
 
     async def on_start(self) -> None:
-        """Listen for datagrams and for requests of copies."""
+        """Listen for datagrams and for requests for copies of records."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: _LinkProtocol(self._handle_datagram),
@@ -147,7 +173,7 @@
         )
 
     async def on_stop(self) -> None:
-        """Tell the others that this entry ends, and close the sockets."""
+        """Send a last message to the local entries and close the sockets."""
         self._send_locally(loop_time())
         if self._transport is not None:
             self._transport.close()
@@ -155,12 +181,12 @@
             self._server.close()
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Look for the other entries at these addresses, as "ip:port"."""
+        """Set the addresses at which to look for other entries, as "ip:port"."""
         self._seeds = [seed for seed in seeds if seed != self._own]
 
     @property
     def is_large(self) -> bool:
-        """Whether the fleet is too large for all to hear all."""
+        """Whether the fleet is too large for all entries to exchange all loads."""
         return len(self._neighbors) >= FULL_MESH_MAX_ENTRIES
 
     @Service.task
@@ -194,7 +220,10 @@
                 self._send_remotely(loop_time())
 
     def announce(self) -> None:
-        """Tell the near ones at the end of this turn of the loop."""
+        """Schedule a message to the local entries for when this callback has ended.
+
+        Several calls before the message is sent result in one message.
+        """
         if self._announcement_scheduled:
             return
         self._announcement_scheduled = True
@@ -205,17 +234,22 @@
         self._send_locally(loop_time())
 
     def announce_records(self) -> None:
-        """Tell all failure domains of records that were just read."""
+        """Send to all failure domains after records were read."""
         now = loop_time()
         self._send_locally(now)
         self._send_remotely(now)
 
     def announce_target(self, target: str) -> None:
-        """Tell other failure domains what this one has open at a target."""
+        """Send this failure domain's load at one target to the other domains."""
         hello = Hello(self._entry.describe_domain_at(target))
         self._send(hello, self._neighbors.pick_remote(loop_time()))
 
     def _send_locally(self, now: float) -> None:
+        """Send this entry's loads to the entries that exchange all loads.
+
+        These are all entries of a small fleet, or those of the own failure domain of
+        a large one.
+        """
         own = self._entry.describe_entry()
         query_domains = now - self._last_report.at >= HELLO_INTERVAL_SECONDS
         self._last_report = _LastReport(now, own)
@@ -235,6 +269,7 @@
             )
 
     def _send_remotely(self, now: float) -> None:
+        """Send the sums of this failure domain to one entry of each other domain."""
         domain = self._entry.describe_domain()
         if now - self._remote_full_report_at >= REMOTE_FULL_REPORT_SECONDS:
             self._remote_full_report_at = now
@@ -258,7 +293,7 @@
         return self._entry.list_recent_registrations()
 
     def _pick_members(self, now: float) -> tuple[Member, ...]:
-        # Messages are many and members change rarely.
+        # Messages are frequent and members change rarely.
         if now - self._members_sent_at < HELLO_INTERVAL_SECONDS:
             return ()
         self._members_sent_at = now
@@ -276,7 +311,9 @@
         )
         data = encode_hello(numbered)
         if len(data) > MAX_DATAGRAM_BYTES:
-            _log.error("message too long", extra={"bytes": len(data)})
+            _log.error(
+                "peer message exceeds the datagram limit", extra={"bytes": len(data)}
+            )
             return
         self._send_bytes(data, addresses)
 
@@ -291,13 +328,15 @@
         try:
             hello = decode_hello(data, sender)
         except PeerMessageError as error:
-            _log.info("message refused", extra={"from": sender, "error": str(error)})
+            _log.info(
+                "peer message rejected", extra={"from": sender, "error": str(error)}
+            )
             return
         now = loop_time()
         content = hello.content
         neighbor = self._neighbors.add(content.address, now)
         if hello.session == neighbor.session and hello.sequence <= neighbor.sequence:
-            # Overtaken on its way: what it tells is older than what is known.
+            # The message was overtaken and is older than the known state.
             return
         is_new = hello.session != neighbor.session
         neighbor.session, neighbor.sequence = hello.session, hello.sequence
@@ -315,7 +354,7 @@
     def _answer_new_session(
         self, address: str, failure_domain: str, now: float
     ) -> None:
-        """Answer an entry that has just started: it knows nobody's loads yet."""
+        """Send a message to an entry that has just started and knows no loads yet."""
         content = self._entry.describe_entry()
         if self.is_large and failure_domain != self._failure_domain:
             content = self._entry.describe_domain()
@@ -323,15 +362,19 @@
         self._send(Hello(content, members=members), [address])
 
     def _forward(self, data: bytes, failure_domain: str) -> None:
-        """Hand what another failure domain told to all entries of this one."""
+        """Forward a message of another failure domain to all entries of this one."""
         if failure_domain != self._failure_domain:
             self._send_bytes(data, self._neighbors.list_local())
 
     async def fetch_copy(self, address: str) -> RecordCopy:
-        """Return what the entry at "ip:port" has read of the store.
+        """Return the records that the entry at an address has read from the store.
+
+        Args:
+            address: Address of the entry, as "ip:port".
 
         Raises:
-            PeerMessageError: If it gives none in time.
+            PeerMessageError: If the entry sends no valid copy within
+                ``COPY_TIMEOUT_SECONDS``.
         """
         host, _, port = address.rpartition(":")
         try:
@@ -344,7 +387,9 @@
         except (OSError, TimeoutError) as error:
             raise PeerMessageError(f"{address}: {type(error).__name__}") from error
         if not data or len(data) > MAX_COPY_BYTES:
-            raise PeerMessageError(f"{address}: {len(data)} bytes are no copy")
+            raise PeerMessageError(
+                f"{address}: {len(data)} bytes are not a copy of records"
+            )
         return decode_copy(data)
 
     async def _serve_copy(
@@ -355,7 +400,7 @@
                 writer.write(encode_copy(self._entry.read_copy()))
                 await writer.drain()
         except (OSError, TimeoutError) as error:
-            _log.info("copy not sent", extra={"error": type(error).__name__})
+            _log.info("copy of records not sent", extra={"error": type(error).__name__})
         finally:
             writer.close()
 
--- a/figstep/net/listener.py
+++ b/figstep/net/listener.py
@@ -1,4 +1,4 @@
-"""Listener for callers: aiohttp's, with typed answers to broken HTTP."""
+"""Listener for callers: aiohttp's, with problem documents for malformed HTTP."""
 
 import asyncio
 import ssl
@@ -15,10 +15,11 @@
 _log = logbook.Logger("figstep.callers")
 
 SHUTDOWN_SECONDS = 1.0
+"""Time for which the listener waits for open requests when it closes, in seconds."""
 
 
 class _CallerProtocol(web.RequestHandler):
-    """Answers what the HTTP parser refuses with a problem document."""
+    """Answers requests that the HTTP parser rejects with a problem document."""
 
     __slots__ = ()
 
@@ -29,8 +30,8 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        # The library would log the offending line, which may hold a key.
-        _log.info("broken request", extra={"status": status})
+        # aiohttp would log the offending line, which may hold a customer's key.
+        _log.info("malformed HTTP request", extra={"status": status})
         if request.writer.output_size > 0:
             raise ConnectionError("the answer has begun; the connection is closed")
         response = answer_problem(_build_error_problem(status, exc))
@@ -44,11 +45,12 @@
 
 
 class CallerRunner(web.AppRunner):
-    """Runs an application behind ``_CallerProtocol``."""
+    """Runs an application whose connections use ``_CallerProtocol``."""
 
     async def _make_server(self) -> web.Server:
-        # Around the whole application: a middleware would not see what the
-        # library refuses before it calls one, such as an unknown Expect.
+        # ``answer_errors`` wraps the whole application: a middleware would not see
+        # requests that aiohttp rejects before it calls one, such as those with an
+        # unknown Expect header.
         made = await super()._make_server()
         return _CallerServer(
             partial(answer_errors, handler=made.request_handler),
@@ -66,7 +68,7 @@
 
 
 def build_runner(app: web.Application, limits: Limits) -> CallerRunner:
-    """Return the runner of ``app`` with its bounds on what callers may send."""
+    """Return the runner of ``app``, with limits on callers' requests."""
     return CallerRunner(
         app,
         access_log=None,
@@ -84,7 +86,7 @@
     """Return the TLS context for callers, or None for plain HTTP.
 
     Raises:
-        ListenError: If the files cannot be used.
+        ListenError: If the certificate and key files cannot be used.
     """
     if tls is None:
         return None
--- a/figstep/net/log.py
+++ b/figstep/net/log.py
@@ -1,4 +1,4 @@
-"""Client of the platform's log service, with an in-memory twin."""
+"""Client of the platform's log service, and an in-memory implementation."""
 
 import asyncio
 from abc import ABC, abstractmethod
@@ -11,17 +11,19 @@
 from figstep.errors import LogTruncatedError, LogUnavailableError
 
 READ_LIMIT = 500
+"""Default for the most records that one read returns."""
 
 
 class LogClient(ABC):
-    """Append-only streams of records with offsets."""
+    """Client of append-only streams of records with offsets."""
 
     @abstractmethod
     async def append(self, stream: str, records: list[dict[str, Any]]) -> int:
         """Append records and return the offset of the first.
 
         Raises:
-            LogUnavailableError: No answer; the append may have taken effect.
+            LogUnavailableError: If there is no answer; the append may have taken
+                effect.
         """
 
     @abstractmethod
@@ -33,21 +35,27 @@
         Args:
             stream: Name of the stream.
             start: Offset of the first record.
-            wait: How long to wait for a record, in milliseconds.
+            wait: Longest wait for a record, in milliseconds.
             limit: Most records returned.
 
         Raises:
-            LogUnavailableError: No answer.
-            LogTruncatedError: Records at ``start`` are past retention.
+            LogUnavailableError: If there is no answer.
+            LogTruncatedError: If the records at ``start`` have expired.
         """
 
     @abstractmethod
     async def close(self) -> None:
-        """Free what the client holds."""
+        """Release the resources of the client."""
 
 
 class MemoryLog(LogClient):
-    """The twin for tests: lists in memory."""
+    """Log in memory, for tests.
+
+    Attributes:
+        streams: Records of each stream.
+        earliest: Offset of the first record that has not expired, by stream.
+        available: Whether calls succeed; if not, they raise LogUnavailableError.
+    """
 
     def __init__(self) -> None:
         self.streams: dict[str, list[LogRecord]] = {}
@@ -84,7 +92,7 @@
         return stored[start : start + limit]
 
     async def close(self) -> None:
-        """Nothing is held."""
+        """Do nothing; there are no resources to release."""
 
     def _check_available(self) -> None:
         if not self.available:
@@ -92,7 +100,10 @@
 
 
 class HttpLog(LogClient):
-    """The platform's log service over HTTP."""
+    """Client of the platform's log service over HTTP.
+
+    A call is abandoned after ``timeout`` seconds, in addition to a read's wait.
+    """
 
     def __init__(self, base_url: str, timeout: float = 5.0) -> None:
         self._base_url = base_url.rstrip("/")
@@ -152,6 +163,6 @@
         return [LogRecord(r["offset"], r["time"], r["data"]) for r in records]
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close the connections to the service."""
         if self._session is not None:
             await self._session.close()
--- a/figstep/net/messages.py
+++ b/figstep/net/messages.py
@@ -1,4 +1,4 @@
-"""Codec of the messages between entries: pycapnp, authenticated by HMAC."""
+"""Codec of the messages between entries: Cap'n Proto, authenticated by HMAC."""
 
 import hashlib
 import hmac
@@ -22,14 +22,19 @@
 from figstep.errors import PeerMessageError
 
 VERSION = 1
+"""Version of the message format, written into each message."""
+
 MAC_BYTES = 16
+"""Length to which the HMAC-SHA256 of a message is truncated, in bytes."""
+
 MAX_RECORD_BYTES = 64 * 1024 * 1024
+"""Largest answer with a snapshot record, and largest decompressed record, in bytes."""
 
 _schema: Any = capnp.load(str(Path(__file__).with_name("peers.capnp")))
 
 
 class MessageKind(Enum):
-    """What a message is; part of what is authenticated."""
+    """Kind of a message; part of the authenticated data."""
 
     GOSSIP = b"g"
     REQUEST = b"r"
@@ -37,30 +42,33 @@
 
 
 class Keyring:
-    """The shared key, and a second one that is accepted while keys change."""
+    """The shared key, and an old key that is accepted during a key rotation."""
 
     def __init__(self, key: str, old_key: str = "") -> None:
         self._key = key.encode()
         self._accepted = [k.encode() for k in (key, old_key) if k]
 
     def sign(self, kind: MessageKind, body: bytes) -> bytes:
-        """Return a message with its version and code."""
+        """Return a signed message with the format version and authentication code."""
         message = _schema.Signed.new_message(
             version=VERSION, mac=_digest(self._key, kind, body), body=body
         )
         return bytes(message.to_bytes_packed())
 
     def verify(self, kind: MessageKind, data: bytes) -> bytes:
-        """Return the body of an authentic message.
+        """Return the body of a message whose authentication code is valid.
 
         Raises:
-            PeerMessageError: If it is damaged or not made with a known key.
+            PeerMessageError: If the message is malformed or not signed with an
+                accepted key.
         """
         try:
             message = _schema.Signed.from_bytes_packed(data)
             mac, body = bytes(message.mac), bytes(message.body)
         except (capnp.KjException, ValueError) as error:
-            raise PeerMessageError("damaged message; check who sends here") from error
+            raise PeerMessageError(
+                "malformed message; check which process sends to this port"
+            ) from error
         for key in self._accepted:
             if hmac.compare_digest(mac, _digest(key, kind, body)):
                 return body
@@ -105,15 +113,17 @@
 
 
 def decode_gossip(body: bytes) -> Gossip:
-    """Return a gossip message.
+    """Return the gossip message of a body.
 
     Raises:
-        PeerMessageError: If it is damaged.
+        PeerMessageError: If the body cannot be decoded.
     """
     try:
         return _read_gossip(_schema.Gossip.from_bytes_packed(body))
     except (capnp.KjException, ValueError) as error:
-        raise PeerMessageError("damaged gossip; upgrade the sender") from error
+        raise PeerMessageError(
+            "malformed gossip message; upgrade the sender"
+        ) from error
 
 
 def _read_gossip(message: Any) -> Gossip:
@@ -148,7 +158,11 @@
 
 
 def decode_request(body: bytes) -> int:
-    """Return the nonce of a request."""
+    """Return the nonce of a request for a checkpoint.
+
+    Raises:
+        capnp.KjException: If the body cannot be decoded.
+    """
     return int(_schema.CheckpointRequest.from_bytes_packed(body).nonce)
 
 
@@ -164,16 +178,19 @@
     """Return the snapshot record of an answer.
 
     Raises:
-        PeerMessageError: If it is damaged, too large or answers another request.
+        PeerMessageError: If the answer is malformed, too large or belongs to another
+            request.
     """
     try:
         message = _schema.CheckpointAnswer.from_bytes_packed(body)
         answered, packed = message.nonce, bytes(message.record)
         if answered != nonce:
-            raise PeerMessageError("answer to another request; ask again")
+            raise PeerMessageError("answer to another request; fetch again")
         inflater = zlib.decompressobj()
         data = inflater.decompress(packed, MAX_RECORD_BYTES)
         record: dict[str, Any] = orjson.loads(data)
     except (capnp.KjException, ValueError, zlib.error) as error:
-        raise PeerMessageError("damaged checkpoint; ask another peer") from error
+        raise PeerMessageError(
+            "malformed checkpoint; fetch from another peer"
+        ) from error
     return record
--- a/figstep/net/neighbors.py
+++ b/figstep/net/neighbors.py
@@ -1,26 +1,32 @@
-"""Addresses at which other entries listen, and what is known of each."""
+"""Addresses at which other entries listen, with the last known state of each."""
 
 import random
 from collections.abc import Iterable
 from dataclasses import dataclass
 
 NEIGHBOR_EXPIRY_SECONDS = 30.0
-"""How long an address that doesn't answer is still tried."""
+"""Time without messages and mentions after which an address is removed, in seconds."""
 
 RECENT_SECONDS = 3.0
-"""How long an entry that was heard, or named by another one, counts as alive."""
+"""Time for which an entry counts as alive after a message or a mention, in seconds.
+
+A mention is a message of another entry that names the address.
+"""
 
 MAX_MEMBERS_PER_MESSAGE = 16
-"""Addresses in a message, drawn anew for each: all are told within seconds."""
+"""Most addresses in a message.
+
+Each message continues where the last one ended, so that all are sent within seconds.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """An entry that others are told of.
+    """An entry as it is named in messages.
 
     Attributes:
-        address: Where it listens, as "ip:port".
-        failure_domain: Its failure domain; "" for unknown.
+        address: Address at which the entry listens, as "ip:port".
+        failure_domain: Failure domain of the entry; "" for unknown.
     """
 
     address: str
@@ -29,14 +35,14 @@
 
 @dataclass(slots=True)
 class Neighbor:
-    """An address that another entry may listen at.
+    """An address at which another entry may listen. Times are monotonic seconds.
 
     Attributes:
-        last_named: When another entry last named it.
-        last_received: When it was last heard.
-        session: Session of its newest message.
-        sequence: Number of its newest message.
-        failure_domain: Its failure domain; "" for unknown.
+        last_named: When another entry last named the address, or when it was added.
+        last_received: When the last message was received from the address.
+        session: Session of the newest message.
+        sequence: Sequence number of the newest message.
+        failure_domain: Failure domain of the entry; "" for unknown.
     """
 
     last_named: float
@@ -46,12 +52,12 @@
     failure_domain: str = ""
 
     def is_recent(self, now: float) -> bool:
-        """Tell whether it was heard or named of late."""
+        """Return whether a message or mention is at most ``RECENT_SECONDS`` old."""
         return now - max(self.last_received, self.last_named) < RECENT_SECONDS
 
 
 class NeighborTable:
-    """The addresses of all other entries that are known."""
+    """Known addresses of all other entries."""
 
     def __init__(self, own: str, failure_domain: str) -> None:
         self._own = own
@@ -63,15 +69,20 @@
         return len(self._neighbors)
 
     def find(self, address: str) -> Neighbor | None:
-        """Return what is known of an address, or None."""
+        """Return the state of an address, or None if it is unknown."""
         return self._neighbors.get(address)
 
     def add(self, address: str, now: float) -> Neighbor:
-        """Return what is known of an address; it is known from now on."""
+        """Return the state of an address, and add the address if it is unknown.
+
+        Args:
+            address: Address of the entry, as "ip:port".
+            now: Monotonic time, in seconds.
+        """
         return self._neighbors.setdefault(address, Neighbor(now))
 
     def record_members(self, members: Iterable[Member], now: float) -> None:
-        """Take in entries that another one has heard of late."""
+        """Record the entries that another entry named in a message."""
         for member in members:
             if member.address == self._own:
                 continue
@@ -81,7 +92,7 @@
                 known.failure_domain = member.failure_domain
 
     def remove_expired(self, now: float) -> None:
-        """Drop addresses that have been silent for long."""
+        """Remove addresses not received from or named for a long time."""
         for address, neighbor in list(self._neighbors.items()):
             newest = max(neighbor.last_received, neighbor.last_named)
             if now - newest >= NEIGHBOR_EXPIRY_SECONDS:
@@ -107,7 +118,10 @@
         return found
 
     def pick_remote(self, now: float) -> list[str]:
-        """Return the address of one entry of each other failure domain."""
+        """Return the address of one random entry of each other failure domain.
+
+        Entries that count as alive are preferred.
+        """
         domains: dict[str, list[str]] = {}
         for address, neighbor in self._neighbors.items():
             if neighbor.failure_domain not in ("", self._failure_domain):
@@ -115,12 +129,13 @@
         picked = []
         for addresses in domains.values():
             alive = [name for name in addresses if self._neighbors[name].is_recent(now)]
-            # Silent ones are tried too where all are: a cut may have healed.
+            # If all entries of a domain are silent, one of them is still tried: a
+            # network partition may have ended.
             picked.append(random.choice(alive or addresses))
         return picked
 
     def pick_members(self, now: float) -> tuple[Member, ...]:
-        """Return entries that were heard of late, others each time."""
+        """Return the next group of entries from which messages came recently."""
         recent = []
         for address, neighbor in self._neighbors.items():
             if now - neighbor.last_received < RECENT_SECONDS:
--- a/figstep/net/orders.py
+++ b/figstep/net/orders.py
@@ -1,4 +1,4 @@
-"""Edge that gives orders to engines."""
+"""Edge that sends orders to engines."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,7 +22,12 @@
 
 
 def build_order(order: Order, fencing: int) -> dict[str, Any]:
-    """Return the body of ``POST /orders``."""
+    """Return the body of ``POST /orders``.
+
+    Args:
+        order: The order.
+        fencing: Fencing number of the lease under which the order is sent.
+    """
     match order:
         case LoadModel(model=model, version=version):
             wanted = {"kind": "load", "model": model, "version": version}
@@ -34,7 +39,7 @@
 
 
 class OrderEdge(Service):
-    """Sends each order once; the reducer states it again where needed."""
+    """Sends each order once; the reducer repeats an order where needed."""
 
     def __init__(
         self,
@@ -55,7 +60,7 @@
         self._session = aiohttp.ClientSession(timeout=timeout)
 
     async def on_stop(self) -> None:
-        """Drop orders on their way."""
+        """Cancel the orders that are being sent."""
         for task in self._sending:
             task.cancel()
 
@@ -65,7 +70,7 @@
             await self._session.close()
 
     def send_order(self, effect: SendOrder) -> None:
-        """Send an order; its outcome comes as an event."""
+        """Send an order and dispatch its outcome as an event."""
         task = asyncio.get_running_loop().create_task(self._send(effect))
         self._sending.add(task)
         task.add_done_callback(self._sending.discard)
@@ -76,9 +81,9 @@
 
     async def _post(self, effect: SendOrder) -> OrderOutcome:
         target = self._find_target(effect.target)
-        # The process may have been paused since the order was decided; one
-        # that wakes after its lease would undo the next holder's order on an
-        # engine that does not check numbers.
+        # The process may have been paused since the order was decided. An order
+        # that is sent after the lease has expired would undo the next holder's
+        # order on an engine that does not check fencing numbers.
         if target is None or self._clock.now() >= effect.until:
             return OrderOutcome.UNCERTAIN
         assert self._session is not None
--- a/figstep/net/peers.capnp
+++ b/figstep/net/peers.capnp
@@ -1,6 +1,6 @@
 @0xb7d1c1a4f0e25c93;
-# Messages between entries. Members are only ever added; a reader ignores those
-# that it does not know.
+# Messages between entries. Members are added and never removed; a reader ignores
+# members that it does not know.
 
 struct Signed {
   version @0 :UInt16;
@@ -52,5 +52,5 @@
 
 struct CheckpointAnswer {
   nonce @0 :UInt64;
-  record @1 :Data;  # The snapshot record as JSON, compressed by zlib.
+  record @1 :Data;  # Snapshot record as JSON, compressed with zlib.
 }
--- a/figstep/net/peers.py
+++ b/figstep/net/peers.py
@@ -1,4 +1,4 @@
-"""Edge towards other entries: gossip by UDP, checkpoints by TCP."""
+"""Edge to other entries: gossip over UDP, checkpoints over TCP."""
 
 import asyncio
 import secrets
@@ -34,14 +34,30 @@
 _log = logbook.Logger("figstep.peers")
 
 FETCH_TIMEOUT_SECONDS = 5.0
+"""Timeout of a fetch of a checkpoint, on both sides, in seconds."""
+
 MAX_REQUEST_BYTES = 1_024
+"""Largest request for a checkpoint, in bytes."""
+
 MAX_SERVED_FETCHES = 4
+"""Most fetches that an entry serves at the same time."""
+
 MAX_BIND_ATTEMPTS = 20
+"""Most attempts to find a port that is free for both UDP and TCP."""
+
 WILDCARD_HOSTS = ("", "0.0.0.0", "::")
+"""Listen addresses to which other entries cannot send."""
 
 
 class PeerEdge(Service):
-    """Listens for peers and sends to them; needs a key to do either."""
+    """Exchanges gossip and checkpoints with other entries; inactive without a key.
+
+    Attributes:
+        address: Own address, as "ip:port"; empty until the edge listens.
+        bytes_sent: Bytes sent in datagrams and answers.
+        bytes_received: Bytes received in datagrams and answers.
+        rejected: Number of datagrams that were rejected.
+    """
 
     def __init__(
         self,
@@ -66,9 +82,16 @@
         self.rejected = 0
 
     async def on_start(self) -> None:
-        """Listen, unless no key is set."""
+        """Start to listen, unless no key is set.
+
+        Raises:
+            SettingsError: If the listen address is a wildcard.
+            OSError: If the port cannot be bound.
+        """
         if not self._settings.key:
-            _log.warning("no peers.key: this entry shares nothing with the others")
+            _log.warning(
+                "peers.key is not set: this entry exchanges nothing with the others"
+            )
             return
         host = self._settings.listen.host
         if host in WILDCARD_HOSTS:
@@ -83,7 +106,11 @@
         )
 
     async def _bind(self, host: str, port: int) -> int:
-        """Bind UDP and TCP to the same port; a free one may be taken for TCP."""
+        """Bind UDP and TCP to the same port and return the port.
+
+        A port that the system picked for UDP may be in use for TCP; then another
+        one is tried, if ``port`` is 0.
+        """
         loop = asyncio.get_running_loop()
         for attempt in range(MAX_BIND_ATTEMPTS):
             transport, _ = await loop.create_datagram_endpoint(
@@ -102,7 +129,7 @@
         raise AssertionError("unreachable")
 
     async def on_stop(self) -> None:
-        """Close the sockets."""
+        """Cancel a running fetch and close the sockets."""
         if self._fetch is not None:
             self._fetch.cancel()
         if self._transport is not None:
@@ -111,7 +138,7 @@
             self._server.close()
 
     def send(self, address: str, gossip: Gossip) -> None:
-        """Send one datagram; a lost one is made up by later ones."""
+        """Send one datagram; later ones make up for a lost one."""
         if self._transport is None or self._transport.is_closing():
             return
         host, _, port = address.rpartition(":")
@@ -130,7 +157,7 @@
         self._dispatch(GossipReceived(gossip))
 
     def fetch(self, address: str) -> None:
-        """Ask a peer for its checkpoint, one at a time."""
+        """Fetch the checkpoint of a peer, unless a fetch is running."""
         if self._fetch is not None and not self._fetch.done():
             return
         loop = asyncio.get_running_loop()
@@ -146,7 +173,7 @@
             body = self._keys.verify(MessageKind.ANSWER, data)
             checkpoint = parse_checkpoint(decode_answer(body, nonce))
         except (OSError, TimeoutError, PeerMessageError, ValidationError) as error:
-            # The next message of a peer that is ahead plans another fetch.
+            # The next message of a peer with a newer document schedules another fetch.
             _log.info("checkpoint not fetched", extra={"why": str(error)})
             return
         self._dispatch(CheckpointOffered(checkpoint))
@@ -199,20 +226,22 @@
     while part := await reader.read(65_536):
         size += len(part)
         if size > limit:
-            raise PeerMessageError("message too long; check who sends here")
+            raise PeerMessageError(
+                "message too long; check which process sends to this port"
+            )
         parts.append(part)
     return b"".join(parts)
 
 
 class _GossipProtocol(asyncio.DatagramProtocol):
-    """Hands datagrams on."""
+    """Passes datagrams to a handler."""
 
     def __init__(self, handler: Callable[[bytes], None]) -> None:
         self._handler = handler
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Hand one datagram on."""
+        """Pass one datagram to the handler."""
         self._handler(data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that a peer's port is closed; its silence tells."""
+        """Ignore that a peer's port is closed; the peer is detected as silent."""
--- a/figstep/net/pools.py
+++ b/figstep/net/pools.py
@@ -1,4 +1,4 @@
-"""Pools of connections to targets, one pool each."""
+"""Connection pools, one for each target."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -8,14 +8,17 @@
 from figstep.net.sessions import open_target_session
 
 CONNECT_TIMEOUT = 2.0
+"""Time to open a connection to a target, in seconds."""
 
 
 class Pool:
-    """Connections to one target; a retired one closes when it is unused.
+    """Connections to one target; a retired pool closes when it is unused.
 
     Attributes:
         reused: Session whose connections are kept alive.
         fresh: Session that opens a connection for each request.
+        users: Number of requests that use the pool.
+        retired: Whether the pool was replaced.
     """
 
     def __init__(self) -> None:
@@ -31,7 +34,7 @@
 
 
 class PoolTable:
-    """The pool of each target, made when first used."""
+    """Connection pools by target, each created at its first use."""
 
     def __init__(self) -> None:
         self._pools: dict[str, Pool] = {}
@@ -39,7 +42,7 @@
 
     @asynccontextmanager
     async def use(self, target: str) -> AsyncIterator[Pool]:
-        """Hold a target's pool open for the length of a request."""
+        """Keep a target's pool open for the duration of a request."""
         pool = self._pools.get(target)
         if pool is None:
             pool = self._pools[target] = Pool()
@@ -53,7 +56,7 @@
                 await pool.close()
 
     def replace(self, target: str) -> None:
-        """Take new connections from now on; those in use end by themselves."""
+        """Use a new pool for later requests; open ones keep the old pool."""
         pool = self._pools.pop(target, None)
         if pool is None:
             return
@@ -61,7 +64,7 @@
         self._retired.add(pool)
 
     async def close(self) -> None:
-        """Close all pools."""
+        """Close all pools, including those in use."""
         for pool in [*self._pools.values(), *self._retired]:
             await pool.close()
 
--- a/figstep/net/probes.py
+++ b/figstep/net/probes.py
@@ -1,21 +1,21 @@
-"""Probes of addresses: whether a process listens there."""
+"""Probes that detect whether a process listens at an address."""
 
 import asyncio
 
 
 async def is_listening(host: str, port: int, seconds: float) -> bool:
-    """Tell whether anybody takes connections at an address.
+    """Return whether a process accepts connections at an address.
 
     Args:
         host: IP address.
         port: Port.
-        seconds: Time to connect in.
+        seconds: Timeout of the connection attempt.
 
     Returns:
         False only if the connection was refused.
 
     Raises:
-        OSError: If the link fails or the time is over, which tells neither.
+        OSError: If the link fails or the timeout expires, so that neither is known.
     """
     try:
         async with asyncio.timeout(seconds):
--- a/figstep/net/refusals.py
+++ b/figstep/net/refusals.py
@@ -1,4 +1,4 @@
-"""Every error answer of the listener as a problem document."""
+"""Problem documents for all error answers of the listener."""
 
 import asyncio
 import http
@@ -27,7 +27,7 @@
 
 
 def answer_problem(problem: Problem) -> web.Response:
-    """Return the response that tells a caller of a problem."""
+    """Return the response that reports a problem to a caller."""
     return web.Response(
         body=encode_problem(problem),
         status=problem.status,
@@ -36,14 +36,20 @@
 
 
 def build_status_problem(status: int) -> Problem:
-    """Return the problem of a request that the HTTP library turned away."""
+    """Return the problem of a request that the HTTP library rejected."""
     phrase = http.HTTPStatus(status).phrase
     detail = _DETAILS.get(status, f"{phrase}; mend the request and send it again")
     return Problem(status, phrase.lower().replace(" ", "_"), detail)
 
 
 async def answer_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """Run a handler; whatever it raises becomes a problem document."""
+    """Run a handler and convert its errors into problem documents.
+
+    Raises:
+        ConnectionError: If the handler fails after its answer has begun, or the
+            connection breaks.
+        asyncio.CancelledError: If the caller closed the connection.
+    """
     try:
         return await handler(request)
     except RefusedError as error:
@@ -61,9 +67,10 @@
     except (asyncio.CancelledError, ConnectionError):
         raise
     except Exception as error:
-        # A fault of ours must not show its traceback or a caller's text.
+        # The answer and log line of an internal error must contain neither a
+        # traceback nor a caller's text.
         if request.writer.output_size > 0:
             raise ConnectionError("the answer has begun; it ends here") from error
-        _log.error("handler failed", extra={"error": type(error).__name__})
+        _log.error("request handler failed", extra={"error": type(error).__name__})
         detail = "figstep failed here; report it with the time and send again"
         return answer_problem(Problem(500, "internal_error", detail, ran=Ran.UNKNOWN))
--- a/figstep/net/reports.py
+++ b/figstep/net/reports.py
@@ -13,15 +13,20 @@
 from figstep.core.inventory import EngineInfo
 
 TIMEOUT_SECONDS = 2.0
+"""Timeout of a request for a load report, in seconds."""
+
 REQUEST_SPACING_SECONDS = 0.25
-"""Between two reports: four a second at most, whatever the fleet's size."""
+"""Pause after each request for a load report, in seconds.
+
+An entry sends at most four requests a second, whatever the fleet's size.
+"""
 
 MIN_ROUND_SECONDS = 0.5
-"""Least time between two reports of the same engine."""
+"""Shortest time between two requests to the same engine, in seconds."""
 
 
 class ReportEdge(Service):
-    """Reads one report after the other, in rounds."""
+    """Reads the load reports of the watched engines in rounds."""
 
     def __init__(
         self,
@@ -40,7 +45,7 @@
         self._session = aiohttp.ClientSession(timeout=timeout)
 
     async def on_shutdown(self) -> None:
-        """Drop open reads and close the session."""
+        """Cancel running reads and close the session."""
         for task in self._reading:
             task.cancel()
         if self._session is not None:
@@ -57,8 +62,8 @@
             await self.sleep(max(0.0, started + MIN_ROUND_SECONDS - loop.time()))
 
     def _start_reading(self, engine: EngineInfo) -> None:
-        # A dead engine answers nothing until the time-out; to wait for it here
-        # would hold up the reports of all the others.
+        # A dead engine does not answer before the timeout; waiting for it here
+        # would delay the reports of all other engines.
         task = asyncio.get_running_loop().create_task(self._read_report(engine))
         self._reading.add(task)
         task.add_done_callback(self._reading.discard)
@@ -75,11 +80,15 @@
 
 
 def parse_report(target: str, document: dict[str, Any]) -> LoadReported:
-    """Turn the JSON of ``GET /load`` into an event.
+    """Convert the decoded answer of ``GET /load`` into an event.
+
+    Args:
+        target: Name of the engine.
+        document: The decoded answer; missing fields get defaults.
 
     Raises:
-        ValueError: If a field has no sensible value.
-        TypeError: If the document or a field is of another type.
+        ValueError: If a field has an invalid value.
+        TypeError: If the document or a field has the wrong type.
     """
     if not isinstance(document, dict):
         raise TypeError("a load report is one JSON object")
--- a/figstep/net/sessions.py
+++ b/figstep/net/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions of the HTTP client towards targets."""
+"""HTTP client sessions for requests to targets."""
 
 from collections.abc import Sequence
 
@@ -6,27 +6,27 @@
 
 
 class ConnectionBrokenError(aiohttp.ClientConnectionError):
-    """A connection was made, and broke before the answer came."""
+    """An established connection broke before the answer was received."""
 
 
 async def send_once(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Middleware that lets the bytes of a request out once.
+    """Send a request once; a middleware that prevents automatic retries.
 
-    The client sends a GET, PUT or DELETE again by itself when its connection
-    breaks. That runs a non-idempotent call twice, and a target that crashed under
-    the first sending refuses the second: it looks as if nothing had run.
+    aiohttp repeats a GET, PUT or DELETE by itself when its connection breaks. That
+    runs a non-idempotent call twice. A target that the first request crashed refuses
+    the connection of the second one, so that the call seems not to have run.
 
     Raises:
-        ConnectionBrokenError: If the connection breaks.
+        ConnectionBrokenError: If an established connection breaks.
     """
     try:
         return await handler(request)
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
         raise
     except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as error:
-        # The client repeats after these two errors only.
+        # aiohttp retries only after these two errors.
         message = f"{type(error).__name__}: {error}"
         raise ConnectionBrokenError(message) from error
 
@@ -36,14 +36,15 @@
     connect_seconds: float,
     skip_auto_headers: Sequence[str] = (),
 ) -> aiohttp.ClientSession:
-    """Open a session that hands on what targets answer, byte for byte.
+    """Return a session that passes on the answers of targets byte for byte.
 
     Args:
-        connector: Opens its connections.
-        connect_seconds: Time to open one.
-        skip_auto_headers: Headers that the client doesn't add by itself.
+        connector: Connector that opens the connections of the session.
+        connect_seconds: Timeout of opening a connection.
+        skip_auto_headers: Headers that aiohttp must not add by itself.
     """
-    # Cookies are dropped: a jar would hand one customer's to the next.
+    # Cookies are dropped: a cookie jar would send one customer's cookies with the
+    # requests of another.
     return aiohttp.ClientSession(
         connector=connector,
         cookie_jar=aiohttp.DummyCookieJar(),
--- a/figstep/net/sockets.py
+++ b/figstep/net/sockets.py
@@ -1,17 +1,27 @@
-"""Sockets of outgoing connections that find out when the other side is gone."""
+"""Sockets of outgoing connections that detect an unreachable peer."""
 
 import socket
 
 KEEPALIVE_IDLE_SECONDS = 1
+"""Idle time of a connection before the first keep-alive probe, in seconds.
+
+After a network partition, or when a device on the path has lost the state of the
+connection, the connection would otherwise stay open forever while its reader waits.
+The keep-alive detects this within three seconds, without a request to the peer's
+program.
+"""
+
 KEEPALIVE_INTERVAL_SECONDS = 1
+"""Interval of keep-alive probes, in seconds."""
+
 KEEPALIVE_PROBES = 2
-"""A connection that has been quiet for a second is probed twice, a second
-apart. Behind a cut, or after something on the way forgot the connection, it
-would else stay open for good and its reader would wait in vain; three seconds
-find it without a call to the other side's program."""
+"""Number of unanswered keep-alive probes after which a connection is closed."""
 
 USER_TIMEOUT_MILLIS = 2_000
-"""The same where bytes wait to be acknowledged, when no probe is sent."""
+"""Time for which sent bytes may stay unacknowledged, in milliseconds.
+
+While bytes are unacknowledged the system sends no keep-alive probes.
+"""
 
 
 def open_keepalive_socket(
@@ -23,7 +33,7 @@
         tuple[object, ...],
     ],
 ) -> socket.socket:
-    """Return a socket for an address as ``getaddrinfo`` gives it."""
+    """Return a socket with TCP keep-alive for an address of ``getaddrinfo``."""
     family, kind, protocol, _, _ = address
     opened = socket.socket(family, kind, protocol)
     opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/figstep/net/streams.py
+++ b/figstep/net/streams.py
@@ -1,4 +1,4 @@
-"""Edges of the log's streams: followers and the batching appender."""
+"""Edges for the streams of the log: followers and a batching appender."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,14 +19,17 @@
 from figstep.net.log import READ_LIMIT, LogClient
 
 POLL_TIMEOUT = 10_000
+"""Longest wait of a long poll, in milliseconds."""
+
 RETRY_SECONDS = 0.5
+"""Pause after a read that failed, in seconds."""
 
 
 class StreamFollower(Service):
-    """Long-polls one stream and hands its records on, in order.
+    """Reads one stream by long polls and passes its records on in order.
 
-    With ``read_delay`` seconds, records that come soon after others are read
-    together: each read costs as much as several records.
+    The follower pauses for ``read_delay`` seconds after a read that returned records,
+    so that later records are read together: one read costs as much as several records.
     """
 
     def __init__(
@@ -50,7 +53,7 @@
         self._next = start
 
     def read_from(self, offset: int) -> None:
-        """Go on reading at ``offset``; what a running poll brings is dropped."""
+        """Continue at ``offset``; the result of a running poll is discarded."""
         self._next = offset
 
     @Service.task
@@ -83,11 +86,11 @@
 
 
 def _ignore_event(event: Event) -> None:
-    """Stand for the dispatch of a follower that tells nobody."""
+    """Ignore an event; the default dispatch of a follower."""
 
 
 class StreamAppender(Service):
-    """Appends records; those that wait for the same stream go in one batch."""
+    """Appends records; pending ones of the same stream are sent as one batch."""
 
     def __init__(self, log: LogClient, dispatch: Callable[[Event], None]) -> None:
         super().__init__()
@@ -97,17 +100,17 @@
         self._senders: dict[str, asyncio.Task[None]] = {}
 
     async def on_stop(self) -> None:
-        """Drop what is not sent."""
+        """Cancel all appends that are not confirmed."""
         for task in self._senders.values():
             task.cancel()
 
     @property
     def idle(self) -> bool:
-        """Whether nothing waits to be appended."""
+        """Whether no append is pending."""
         return not self._senders
 
     def append(self, effect: AppendRecords) -> None:
-        """Queue an append."""
+        """Queue an append; its outcome is dispatched as an event."""
         self._waiting.setdefault(effect.stream, []).append(effect)
         if effect.stream in self._senders:
             return
--- a/figstep/net/targets.py
+++ b/figstep/net/targets.py
@@ -1,4 +1,4 @@
-"""Edge towards targets: attempts and their cancellation."""
+"""Edge to targets: attempts, cancellations and probes."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -33,19 +33,31 @@
 from figstep.net.probes import is_listening
 
 CANCEL_TIMEOUT = 2.0
+"""Timeout of one attempt to deliver a cancellation, in seconds."""
+
 MAX_CANCEL_ATTEMPTS = 3
+"""Most attempts to deliver a cancellation."""
+
 PROBE_TIMEOUT = 2.0
+"""Timeout of a probe's connection attempt, in seconds."""
+
 BODY_END_TIMEOUT = 1.0
+"""Time to wait for the end of the body after the end marker, in seconds."""
+
 MAX_RECORDED_BODY = 1_024
+"""Largest body of a plain service's answer that is recorded for replay, in bytes."""
 
 _log = logbook.Logger("figstep.targets")
 
 _REFUSED_STATUSES = (429, 503)
+"""HTTP statuses by which a target refuses a request without running it."""
+
 _DROPPED_HEADERS = {"transfer-encoding", "connection", "content-length", "date"}
+"""Headers of a plain service's answer that are not passed on to the caller."""
 
 
 class TargetEdge(Service):
-    """Holds the connections to targets."""
+    """Sends attempts, cancellations and probes to targets."""
 
     def __init__(
         self,
@@ -60,18 +72,18 @@
         self._background: set[asyncio.Task[None]] = set()
 
     async def on_stop(self) -> None:
-        """Drop all attempts."""
+        """Cancel all attempts and background tasks and wait for their end."""
         tasks = [*self._attempt_tasks.values(), *self._background]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def on_shutdown(self) -> None:
-        """Close the connections, which the tasks use until they end."""
+        """Close the connections, which are in use until all tasks have ended."""
         await self._pools.close()
 
     def open_attempt(self, effect: OpenAttempt, exchange: Exchange) -> None:
-        """Send a request to a target."""
+        """Start to send a request to a target."""
         if isinstance(exchange.spec.work, GenerationWork):
             work = self._run_generation(effect, exchange)
         else:
@@ -79,25 +91,25 @@
         self._start(effect.attempt, work)
 
     def resume_attempt(self, effect: ResumeAttempt) -> None:
-        """Reattach to a generation over a new connection."""
+        """Start to resume a generation over a new connection."""
         self._start(effect.attempt, self._resume_generation(effect))
 
     def close_attempt(self, attempt: int) -> None:
-        """Drop an attempt's connection."""
+        """Close the connection of an attempt, if it is open."""
         task = self._attempt_tasks.pop(attempt, None)
         if task is not None:
             task.cancel()
 
     def cancel_generation(self, effect: CancelGeneration) -> None:
-        """Tell the target to stop a generation."""
+        """Start to send the target a request to cancel a generation."""
         self._run_in_background(self._send_cancel(effect))
 
     def replace_pool(self, target: str) -> None:
-        """Open new connections to a target from now on."""
+        """Use new connections for later requests to a target."""
         self._pools.replace(target)
 
     def probe_target(self, target: str) -> None:
-        """Look whether a target still listens at its address."""
+        """Start to check whether a target listens; dispatch TargetDown if not."""
         self._run_in_background(self._probe(target))
 
     async def _probe(self, name: str) -> None:
@@ -108,8 +120,8 @@
         try:
             listens = await is_listening(url.host or "", url.port or 0, PROBE_TIMEOUT)
         except OSError as error:
-            # A link that fails proves nothing of the target.
-            _log.info("no probe", extra={"target": name, "error": repr(error)})
+            # A failing link says nothing about the target.
+            _log.info("probe failed", extra={"target": name, "error": repr(error)})
             return
         if not listens:
             self._dispatch(TargetDown(name))
@@ -125,10 +137,10 @@
         task.add_done_callback(lambda _: self._attempt_tasks.pop(attempt, None))
 
     async def _run_attempt(self, attempt: int, work: Coroutine[Any, Any, None]) -> None:
-        """Turn every way in which an attempt fails into its loss.
+        """Run an attempt and report any failure as a loss.
 
-        Only a connection that was never made proves that no byte went out;
-        whatever else goes wrong, the target may have begun.
+        Only a connection that was never established proves that no byte was sent;
+        after any other failure the target may have begun to run the request.
         """
         try:
             await work
@@ -220,8 +232,9 @@
             self._dispatch(AttemptLost(effect.attempt, Loss.CONNECT_FAILED))
             return
         async with self._pools.use(effect.target) as pool:
-            # A kept connection may have died unseen, which would leave it open
-            # whether the call ran; what runs once gets a new one.
+            # A kept-alive connection may have broken unnoticed, and it would be
+            # unknown whether the call ran. A call that may run only once gets a
+            # new connection.
             session = pool.fresh if effect.once else pool.reused
             async with session.request(
                 exchange.method,
@@ -231,11 +244,13 @@
                 allow_redirects=False,
             ) as response:
                 body = await response.read()
-        # Passed on and recorded, a 429 would be replayed to every later sending
-        # of the same key; it says that the call did not run, as a 503 does.
+        # A 429, like a 503, means that the call did not run. If it were passed on
+        # and recorded, it would be replayed to every later request with the same
+        # key.
         if response.status in (_REFUSED_STATUSES if effect.once else (503,)):
-            # Something before the service may give these too, after the call
-            # went through; sent again, the flour order would come twice.
+            # A proxy in front of the service may return these statuses after the
+            # call has run. Sending the call again would run it twice, such as an
+            # order of flour that is delivered twice.
             loss = Loss.REFUSED if target.refusals_not_run else Loss.FAILED
             retry_after = _read_retry_after(response)
             self._dispatch(AttemptLost(effect.attempt, loss, retry_after))
@@ -256,7 +271,7 @@
             return
         url = f"{target.address}/v1/generations/{effect.generation}"
         timeout = aiohttp.ClientTimeout(total=CANCEL_TIMEOUT)
-        # A target would go on for nobody until the whole answer is made.
+        # Without a cancellation the target generates the whole answer unread.
         for _ in range(MAX_CANCEL_ATTEMPTS):
             try:
                 async with self._pools.use(effect.target) as pool:
@@ -264,7 +279,7 @@
                         return
             except (aiohttp.ClientError, TimeoutError, OSError) as error:
                 fields = {"target": effect.target, "error": repr(error)}
-                _log.info("cancel not delivered", extra=fields)
+                _log.info("cancellation not delivered", extra=fields)
 
 
 def _read_retry_after(response: aiohttp.ClientResponse) -> Millis | None:
@@ -282,8 +297,8 @@
 
 
 async def _read_body_end(response: aiohttp.ClientResponse) -> None:
-    # The end of the body often comes a moment after the end marker. Without
-    # it the connection cannot be used again, and each answer costs a new one.
+    # The end of the body often arrives a moment after the end marker. If it is not
+    # read, the connection cannot be reused, and each answer costs a new one.
     with suppress(aiohttp.ClientError, TimeoutError):
         async with asyncio.timeout(BODY_END_TIMEOUT):
             while await response.content.readany():
--- a/tests/contracts/__init__.py
+++ b/tests/contracts/__init__.py
@@ -1,1 +1,1 @@
-"""Contracts of the interfaces."""
+"""Tests of the contracts between figstep and its callers, targets and platform."""
--- a/tests/contracts/test_callers.py
+++ b/tests/contracts/test_callers.py
@@ -1,4 +1,4 @@
-"""The callers' contract: what each kind of request is answered with."""
+"""Tests of the callers' contract: the answer to each kind of request."""
 
 from collections.abc import AsyncIterator
 
--- a/tests/contracts/test_log.py
+++ b/tests/contracts/test_log.py
@@ -1,4 +1,4 @@
-"""The log's contract, held by the twin in memory and by the service over HTTP."""
+"""Tests of the log's contract, for the log in memory and the service over HTTP."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -21,7 +21,7 @@
 async def open_log(
     kind: str, seconds: float = 10.0
 ) -> AsyncIterator[tuple[LogClient, MemoryLog | LogService, TcpProxy | None]]:
-    """Yield the client, what holds the records, and the link between them."""
+    """Yield the client, the log that stores the records, and the proxy between them."""
     if kind == "memory":
         memory = MemoryLog()
         yield memory, memory, None
@@ -41,7 +41,7 @@
 
 
 def truncate_stream(storage: MemoryLog | LogService, count: int) -> None:
-    """Let the records before offset ``count`` pass out of retention."""
+    """Expire the records before offset ``count``."""
     if isinstance(storage, MemoryLog):
         storage.earliest["s"] = count
         return
@@ -108,10 +108,10 @@
 async def test_an_append_without_an_answer_is_settled_by_reading(
     fault: str | LoseAnswers | Lose, took_effect: bool
 ) -> None:
-    """The sender gets no answer, whether or not the append took effect.
+    """Guards against an append without an answer that is treated as failed.
 
-    Both look alike to it, so it must be told that the outcome is uncertain;
-    the records that the log holds afterwards tell which it was.
+    The sender cannot know whether the append took effect, so the error must say that
+    the outcome is uncertain. Reading the records back shows the outcome.
     """
     async with open_log("http", seconds=0.5) as (log, service, proxy):
         assert isinstance(service, LogService) and proxy is not None
--- a/tests/contracts/test_operators.py
+++ b/tests/contracts/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' contract: what each command prints and exits with."""
+"""Tests of the operators' contract: output and exit code of each command."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -74,7 +74,7 @@
 
 @pytest.mark.asyncio(loop_scope="module")
 @pytest.mark.parametrize(
-    ("command", "changes", "code", "told"), COMMANDS.values(), ids=COMMANDS.keys()
+    ("command", "changes", "code", "output"), COMMANDS.values(), ids=COMMANDS.keys()
 )
 async def test_commands_report_their_outcome(
     deployment: Deployment,
@@ -82,7 +82,7 @@
     command: str,
     changes: dict[str, Any],
     code: int,
-    told: str,
+    output: str,
 ) -> None:
     path = write_yaml(tmp_path / "f.yaml", {**deployment.document, **changes})
     words = command.replace("FILE", str(path)).split()
@@ -90,4 +90,4 @@
     words = [log_url if word == "LOG" else word for word in words]
     result = await asyncio.to_thread(CliRunner().invoke, app, words)
     assert result.exit_code == code, result.output
-    assert told in f"{result.output} {result.exception}"
+    assert output in f"{result.output} {result.exception}"
--- a/tests/contracts/test_orders.py
+++ b/tests/contracts/test_orders.py
@@ -1,4 +1,4 @@
-"""The contract of orders to engines, those that check numbers and those that don't."""
+"""Tests of the contract of orders to engines, with and without fencing checks."""
 
 from typing import Any
 
@@ -38,10 +38,10 @@
 async def test_an_order_is_applied_refused_or_uncertain(
     case: dict[str, Any], outcome: OrderOutcome, applied: bool
 ) -> None:
-    """An order meets an engine, a link or a lease in some state.
+    """Guards against a wrong outcome of an order.
 
-    The sender must not take a lost answer for a refusal, nor send once its
-    lease is over: an engine that ignores numbers would obey.
+    The sender must not treat a lost answer as a refusal, and must not send after its
+    lease has expired: an engine that ignores fencing numbers would execute the order.
     """
     engine = EngineServer("engine-1")
     engine.checks_fencing = case.get("checks", True)
--- a/tests/contracts/test_peers.py
+++ b/tests/contracts/test_peers.py
@@ -1,4 +1,4 @@
-"""The contract between entries: datagrams of news, checkpoints on request."""
+"""Tests of the contract between entries: gossip datagrams and checkpoints."""
 
 import asyncio
 import os
@@ -43,13 +43,13 @@
 
 @dataclass(slots=True)
 class Peer:
-    """An edge and what it made known."""
+    """A peer edge and the events that it dispatched."""
 
     edge: PeerEdge
     events: list[Event]
 
     def list_received_events(self) -> list[Event]:
-        """Return its events but the one that tells of its own address."""
+        """Return the events except the one that reports the own address."""
         return [
             event for event in self.events if not isinstance(event, PeerListenerOpened)
         ]
@@ -83,9 +83,11 @@
 }
 
 
-@pytest.mark.parametrize(("data", "taken"), DATAGRAMS.values(), ids=DATAGRAMS.keys())
+@pytest.mark.parametrize(
+    ("data", "is_accepted"), DATAGRAMS.values(), ids=DATAGRAMS.keys()
+)
 async def test_only_whole_datagrams_with_a_known_key_are_accepted(
-    data: bytes, taken: bool
+    data: bytes, is_accepted: bool
 ) -> None:
     async with run_peer(old_key="old") as peer:
         host, _, port = peer.edge.address.rpartition(":")
@@ -96,11 +98,11 @@
         sender.sendto(data)
         await wait_for(
             lambda: peer.list_received_events() or peer.edge.rejected,
-            "the datagram came",
+            "the datagram arrived",
         )
         sender.close()
         assert peer.list_received_events() == (
-            [GossipReceived(GOSSIP)] if taken else []
+            [GossipReceived(GOSSIP)] if is_accepted else []
         )
 
 
@@ -122,7 +124,7 @@
             assert receiver.list_received_events() == []
             proxy.fault = None
             sender.edge.send(proxy.address, GOSSIP)
-        await wait_for(receiver.list_received_events, "the news came")
+        await wait_for(receiver.list_received_events, "the gossip arrived")
         await proxy.stop()
         assert receiver.list_received_events() == [GossipReceived(GOSSIP)]
 
@@ -141,10 +143,10 @@
 async def test_a_checkpoint_is_applied_whole_or_not_at_all(
     fault: Fault | None, arrives: bool
 ) -> None:
-    """The link to the peer that holds the newer document fails in the middle.
+    """Guards against half a document in force, and against fetches that stay blocked.
 
-    Half a document must not be put in force, and the failure must not keep a
-    later fetch from succeeding once the link is sound.
+    The link to the peer with the newer document fails during the transfer. A later
+    fetch must succeed once the link works again.
     """
     async with run_peer() as requester, run_peer() as provider:
         host, _, port = provider.edge.address.rpartition(":")
@@ -164,7 +166,7 @@
             requester.edge.fetch(proxy.address)
             return bool(requester.list_received_events())
 
-        await wait_for(has_events, "the checkpoint came")
+        await wait_for(has_events, "the checkpoint arrived")
         await proxy.stop()
         offered = requester.list_received_events()[0]
     assert isinstance(offered, CheckpointOffered)
--- a/tests/contracts/test_platform.py
+++ b/tests/contracts/test_platform.py
@@ -1,4 +1,4 @@
-"""The instance list and the weight store, with their faults."""
+"""Tests of the contract with the instance list and the weight store."""
 
 from typing import Any
 
@@ -48,7 +48,7 @@
 
 
 async def read_list(instances: InstanceList, fault: Fault | None) -> InstancesListed:
-    """Read the list through a link with a fault until one event comes."""
+    """Read the list over a faulty link and return the first event."""
     runner, url = await start_app(instances.build_app())
     host, _, port = url.removeprefix("http://").rpartition(":")
     proxy = TcpProxy(host, int(port))
@@ -59,7 +59,7 @@
     edge = InstanceEdge(proxy.url, events.append)
     await edge.start()
     if isinstance(fault, Stall):
-        await wait_for(lambda: proxy.accepted, "the list was asked for")
+        await wait_for(lambda: proxy.accepted, "the list was requested")
         assert not events
         proxy.clear_fault()
     await wait_for(lambda: events, "the list was read")
--- a/tests/contracts/test_targets.py
+++ b/tests/contracts/test_targets.py
@@ -1,7 +1,7 @@
-"""Engines and plain services as targets: what a caller sees of each fault.
+"""Tests of faults of engines and plain services, as their callers observe them.
 
-The first attempt meets the fault and the target behaves afterwards, so a whole
-answer shows that the fault was hidden, and a problem that it could not be.
+Only the first attempt meets the fault. A complete answer shows that the fault was
+hidden from the caller, and a problem shows that it was reported.
 """
 
 from collections.abc import AsyncIterator
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A status in place of a stream."""
+    """An HTTP status that is sent instead of a stream."""
 
     status: int
     headers: tuple[tuple[str, str], ...] = ()
@@ -39,12 +39,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Frames:
-    """Events by index in the order sent; then the end marker, if ``done``.
+    """Events in the order in which they are sent.
 
     Attributes:
-        order: Indexes, from 1.
-        rename: Generation that the ids name instead, or "".
-        done: Whether the end marker follows.
+        order: Indexes of the events, from 1.
+        rename: Generation written into the ids instead of the real one, or "".
+        done: Whether the end marker follows the events.
     """
 
     order: tuple[int, ...]
@@ -53,7 +53,7 @@
 
 
 class FaultyEngine(EngineServer):
-    """Plays the next of the faults that it shares with other engines."""
+    """Engine that injects the next of the faults that it shares with other engines."""
 
     def __init__(self, name: str, faults: list[Answer | Frames]) -> None:
         super().__init__(name, gap=0.0)
@@ -88,10 +88,10 @@
 
 
 class CrashingService(PlainService):
-    """A target of a plain service that a read of ``/crash`` ends.
+    """A target of a plain service that crashes when ``/crash`` is read.
 
     Attributes:
-        runner: Runs it; set once it is started.
+        runner: Runner of its application; set once the target is started.
     """
 
     runner: web.AppRunner
@@ -107,7 +107,7 @@
 
 
 def build_engines(fault: Answer | Frames) -> list[FaultyEngine]:
-    """Return two engines, of which the first to be asked plays the fault."""
+    """Return two engines; the first one to get a request injects the fault."""
     faults = [fault]
     return [FaultyEngine(f"engine-{number}", faults) for number in (1, 2)]
 
@@ -116,7 +116,7 @@
 async def run_entry(
     engines: list[FaultyEngine], *services: PlainService
 ) -> AsyncIterator[str]:
-    """Run one entry before some engines and targets of a service; yield its URL."""
+    """Run one entry with engines and targets of a plain service; yield its URL."""
     runners, urls = [], []
     for standin in (*engines, *services, InstanceList()):
         runner, url = await start_app(standin.build_app())
@@ -197,7 +197,7 @@
 
 
 class FaultyService(PlainService):
-    """Plays one fault towards the first call."""
+    """Plain service that injects one fault into the first call."""
 
     def __init__(self, fault: str) -> None:
         super().__init__("planning-1")
@@ -218,10 +218,10 @@
 
 @pytest.mark.parametrize("fault", ["503", "500", "answer lost", "answer truncated"])
 async def test_a_call_is_not_repeated_where_it_may_have_run(fault: str) -> None:
-    """The service loses or garbles its answer, or refuses the call.
+    """Guards against a second run of a call that may run at most once.
 
-    The rules say that the call runs at most once. Where it may have taken
-    effect the caller is told so, and no second call reaches the service.
+    The service loses or truncates its answer, or refuses the call. If the call may
+    have run, the caller is told so and no second call reaches the service.
     """
     service = FaultyService(fault)
     async with run_entry([], service) as url:
@@ -236,7 +236,7 @@
 
 
 async def test_a_call_that_crashes_services_is_kept_away_from_the_rest() -> None:
-    """Guards against a read that ends all targets of a service, again and again."""
+    """Guards against a read that repeatedly crashes all targets of a service."""
     services = [CrashingService(f"planning-{number}") for number in range(6)]
     statuses = []
     headers = {"Authorization": f"Bearer {KEY}"}
--- a/tests/net/test_border_fuzz.py
+++ b/tests/net/test_border_fuzz.py
@@ -1,4 +1,7 @@
-"""Fuzz of the callers' border: no input ends in a 500 or harms the next caller."""
+"""Fuzz tests of the callers' interface.
+
+No input may cause a 500 or harm the request of the next caller.
+"""
 
 import asyncio
 import json
@@ -15,7 +18,8 @@
 from figstep.demo import KEY, MODEL, run_deployment
 from tests.net.test_callers import GOOD, LIMITS, PATH, open_raw
 
-# The loop rests between two examples; an idle connection would be cut then.
+# The loop does not run between two examples; with a short limit an idle connection
+# would be closed then.
 FUZZ_LIMITS = LIMITS.model_copy(update={"idle_seconds": 3_600})
 FUZZ = settings(derandomize=True, max_examples=100, deadline=None, database=None)
 METHODS = ["GET", "POST", "PUT", "DELETE", "PATCH", "OPTIONS", "HEAD"]
@@ -65,7 +69,7 @@
 
 @dataclass(slots=True)
 class FuzzedEntry:
-    """An entry on a loop of its own, and the faults that the loop reported."""
+    """An entry on an event loop of its own, and the errors that the loop reported."""
 
     runner: asyncio.Runner
     session: aiohttp.ClientSession
--- a/tests/net/test_callers.py
+++ b/tests/net/test_callers.py
@@ -1,4 +1,4 @@
-"""The border towards callers: what they get for bad input and broken links."""
+"""Tests of the callers' interface: answers to invalid input and broken connections."""
 
 import asyncio
 import json
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class EntryClient:
-    """One entry and a client of it."""
+    """One entry and an HTTP session of a caller."""
 
     deployment: Deployment
     session: aiohttp.ClientSession
@@ -152,10 +152,10 @@
 
 
 async def test_slow_senders_get_408_or_are_disconnected() -> None:
-    """Callers open connections and send their requests byte by byte.
+    """Guards against callers that hold connections by never ending a request.
 
-    One never ends its headers, one never ends its body. The first is cut, the
-    second gets 408; neither reaches a target nor keeps its connection.
+    One caller never ends its headers and is disconnected; one never ends its body and
+    gets 408. Neither request reaches a target.
     """
     async with open_entry_client() as client:
         body, head = await open_raw(client.url), await open_raw(client.url)
@@ -172,10 +172,9 @@
 
 
 async def test_generation_of_a_vanished_caller_is_cancelled() -> None:
-    """A caller closes its connection in the middle of a stream.
+    """Guards against generations that hold cache memory after their caller has left.
 
-    Without a grace its generation is cancelled at the target, so that the
-    cache memory it holds goes to others.
+    A caller without a grace period closes its connection in the middle of a stream.
     """
     async with open_entry_client() as client:
         client.deployment.engines[0].length = 100_000
@@ -201,11 +200,11 @@
 
 
 async def test_grace_lets_a_caller_return_through_another_entry() -> None:
-    """A caller with a grace vanishes and returns through another entry.
+    """Guards against a grace period whose end cuts off a resumed generation.
 
-    It gets the next events of the same generation there, also after its grace
-    at the first entry has passed. When it vanishes again and nobody reads the
-    generation any more, the target ends it.
+    A caller with a grace period disconnects and resumes through another entry. It gets
+    the next events there, also after the grace period at the first entry has ended.
+    When it disconnects again and nobody reads the generation, the target ends it.
     """
     async with run_deployment(2, LIMITS, gaps=(0.01,)) as deployment:
         engine = deployment.engines[0]
@@ -245,11 +244,10 @@
 
 
 async def test_reader_that_stops_reading_is_cut() -> None:
-    """A caller asks for a long stream and stops reading it.
+    """Guards against slow readers that together exhaust the memory of an entry.
 
-    Its events pile up in the entry's buffer until the bound; then the
-    generation is cancelled and the connection closed, so that slow readers
-    together cannot exhaust the entry's memory.
+    A caller requests a long stream and stops reading it. Its events collect in the
+    entry's buffer; at the limit the generation is cancelled and the connection closed.
     """
     async with open_entry_client(0) as client:
         client.deployment.engines[0].length = 1_000_000
--- a/tests/net/test_connectors.py
+++ b/tests/net/test_connectors.py
@@ -1,4 +1,4 @@
-"""Tests of the connector that tells a reset from an end."""
+"""Tests of the connector that distinguishes a reset from a normal close."""
 
 import asyncio
 import socket
@@ -41,11 +41,11 @@
 
 
 async def test_reset_in_answer_without_length_is_a_loss() -> None:
-    """The caller would see half an answer as a whole one.
+    """Guards against half an answer that the caller gets as a complete one.
 
-    A target sends the start of an answer that has no length and then crashes;
-    its connection is reset. Without a length the end of the connection ends
-    the answer, and the HTTP library takes the reset for such an end.
+    A target sends the start of an answer without a length and crashes, which resets
+    the connection. The end of the connection ends such an answer, and aiohttp treats
+    the reset as a normal end.
     """
     server, url = await serve(reset=True)
     async with server:
--- a/tests/net/test_frames.py
+++ b/tests/net/test_frames.py
@@ -1,4 +1,4 @@
-"""Cutting a target's bytes into runs of events."""
+"""Tests of splitting the bytes of a target into runs of events."""
 
 import pytest
 
@@ -27,10 +27,10 @@
 
 @pytest.mark.parametrize("name", [b"g:x", b"g", b"", b"\xff\xfe:1"])
 def test_an_id_without_an_index_is_a_typed_error(name: bytes) -> None:
-    """A target writes ids in a form of its own.
+    """Guards against a request that hangs because a target writes other ids.
 
-    Passing such events on would break the order that callers rely on; the
-    error ends the attempt as lost instead of leaving its request to hang.
+    Without indexes the order of the events cannot be checked, so they must not be
+    forwarded. The error ends the attempt as lost.
     """
     with pytest.raises(FrameError, match="look at the target"):
         FrameSplitter().feed(b"id: " + name + b"\ndata: x\n\n")
--- a/tests/net/test_hellos.py
+++ b/tests/net/test_hellos.py
@@ -1,4 +1,4 @@
-"""Tests of the messages between gateways."""
+"""Tests of the codec of messages and record copies between gateways."""
 
 from dataclasses import replace
 
@@ -72,7 +72,7 @@
 
 
 def test_a_forwarded_message_keeps_the_address_of_its_author() -> None:
-    """Guards against records asked of an entry that does not have them."""
+    """Guards against records requested from an entry that does not have them."""
     data = encode_hello(Hello(replace(OWN, address="10.0.0.9:7200")))
     assert decode_hello(data, "10.0.0.1:7200").content.address == "10.0.0.9:7200"
 
@@ -89,7 +89,7 @@
 
 
 def test_a_copy_of_a_large_configuration_is_small() -> None:
-    """Guards against copies that hold a slow link for half a second each."""
+    """Guards against copies that occupy a slow link for half a second each."""
     routes = b",".join(
         b'{"name":"r%d","host":"h%d.example","prefix":"/p%d/","type":"safe"}'
         % (number, number, number)
@@ -101,7 +101,7 @@
 
 
 def test_a_copy_that_decompresses_to_too_much_is_rejected() -> None:
-    """Guards against a peer whose few bytes fill the memory of an entry."""
+    """Guards against a small message that fills the memory of an entry."""
     data = encode_copy(RecordCopy(b"x" * MAX_COPY_BYTES, 1))
     assert len(data) < MAX_COPY_BYTES / 4
     with pytest.raises(PeerMessageError):
--- a/tests/net/test_instances.py
+++ b/tests/net/test_instances.py
@@ -1,4 +1,4 @@
-"""Reading of the platform's instance list."""
+"""Tests of reading the platform's instance list."""
 
 import pytest
 
--- a/tests/net/test_links.py
+++ b/tests/net/test_links.py
@@ -14,7 +14,7 @@
 
 
 class FakeHost(LinkHost):
-    """An entry that notes what its link brings."""
+    """An entry that records the messages of its link."""
 
     def __init__(
         self, node: str, failure_domain: str, represents_domain: bool = True
@@ -89,7 +89,7 @@
 async def test_failure_domains_of_a_large_fleet_exchange_sums(
     unused_tcp_port_factory: object,
 ) -> None:
-    """Guards against control that grows with the square of the fleet."""
+    """Guards against control traffic that grows with the square of the fleet size."""
     ports = [unused_tcp_port_factory() for _ in range(20)]  # type: ignore[operator]
     hosts = [
         FakeHost(
@@ -121,7 +121,7 @@
 async def test_an_entry_that_starts_is_answered_at_once(
     unused_tcp_port_factory: object,
 ) -> None:
-    """Guards against prompts placed before the loads of the others are known."""
+    """Guards against prompts placed before the loads of other entries are known."""
     ports = [unused_tcp_port_factory() for _ in range(2)]  # type: ignore[operator]
     hosts = [FakeHost(f"entry-{n}", "muc-a") for n in range(2)]
     first = open_link(ports[0], (), hosts[0])
@@ -139,7 +139,7 @@
 async def test_an_entry_of_a_large_fleet_answers_new_remote_entries_with_sums(
     unused_tcp_port_factory: object,
 ) -> None:
-    """Guards against peers that are taken for lost seconds after a start."""
+    """Guards against peers that count as missing seconds after a start."""
     ports = [unused_tcp_port_factory() for _ in range(2)]  # type: ignore[operator]
     hosts = [FakeHost("entry-0", "muc-a"), FakeHost("entry-1", "muc-b")]
     first = open_link(ports[0], (), hosts[0])
--- a/tests/net/test_neighbors.py
+++ b/tests/net/test_neighbors.py
@@ -1,4 +1,4 @@
-"""Tests of what is known of the addresses of other entries."""
+"""Tests of the table of the addresses of other entries."""
 
 from figstep.net.neighbors import (
     MAX_MEMBERS_PER_MESSAGE,
@@ -41,7 +41,7 @@
 
 
 def test_a_recently_named_entry_is_preferred_to_a_silent_one() -> None:
-    """Guards against loads told to an entry that has died."""
+    """Guards against loads sent to an entry that has crashed."""
     table = build_table()
     later = RECENT_SECONDS + 1.0
     table.record_members([Member("10.1.0.3:7200", "muc-b")], later)
@@ -49,7 +49,7 @@
 
 
 def test_a_silent_failure_domain_is_still_tried() -> None:
-    """Guards against failure domains that never hear each other again after a cut."""
+    """Guards against failure domains that stay disconnected after a partition ends."""
     table = build_table()
     assert len(table.pick_remote(RECENT_SECONDS + 1.0)) == 2
 
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -1,4 +1,4 @@
-"""Entries that share what they know, over real sockets."""
+"""Tests of entries that exchange their state over real sockets."""
 
 import asyncio
 from collections.abc import Callable
@@ -43,10 +43,10 @@
 async def test_new_entry_fetches_the_document_from_a_peer_while_the_log_is_down() -> (
     None
 ):
-    """The log is down and an entry is replaced.
+    """Guards against a replaced entry that cannot serve while the log is down.
 
-    The fresh entry has no disk and nothing to read. A peer answers its first
-    message and gives document and offset, so it serves.
+    The new entry has no disk and cannot read the log. A peer answers its first message
+    and sends it the document and its offset.
     """
     async with run_deployment() as deployment, AsyncExitStack() as stack:
         deployment.log.available = False
@@ -59,16 +59,16 @@
 
 
 async def test_edit_reaches_all_entries_when_the_log_fails_right_after() -> None:
-    """One entry read an edit, then the log went down for the others.
+    """Guards against entries that keep an old document while the log is down.
 
-    They learn of the higher offset by gossip and fetch the document; when
-    the log is back nobody goes back.
+    One entry reads an edit, then the log fails for the others. They receive the higher
+    offset by gossip and fetch the document from a peer.
     """
     async with run_deployment() as deployment, AsyncExitStack() as stack:
         first, second = deployment.entries
         late = await add_entry(stack, deployment, "entry-9")
         await wait_for(lambda: late.entry_state.configuration_offset == 0)
-        second.configuration.read_from(1_000)  # its reads stop bringing anything
+        second.configuration.read_from(1_000)  # its reads return nothing from here on
         await second.configuration.stop()
         client = HttpLog(first.settings.platform.log)
         stack.push_async_callback(client.close)
@@ -78,9 +78,10 @@
 
 
 async def test_leaving_target_is_known_to_entries_that_cannot_ask_it() -> None:
-    """One entry hears from an engine that it leaves; another does not reach it.
+    """Guards against an entry that keeps sending work to a leaving target.
 
-    Without the mark the other would go on giving it work.
+    One entry is told by an engine that it leaves; the other cannot reach the engine
+    and depends on the mark that the first one sends.
     """
     async with run_deployment() as deployment:
         first, second = deployment.entries
--- a/tests/net/test_pools.py
+++ b/tests/net/test_pools.py
@@ -1,4 +1,4 @@
-"""Connections to targets: kept, new and replaced."""
+"""Tests of connections to targets: reused, new and replaced."""
 
 from collections.abc import AsyncIterator
 
@@ -11,7 +11,7 @@
 
 
 class Target:
-    """Counts requests and the connections that brought them."""
+    """A target that counts requests and the connections on which they arrive."""
 
     def __init__(self) -> None:
         self.requests = 0
@@ -83,7 +83,7 @@
 async def test_a_call_is_never_sent_twice(
     pools: PoolTable, target: Target, method: str
 ) -> None:
-    """Guards against a client that sends a call again by itself: it would run twice."""
+    """Guards against a call that runs twice because the client repeats it by itself."""
     target.aborts_connections = True
     async with pools.use("t") as pool:
         for session in (pool.fresh, pool.reused):
--- a/tests/net/test_probes.py
+++ b/tests/net/test_probes.py
@@ -1,4 +1,4 @@
-"""Probes tell an address where nobody listens from a link that fails."""
+"""Tests that probes distinguish a refused connection from a failing link."""
 
 import asyncio
 
@@ -22,6 +22,6 @@
 
 
 async def test_a_failing_link_raises_an_error() -> None:
-    """Guards against targets behind a broken link that are taken for dead."""
+    """Guards against targets behind a broken link that count as crashed."""
     with pytest.raises(OSError):
         await is_listening(HOST, find_free_port(), 0.0)
--- a/tests/net/test_reports.py
+++ b/tests/net/test_reports.py
@@ -1,4 +1,4 @@
-"""Load reports at the border."""
+"""Tests of parsing the load reports of engines."""
 
 from typing import Any
 
--- a/tests/net/test_sessions.py
+++ b/tests/net/test_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions towards targets: each request is sent once."""
+"""Tests that sessions to targets send each request once."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -20,7 +20,7 @@
 async def test_a_target_that_crashes_is_not_taken_for_one_that_was_not_reached(
     session: aiohttp.ClientSession, method: str
 ) -> None:
-    """Guards against a second sending that hides that the first one ran."""
+    """Guards against an automatic retry that hides that the first request ran."""
 
     async def crash(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
--- a/tests/net/test_targets.py
+++ b/tests/net/test_targets.py
@@ -1,4 +1,4 @@
-"""The edge towards targets."""
+"""Tests of the edge to targets."""
 
 import asyncio
 
@@ -14,10 +14,11 @@
 
 
 async def test_connection_is_reused_when_the_end_of_the_body_is_late() -> None:
-    """A target writes the end marker, and the end of the body a moment later.
+    """Guards against a new connection for each answer.
 
-    The answer ends with the marker. The connection must still be read to the
-    end of the body, or each answer would cost a new one.
+    A target writes the end marker, and the end of the body a moment later. The answer
+    ends with the marker, but the connection can be reused only once it is read to the
+    end of the body.
     """
     ports = set()
 
@@ -50,7 +51,7 @@
 
 
 async def probe(address: str) -> list[Event]:
-    """Return what a probe of a target at an address tells."""
+    """Return the events that a probe of a target at an address dispatches."""
     events: list[Event] = []
     edge = TargetEdge(events.append, lambda _: ServiceInfo("s1", "x", address, "a"))
     edge.probe_target("s1")
@@ -62,7 +63,7 @@
 
 
 async def test_a_probe_reports_a_target_that_is_down() -> None:
-    """Guards against calls that crash plain services and are never suspected."""
+    """Guards against calls that crash plain services without being suspected."""
     runner, url = await start_app(web.Application())
     assert await probe(url) == []
     await runner.cleanup()
@@ -70,7 +71,7 @@
 
 
 async def test_an_attempt_closed_while_events_arrive_closes_its_connection() -> None:
-    """Guards against targets that go on working for a caller that was cut."""
+    """Guards against targets that keep working for a disconnected caller."""
     connection_closed = asyncio.Event()
 
     async def stream(request: web.Request) -> web.StreamResponse:
@@ -104,7 +105,7 @@
 
 
 async def test_a_lost_cancellation_is_sent_again() -> None:
-    """Guards against targets that generate to the end for nobody."""
+    """Guards against targets that generate whole answers that nobody reads."""
     cancellations = []
     cancelled = asyncio.Event()
 
