--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements by real processes; each module is one command."""
+"""Benchmarks, most of them with real processes; each module is one command."""
--- a/benchmarks/binary.py
+++ b/benchmarks/binary.py
@@ -1,7 +1,8 @@
-"""Start time, processes and memory of the packed file and of the package.
+"""Benchmark of start time, processes and memory of the packed file and the package.
 
-``python -m benchmarks.binary FILE`` starts an entry of each kind and prints one
-line per start. The first start of the file unpacks it.
+``python -m benchmarks.binary FILE`` starts an entry from the packed file and from
+the installed package several times and prints one line per start. The first start
+of the file unpacks it.
 """
 
 import asyncio
@@ -16,11 +17,18 @@
 import yaml
 
 STARTS = 5
+"""Number of starts of the packed file, and of the package."""
+
 PYTHON = getattr(sys, "_base_executable", sys.executable)
+"""Interpreter outside the virtual environment, which runs the packed file."""
 
 
 async def start_once(command: list[str], environment: dict[str, str]) -> str:
-    """Start an entry, stop it, and return its figures."""
+    """Start an entry, stop it, and return its measurements as a line of text.
+
+    Raises:
+        SystemExit: If the entry does not start.
+    """
     started = time.monotonic()
     process = await asyncio.create_subprocess_exec(
         *command,
@@ -45,13 +53,13 @@
 
 
 def measure_size(path: Path) -> float:
-    """Return the size of a file, or of all files below a folder, in megabytes."""
+    """Return the size of a file, or of all files in a folder, in megabytes."""
     files = path.rglob("*") if path.is_dir() else [path]
     return sum(file.stat().st_size for file in files) / 1e6
 
 
 async def run(file: Path) -> None:
-    """Measure the file, cold and warm, and the package beside it."""
+    """Measure the packed file, cold and warm, and then the package."""
     with tempfile.TemporaryDirectory() as folder:
         settings = Path(folder) / "settings.yaml"
         closed_url = "http://127.0.0.1:9"
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -1,8 +1,8 @@
-"""Appends and added time of claimed calls at real entry processes.
+"""Benchmark of claimed calls at real entry processes: appends and added time.
 
-Run as ``python -m benchmarks.claims --entries 8 --rate 80 --seconds 10``. The
-log service, the plain services and the callers share this process's loop, so
-the times include theirs.
+Run as ``python -m benchmarks.claims --entries 8 --rate 80 --seconds 10``. The log
+service, the plain services and the callers share the event loop of this process,
+so the measured times include theirs.
 """
 
 import argparse
@@ -19,20 +19,21 @@
 from tests.fleet import HEADERS, Fleet
 
 WARM_UP_SECONDS = 3.0
+"""Seconds from the start of the fleet to the start of the measurement."""
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """One kind of call under load.
+    """Measurements of one kind of call under load.
 
     Attributes:
-        answered: Calls answered with 200.
-        failed: Calls answered otherwise.
-        p50: Median time, in milliseconds.
-        p99: 99th percentile, in milliseconds.
-        appends: Appends to the log, each of a batch of records.
-        records: Records appended.
-        seconds: How long the load lasted.
+        answered: Number of calls answered with 200.
+        failed: Number of calls answered with another status.
+        p50: Median time of a successful call, in milliseconds.
+        p99: 99th percentile of the time of a successful call, in milliseconds.
+        appends: Number of appends to the log, each with a batch of records.
+        records: Number of records appended.
+        seconds: Duration of the load.
     """
 
     answered: int
@@ -45,7 +46,14 @@
 
 
 async def apply_load(fleet: Fleet, path: str, rate: float, seconds: float) -> Result:
-    """Send calls at a fixed rate, spread over the entries in turn."""
+    """Send calls at a fixed rate, to the entries in turn.
+
+    Args:
+        fleet: Fleet to send to.
+        path: Path of the calls at the service.
+        rate: Calls per second.
+        seconds: Duration of the load.
+    """
     urls = [entry.url for entry in fleet.entries.values()]
     times: list[float] = []
     failed = 0
@@ -85,7 +93,14 @@
 
 
 async def measure(entries: int, rate: float, seconds: float, delay: int) -> None:
-    """Compare claimed calls to others, and count what an idle fleet appends."""
+    """Compare claimed calls with others and print the append rate of an idle fleet.
+
+    Args:
+        entries: Number of entries.
+        rate: Calls per second.
+        seconds: Duration of each measurement.
+        delay: Delay of every answer of the log, in milliseconds.
+    """
     with TemporaryDirectory() as folder:
         fleet = Fleet(Path(folder))
         try:
@@ -108,7 +123,7 @@
 
 
 def main() -> None:
-    """Read the arguments and measure."""
+    """Parse the arguments and run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--entries", type=int, default=8)
     parser.add_argument("--rate", type=float, default=80.0, help="calls a second")
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,8 +1,9 @@
-"""Control traffic: configuration, membership and leaving at real processes.
+"""Benchmarks of control traffic: configuration, membership and leaving targets.
 
-``python -m benchmarks.control configuration|membership|leaving|state`` prints
-one JSON object a line. The platform's stand-ins run in this process; each
-entry is a ``figstep serve`` process of its own.
+``python -m benchmarks.control COMMAND`` prints one JSON object per line; the
+commands are ``configuration``, ``membership``, ``leaving``, ``state`` and
+``document``. The platform stand-ins run in this process, and each entry is a
+``figstep serve`` process. ``state`` and ``document`` call the reducer directly.
 """
 
 import asyncio
@@ -56,15 +57,30 @@
 from tests.processes import run_figstep, write_yaml
 
 KEY = "benchmark"
+
 POLL_SECONDS = 0.02
+"""Seconds between two polls of the status of all entries.
+
+It limits the resolution of the measured times.
+"""
+
 CONVERGENCE_TIMEOUT_SECONDS = 60
+"""Longest wait until all entries show a change, in seconds."""
+
 SETTLE_SECONDS = 8
+"""Seconds from the start of the fleet to the measurement of control traffic."""
 
 app = typer.Typer(no_args_is_help=True, add_completion=False)
 
 
 class StoppableLog(LogService):
-    """Log service that can stop once one follower has got the next append."""
+    """Log service that can stop once one follower has received the next append.
+
+    Attributes:
+        stop_after_append: Whether the log stops after the next append.
+        readers_left: Number of followers that may still read records before the
+            log answers 503, or None while it works.
+    """
 
     stop_after_append = False
     readers_left: int | None = None
@@ -89,13 +105,18 @@
         return response
 
     def restore(self) -> None:
-        """Answer everyone again."""
+        """Answer all calls again."""
         self.stop_after_append = False
         self.readers_left = None
 
 
 class StoppableInstanceList(InstanceList):
-    """Instance list that can stop once one reader has got the next change."""
+    """Instance list that can stop once one reader has received the next change.
+
+    Attributes:
+        readers_left: Number of reads until the list becomes unavailable, or None
+            while it works.
+    """
 
     readers_left: int | None = None
 
@@ -109,7 +130,16 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """Entries as processes, and the platform in this one."""
+    """Entry processes, and the platform stand-ins in this process.
+
+    Attributes:
+        log: Log service.
+        instances: Instance list.
+        client: Client of the log service.
+        urls: Base URLs of the entries.
+        processes: Processes of the entries.
+        session: HTTP session for status queries.
+    """
 
     log: StoppableLog
     instances: StoppableInstanceList
@@ -131,7 +161,18 @@
     async def time_all(
         self, condition: Callable[[dict[str, Any]], bool], start: float
     ) -> list[float]:
-        """Return when each entry first showed it, in seconds after ``start``."""
+        """Wait until the status of every entry fulfils a condition.
+
+        Args:
+            condition: Condition on the status of an entry.
+            start: Monotonic time from which the delays count, in seconds.
+
+        Returns:
+            Delay in seconds until the condition was first fulfilled, by entry.
+
+        Raises:
+            TimeoutError: If it takes longer than ``CONVERGENCE_TIMEOUT_SECONDS``.
+        """
         shown_after: dict[int, float] = {}
         async with asyncio.timeout(CONVERGENCE_TIMEOUT_SECONDS):
             while len(shown_after) < len(self.urls):
@@ -143,7 +184,7 @@
 
 
 def build_document(targets: int) -> dict[str, Any]:
-    """Return a document of so many plain services, which are not polled."""
+    """Return a document with ``targets`` plain services, which are not polled."""
     services = []
     for number in range(targets):
         services.append(
@@ -163,7 +204,10 @@
 
 @asynccontextmanager
 async def run_fleet(entries: int, targets: int) -> AsyncIterator[Fleet]:
-    """Start everything and publish a first document."""
+    """Start the platform and the entries, and publish a first document.
+
+    The fleet is returned when every entry knows its peers and the document.
+    """
     async with AsyncExitStack() as stack:
         log, instances = StoppableLog(), StoppableInstanceList()
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
@@ -201,7 +245,7 @@
 
 
 def summarize(label: str, values: list[float], **fields: Any) -> None:
-    """Print p50 and maximum, in seconds."""
+    """Print median and maximum of ``values``, in seconds, as a JSON line."""
     line = {
         "measure": label,
         "samples": len(values),
@@ -215,7 +259,18 @@
 async def time_publish(
     fleet: Fleet, document: dict[str, Any], number: int, wait: bool = True
 ) -> list[float]:
-    """Publish once; return when each entry showed it after the call began."""
+    """Publish a document once and measure when every entry has it in force.
+
+    Args:
+        fleet: Fleet to publish to.
+        document: Document that is published with one more customer.
+        number: Number of the change, which names that customer.
+        wait: Whether to wait for the publication while the log works; if not, the
+            log is restored first.
+
+    Returns:
+        Seconds from the start of the call until each entry showed the change.
+    """
     changed = deepcopy(document)
     changed["customers"].append({"name": f"c{number}", "key_hash": hash_key("c")})
     before = max(s["configuration_offset"] for s in await fleet.read_statuses())
@@ -234,7 +289,10 @@
 
 @app.command()
 def configuration(entries: int = 8, targets: int = 12, repeats: int = 20) -> None:
-    """Time from publish to in force: log well, slow, and down right after."""
+    """Measure the time from publishing a document until it is in force.
+
+    The log is healthy, then slow, and then goes down after the publication.
+    """
 
     async def run() -> None:
         async with run_fleet(entries, targets) as fleet:
@@ -260,13 +318,13 @@
 def membership(
     entries: int = 8, targets: int = 12, seconds: int = 30, changes: float = 0.0
 ) -> None:
-    """Bytes and processor time that an entry spends on control.
+    """Measure the bytes and processor time that an entry uses for control traffic.
 
     Args:
-        entries: Number of processes.
-        targets: Targets in the document.
-        seconds: Length of the measurement.
-        changes: Edits a second meanwhile.
+        entries: Number of entry processes.
+        targets: Number of targets in the document.
+        seconds: Duration of the measurement.
+        changes: Edits per second during the measurement.
     """
 
     async def run() -> None:
@@ -319,10 +377,10 @@
 
 @app.command()
 def leaving(entries: int = 8, repeats: int = 20, pause: float = 4.0) -> None:
-    """Time until every entry gives a leaving target no new work.
+    """Measure the time until no entry sends new work to a leaving target.
 
-    ``one`` is the case where the instance list tells a single entry and then
-    goes down; ``all`` is the list as it is, polled by every entry.
+    In the case ``all``, every entry polls the instance list. In the case ``one``,
+    the list goes down after a single entry has read the change.
     """
 
     async def run() -> None:
@@ -350,7 +408,7 @@
     start = time.monotonic()
     times = await fleet.time_all(lambda s: s["targets"][name]["leaving"], start)
     if single_reader:
-        # From the moment that the first entry knows it.
+        # Measured from the time at which the first entry knows it.
         times = [value - min(times) for value in times]
     fleet.instances.readers_left = None
     fleet.instances.available = True
@@ -393,10 +451,10 @@
 
 @app.command()
 def state(periods: int = 200) -> None:
-    """Processor time and bytes of one entry's gossip, by fleet size.
+    """Measure processor time and bytes of the gossip of one entry, by fleet size.
 
-    One state with so many member records; per simulated second it sends its
-    messages and takes as many. No network is modelled.
+    A single state with the given number of members sends its messages in each
+    simulated second and handles as many. No network is simulated.
     """
     keys = Keyring(KEY)
     for members, targets in ((8, 12), (8, 670), (100, 670), (370, 12), (370, 670)):
@@ -435,7 +493,7 @@
 
 @app.command()
 def document(engines: int = 670, customers: int = 5600, repeats: int = 20) -> None:
-    """Size of a document and processor time that one edit costs an entry."""
+    """Measure the size of a document and the processor time of one edit at an entry."""
     listed = []
     for number in range(engines):
         listed.append(
--- a/benchmarks/hot_path.py
+++ b/benchmarks/hot_path.py
@@ -1,10 +1,10 @@
-"""Benchmark of the hot path: ``python -m benchmarks.hot_path``.
+"""Benchmark of the hot path.
 
-Token source, platform stand-ins, the measured process and the callers each run
-as a process of their own. For every measured process the same load runs twice
-at once: through it, and on fewer streams from the token source directly, so
-that both see the same machine at the same time. The added delay is the
-difference of the quantiles.
+Run as ``python -m benchmarks.hot_path``. The token source, the platform
+stand-ins, the measured process and the callers each run in a separate process.
+For every measured process two loads run at the same time: one through it, and
+one with fewer streams directly from the token source. Both are affected alike by
+the state of the machine, and the added delay is the difference of the quantiles.
 """
 
 import argparse
@@ -26,9 +26,15 @@
 
 KEY = "bench-key"
 MODEL = "m"
+
 DIRECT_STREAMS = 20
+"""Number of streams that read from the token source directly."""
+
 ENGINES = 20
+"""Number of engines in the inventory; all of them are the one token source."""
+
 MEGABYTE = 1_000_000
+"""Bytes in a megabyte."""
 
 
 @dataclass(slots=True)
@@ -40,21 +46,27 @@
 
     @property
     def usage(self) -> psutil.Process:
-        """Its counters."""
+        """Resource counters of the process."""
         return psutil.Process(self.process.pid)
 
     def read_cpu(self) -> float:
-        """Return the processor time that it has used, in seconds."""
+        """Return the processor time that the process has used, in seconds."""
         times = self.usage.cpu_times()
         return float(times.user + times.system)
 
     def read_memory(self) -> float:
-        """Return its resident memory, in megabytes."""
+        """Return the resident memory of the process, in megabytes."""
         return float(self.usage.memory_info().rss / MEGABYTE)
 
 
 async def start(stack: AsyncExitStack, *arguments: str) -> ChildProcess:
-    """Start ``python -m ARGUMENTS`` and wait for its ``KIND URL`` line."""
+    """Start ``python -m ARGUMENTS`` and wait for the line ``KIND URL`` that it prints.
+
+    The process is killed when ``stack`` is closed.
+
+    Raises:
+        TimeoutError: If no line is printed within 60 seconds.
+    """
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -75,7 +87,7 @@
 
 
 def build_engine(number: int, source: ChildProcess) -> dict[str, Any]:
-    """Return the inventory entry of an engine; all are the token source."""
+    """Return the inventory document of an engine whose address is the token source."""
     return {
         "name": f"source-{number}",
         "address": source.url,
@@ -89,7 +101,11 @@
 async def start_entry(
     stack: AsyncExitStack, source: ChildProcess, folder: Path
 ) -> ChildProcess:
-    """Start an entry before engines that are all the token source."""
+    """Start an entry in front of engines that are all the token source.
+
+    Raises:
+        SystemExit: If the inventory cannot be published.
+    """
     log = await start(stack, "figstep", "standin", "log")
     instances = await start(stack, "figstep", "standin", "instances")
     settings = {
@@ -107,7 +123,8 @@
         "engines": [build_engine(number, source) for number in range(ENGINES)],
         "models": [{"name": MODEL}],
         "customers": [{"name": "c", "key_hash": hash_key(KEY)}],
-        # Slow streams are wanted here, so the policy must not call them crowded.
+        # The benchmark uses streams with long gaps on purpose, so the goal is set
+        # high enough that the policy does not take the engines for overloaded.
         "rules": {"gap_goal_ms": 10_000},
     }
     document = folder / "inventory.yaml"
@@ -126,7 +143,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What one measured process did under one load."""
+    """Measurements of one process under one load.
+
+    Attributes:
+        through: Report of the load through the process.
+        direct: Report of the load directly from the token source.
+        cpu: Processor time that the process used, in seconds.
+        memory: Resident memory of the process, in megabytes.
+    """
 
     through: Report
     direct: Report
@@ -134,7 +158,7 @@
     memory: float
 
     def list_lines(self) -> list[str]:
-        """Return the figures as lines of text."""
+        """Return the measurements as lines of text."""
         seconds, tally = self.through.seconds, self.through.tally
         direct = self.direct.tally
         added = [
@@ -159,7 +183,15 @@
     ramp: float,
     seconds: float,
 ) -> Figures:
-    """Run a load through ``child`` and beside it directly on the source."""
+    """Run a load through ``child`` and another one directly from the source.
+
+    Args:
+        child: Measured process.
+        source: Token source.
+        load: Load through the measured process.
+        ramp: Seconds over which the streams are started.
+        seconds: Duration of the measurement after the ramp.
+    """
     direct_load = Workload(source.url, "", MODEL, DIRECT_STREAMS, load.tokens, 50.0)
     through, direct = LoadGenerator(load), LoadGenerator(direct_load)
     await asyncio.gather(through.start(ramp), direct.start(ramp))
@@ -177,7 +209,7 @@
 
 
 def print_figures(title: str, lines: list[str]) -> None:
-    """Print the figures of one measurement."""
+    """Print the lines of one measurement under a title."""
     print(f"\n{title}")
     for line in lines:
         print(f"  {line}", flush=True)
@@ -186,7 +218,7 @@
 async def measure_requests(
     child: ChildProcess, source: ChildProcess, seconds: float
 ) -> None:
-    """Short answers: processor time per request."""
+    """Measure and print the processor time per request, with answers of one token."""
     load = Workload(child.url, KEY, MODEL, 20, 1, 50.0)
     figures = await measure_load(child, source, load, 1.0, seconds)
     tally = figures.through.tally
@@ -198,14 +230,17 @@
 
 
 async def count_open(child: ChildProcess) -> int:
-    """Return how many requests an entry holds."""
+    """Return the number of requests that an entry holds."""
     async with aiohttp.ClientSession() as session:
         async with session.get(child.url + "/status") as response:
             return int((await response.json())["requests"])
 
 
 async def measure_memory(child: ChildProcess, counts: list[int]) -> None:
-    """Resident memory by number of open streams, four tokens a second each."""
+    """Measure and print the resident memory by number of open streams.
+
+    Each stream gets four tokens a second.
+    """
     lines = [f"streams 0 resident MB {child.read_memory():.1f}"]
     for count in counts:
         generator = LoadGenerator(Workload(child.url, KEY, MODEL, count, 240, 250.0))
@@ -225,7 +260,7 @@
 
 
 async def run(options: argparse.Namespace) -> None:
-    """Run the chosen measurements in turn."""
+    """Run the chosen measurements one after the other."""
     async with AsyncExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         source = await start(stack, "figstep", "standin", "source")
@@ -255,7 +290,7 @@
 
 
 def main() -> None:
-    """Parse the options and run."""
+    """Parse the options and run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--ramp", type=float, default=12.65)
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -1,8 +1,9 @@
-"""Time from publishing a version to its being loaded: ``python -m benchmarks.orders``.
+"""Benchmark of the time from publishing a model version until it is loaded.
 
-Two entry processes, one engine stand-in that loads at once. Each round
-publishes a new version; with ``--freeze`` the entry that holds the lease is
-frozen first, so the round contains the lease's end and the takeover.
+Run as ``python -m benchmarks.orders``, with two entry processes and one engine
+stand-in that loads without delay. Each round publishes a new version. With
+``--freeze`` the entry that holds the lease is frozen first, so the time includes
+the expiry of the lease and the takeover by the other entry.
 """
 
 import argparse
@@ -24,7 +25,7 @@
 
 
 async def publish_version(fleet: Fleet, document: dict[str, Any], version: int) -> None:
-    """Publish the document with a model version."""
+    """Publish the document with the given model version."""
     document = deepcopy(document)
     document["models"][0]["version"] = str(version)
     document["rules"]["placement"] = [{"model": MODEL, "replicas": 1}]
@@ -33,7 +34,7 @@
 
 
 async def find_holder(fleet: Fleet) -> str:
-    """Return the entry that holds the lease of the only failure domain."""
+    """Return the name of the entry that holds the lease of the only failure domain."""
     table = LeaseTable()
     for record in await fleet.log_client.read(LEASES, 0):
         apply_record(table, "", record, Millis(0))
@@ -41,19 +42,25 @@
 
 
 async def wait_loaded(engine: EngineServer, version: int) -> None:
-    """Wait until the engine has the version, perhaps beside an old one."""
+    """Wait until the engine has loaded the version; others may be loaded too."""
     versioned_model = f"{MODEL}@{version}"
     await wait_for(lambda: versioned_model in engine.models, versioned_model)
 
 
 async def wait_alone(engine: EngineServer, version: int) -> None:
-    """Wait until the engine has that version alone."""
+    """Wait until the version is the only one that the engine has loaded."""
     versioned_model = f"{MODEL}@{version}"
     await wait_for(lambda: engine.models == [versioned_model], versioned_model)
 
 
 async def run_rounds(rounds: int, freeze: bool, folder: Path) -> list[float]:
-    """Return the seconds that each round took."""
+    """Return the duration of each round, in seconds.
+
+    Args:
+        rounds: Number of rounds.
+        freeze: Whether to freeze the lease holder before each round.
+        folder: Folder for the settings of the entries.
+    """
     fleet = Fleet(folder)
     engine = EngineServer("engine-1")
     durations = []
@@ -80,7 +87,7 @@
 
 
 def main() -> None:
-    """Run the rounds and print their times."""
+    """Run the rounds and print their durations."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--freeze", action="store_true")
--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -1,6 +1,7 @@
-"""Baseline: a bare aiohttp pass-through that decides nothing.
+"""Baseline for benchmarks: a minimal aiohttp proxy that relays to one target.
 
-``python -m benchmarks.passthrough URL LOOP`` prints ``passthrough URL``.
+``python -m benchmarks.passthrough URL LOOP`` relays to ``URL`` on the event loop
+"uvloop" or "asyncio" and prints ``passthrough`` and its own URL.
 """
 
 import asyncio
@@ -12,7 +13,7 @@
 
 
 async def serve(target: str) -> None:
-    """Pass requests on to ``target`` for ever, one write for each event."""
+    """Relay requests to ``target`` until killed, with one write for each event."""
     session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
 
     async def relay(request: web.Request) -> web.StreamResponse:
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -1,8 +1,9 @@
-"""Load policies at real entries: ``python -m benchmarks.policies``.
+"""Benchmark of routing policies with real entries.
 
-Four entry processes before five processes of the engine model, which run as
-fast as the model says; log service and instance list are stand-ins here. Each
-policy gets the same arrivals, one after the other, on a fleet of its own.
+Run as ``python -m benchmarks.policies``. Four entry processes are in front of five
+processes of the engine model, which run in real time; log service and instance
+list are stand-ins in this process. The policies are run one after the other with
+the same arrivals, each on a new fleet.
 """
 
 import argparse
@@ -28,7 +29,11 @@
 from tests.processes import run_figstep, write_yaml
 
 ENTRIES = 4
+"""Number of entry processes."""
+
 SETTLE_SECONDS = 5
+"""Seconds from publishing the inventory to the start of the load."""
+
 PRINTED_MEASURES = (
     "requests",
     "whole",
@@ -41,11 +46,18 @@
     "gap_p99",
     "gap_max",
 )
+"""Measures of ``Summary`` that are printed for each policy."""
 
 
 @dataclass(frozen=True, slots=True)
 class Engine:
-    """One engine of the fleet: relative speed, cache tokens, batch."""
+    """One engine of the fleet.
+
+    Attributes:
+        speed: Relative speed.
+        memory: Cache memory, in tokens.
+        batch: Maximum number of sequences in the batch.
+    """
 
     speed: float
     memory: int
@@ -62,7 +74,10 @@
 
 
 def find_free_ports(count: int) -> list[int]:
-    """Return ports of loopback that were free a moment ago, by TCP and UDP."""
+    """Return loopback ports that are free for both TCP and UDP.
+
+    Another process may take them before they are used.
+    """
     ports: list[int] = []
     with ExitStack() as stack:
         while len(ports) < count:
@@ -93,7 +108,7 @@
 
 
 def build_inventory(urls: dict[str, str], policy: str) -> dict[str, Any]:
-    """Return the document with the engines' sizes and the policy."""
+    """Return the inventory document with the sizes of the engines and the policy."""
     document = build_document(urls, "http://127.0.0.1:9")
     for listed, engine in zip(document["engines"], ENGINES, strict=True):
         listed["speed"] = engine.speed
@@ -104,7 +119,7 @@
 
 
 async def count_preemptions(urls: dict[str, str]) -> int:
-    """Return how often the engines pushed a generation off."""
+    """Return the number of preemptions of all engines."""
     total = 0
     async with aiohttp.ClientSession() as session:
         for url in urls.values():
@@ -116,7 +131,18 @@
 async def run_policy(
     policy: str, rate: float, seconds: float, seed: int, folder: Path
 ) -> tuple[Summary, int]:
-    """Return the measures of one policy, and the engines' preemptions."""
+    """Run the load with one policy.
+
+    Args:
+        policy: Name of the routing policy.
+        rate: Requests per second.
+        seconds: Duration of the load.
+        seed: Seed of the arrivals.
+        folder: Folder for the settings of the entries.
+
+    Returns:
+        The measures and the number of preemptions of all engines.
+    """
     async with AsyncExitStack() as stack:
         urls = await start_engines(stack)
         log_runner, log_url = await start_app(LogService().build_app())
@@ -160,7 +186,7 @@
 
 
 def main() -> None:
-    """Run the policies one after the other and print a line for each."""
+    """Run the policies one after the other and print a JSON line for each."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--policy", action="append")
     parser.add_argument("--rate", type=float, default=26.0)
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,7 +1,7 @@
-"""How long a stream stalls when its connection is cut or goes silent.
+"""Benchmark of the stall of a stream whose connection breaks or goes silent.
 
-Run as ``python -m benchmarks.recovery --runs 10``. One entry, three engines
-with gaps of 10, 20 and 40 ms behind proxies, all in this process.
+Run as ``python -m benchmarks.recovery --runs 10``. One entry and three engines
+with gaps of 10, 20 and 40 ms behind proxies all run in this process.
 """
 
 import argparse
@@ -18,12 +18,16 @@
 from figstep.standins.proxy import TcpProxy
 
 TOKENS = 200
+"""Tokens of each answer."""
+
 FAULT_AFTER_TOKENS = 100
+"""Number of received tokens after which the fault is injected."""
+
 HEADERS = {"Authorization": f"Bearer {KEY}"}
 
 
 async def relay_engines(deployment: Deployment) -> list[TcpProxy]:
-    """Put a proxy before each engine and publish its address."""
+    """Start a proxy in front of each engine and publish the proxies' addresses."""
     proxies = []
     for item in deployment.document["engines"]:
         parts = urlsplit(item["address"])
@@ -40,7 +44,14 @@
 
 
 async def stream_once(url: str, proxies: list[TcpProxy], fault: str) -> float:
-    """Stream an answer, strike in its middle, return the longest gap in ms."""
+    """Stream an answer and inject a fault in the middle of it.
+
+    Returns:
+        The longest gap between two tokens, in milliseconds.
+
+    Raises:
+        RuntimeError: If the answer is not complete.
+    """
     body = {
         "model": MODEL,
         "prompt": "menu",
@@ -68,7 +79,12 @@
 
 
 def inject_fault(proxies: list[TcpProxy], fault: str) -> None:
-    """Strike the connections that are open now."""
+    """Apply the fault to the open connections of all proxies.
+
+    Args:
+        proxies: Proxies in front of the engines.
+        fault: "cut", "frozen" or "none".
+    """
     for proxy in proxies:
         match fault:
             case "cut":
@@ -80,7 +96,7 @@
 
 
 async def measure(runs: int) -> None:
-    """Print the longest gap of each kind of run."""
+    """Print median and maximum of the longest gap for each kind of fault."""
     async with run_deployment(entries=1) as deployment:
         proxies = await relay_engines(deployment)
         url = deployment.entries[0].callers.address
@@ -95,7 +111,7 @@
 
 
 def main() -> None:
-    """Read the arguments and measure."""
+    """Parse the arguments and run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--runs", type=int, default=10)
     asyncio.run(measure(parser.parse_args().runs))
--- a/figstep/experiment/__init__.py
+++ b/figstep/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: one real reducer in front of engine models on a fake clock."""
+"""Experiments: the real reducer in front of engine models on a simulated clock."""
--- a/figstep/experiment/cost.py
+++ b/figstep/experiment/cost.py
@@ -1,4 +1,4 @@
-"""Cost of the reducer: microseconds per event by targets and requests."""
+"""Cost of the reducer per event, by number of targets and of requests."""
 
 import random
 import time
@@ -23,12 +23,25 @@
 from figstep.experiment.scenarios import MODEL
 
 TARGETS = (5, 50, 670)
+"""Numbers of targets to measure with."""
+
 REQUESTS = (10, 100, 1_000, 5_000)
+"""Numbers of requests in flight to measure with."""
+
 EVENTS = 4_000
+"""Number of measured token events; of other events a quarter is measured."""
+
 CUSTOMERS = 50
+"""Number of customers that the requests are drawn from."""
+
 EVENTS_PER_MILLI = 20
+"""Events per millisecond of the reducer's clock."""
+
 FRAME = [b""]
+"""Frames of a token event; their content does not matter here."""
+
 NO_DEADLINE = Millis(1 << 50)
+"""Deadline that no request reaches, in milliseconds."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,13 +49,14 @@
     """Mean cost of events in one setting, in microseconds.
 
     Attributes:
-        targets: Targets known.
-        requests: Requests in flight; where they don't fit, the rest waits.
-        waiting: How many of them wait in the queue.
-        token: A token event.
-        arrival: An arrival, started or queued.
-        end: An end and the start of what waits, if there is room.
-        report: A load report.
+        targets: Number of known targets.
+        requests: Number of requests, started or queued.
+        waiting: Number of these requests that wait in the queue.
+        token: Cost of a token event.
+        arrival: Cost of an arrival, which is started or queued.
+        end: Cost of the end of a request and of the start of queued requests, as
+            far as there is free capacity.
+        report: Cost of a load report.
     """
 
     targets: int
@@ -55,7 +69,7 @@
 
 
 def measure_cost(targets: int, requests: int) -> Cost:
-    """Return the cost of events with so many targets and requests in flight."""
+    """Return the cost of events with the given numbers of targets and requests."""
     meter = _CostMeter(targets)
     while len(meter.state.requests) < requests:
         meter.arrive()
--- a/figstep/experiment/harness.py
+++ b/figstep/experiment/harness.py
@@ -1,4 +1,4 @@
-"""One run: the reducer, engine models and callers on a fake clock."""
+"""Simulation of one run: reducer, engine models and callers on a simulated clock."""
 
 import heapq
 import random
@@ -50,22 +50,33 @@
 from figstep.standins.engine_model import EngineModel, Token
 
 LINK_DELAY = 1.0
+"""Time from an entry's decision to its arrival at an engine, in milliseconds."""
+
 REPORT_INTERVAL = 1_000.0
+"""Time between two load reports of an engine, in milliseconds."""
+
 DRAIN_DURATION = 300 * SECOND
+"""Longest simulated time after the end of the arrivals, in milliseconds."""
+
 DEADLINE = 60_000
+"""Deadline of every request, in milliseconds after its arrival."""
+
 MAX_SUBMISSIONS = 4
+"""Number of times that a caller submits a request that is refused."""
+
 FRAME = [b""]
+"""Frames of a token event; their content does not matter here."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Something that goes wrong from ``start`` to ``end``, in milliseconds.
+    """A fault that is injected into a run.
 
     Attributes:
-        kind: "" for none, "death", "slow", "silence" or "flood".
-        engine: Number of the engine that it hits.
-        start: When it begins.
-        end: When it is over.
+        kind: "death", "slow", "silence" or "flood", or "" for none.
+        engine: Number of the affected engine, for "death" and "slow".
+        start: Start of the fault, in milliseconds.
+        end: End of the fault, in milliseconds.
     """
 
     kind: str = ""
@@ -84,18 +95,21 @@
 
 @dataclass(slots=True)
 class Run:
-    """One run; ``simulate`` returns its measures.
+    """One simulated run; ``simulate`` returns its measures.
 
     Attributes:
         deployment: Engines and workload.
-        policy: What the reducer decides by.
-        seed: Of the arrivals.
-        load: Tokens per millisecond that are asked for.
-        duration: How long requests come, in milliseconds.
-        fault: What goes wrong.
-        entries: Entries that share the engines and don't see each other's work.
-        gossip: Time between two counts from its peers, in milliseconds; 0 for
-            none.
+        policy: Policy that the reducer applies.
+        seed: Seed of the arrivals.
+        load: Requested tokens per millisecond.
+        duration: Time during which requests arrive, in milliseconds.
+        fault: Injected fault.
+        entries: Number of entries that share the engines. They know of each
+            other's requests only by ``gossip``.
+        gossip: Time between two exchanges of in-flight counts among the entries,
+            in milliseconds; 0 for none.
+        statistics: Statistics of the streams.
+        now: Simulated time, in milliseconds.
     """
 
     deployment: Deployment
@@ -124,7 +138,7 @@
     _step_ends: dict[str, float] = field(default_factory=dict)
 
     def simulate(self) -> dict[str, float]:
-        """Play the run to its end and return its measures."""
+        """Simulate the run to its end and return its measures by name."""
         self._set_up()
         end = self.duration + DRAIN_DURATION
         while self._event_queue:
@@ -146,7 +160,8 @@
             state = State(f"entry-{number}", rng=random.Random(self.seed + number))
             apply_inventory(state, inventory)
             state.configuration_offset = 0
-            # Numbers of attempts are unique in a process, not among entries.
+            # Attempt numbers are unique only within an entry, but this run keeps
+            # the attempts of all entries in one table.
             state.next_attempt = 1 + number * 10_000_000
             set_policy(state, self.policy)
             self._states.append(state)
@@ -188,7 +203,8 @@
         spec = RequestSpec(
             arrival.request, arrival.customer, work, digest=arrival.request
         )
-        # The balancer knows nothing: a caller that comes back may meet another.
+        # The load balancer keeps no affinity: a caller that submits its request
+        # again may reach another entry.
         state = self._rng.choice(self._states)
         self._state_by_request[arrival.request] = state
         self._dispatch(state, RequestArrived(spec))
--- a/figstep/experiment/measures.py
+++ b/figstep/experiment/measures.py
@@ -1,27 +1,34 @@
-"""What an experiment measures, from deliveries as callers see them."""
+"""Measures of an experiment, computed from the deliveries to callers."""
 
 import math
 from dataclasses import dataclass, field
 
 STALL_THRESHOLD_MS = 250.0
-"""A wait counts as a stall, whole, from this many milliseconds."""
+"""Shortest wait that counts as a stall, in milliseconds; it then counts in full."""
 
 BINS_PER_E = 50
+"""Histogram bins per factor of e, so that a bin is 2% wide."""
 
 FLOODING_CUSTOMER = "customer-9"
-"""The customer that floods in that fault; ``spared`` are all others."""
+"""Customer that floods in the fault "flood"; ``spared`` measures leave it out."""
 
 
 @dataclass(slots=True)
 class GapHistogram:
-    """Counts of gaps in logarithmic bins, 2% wide."""
+    """Counts of gaps in logarithmic bins that are 2% wide.
+
+    Attributes:
+        bins: Counts by number of the bin.
+        count: Number of gaps.
+        longest: Longest gap, in milliseconds.
+    """
 
     bins: dict[int, int] = field(default_factory=dict)
     count: int = 0
     longest: float = 0.0
 
     def add(self, gap: float) -> None:
-        """Count one gap, in milliseconds."""
+        """Count one gap, given in milliseconds."""
         number = int(BINS_PER_E * math.log(gap)) if gap > 1.0 else 0
         self.bins[number] = self.bins.get(number, 0) + 1
         self.count += 1
@@ -29,7 +36,10 @@
             self.longest = gap
 
     def find_quantile(self, share: float) -> float:
-        """Return the gap below which ``share`` of all lie, in milliseconds."""
+        """Return the gap in milliseconds below which a fraction ``share`` of all lie.
+
+        The result is 0 without gaps.
+        """
         cumulative = 0
         for number in sorted(self.bins):
             cumulative += self.bins[number]
@@ -40,7 +50,23 @@
 
 @dataclass(slots=True)
 class Stream:
-    """One request as its caller sees it."""
+    """One request as its caller observes it; all times are in milliseconds.
+
+    Attributes:
+        customer: Name of the customer.
+        asked: Time of the first submission.
+        length: Tokens of the whole answer.
+        last: Time of the last delivery, or of the first submission before it.
+        last_asked: Time of the last submission.
+        tokens: Tokens delivered.
+        first: Time of the first delivery, or None.
+        stalled: Stall time.
+        slowest_gap: Longest gap between deliveries.
+        ended: Time at which the answer was complete, or None.
+        asks: Number of submissions.
+        refused: Whether it was finally refused: the caller submits it no more.
+        lost: Whether the request was lost and may have run.
+    """
 
     customer: str
     asked: float
@@ -58,7 +84,7 @@
 
 
 def find_quantile(values: list[float], share: float) -> float:
-    """Return the value below which ``share`` of all lie."""
+    """Return the quantile ``share`` of values, or 0 without values."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -66,7 +92,7 @@
 
 
 def compute_fairness(values: list[float]) -> float:
-    """Return Jain's index: 1 where all are equal."""
+    """Return Jain's fairness index, which is 1 if all values are equal."""
     squares = sum(value * value for value in values)
     if not squares:
         return 1.0
@@ -75,13 +101,13 @@
 
 @dataclass(slots=True)
 class RunStatistics:
-    """Everything that is counted in one run.
+    """Statistics of one run.
 
     Attributes:
         streams: Streams by request.
         gaps: Gaps between tokens of all streams.
-        refusals: How often the answer was to come back later.
-        late_refusals: How many of these came after waiting.
+        refusals: Number of submissions refused without having run.
+        late_refusals: Number of these refusals that came after a wait.
     """
 
     streams: dict[str, Stream] = field(default_factory=dict)
@@ -90,7 +116,7 @@
     late_refusals: int = 0
 
     def deliver(self, stream: Stream, now: float, tokens: int) -> None:
-        """Count tokens that reached a caller."""
+        """Count tokens that reached a caller at ``now`` milliseconds."""
         gap = now - stream.last
         if stream.first is None:
             stream.first = now
@@ -105,11 +131,16 @@
     def summarize(
         self, end: float, arrivals_end: float, preemptions: int
     ) -> dict[str, float]:
-        """Return the measures of a run.
+        """Return the measures of a run by name.
+
+        A stream that never ended counts with its wait until ``end``. A stream
+        that was finally refused or lost is counted as such, with its stall time
+        until then.
 
-        A stream that never ended counts with its wait up to ``end``; one that
-        was refused for good or lost counts under these names, and with the
-        stall that it had until then.
+        Args:
+            end: End of the run, in milliseconds.
+            arrivals_end: Time of the end of the arrivals, in milliseconds.
+            preemptions: Number of preemptions of all engines.
         """
         streams = list(self.streams.values())
         for stream in streams:
--- a/figstep/experiment/scenarios.py
+++ b/figstep/experiment/scenarios.py
@@ -1,4 +1,4 @@
-"""What an experiment plays: engines, customers, arrivals and faults."""
+"""Scenarios of an experiment: engines, customers and arrivals."""
 
 import math
 import random
@@ -9,15 +9,31 @@
 from figstep.standins.engine_model import EngineModel, EngineProfile, Sequence
 
 MODEL = "langar-8b"
+"""Name of the model that all engines serve and all requests name."""
+
 SECOND = 1_000.0
+"""Milliseconds in a second."""
+
 PEAK_PERIOD = 120 * SECOND
+"""Period of the sine in the arrival rate, in milliseconds."""
+
 PEAK_AMPLITUDE = 0.15
+"""Amplitude of the sine in the arrival rate, as a fraction of the mean rate."""
+
 PREFIXES_PER_CUSTOMER = 5
-"""Templates that a customer's prompts begin with; all together don't fit."""
+"""Number of templates that the prompts of a customer begin with.
+
+The templates of all customers do not fit into an engine's prefix cache together.
+"""
 
 CALIBRATION_DURATION = 240 * SECOND
+"""Length of a simulation that measures an engine's capacity, in milliseconds."""
+
 CALIBRATION_WARM_UP = 60 * SECOND
+"""Time at the start of a capacity measurement that does not count, in milliseconds."""
+
 CALIBRATION_BATCHES = (4, 6, 8, 12, 16, 24, 32, 48, 64)
+"""Numbers of concurrent sequences at which an engine's capacity is measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,10 +41,10 @@
     """A kind of request; lengths are log-normal, in tokens.
 
     Attributes:
-        kind: Name that the reducer learns lengths by.
+        kind: Name under which the reducer records lengths.
         median: Median length of the answer.
-        sigma: Spread of its logarithm.
-        longest: No answer is longer.
+        sigma: Standard deviation of the logarithm of the length.
+        longest: Maximum length of an answer.
         prompt: Median length of the prompt without the shared prefix.
     """
 
@@ -44,12 +60,12 @@
     """Engines and workload of one association.
 
     Attributes:
-        name: Its name.
-        profiles: Its engines.
-        short: Short answers.
-        long: Long answers.
-        long_share: Share of long answers, on average over the customers.
-        mixed: Share of requests that come under the other kind's name.
+        name: Name of the deployment.
+        profiles: Profiles of the engines.
+        short: Kind of the requests with short answers.
+        long: Kind of the requests with long answers.
+        long_share: Fraction of long answers, on average over the customers.
+        mixed: Fraction of requests that name the other kind.
     """
 
     name: str
@@ -96,13 +112,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """A customer and its part of the traffic.
+    """A customer and its fraction of the traffic.
 
     Attributes:
-        name: Its name.
-        weight: Its part of the arrivals.
-        long_share: Share of long answers among its requests.
-        prefixes: Lengths of the prefixes that its prompts share, by name.
+        name: Name of the customer.
+        weight: Relative weight of the customer among the arrivals.
+        long_share: Fraction of long answers among its requests.
+        prefixes: Lengths in tokens of the prefixes that its prompts share, by name.
     """
 
     name: str
@@ -113,7 +129,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request as it will come, with the length that only engines know."""
+    """A request that will arrive at ``at`` milliseconds.
+
+    Its ``length``, in tokens, is known only to the engines.
+    """
 
     at: float
     request: str
@@ -126,7 +145,7 @@
 
 
 def build_customers(deployment: Deployment) -> list[Customer]:
-    """Return ten customers, three of them large; the same in every run."""
+    """Return ten customers, three of them large; they are the same in every run."""
     rng = random.Random(deployment.name)
     customers = []
     for number in range(10):
@@ -143,7 +162,7 @@
 def draw_arrival(
     rng: random.Random, deployment: Deployment, customer: Customer, at: float, name: str
 ) -> Arrival:
-    """Return one request of a customer."""
+    """Return one request of a customer, drawn from the deployment's workload."""
     long = rng.random() < customer.long_share
     actual = deployment.long if long else deployment.short
     other = deployment.short if long else deployment.long
@@ -168,17 +187,18 @@
 def draw_arrivals(
     deployment: Deployment, seed: int, load: float, duration: float
 ) -> list[Arrival]:
-    """Return the arrivals of one run; their answers make up the load exactly.
+    """Return the arrivals of one run, whose answers add up to the load.
 
-    A Sunday peak: the rate swings around its mean. Heavy tails would make the
-    load of a short run a matter of luck, so requests are drawn until their
-    answers sum up, and their times are then stretched to the duration.
+    The arrival rate oscillates around its mean, as in a Sunday peak. With
+    heavy-tailed lengths the load of a short run would depend on chance, so
+    requests are drawn until the sum of their lengths reaches the load, and their
+    times are then scaled to the duration.
 
     Args:
-        deployment: Whose workload.
-        seed: Same seed, load and duration give the same arrivals.
-        load: Tokens per millisecond that are asked for.
-        duration: How long they come, in milliseconds.
+        deployment: Deployment whose workload is drawn.
+        seed: The same seed, load and duration give the same arrivals.
+        load: Requested tokens per millisecond.
+        duration: Time during which requests arrive, in milliseconds.
     """
     rng = random.Random(f"{deployment.name}/{seed}")
     customers = build_customers(deployment)
@@ -200,7 +220,11 @@
 
 
 def _find_arrival_time(part: float, duration: float) -> float:
-    """Return when ``part`` of the arrivals has come, under the swing."""
+    """Return the time by which the fraction ``part`` of the arrivals has come.
+
+    It is found by bisection, as the rate oscillates; the result is in
+    milliseconds.
+    """
     low, high = 0.0, duration
     for _ in range(40):
         middle = (low + high) / 2
@@ -216,7 +240,15 @@
 def draw_flood(
     deployment: Deployment, seed: int, load: float, start: float, end: float
 ) -> list[Arrival]:
-    """Return the requests of one small customer that floods."""
+    """Return the requests of one small customer that floods, in order of arrival.
+
+    Args:
+        deployment: Deployment whose workload is drawn.
+        seed: Seed of the requests.
+        load: Requested tokens per millisecond.
+        start: Start of the flood, in milliseconds.
+        end: End of the flood, in milliseconds.
+    """
     rng = random.Random(f"flood/{deployment.name}/{seed}")
     customer = build_customers(deployment)[9]
     arrivals: list[Arrival] = []
@@ -232,7 +264,14 @@
 def build_inventory(
     deployment: Deployment, routing: str, deadline: int, copies: int = 1
 ) -> Inventory:
-    """Return the inventory that the reducer is given."""
+    """Return the inventory that is applied to the reducer's state.
+
+    Args:
+        deployment: Engines and customers.
+        routing: Name of the routing policy.
+        deadline: Deadline of requests, in milliseconds.
+        copies: Number of times that every engine is listed.
+    """
     engines = []
     for copy in range(copies):
         for number, profile in enumerate(deployment.profiles, 1):
@@ -254,10 +293,11 @@
 
 
 def measure_capacity(deployment: Deployment) -> float:
-    """Return the tokens per millisecond that the engines can carry.
+    """Return the capacity of the engines, in tokens per millisecond.
 
-    Each engine is kept at a fixed number of sequences, a new one of the
-    workload for each that ends; the number with the most tokens counts.
+    Each engine is kept at a fixed number of sequences: whenever one ends, a new
+    one from the workload starts. The number of sequences with the highest token
+    rate counts.
     """
     tokens = 0.0
     for profile in deployment.profiles:
@@ -299,7 +339,14 @@
 def build_sequence(
     arrival: Arrival, name: str, priority: int, produced: int = 0
 ) -> Sequence:
-    """Return a request as an engine runs it."""
+    """Return the sequence by which an engine runs a request.
+
+    Args:
+        arrival: The request.
+        name: Generation id.
+        priority: Priority of the sequence; higher is preempted later.
+        produced: Number of tokens that it continues after.
+    """
     return Sequence(
         name,
         arrival.length,
--- a/figstep/experiment/trials.py
+++ b/figstep/experiment/trials.py
@@ -1,4 +1,4 @@
-"""Sets of runs, their means over seeds, the table and the JSON."""
+"""Sets of runs: trials, their means over seeds and the tables of results."""
 
 import itertools
 from collections.abc import Callable
@@ -10,6 +10,8 @@
 from figstep.experiment.scenarios import DEPLOYMENTS, SECOND, measure_capacity
 
 BASELINES = ("round_robin", "least_in_flight", "two_choices")
+"""Policies that figstep is compared with."""
+
 ABLATIONS = (
     "memory",
     "others",
@@ -26,6 +28,7 @@
 """Switches that are off by default and that an ablation turns on."""
 
 FAULTS = ("", "death", "slow", "silence", "flood")
+"""Kinds of faults of ``harness.Fault``; "" for none."""
 
 COLUMNS = {
     "stall_sum_s": "stall s",
@@ -45,6 +48,7 @@
     "fairness": "fairness",
     "least_share": "least",
 }
+"""Headings of the columns of the table, by measure."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,11 +57,12 @@
 
     Attributes:
         deployment: Name of the deployment.
-        load: Share of what the engines can carry.
+        load: Requested load as a fraction of the engines' capacity.
         policy: Name of the policy, or of the switch that differs.
         fault: Kind of the fault, "" for none.
-        entries: Entries that share the engines.
-        gossip: Time between counts from peers, in milliseconds; 0 for none.
+        entries: Number of entries that share the engines.
+        gossip: Time between two exchanges of in-flight counts among the entries,
+            in milliseconds; 0 for none.
     """
 
     deployment: str
@@ -70,18 +75,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """What an experiment runs: every combination of these.
+    """Options of an experiment, which runs every combination of them.
 
     Attributes:
         deployments: Names of deployments.
-        loads: Shares of what the engines can carry.
+        loads: Requested loads as fractions of the engines' capacity.
         faults: Kinds of faults; "" for none.
         policies: Names of rows; empty for all.
         seeds: Seeds of the arrivals, the same for every row.
-        seconds: How long requests come.
-        entries: Entries that share the engines.
-        gossip: Time between counts from peers, in milliseconds; 0 for none.
-        ablate: Whether the rows are figstep with one switch turned.
+        seconds: Time during which requests arrive, in seconds.
+        entries: Number of entries that share the engines.
+        gossip: Time between two exchanges of in-flight counts among the entries,
+            in milliseconds; 0 for none.
+        ablate: Whether the rows are figstep with one switch changed in each.
     """
 
     deployments: tuple[str, ...] = ("bavaria", "ireland")
@@ -96,7 +102,12 @@
 
 
 def list_policies(ablate: bool) -> dict[str, Policy]:
-    """Return the policies to compare, by name of the row."""
+    """Return the policies to compare, by name of the row.
+
+    Args:
+        ablate: Whether to return figstep with one switch changed in each row
+            instead of all policies.
+    """
     if not ablate:
         return dict(POLICIES)
     policies: dict[str, Policy] = {"figstep": Figstep()}
@@ -115,10 +126,18 @@
 def run_trial(
     trial: Trial, policy: Policy, seeds: list[int], seconds: float, capacity: float
 ) -> dict[str, Any]:
-    """Run one trial over its seeds.
+    """Run one trial with every seed.
+
+    Args:
+        trial: Deployment, load, fault and entries.
+        policy: Policy that the reducer applies.
+        seeds: Seeds of the arrivals.
+        seconds: Time during which requests arrive, in seconds.
+        capacity: Capacity of the engines, in tokens per millisecond.
 
     Returns:
-        The trial, the mean of each measure and the measures of each seed.
+        The trial, the seeds, the mean of each measure and the measures of each
+        seed.
     """
     runs = []
     for seed in seeds:
@@ -138,7 +157,7 @@
 
 
 def read_capacity(deployment: str) -> float:
-    """Return what a deployment's engines can carry, in tokens per millisecond."""
+    """Return the capacity of a deployment's engines, in tokens per millisecond."""
     return measure_capacity(DEPLOYMENTS[deployment])
 
 
@@ -148,8 +167,11 @@
     """Run every trial that the options name, one after the other.
 
     Args:
-        options: What to run.
-        report: Called with each result as it comes.
+        options: Combinations to run.
+        report: Callback that gets each result when its trial is done.
+
+    Returns:
+        The results of all trials, as ``run_trial`` returns them.
     """
     results = []
     policies = list_policies(options.ablate)
@@ -170,7 +192,7 @@
 
 
 def find_best(results: list[dict[str, Any]], measure: str) -> float | None:
-    """Return the least mean of a measure among the baselines."""
+    """Return the lowest mean of a measure among the baselines, or None."""
     means = []
     for result in results:
         if result["trial"]["policy"] in BASELINES:
@@ -208,7 +230,10 @@
 
 
 def format_ratios(results: list[dict[str, Any]]) -> str:
-    """Return figstep's ratio to the best baseline, per group of rows."""
+    """Return the ratio of figstep to the best baseline, by group of rows.
+
+    The best baseline has the lowest mean, or the highest for "tokens_in_time".
+    """
     groups: dict[tuple[Any, ...], list[dict[str, Any]]] = {}
     for result in results:
         trial = result["trial"]
--- a/figstep/standins/__init__.py
+++ b/figstep/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the outside systems, for tests, demos and trials."""
+"""Small stand-ins for external systems, for tests, demos and experiments."""
--- a/figstep/standins/balancer.py
+++ b/figstep/standins/balancer.py
@@ -1,6 +1,7 @@
-"""Stand-in of the platform's balancer: spreads connections over ready entries.
+"""Stand-in for the platform's load balancer.
 
-It learns of readiness by polling ``/readyz``, so it lags as a real one does.
+It distributes connections over the ready entries. It polls ``/readyz``, so its
+view of readiness is late, as with a real load balancer.
 """
 
 import asyncio
@@ -11,15 +12,19 @@
 from figstep.standins.proxy import TcpProxy
 
 POLL_SECONDS = 0.2
+"""Seconds between two polls of the readiness of all entries."""
+
 PROBE_TIMEOUT_SECONDS = 2.0
+"""Longest wait for the answer to one readiness probe, in seconds."""
 
 
 class Balancer(TcpProxy):
-    """Relays each new connection to the next entry that was ready last.
+    """Relays new connections in turn to the entries that were ready when polled.
 
     Attributes:
-        entries: Base URL by name; a caller adds and drops them.
-        ready: Names of those that were ready at the last poll.
+        entries: Base URLs by name; the owner of the balancer adds and removes
+            entries.
+        ready: Names of the entries that were ready at the last poll.
     """
 
     def __init__(self, entries: dict[str, str]) -> None:
@@ -30,13 +35,13 @@
         self._poller: asyncio.Task[None] | None = None
 
     async def start(self, port: int = 0) -> None:
-        """Poll once, then listen and go on polling."""
+        """Poll the entries once, then listen and keep polling."""
         await self._poll()
         await super().start(port)
         self._poller = asyncio.create_task(self._poll_forever())
 
     async def stop(self) -> None:
-        """Stop polling and close everything."""
+        """Stop polling and close the listener and every connection."""
         if self._poller is not None:
             self._poller.cancel()
             with suppress(asyncio.CancelledError):
@@ -44,7 +49,7 @@
         await super().stop()
 
     def choose_target(self) -> tuple[str, int] | None:
-        """Return the address of the next ready entry."""
+        """Return host and port of the next ready entry, or None if none is ready."""
         ready = [name for name in self.ready if name in self.entries]
         if not ready:
             return None
--- a/figstep/standins/engine.py
+++ b/figstep/standins/engine.py
@@ -1,18 +1,18 @@
-"""Stand-in of a model engine: ``EngineModel`` served over HTTP.
+"""Stand-in for a model engine: serves ``EngineModel`` over HTTP.
 
-Speaks the OpenAI-compatible streaming API. Each event carries
-``id: <generation>:<index>``; the caller of the engine chooses the generation
-id by the ``X-Generation-Id`` header and its priority by ``X-Priority``.
+It implements the OpenAI-compatible streaming API. Each event carries
+``id: <generation>:<index>``. A request sets the generation id in the
+``X-Generation-Id`` header and the priority in ``X-Priority``.
 ``GET /v1/generations/ID?after=N`` resumes a stream, ``DELETE`` cancels it,
-``GET /load`` reports load, ``GET /cache-events?after=N`` tells of cached
-prefixes and ``POST /orders`` takes orders with a fencing number.
-
-A request whose ``X-Continue-After`` header says N carries the N tokens that
-were produced so far as ``continuation`` in its body; indexes go on at N + 1.
-The body's ``standin_length`` sets the length of the answer, and the engine
-crashes before its token number ``standin_crash_at``. The first token repeats
-the prompt's last word, so that a reader can tell whose answer it is.
-``POST /standin/do/KIND`` does ``leave``, ``crash`` or ``restart``.
+``GET /load`` reports the load, ``GET /cache-events?after=N`` lists changes of
+the prefix cache and ``POST /orders`` takes orders with a fencing number.
+
+A request with ``X-Continue-After: N`` carries the N tokens produced so far as
+``continuation`` in its body; indexes continue at N + 1. ``standin_length`` in
+the body sets the length of the answer, and the engine crashes before the token
+with the index ``standin_crash_at``. The first token repeats the last word of
+the prompt, so that a reader can match the answer to its request.
+``POST /standin/do/KIND`` calls ``leave``, ``crash`` or ``restart``.
 """
 
 import asyncio
@@ -35,12 +35,31 @@
 from figstep.standins.http import answer_json
 
 DONE = b"data: [DONE]\n\n"
+"""Last server-sent event of a stream that was not cancelled."""
+
 WORDS = "rice lentils spinach paneer chapati kheer apples cumin".split()
+"""Texts of the tokens, in turn."""
+
 PREFIX_CHARS = 256
+"""Number of leading characters of a prompt that count as its shared prefix."""
+
 CHARS_PER_TOKEN = 4
+"""Characters of a prompt that count as one token."""
+
 RUN_AHEAD_MS = 0.5
+"""Milliseconds by which the model runs ahead of the clock.
+
+A step that ends within this time is finished at once, without another sleep.
+"""
+
 FIXED_GAP_MEMORY_TOKENS = 16_777_216
+"""Cache memory of an engine with a fixed gap, and tokens prefilled in one step.
+
+It is chosen so large that neither limits the engine.
+"""
+
 FIXED_GAP_MAX_RUNNING = 65_536
+"""Batch limit of an engine with a fixed gap, in sequences."""
 
 
 @dataclass(slots=True)
@@ -62,7 +81,7 @@
 
 
 def build_fixed_gap_profile(gap: float) -> EngineProfile:
-    """Return an engine that gives a token every ``gap`` seconds, at once for all."""
+    """Return a profile that gives every sequence a token each ``gap`` seconds."""
     return EngineProfile(
         memory_tokens=FIXED_GAP_MEMORY_TOKENS,
         max_running=FIXED_GAP_MAX_RUNNING,
@@ -76,24 +95,29 @@
 
 
 class EngineServer:
-    """An engine over HTTP; thin unless it is given a profile.
+    """An engine over HTTP; without a profile it has a fixed gap between tokens.
 
     Attributes:
         name: Target name.
-        length: Tokens in an answer unless the request or a law says.
-        length_distribution: Draws lengths in place of ``length``, if set.
-        grace: Seconds for which a generation without a reader goes on.
-        answer_delay: Seconds by which every answer is late.
-        crashed: While set, connections are cut and none is served.
+        length: Tokens in an answer, unless the request or
+            ``length_distribution`` sets another length.
+        length_distribution: Distribution that lengths are drawn from in place of
+            ``length``, or None.
+        grace: Seconds until a generation without a reader is cancelled.
+        answer_delay: Seconds by which every answer is delayed.
+        crashed: Whether the engine has crashed: connections are reset.
         checks_fencing: Whether orders with an old fencing number are refused.
-        load_seconds: How long an order takes.
+        load_seconds: Seconds that an order takes.
+        leaving: Whether new generations are rejected with 503.
+        role: Role that the last order of kind "role" set.
         executed: Generation ids in the order in which they started.
-        prompts: Prompt by generation id.
+        prompts: Prompts by generation id.
         cancelled: Generation ids that were cancelled.
-        fencing: Highest fencing number seen.
-        orders: Orders that were carried out.
-        models: What is loaded, "model@version" and "model+adapter"; while no
-            model was ever ordered, every model is served.
+        fencing: Highest fencing number received.
+        orders: Orders that were executed.
+        model: Simulation of batching, memory and preemption.
+        models: Loaded models, as "model@version" and "model+adapter"; every model
+            is served while no model version is loaded.
     """
 
     def __init__(
@@ -131,7 +155,7 @@
 
     @property
     def incarnation(self) -> int:
-        """Grows each time the engine starts anew."""
+        """Number that increases with each crash."""
         return self.model.incarnation
 
     @incarnation.setter
@@ -149,7 +173,10 @@
 
     @property
     def gap(self) -> float:
-        """Seconds between tokens of a thin engine; setting it makes it thin."""
+        """Seconds between tokens of an engine with a fixed gap.
+
+        Setting it replaces the profile by one with a fixed gap.
+        """
         return self.model.profile.step / 1_000
 
     @gap.setter
@@ -157,7 +184,7 @@
         self.model.profile = build_fixed_gap_profile(seconds)
 
     def build_app(self) -> web.Application:
-        """Return the HTTP application."""
+        """Return the HTTP application of the engine."""
         app = web.Application(middlewares=[self._apply_faults])
         app.router.add_post("/v1/chat/completions", self._start)
         app.router.add_post("/v1/completions", self._start)
@@ -172,7 +199,10 @@
         return app
 
     def crash(self) -> None:
-        """Cut all connections, lose all generations, refuse until ``restart``."""
+        """Reset all connections and lose all generations.
+
+        Until ``restart``, every new connection is reset too.
+        """
         self.crashed = True
         self.model.crash(_read_clock())
         for generation in self._generations.values():
@@ -183,21 +213,21 @@
             _cut(request)
 
     def restart(self) -> None:
-        """Serve again, empty and under a new incarnation."""
+        """Serve again after ``crash``, without generations, in a new incarnation."""
         self.crashed = False
         self.leaving = False
 
     def freeze(self) -> None:
-        """Stop without closing anything; nothing is answered."""
+        """Stop answering until ``thaw`` but keep all connections open."""
         self.model.freeze(_read_clock())
 
     def thaw(self) -> None:
-        """Go on after ``freeze``."""
+        """Continue after ``freeze``."""
         self.model.thaw(_read_clock())
         self._work.set()
 
     def leave(self) -> None:
-        """Turn new work away; what runs goes on."""
+        """Reject new generations with 503; running ones continue."""
         self.leaving = True
 
     async def _handle_action(self, request: web.Request) -> web.Response:
@@ -451,8 +481,8 @@
             await response.write(DONE)
 
     def _schedule_cancel(self, name: str) -> None:
-        # A reader that lost its connection may come back for the rest; one
-        # that is gone for good would leave the generation eating memory.
+        # A reader that lost its connection may resume the stream. If it never
+        # does, the generation must not hold cache memory any longer.
         task = asyncio.create_task(self._cancel_unread(name))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -470,7 +500,7 @@
 
 
 def hash_name(name: str) -> int:
-    """Return a seed that depends on the name alone."""
+    """Return a seed that depends only on the name."""
     return int.from_bytes(hashlib.sha256(name.encode()).digest()[:4])
 
 
@@ -486,7 +516,7 @@
 def build_frame(
     generation: str, index: int, text: str, finish: str | None, model: str, chat: bool
 ) -> bytes:
-    """Return one server-sent event of a generation."""
+    """Return the server-sent event of one token of a generation."""
     choice: dict[str, Any] = {"index": 0, "finish_reason": finish}
     if chat:
         choice["delta"] = {"role": "assistant", "content": text}
--- a/figstep/standins/engine_model.py
+++ b/figstep/standins/engine_model.py
@@ -1,24 +1,25 @@
-"""Model of one engine on a passed-in clock: batching, memory, preemption.
+"""Model of one engine: batching, memory and preemption, without a clock of its own.
 
-Assumptions, each a field of ``EngineProfile`` where it has a size:
+The caller passes the time to every method. The model assumes the following;
+every quantity is a field of ``EngineProfile``:
 
 - Decoding is batched and continuous: sequences join and leave between steps;
   a step gives each decoding sequence one token.
 - A step takes a fixed time, plus time per sequence, per 1,000 tokens of cache
   memory read and per token prefilled, all divided by the engine's speed.
 - Prefill is chunked: a step prefills at most ``prefill_chunk`` tokens.
-- A sequence holds cache memory for its prompt and all that it produced. It is
-  let in when what it needs now fits with a small watermark free; what it will
-  need later is unknown to the engine.
-- Where the next token of every sequence doesn't fit, the sequence of lowest
-  priority, and among equals the latest, is preempted: its memory is freed and
-  prompt and produced tokens are prefilled again before it goes on.
-- Cached prefixes live in a region of their own (least recently used goes
-  first); a hit saves prefill of the shared part, not memory.
-- A load report shows the engine as it was ``report_lag`` ago; cache events
-  are published ``cache_lag`` late and some are lost, which their sequence
+- A sequence holds cache memory for its prompt and all produced tokens. It is
+  admitted when its current need fits and a small watermark stays free; the
+  engine does not know what it will need later.
+- If the next token of every sequence does not fit, the sequence of lowest
+  priority, and among equals the latest, is preempted: its memory is freed, and
+  prompt and produced tokens are prefilled again before it continues.
+- Cached prefixes are kept in a separate region with least-recently-used
+  eviction; a hit saves prefill of the shared part, not memory.
+- A load report shows the engine as it was ``report_lag`` ago. Cache events are
+  published ``cache_lag`` late and some are lost, which gaps in their sequence
   numbers show.
-- A generation is kept for ``retention`` after its end, to be resumed.
+- A generation can be resumed for ``retention`` after its end.
 """
 
 import math
@@ -32,20 +33,20 @@
     """Sizes and costs of an engine; all times in milliseconds at speed 1.
 
     Attributes:
-        speed: Divides every time.
+        speed: Factor by which every time is divided.
         memory_tokens: Cache memory, in tokens.
-        max_running: Most sequences in the batch.
+        max_running: Maximum number of sequences in the batch.
         step: Fixed time of a step.
         per_sequence: Time per decoding sequence in a step.
         per_thousand: Time per 1,000 tokens of cache memory in use in a step.
         per_prefill: Time per token prefilled.
-        prefill_chunk: Most tokens prefilled in a step.
-        watermark: Share of the memory kept free when a sequence is let in.
+        prefill_chunk: Maximum number of tokens prefilled in a step.
+        watermark: Fraction of the memory kept free when a sequence is admitted.
         prefix_memory: Size of the region of cached prefixes, in tokens.
         report_lag: Age of a load report.
         cache_lag: Age at which a cache event is published.
-        cache_loss: Share of cache events that are lost.
-        retention: How long an ended generation can be resumed.
+        cache_loss: Fraction of cache events that are lost.
+        retention: Time for which an ended generation can be resumed.
     """
 
     speed: float = 1.0
@@ -70,18 +71,18 @@
 
     Attributes:
         name: Generation id.
-        length: Tokens after which it ends; unknown to all but the engine.
-        finish: How it ends, "stop" or "length".
-        prompt_tokens: Length of the prompt.
-        priority: Higher is preempted later.
-        prefix: Digest of the prompt's shared part, or "".
-        prefix_tokens: Length of the shared part.
-        produced: Tokens so far, with those given to continue from.
-        to_prefill: Tokens to prefill before the next one is decoded.
+        length: Number of tokens after which it ends; only the engine knows it.
+        finish: Finish reason, "stop" or "length".
+        prompt_tokens: Length of the prompt, in tokens.
+        priority: Sequences of higher priority are preempted later.
+        prefix: Digest of the shared prefix of the prompt, or "".
+        prefix_tokens: Length of the shared prefix, in tokens.
+        produced: Tokens so far, including those that it continues from.
+        to_prefill: Tokens to prefill before the next token is decoded.
         held: Cache memory held, in tokens.
         order: Position in the order of arrival.
-        preemptions: How often it was preempted.
-        ended: When it ended, or None.
+        preemptions: Number of times it was preempted.
+        ended: Time of its end in milliseconds, or None.
     """
 
     name: str
@@ -101,7 +102,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Token:
-    """A token came out; ``finish`` is set on the last one."""
+    """A token that was decoded.
+
+    Attributes:
+        name: Generation id.
+        index: Index of the token in the generation, from 1.
+        at: Time at which it was decoded, in milliseconds.
+        finish: Finish reason on the last token, None on all others.
+    """
 
     name: str
     index: int
@@ -111,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What the engine tells of its load as of ``at``."""
+    """Load of the engine at the time ``at``; memory is counted in tokens."""
 
     at: float
     running: int
@@ -122,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """A prefix entered ("stored") or left ("evicted") the cache."""
+    """A prefix that entered ("stored") or left ("evicted") the cache."""
 
     number: int
     at: float
@@ -132,13 +140,14 @@
 
 @dataclass(slots=True)
 class LengthDistribution:
-    """Seeded heavy-tailed lengths: many short answers, few very long ones.
+    """Seeded heavy-tailed distribution: many short answers, few very long ones.
 
     Attributes:
         rng: Source of randomness.
-        median: Median of a log-normal law, in tokens.
-        sigma: Its spread; 1.2 gives a 99th percentile of 16 medians.
-        longest: Nothing is longer.
+        median: Median of a log-normal distribution, in tokens.
+        sigma: Standard deviation of the logarithm; 1.2 gives a 99th percentile of
+            16 medians.
+        longest: Maximum length, in tokens.
     """
 
     rng: random.Random
@@ -157,15 +166,16 @@
     """One engine; times are milliseconds on the caller's clock.
 
     Attributes:
-        profile: Its sizes and costs.
-        rng: Source of randomness, for lost cache events only.
-        incarnation: Grows with each crash.
-        slow: Factor on every step's time, to play a sick engine.
-        frozen: While set nothing moves; see ``freeze`` and ``thaw``.
-        preemptions: How often a sequence was preempted.
-        produced: Tokens decoded, without those of repeated prefill.
-        prefilled: Tokens prefilled, repeated ones included.
-        prefix_hits: Prefills that found their prefix cached.
+        profile: Sizes and costs of the engine.
+        rng: Source of randomness, used only for lost cache events.
+        incarnation: Number that increases with each crash.
+        slow: Factor on the time of every step, to simulate a degraded engine.
+        frozen: Whether the engine makes no progress; see ``freeze`` and ``thaw``.
+        preemptions: Number of preemptions.
+        produced: Tokens decoded; tokens that are prefilled again do not count.
+        prefilled: Tokens prefilled, including those prefilled again.
+        prefix_hits: Prefills whose prefix was cached.
+        sequences: Generations by id, until ``retention`` after their end.
     """
 
     profile: EngineProfile = field(default_factory=EngineProfile)
@@ -193,9 +203,9 @@
     _event_number: int = 0
 
     def start(self, sequence: Sequence, now: float) -> None:
-        """Queue a sequence; a known generation id is left alone.
+        """Queue a sequence; a known generation id is ignored.
 
-        A sequence whose ``produced`` is above 0 goes on after that index.
+        A sequence with ``produced`` above 0 continues after that index.
         """
         self._run(now)
         if sequence.name in self.sequences:
@@ -207,7 +217,7 @@
         self._run(now)
 
     def cancel(self, name: str, now: float) -> bool:
-        """End a generation early; tell whether it was still going."""
+        """End a generation early and return whether it had not ended yet."""
         self._run(now)
         sequence = self.sequences.get(name)
         if sequence is None or sequence.ended is not None:
@@ -220,7 +230,7 @@
         return True
 
     def crash(self, now: float) -> None:
-        """Lose every generation and all memory; start anew."""
+        """Lose every generation and all memory; start a new incarnation."""
         self._run(now)
         self.sequences.clear()
         self._running.clear()
@@ -235,29 +245,29 @@
         self.incarnation += 1
 
     def freeze(self, now: float) -> None:
-        """Stop where it is; connections stay open."""
+        """Stop all progress until ``thaw``; connections stay open."""
         self._run(now)
         self.frozen = True
 
     def thaw(self, now: float) -> None:
-        """Go on from here; the time in between is lost."""
+        """Continue from ``now``; the time since ``freeze`` is not made up for."""
         self.frozen = False
         self._time = now
         if self._step_end is not None:
             self._step_end = now
 
     def advance(self, now: float) -> list[Token]:
-        """Run to ``now`` and return the tokens since the last call, in order."""
+        """Run until ``now`` and return the tokens since the last call, in order."""
         self._run(now)
         out, self._pending_tokens = self._pending_tokens, []
         return out
 
     def next_step(self) -> float | None:
-        """Return when the current step ends; None while idle or frozen."""
+        """Return the end time of the current step, or None while idle or frozen."""
         return None if self.frozen else self._step_end
 
     def read_load(self, now: float) -> LoadReport:
-        """Return the load as it was ``report_lag`` ago, or the oldest known."""
+        """Return the load as of ``report_lag`` ago, or the oldest known load."""
         self._run(now)
         self._record_load(now)
         while len(self._reports) > 1:
@@ -267,7 +277,7 @@
         return self._reports[0]
 
     def read_cache_events(self, now: float, after: int = 0) -> list[CacheEvent]:
-        """Return published cache events numbered above ``after``."""
+        """Return published cache events with a sequence number above ``after``."""
         published = now - self.profile.cache_lag
         return [e for e in self._cache_events if e.at <= published and e.number > after]
 
--- a/figstep/standins/http.py
+++ b/figstep/standins/http.py
@@ -1,4 +1,4 @@
-"""What the HTTP stand-ins share."""
+"""Functions shared by the HTTP stand-ins."""
 
 from typing import Any
 
@@ -16,7 +16,7 @@
 async def start_app(
     app: web.Application, host: str = "127.0.0.1", port: int = 0
 ) -> tuple[web.AppRunner, str]:
-    """Serve ``app`` and return its runner and base URL."""
+    """Serve ``app`` and return its runner and base URL; port 0 takes a free port."""
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
     await runner.setup()
     site = web.TCPSite(runner, host, port)
--- a/figstep/standins/instances.py
+++ b/figstep/standins/instances.py
@@ -1,10 +1,12 @@
-"""Stand-in of the platform's instance list.
+"""Stand-in for the platform's instance list.
 
-``GET /instances`` answers ``{"instances": [...]}``; ``PUT /instances/NAME``
-sets one and ``DELETE`` drops it. Each has ``name``, ``kind`` ("entry" or
-"target"), ``address``, ``failure_domain``, ``state`` ("live" or "leaving"),
-``incarnation``, and ``peers`` where it is an entry. ``lag_ms`` in a ``PUT`` of
-``/standin/faults`` delays what callers see; ``available`` false refuses them.
+``GET /instances`` answers ``{"instances": [...]}``, ``PUT /instances/NAME``
+adds or replaces an instance and ``DELETE /instances/NAME`` removes it. An
+instance has ``name``, ``kind`` ("entry" or "target"), ``address``,
+``failure_domain``, ``state`` ("live" or "leaving"), ``incarnation`` and, for an
+entry, ``peers``. ``PUT /standin/faults`` sets ``lag_ms``, the delay in
+milliseconds until a change takes effect, and ``available``; while it is false,
+the list answers 503.
 """
 
 import asyncio
@@ -18,7 +20,13 @@
 
 
 class InstanceList:
-    """Live and leaving instances by name."""
+    """Instance list in memory.
+
+    Attributes:
+        instances: Documents of the live and leaving instances, by name.
+        available: Whether the list can be read; it answers 503 otherwise.
+        lag_ms: Milliseconds until a change that was received takes effect.
+    """
 
     def __init__(self) -> None:
         self.instances: dict[str, dict[str, Any]] = {}
@@ -26,7 +34,7 @@
         self.lag_ms = 0
 
     def build_app(self) -> web.Application:
-        """Return the HTTP application."""
+        """Return the HTTP application of the instance list."""
         app = web.Application()
         app.router.add_get("/instances", self._list)
         app.router.add_put("/instances/{name}", self._put)
@@ -35,12 +43,12 @@
         return app
 
     def list_entry(self, name: str, address: str, peers: str) -> None:
-        """List an entry as live.
+        """Add an entry as live.
 
         Args:
-            name: Its name.
-            address: Its base URL for callers.
-            peers: Where it listens for peers, as "host:port".
+            name: Name of the entry.
+            address: Base URL of the entry for callers.
+            peers: "host:port" on which the entry listens for peers.
         """
         self.instances[name] = {
             "name": name,
--- a/figstep/standins/log.py
+++ b/figstep/standins/log.py
@@ -1,11 +1,12 @@
-"""Stand-in of the platform's log service: append-only streams over HTTP.
+"""Stand-in for the platform's log service: append-only streams over HTTP.
 
 ``POST /streams/NAME/records`` takes ``{"records": [...]}`` and answers
 ``{"offset": FIRST}``. ``GET /streams/NAME/records?from=&wait_ms=&limit=``
 answers ``{"records": [{"offset", "time", "data"}], "next", "earliest"}``, or
-410 with ``earliest`` where the start is past retention. Offsets of a stream
-have no gaps. ``PUT /standin/faults`` changes the members of ``Faults`` that its
-JSON body names; ``GET /standin/counts`` tells calls so far.
+410 with ``earliest`` if the start was already removed by retention. Offsets of
+a stream have no gaps. ``PUT /standin/faults`` changes the members of ``Faults``
+that its JSON body names. ``GET /standin/counts`` answers the number of appends
+and of appended records.
 """
 
 import asyncio
@@ -21,15 +22,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Faults:
-    """How the service misbehaves, and for how long it keeps records.
+    """Injected faults and retention of the log service.
 
     Attributes:
-        available: Whether calls are answered at all.
-        delay_ms: Added to each call, in milliseconds.
-        lose_answers: Next appends that take effect while their answer is lost.
-        drop_appends: Next appends that fail without taking effect.
-        keep_records: Most records kept in a stream, or None.
-        keep_ms: Longest that a record is kept, in milliseconds, or None.
+        available: Whether calls are served; they are answered with 503 otherwise.
+        delay_ms: Delay added to each call, in milliseconds.
+        lose_answers: Number of next appends that take effect but whose answer is
+            lost.
+        drop_appends: Number of next appends that fail without taking effect.
+        keep_records: Maximum number of records kept in a stream, or None for no
+            limit.
+        keep_ms: Maximum age of a kept record in milliseconds, or None for no
+            limit.
     """
 
     available: bool = True
@@ -52,7 +56,13 @@
 
 
 class LogService:
-    """Streams in memory, with faults that a test or an operator switches."""
+    """Log service in memory, with faults that a test or an operator sets.
+
+    Attributes:
+        faults: Injected faults and retention.
+        appends: Number of appends that took effect.
+        appended_records: Number of records in these appends.
+    """
 
     def __init__(self) -> None:
         self.faults = Faults()
@@ -62,7 +72,7 @@
 
     @property
     def available(self) -> bool:
-        """Whether calls are answered."""
+        """Whether calls are served."""
         return self.faults.available
 
     @available.setter
@@ -70,7 +80,7 @@
         self.faults = replace(self.faults, available=value)
 
     def build_app(self) -> web.Application:
-        """Return the HTTP application."""
+        """Return the HTTP application of the log service."""
         app = web.Application(client_max_size=64 * 1024 * 1024)
         app.router.add_post("/streams/{name}/records", self._append)
         app.router.add_get("/streams/{name}/records", self._read)
@@ -116,7 +126,7 @@
         stream.earliest += excess
 
     def list_records(self, name: str) -> list[Any]:
-        """Return the data of the records that a stream holds now."""
+        """Return the data of the records that a stream currently holds."""
         stream = self._streams.get(name)
         return [] if stream is None else [record["data"] for record in stream.records]
 
--- a/figstep/standins/process.py
+++ b/figstep/standins/process.py
@@ -1,4 +1,4 @@
-"""Stand-ins as processes: one HTTP application until a signal."""
+"""Runs a stand-in as a process that serves until SIGTERM or SIGINT."""
 
 import asyncio
 import signal
@@ -16,6 +16,7 @@
 from figstep.standins.weights import WeightStore
 
 KINDS = ("log", "instances", "engine", "service", "weights", "proxy", "source")
+"""Kinds of stand-ins that ``run_standin`` accepts."""
 
 
 def build_standin(
@@ -24,10 +25,13 @@
     """Return the application of one kind of stand-in.
 
     Args:
-        kind: One of ``KINDS``.
+        kind: One of ``KINDS`` except "proxy".
         name: Target name, for engines and services.
-        gap: Seconds between tokens, for thin engines.
-        profile: Sizes and costs of an engine that is not thin.
+        gap: Seconds between tokens, for engines without a profile.
+        profile: Sizes and costs of an engine, or None for a fixed gap.
+
+    Raises:
+        ValueError: If the kind is unknown.
     """
     match kind:
         case "log":
@@ -47,11 +51,13 @@
 
 
 async def run_proxy(target: str, port: int) -> None:
-    """Relay to ``target`` until a signal; prints its URL, then its control's.
+    """Relay to ``target`` until SIGTERM or SIGINT.
+
+    Prints the URL of the proxy and that of its control interface first.
 
     Args:
         target: ``host:port`` of the target.
-        port: Port to relay from; 0 takes a free one.
+        port: Port to listen on; 0 takes a free port.
     """
     host, _, number = target.rpartition(":")
     proxy = TcpProxy(host, int(number))
@@ -72,8 +78,13 @@
 ) -> None:
     """Serve a stand-in until SIGTERM or SIGINT; prints its URL first.
 
-    The name of a proxy is the ``host:port`` that it relays to. An engine
-    without a profile is thin: a token every ``gap`` seconds, whatever runs.
+    Args:
+        kind: One of ``KINDS``.
+        name: Target name, or for a proxy the ``host:port`` that it relays to.
+        port: Port to listen on; 0 takes a free port.
+        gap: Seconds between tokens of an engine without a profile, whatever its
+            load.
+        profile: Sizes and costs of an engine, or None for a fixed gap.
     """
     if kind == "proxy":
         await run_proxy(name, port)
--- a/figstep/standins/proxy.py
+++ b/figstep/standins/proxy.py
@@ -1,8 +1,8 @@
-"""Fault-injecting proxy between two ends, over TCP and UDP.
+"""Fault-injecting proxy between a client and a target, over TCP and UDP.
 
-A fault in force holds for every connection, open or new, until it is lifted.
-``freeze``, ``cut`` and ``half_open`` strike the connections that are open at
-that moment; later ones work.
+A fault that is set applies to every connection, open or new, until it is
+cleared. ``freeze``, ``cut`` and ``half_open`` affect only the connections that
+are open at that moment; connections opened later work.
 """
 
 import asyncio
@@ -16,10 +16,11 @@
 from figstep.standins.http import answer_json
 
 CHUNK_BYTES = 65_536
+"""Largest number of bytes read from a connection at once."""
 
 
 class Direction(Enum):
-    """Which way bytes travel."""
+    """Direction in which bytes are relayed."""
 
     TO_TARGET = "to_target"
     TO_CLIENT = "to_client"
@@ -27,26 +28,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Delay:
-    """Hold each chunk or datagram back for ``seconds``."""
+    """Fault that delays each chunk or datagram by ``seconds``."""
 
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class Stall:
-    """Carry nothing either way and close nothing."""
+    """Fault that relays nothing in either direction and keeps connections open."""
 
 
 @dataclass(frozen=True, slots=True)
 class Lose:
-    """Swallow what travels one way."""
+    """Fault that drops everything sent in one direction."""
 
     direction: Direction
 
 
 @dataclass(frozen=True, slots=True)
 class Drip:
-    """Pass ``size`` bytes towards the client, then pause for ``seconds``."""
+    """Fault that sends ``size`` bytes to the client, then pauses for ``seconds``."""
 
     size: int
     seconds: float
@@ -54,11 +55,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LoseAnswers:
-    """Let requests through but cut the connection in place of the answer.
+    """Fault that relays requests but resets the connection instead of answering.
 
     Attributes:
-        count: How many answers are lost.
-        prefix: Only answers to requests that begin with these bytes.
+        count: Number of answers to lose.
+        prefix: Bytes that a request must begin with for its answer to be lost.
     """
 
     count: int = 1
@@ -67,11 +68,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CutAfter:
-    """Cut a connection once ``size`` bytes went to the client.
+    """Fault that closes a connection once ``size`` bytes were sent to the client.
 
     Attributes:
-        size: Bytes that still pass.
-        count: How many connections are cut.
+        size: Bytes that the client still receives.
+        count: Number of connections to close.
     """
 
     size: int
@@ -82,10 +83,10 @@
 
 
 def parse_fault(document: dict[str, Any]) -> Fault:
-    """Return the fault that a JSON object tells of.
+    """Return the fault that a JSON object describes.
 
     Raises:
-        ValueError: If its kind is not known.
+        ValueError: If the kind of the fault is unknown.
     """
     match document:
         case {"kind": "delay", "seconds": seconds}:
@@ -105,7 +106,7 @@
 
 
 class _Link:
-    """One client's connection and the one that belongs to it."""
+    """A client's connection and the matching connection to the target."""
 
     def __init__(
         self, client: asyncio.StreamWriter, target: asyncio.StreamWriter
@@ -127,8 +128,8 @@
 
     Attributes:
         fault: Fault in force, or None.
-        address: ``host:port`` to connect to.
-        accepted: Connections taken so far.
+        address: ``host:port`` that clients connect to.
+        accepted: Connections accepted so far.
     """
 
     def __init__(self, host: str, port: int) -> None:
@@ -143,27 +144,27 @@
         self.accepted = 0
 
     def choose_target(self) -> tuple[str, int] | None:
-        """Return where a new connection goes, or None to reset it."""
+        """Return the host and port for a new connection, or None to reset it."""
         return self._target
 
     @property
     def url(self) -> str:
-        """Base URL, for targets that speak HTTP."""
+        """Base URL of the proxy, for targets that serve HTTP."""
         return f"http://{self.address}"
 
     @property
     def open_connections(self) -> int:
-        """Connections that are relayed now."""
+        """Number of connections that are currently relayed."""
         return len(self._links)
 
     async def start(self, port: int = 0) -> None:
-        """Listen on loopback."""
+        """Listen on the loopback interface; port 0 takes a free port."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", port)
         self._port = self._server.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{self._port}"
 
     async def refuse(self) -> None:
-        """Stop listening: new connections are refused, open ones go on."""
+        """Stop listening: new connections are refused, open ones are still relayed."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -181,30 +182,37 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def set_fault(self, fault: Fault) -> None:
-        """Put a fault in force."""
+        """Apply a fault to all connections until it is cleared."""
         self.fault = fault
 
     def clear_fault(self) -> None:
-        """End the fault; what a stall held back goes on, frozen links do not."""
+        """Clear the fault and relay what a stall held back.
+
+        Frozen connections stay frozen.
+        """
         self.fault = None
         self._fault_cleared.set()
         self._fault_cleared = asyncio.Event()
 
     def freeze(self) -> int:
-        """Freeze the open connections for good; return how many."""
+        """Freeze the open connections permanently and return their number."""
         for link in self._links:
             link.frozen = True
         return len(self._links)
 
     def cut(self) -> int:
-        """Reset the open connections; return how many."""
+        """Reset the open connections and return their number."""
         links = list(self._links)
         for link in links:
             link.cut()
         return len(links)
 
     def half_open(self) -> int:
-        """Reset the targets' ends; clients do not learn of it."""
+        """Reset the connections to the target but keep those of the clients open.
+
+        Returns:
+            Number of connections.
+        """
         for link in self._links:
             link.frozen = True
             link.target.transport.abort()
@@ -233,10 +241,12 @@
                 group.create_task(self._pump(link, reader, Direction.TO_TARGET))
                 group.create_task(self._pump(link, target_reader, Direction.TO_CLIENT))
         except asyncio.CancelledError:
-            link.cut()  # only ``stop`` cancels; asyncio's server would log it
+            # Only ``stop`` cancels this task. The asyncio server would log the
+            # exception if it were raised again.
+            link.cut()
         finally:
             self._links.discard(link)
-            # A reset would drop what still waits in the sockets' buffers.
+            # A reset would discard the data that is still in the socket buffers.
             writer.close()
             target_writer.close()
 
@@ -300,11 +310,11 @@
 
 
 class UdpProxy:
-    """Relays datagrams to one target; knows ``Delay``, ``Stall`` and ``Lose``.
+    """Relays datagrams to one target; supports ``Delay``, ``Stall`` and ``Lose``.
 
     Attributes:
         fault: Fault in force, or None.
-        address: ``host:port`` to send to.
+        address: ``host:port`` that clients send to.
     """
 
     def __init__(self, host: str, port: int) -> None:
@@ -316,7 +326,7 @@
         self.address = ""
 
     async def start(self) -> None:
-        """Listen on loopback."""
+        """Listen on a free port of the loopback interface."""
         loop = asyncio.get_running_loop()
         self._listener, _ = await loop.create_datagram_endpoint(
             lambda: _Receiver(self._handle_datagram), local_addr=("127.0.0.1", 0)
@@ -325,7 +335,7 @@
         self.address = f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Close every socket."""
+        """Cancel pending deliveries and close every socket."""
         for task in self._tasks:
             task.cancel()
         for transport in self._target_transports.values():
@@ -379,10 +389,11 @@
 
 
 def build_control(proxy: TcpProxy) -> web.Application:
-    """Return the HTTP application that steers a proxy run as a process.
+    """Return the HTTP application that controls a proxy in a process of its own.
 
-    ``PUT /standin/fault`` sets a fault, ``DELETE`` lifts it;
-    ``POST /standin/strike/KIND`` does ``freeze``, ``cut`` or ``half_open``.
+    ``PUT /standin/fault`` sets a fault and ``DELETE /standin/fault`` clears it.
+    ``POST /standin/strike/KIND`` calls ``freeze``, ``cut`` or ``half_open`` and
+    returns the number of connections affected as ``struck``.
     """
 
     async def set_fault(request: web.Request) -> web.Response:
--- a/figstep/standins/service.py
+++ b/figstep/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service: records each call that it executes."""
+"""Stand-in for a plain service that records each call that it executes."""
 
 import asyncio
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExecutedCall:
-    """A call as the service executed it."""
+    """Method, path and body of an executed call."""
 
     method: str
     path: str
@@ -18,15 +18,16 @@
 
 
 class PlainService:
-    """Executes every call once and answers with its running number.
+    """Executes every call once and answers with its sequence number.
 
     Attributes:
         name: Target name.
         delay: Seconds between execution and answer.
-        cut_answers: Answers still to be lost: the call is executed and its
-            connection cut.
-        refusals: Statuses of the next answers, which refuse without executing.
-        executed: Calls in the order of their execution.
+        cut_answers: Number of answers still to be lost: the call is executed and
+            its connection is reset.
+        refusals: HTTP statuses of the next answers; these calls are refused
+            without being executed.
+        executed: Executed calls, in order of execution.
     """
 
     def __init__(self, name: str, delay: float = 0.0) -> None:
@@ -37,7 +38,7 @@
         self.executed: list[ExecutedCall] = []
 
     def build_app(self) -> web.Application:
-        """Return the HTTP application."""
+        """Return the HTTP application of the service."""
         app = web.Application()
         app.router.add_get("/standin/executed", self._list_executed)
         app.router.add_route("*", "/{path:.*}", self._execute)
--- a/figstep/standins/source.py
+++ b/figstep/standins/source.py
@@ -1,7 +1,8 @@
-"""Token source: a fast stand-in of an engine for benchmarks.
+"""Token source: a fast stand-in for an engine, for benchmarks.
 
-All streams get their tokens in one pass of a timer, each with the time at
-which it was written, so that a reader on the same machine can tell its delay.
+A timer writes the tokens of all streams of a slot in one pass. Each token
+carries the time at which it was written, so that a reader on the same machine
+can compute the delay.
 """
 
 import asyncio
@@ -14,10 +15,19 @@
 from figstep.standins.http import answer_json
 
 DONE = b"data: [DONE]\n\n"
+"""Last server-sent event of every stream."""
+
 DEFAULT_LENGTH = 250
+"""Tokens of an answer if the request has no ``max_tokens``."""
+
 DEFAULT_GAP_SECONDS = 0.05
+"""Seconds between two tokens of a stream if the request has no ``gap_ms``."""
+
 SLOTS_PER_GAP = 10
-"""Passes per gap, so that streams do not all fire at once."""
+"""Timer passes per gap; the streams are distributed over them.
+
+Otherwise all streams would write their tokens at the same time.
+"""
 
 
 class _Stream:
@@ -51,7 +61,10 @@
 
 
 class TokenSource:
-    """Streams tokens at a fixed gap; ``gap_ms`` and ``max_tokens`` are asked for."""
+    """Streams tokens at a fixed gap.
+
+    The body of a request can set ``gap_ms`` and ``max_tokens``.
+    """
 
     def __init__(self) -> None:
         self._slots: dict[float, list[list[_Stream]]] = {}
@@ -59,7 +72,7 @@
         self._next_slot = 0
 
     def build_app(self) -> web.Application:
-        """Return the HTTP application."""
+        """Return the HTTP application of the token source."""
         app = web.Application()
         app.router.add_post("/v1/completions", self._start)
         app.router.add_post("/v1/chat/completions", self._start)
--- a/figstep/standins/weights.py
+++ b/figstep/standins/weights.py
@@ -1,7 +1,7 @@
-"""Stand-in of the platform's weight store, which limits its rate.
+"""Stand-in for the platform's weight store, which limits the rate of calls.
 
-``GET /weights/MODEL/VERSION`` answers the bytes, or 429 with ``Retry-After``
-in whole seconds once the calls of the current window are used up.
+``GET /weights/MODEL/VERSION`` answers the bytes, or 429 with ``Retry-After`` in
+whole seconds if the limit of the current window is reached.
 """
 
 import math
@@ -12,13 +12,13 @@
 
 
 class WeightStore:
-    """Answers at most ``limit`` calls in each window.
+    """Answers at most ``limit`` calls in a sliding window.
 
     Attributes:
-        limit: Calls answered in a window.
-        window: Length of a window, in seconds.
-        served: Model and version of each call answered, in order.
-        refused: Calls turned away.
+        limit: Maximum number of calls answered in a window.
+        window: Length of the window, in seconds.
+        served: Model and version of each answered call, in order.
+        refused: Number of calls rejected with 429.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._answered_at: list[float] = []
 
     def build_app(self) -> web.Application:
-        """Return the HTTP application."""
+        """Return the HTTP application of the weight store."""
         app = web.Application()
         app.router.add_get("/weights/{model}/{version}", self._read)
         return app
--- a/tests/experiment/test_harness.py
+++ b/tests/experiment/test_harness.py
@@ -1,4 +1,4 @@
-"""One reducer before engine models: decisions measured, at a small size."""
+"""Tests of the experiment: the reducer in front of engine models, at a small size."""
 
 from functools import cache
 
@@ -11,9 +11,10 @@
 from figstep.experiment.scenarios import DEPLOYMENTS, draw_arrivals
 
 LOAD = 3.4
-"""Tokens per millisecond; about what Bavaria's engines carry."""
+"""Requested tokens per millisecond, close to the capacity of Bavaria's engines."""
 
 DURATION = 60_000.0
+"""Time during which requests arrive, in milliseconds."""
 
 
 @cache
@@ -41,10 +42,11 @@
 
 
 def test_memory_is_not_overcommitted_where_a_baseline_does() -> None:
-    """Engines at full load, answers of unknown length.
+    """Guards against preemptions when engines are fully loaded.
 
-    Least in flight lets memory fill in the middle of answers; their streams
-    stall while they are recomputed. Predicted memory holds work back in time.
+    The lengths of answers are unknown. ``least_in_flight`` lets the memory of an
+    engine fill in the middle of answers, and their streams stall while they are
+    recomputed. figstep predicts the memory and delays requests before it fills.
     """
     figstep_results, baseline = run_policy("figstep"), run_policy("least_in_flight")
     assert baseline["preemptions_per_1000"] > 10
--- a/tests/standins/test_balancer.py
+++ b/tests/standins/test_balancer.py
@@ -1,4 +1,4 @@
-"""The balancer follows readiness, late."""
+"""Tests of the stand-in for the load balancer."""
 
 from contextlib import AsyncExitStack
 
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine stand-in over HTTP."""
+"""Tests of the engine stand-in over HTTP."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -37,10 +37,11 @@
 
 
 async def test_unread_generation_is_cancelled_after_the_grace() -> None:
-    """The reader's connection breaks in the middle and it never comes back.
+    """Guards against generations that hold cache memory without a reader.
 
-    Within the grace the generation can still be resumed; then it is ended, or
-    it would hold cache memory that nobody uses.
+    The connection of the reader breaks in the middle of the stream and the reader
+    does not return. The generation can be resumed within the grace time and is
+    cancelled after it.
     """
     engine = EngineServer("e", gap=0.01, length=100_000)
     engine.grace = 0.2
@@ -71,9 +72,9 @@
 
 @pytest.mark.parametrize(("checks", "status"), [(True, 409), (False, 200)])
 async def test_old_fencing_number(checks: bool, status: int) -> None:
-    """An order of a former lease holder arrives after the new holder's.
+    """An order of a former lease holder arrives after one of the new holder.
 
-    An engine that checks refuses it; one that doesn't carries it out.
+    An engine that checks fencing numbers refuses it; others execute it.
     """
     engine = EngineServer("e")
     engine.checks_fencing = checks
--- a/tests/standins/test_engine_model.py
+++ b/tests/standins/test_engine_model.py
@@ -1,4 +1,4 @@
-"""The model of one engine: memory, preemption, prefixes, late reports."""
+"""Tests of the engine model: memory, preemption, prefixes and delayed reports."""
 
 import random
 
@@ -21,10 +21,10 @@
 
 
 def test_memory_filling_mid_decode_preempts_the_lowest_then_the_latest() -> None:
-    """Three sequences fit at first and outgrow the memory together.
+    """Three sequences fit at first and later exceed the memory together.
 
-    The engine pushes off the one of lowest priority, then the latest; its
-    caller sees a stall, and its indexes go on where they stopped.
+    The engine preempts the sequence of lowest priority and then the latest one.
+    Their streams stall, and their indexes continue where they stopped.
     """
     engine = EngineModel(EngineProfile(memory_tokens=120))
     engine.start(Sequence("low", 50, prompt_tokens=10, priority=-1), 0)
--- a/tests/standins/test_log.py
+++ b/tests/standins/test_log.py
@@ -1,4 +1,4 @@
-"""The log stand-in's faults, as its clients see them."""
+"""Tests of the faults of the log stand-in, as observed by its clients."""
 
 import aiohttp
 import pytest
--- a/tests/standins/test_proxy.py
+++ b/tests/standins/test_proxy.py
@@ -1,4 +1,4 @@
-"""Each fault of the proxy, as both ends see it."""
+"""Tests of the faults of the proxy, as observed by the client and the target."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -25,7 +25,7 @@
 
 
 class EchoServer:
-    """Answers each line with itself and keeps what it got."""
+    """Echo server that records the received lines."""
 
     def __init__(self) -> None:
         self.lines: list[bytes] = []
@@ -71,7 +71,12 @@
     async def send_line(
         self, line: bytes, wait: float = TIMEOUT_SECONDS
     ) -> bytes | None:
-        """Return the answer, b"" for a closed connection, None for silence."""
+        """Send a line and return the answer.
+
+        Returns:
+            The answer, b"" if the connection is closed, or None if nothing is
+            received for ``wait`` seconds.
+        """
         self.writer.write(line)
         try:
             return await asyncio.wait_for(self.reader.readline(), wait)
@@ -173,7 +178,7 @@
 
 
 class DatagramQueue(asyncio.DatagramProtocol):
-    """Queues what comes; a server sends it back."""
+    """Queues received datagrams and, with ``echo``, sends them back."""
 
     def __init__(self, echo: bool) -> None:
         self.echo = echo
--- a/tests/tools/__init__.py
+++ b/tests/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the tools."""
+"""Tests of the development tools."""
--- a/tests/tools/test_compare_days.py
+++ b/tests/tools/test_compare_days.py
@@ -10,7 +10,10 @@
 
 
 def test_the_error_is_computed_over_pairs() -> None:
-    """Guards against errors of days that differ more than the two ways do."""
+    """Guards against an error computed over days instead of over pairs.
+
+    Scores differ more between days than between the two checkouts.
+    """
     pairs = [
         Pair(DAY_RUN, 0.2, 0.3, ()),
         Pair(DAY_RUN, 0.8, 0.9, ()),
@@ -22,5 +25,5 @@
 
 
 def test_one_pair_has_no_error() -> None:
-    """Guards against a single pair that looks certain."""
+    """Guards against an error of 0 for a single pair, which would look certain."""
     assert compute_difference([Pair(DAY_RUN, 0.2, 0.3, ())]).error is None
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tools for building; not a part of the product."""
+"""Development tools; not part of the product."""
--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -1,8 +1,8 @@
-"""Packs figstep and what it needs at run time into one file, by shiv.
+"""Packs figstep and its run-time dependencies into one file with shiv.
 
-``python -m tools.build_binary OUTPUT``. The packages are copied from the
-environment that the lock file filled, so the build needs no index, and the file
-holds the versions that the tests ran with.
+Run as ``python -m tools.build_binary OUTPUT``. The packages are copied from the
+environment installed from the lock file, so the build needs no package index,
+and the file holds the versions that the tests ran with.
 """
 
 import shutil
@@ -20,7 +20,11 @@
 
 
 def list_distributions(name: str) -> list[Distribution]:
-    """Return the installed distributions that ``name`` needs at run time."""
+    """Return the installed distributions that ``name`` depends on at run time.
+
+    Args:
+        name: Name of an installed distribution; it is not in the result.
+    """
     found: dict[str, Distribution] = {}
     pending = [name]
     while pending:
@@ -38,7 +42,10 @@
 
 
 def copy_distribution(source: Distribution, site: Path) -> None:
-    """Copy the installed files of one distribution, but no scripts."""
+    """Copy the installed files of one distribution into ``site``.
+
+    Scripts, bytecode and C or Cython sources are left out.
+    """
     for file in source.files or []:
         if ".." in file.parts or "__pycache__" in file.parts:
             continue
@@ -50,7 +57,7 @@
 
 
 def build_binary(output: Path) -> None:
-    """Write the archive to ``output``."""
+    """Write the executable archive to ``output``."""
     with tempfile.TemporaryDirectory() as folder:
         site = Path(folder) / "site"
         ignored = shutil.ignore_patterns("__pycache__")
--- a/tools/compare_days.py
+++ b/tools/compare_days.py
@@ -1,9 +1,10 @@
-"""Plays the same days on two checkouts and prints what differs between them.
+"""Runs the same bench days on two checkouts and prints the difference in score.
 
     python -m tools.compare_days --bench BENCH --before DIR --after DIR \
         --site SITE --day scale-1 --day trouble-1 --seed 5 --seed 6
 
-Each pair is the same site, day and seed. Without a seed, a day's own is played.
+Both runs of a pair have the same site, day and seed. Without ``--seed``, the seed
+of the day itself is used.
 """
 
 import asyncio
@@ -22,12 +23,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DayRun:
-    """One day of one site.
+    """One day of one site, as it is run on both checkouts.
 
     Attributes:
-        site: Path of its site file.
+        site: Path of the site file.
         day: Name of the day, or path of a day file.
-        seed: Seed in place of the day's own; None for that one.
+        seed: Seed that replaces the day's own seed, or None to keep that one.
     """
 
     site: Path
@@ -37,7 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Pair:
-    """What a day was worth on both checkouts, and the rules that it broke there."""
+    """Scores of a day on both checkouts.
+
+    Attributes:
+        day_run: Site, day and seed.
+        before: Score on the first checkout.
+        after: Score on the second checkout.
+        broken: Rules that were broken on either checkout.
+    """
 
     day_run: DayRun
     before: float
@@ -47,12 +55,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """Mean difference of some pairs.
+    """Mean difference in score of some pairs.
 
     Attributes:
-        pairs: How many there are.
-        mean: Mean of after less before.
-        error: Its standard error; None of fewer than two pairs.
+        pairs: Number of pairs.
+        mean: Mean of ``after`` minus ``before``.
+        error: Standard error of the mean; None for fewer than two pairs.
     """
 
     pairs: int
@@ -61,7 +69,11 @@
 
 
 def compute_difference(pairs: Iterable[Pair]) -> Difference:
-    """Return the mean difference of pairs and its standard error."""
+    """Return the mean difference in score of pairs and its standard error.
+
+    Raises:
+        StatisticsError: If there is no pair.
+    """
     differences = [pair.after - pair.before for pair in pairs]
     error = None
     if len(differences) > 1:
@@ -72,10 +84,10 @@
 async def run_day(
     bench: Path, checkout: Path, day_run: DayRun, why: str
 ) -> dict[str, object]:
-    """Play a day on a checkout; returns the bench's report.
+    """Run a day on a checkout and return the report of the bench.
 
     Raises:
-        RuntimeError: If the bench left no report.
+        RuntimeError: If the bench wrote no report.
     """
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / "report.json"
@@ -109,7 +121,7 @@
 async def run_pair(
     bench: Path, before: Path, after: Path, day_run: DayRun, why: str
 ) -> Pair:
-    """Play a day on both checkouts, one beside the other."""
+    """Run a day on both checkouts at the same time."""
     reports = await asyncio.gather(
         run_day(bench, before, day_run, why), run_day(bench, after, day_run, why)
     )
@@ -124,13 +136,16 @@
 async def run_pairs(
     bench: Path, before: Path, after: Path, day_runs: list[DayRun], why: str, jobs: int
 ) -> list[Pair]:
-    """Play all days, some pairs at a time; prints each pair as it is played."""
+    """Run all days, ``jobs`` pairs at a time; prints each pair when it is done."""
     free = asyncio.Semaphore(jobs)
 
     async def run_next(day_run: DayRun) -> Pair:
         async with free:
             pair = await run_pair(bench, before, after, day_run, why)
-        text = f"{day_run.site.stem:24} {Path(day_run.day).stem:20} {day_run.seed or '':>8} "
+        text = (
+            f"{day_run.site.stem:24} {Path(day_run.day).stem:20}"
+            f" {day_run.seed or '':>8} "
+        )
         print(f"{text}{pair.before:7.3f} {pair.after:7.3f}", *pair.broken, flush=True)
         return pair
 
@@ -138,7 +153,7 @@
 
 
 def print_differences(pairs: list[Pair]) -> None:
-    """Print the mean difference of each deployment, and of all."""
+    """Print the mean difference of each site, and of all sites."""
     sites = sorted({pair.day_run.site.stem for pair in pairs})
     groups = [
         (site, [p for p in pairs if p.day_run.site.stem == site]) for site in sites
@@ -151,15 +166,15 @@
 
 def main(
     bench: Annotated[Path, typer.Option(help="The bench's program.")],
-    before: Annotated[Path, typer.Option(help="Checkout with the way that stands.")],
-    after: Annotated[Path, typer.Option(help="Checkout with the other way.")],
+    before: Annotated[Path, typer.Option(help="Checkout with the current code.")],
+    after: Annotated[Path, typer.Option(help="Checkout with the modified code.")],
     site: Annotated[list[Path], typer.Option(help="Site file; may be repeated.")],
     day: Annotated[list[str], typer.Option(help="Day; may be repeated.")],
     seed: Annotated[list[int] | None, typer.Option(help="May be repeated.")] = None,
     why: Annotated[str, typer.Option(help="Reason for the journal.")] = "pair",
     jobs: Annotated[int, typer.Option(help="Pairs at a time.")] = 1,
 ) -> None:
-    """Play days on two checkouts and print the mean difference of their worth."""
+    """Run days on two checkouts and print the mean difference in score."""
     seeds: list[int | None] = [*seed] if seed else [None]
     day_runs = [DayRun(*each) for each in itertools.product(site, day, seeds)]
     work = run_pairs(
