--- a/figstep/__init__.py
+++ b/figstep/__init__.py
@@ -1,3 +1,3 @@
-"""Serving system for generations of unknown length on crowded engines."""
+"""Serving system for generations of unknown length on shared model engines."""
 
 __version__ = "0.1.0"
--- a/figstep/account.py
+++ b/figstep/account.py
@@ -1,7 +1,7 @@
-"""An account of a run's requests from the entries' logs: lost, late, refused, why.
+"""Summary of requests from the logs of entries: outcome and cause of each.
 
-Each line of a log is one JSON object; whatever stands before it, such as a time or
-the name of an instance, is left out.
+Each log line holds one JSON object. Text before the object, such as a time or the name
+of an instance, is ignored.
 """
 
 from collections import Counter, defaultdict
@@ -16,7 +16,7 @@
 
 
 class Outcome(Enum):
-    """What became of a request."""
+    """Outcome of a request."""
 
     ON_TIME = "in time"
     LATE = "late"
@@ -28,11 +28,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LatencyLimits:
-    """From when on an answer counts as late.
+    """Times above which an answer counts as late.
 
     Attributes:
         first: Longest time to a stream's first event, in milliseconds.
-        pause: Longest pause between its events, in milliseconds.
+        pause: Longest pause between two events of a stream, in milliseconds.
     """
 
     first: int = 1_800
@@ -41,35 +41,35 @@
 
 @dataclass(slots=True)
 class RequestTrace:
-    """A request's lines, in the order in which they were written.
+    """Log lines of one request.
 
     Attributes:
-        lines: Its lines.
+        lines: Parsed log lines, in the order in which they were written.
     """
 
     lines: list[dict[str, Any]] = field(default_factory=list)
 
     def find_last(self, message: str) -> dict[str, Any] | None:
-        """Return the last line with a message, or None."""
+        """Return the last line with the given message, or None."""
         found = [line for line in self.lines if line["message"] == message]
         return found[-1] if found else None
 
     def find_first(self, message: str) -> dict[str, Any] | None:
-        """Return the first line with a message, or None."""
+        """Return the first line with the given message, or None."""
         found = [line for line in self.lines if line["message"] == message]
         return found[0] if found else None
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """Requests with the same outcome for the same cause.
+    """Number of requests of a route with the same outcome and cause.
 
     Attributes:
-        route: Their route; "" where no line names it.
-        outcome: What became of them.
-        cause: Why, as far as the lines tell.
-        requests: How many there are.
-        events: Events that they had delivered.
+        route: Route of the requests; "" if no line names it.
+        outcome: Outcome of the requests.
+        cause: Cause of the outcome as far as it is logged; "" if there is none.
+        requests: Number of requests.
+        events: Number of events that were delivered for these requests.
     """
 
     route: str
@@ -80,7 +80,7 @@
 
 
 def read_traces(lines: Iterable[str]) -> dict[str, RequestTrace]:
-    """Return the lines of each request by its id; other lines are passed over."""
+    """Return the log lines of each request by its id; skip all other lines."""
     traces: dict[str, RequestTrace] = defaultdict(RequestTrace)
     for line in lines:
         start = line.find("{")
@@ -89,7 +89,7 @@
         try:
             document = orjson.loads(line[start:])
         except orjson.JSONDecodeError:
-            # Lines of other programs may stand between those of an entry.
+            # The log may also contain lines of other programs.
             continue
         if not isinstance(document, dict) or "message" not in document:
             continue
@@ -102,7 +102,11 @@
 def summarize_traces(
     traces: dict[str, RequestTrace], limits: LatencyLimits
 ) -> list[Row]:
-    """Return how many requests of each route ended how and why, most first."""
+    """Count requests by route, outcome and cause.
+
+    Returns:
+        Rows sorted by route and outcome, then by descending number of requests.
+    """
     counts: Counter[tuple[str, Outcome, str]] = Counter()
     events: Counter[tuple[str, Outcome, str]] = Counter()
     for trace in traces.values():
@@ -118,7 +122,7 @@
 
 
 def classify_request(trace: RequestTrace, limits: LatencyLimits) -> tuple[Outcome, str]:
-    """Return what became of a request and why."""
+    """Return the outcome of a request and its cause."""
     end = trace.find_last("request ended")
     if end is None:
         turned_away = trace.find_last("request turned away")
@@ -196,7 +200,7 @@
 
 
 def format_rows(rows: list[Row]) -> str:
-    """Return the account as a table."""
+    """Return the rows as a text table."""
     width = max([len(row.cause) for row in rows], default=0)
     lines = [f"{'route':12} {'outcome':16} {'cause':{width}} requests events"]
     for row in rows:
--- a/figstep/application.py
+++ b/figstep/application.py
@@ -1,4 +1,4 @@
-"""The application: owns the loop's state, the edges and the effects."""
+"""Application of one entry: holds the state, starts the edges, runs the effects."""
 
 import asyncio
 import os
@@ -68,19 +68,23 @@
 
 _log = logbook.Logger("figstep")
 
-# A document of a large fleet takes long to parse and is large: a fresh entry
-# that took all kept ones in one go would hold up its loop and its memory.
+# Largest number of configuration records in one read. A document of a large fleet
+# is large and slow to parse: an entry that read all kept records at once after its
+# start would block its event loop and use much memory.
 MAX_DOCUMENTS_PER_READ = 4
+# Interval at which a drain checks whether requests and unsent bytes are left.
 DRAIN_POLL_SECONDS = 0.05
+# Longest time that a forced stop waits until its error answers are sent.
 FORCED_STOP_TIMEOUT_SECONDS = 2.0
+# Pause between reads of the lease stream, so that one read returns several records.
 LEASES_READ_DELAY_SECONDS = 2.0
 
 
 class Application(Service):
     """One entry instance.
 
-    Events are reduced one at a time; effects run at once, and events that they
-    cause wait in the queue, so no event is reduced inside another.
+    Events are reduced one at a time. Their effects run immediately; events caused by
+    an effect are queued, so that no event is reduced while another one is.
     """
 
     def __init__(
@@ -130,7 +134,7 @@
             self._log_client,
             LEASES,
             self._handle_lease_records,
-            read_delay=LEASES_READ_DELAY_SECONDS,
+            rest=LEASES_READ_DELAY_SECONDS,
         )
         self.orders = OrderEdge(self.dispatch, self.find_target, self.clock)
         self.peers = PeerEdge(
@@ -147,7 +151,7 @@
         self.reporter = LoadReporter(self.metrics, self.read_load)
 
     async def on_start(self) -> None:
-        """Start the edges; the listener opens last."""
+        """Start the edges; the listener for callers opens last."""
         edges = (
             self.targets,
             self.reports,
@@ -166,39 +170,39 @@
         self.dispatch(Started())
 
     async def on_stop(self) -> None:
-        """Stop the timers."""
+        """Cancel all timers."""
         for handle in self._timers.values():
             handle.cancel()
 
     async def on_shutdown(self) -> None:
-        """Close the log client, which the edges use until they have ended."""
+        """Close the log client, which the edges use until they have stopped."""
         await self._log_client.close()
 
     async def drain(self) -> None:
-        """End gracefully: readiness falls, callers are served to their end."""
+        """Shut down gracefully: become unready, then finish every open request."""
         self.callers.ready = False
         await asyncio.sleep(self.settings.notice_seconds)
         self.dispatch(ShutdownRequested())
-        # A claim's outcome that is not in the log would leave its caller, and
-        # any duplicate of the request, with "unknown" for good.
+        # If the outcome of a claim is not written to the log, its caller and any
+        # duplicate of the request get "unknown" for ever.
         while self._is_busy():
             await asyncio.sleep(DRAIN_POLL_SECONDS)
         await self._flush_answers()
 
     async def _flush_answers(self) -> None:
-        # An answer that is written may still wait in its socket's buffer; the
-        # end of the process would drop it. A reader that takes nothing must
-        # not hold the process for ever.
+        # Bytes of an answer may still be in the send buffer, and are lost when the
+        # process exits. The timeout keeps a caller that reads nothing from
+        # blocking the exit for ever.
         with suppress(TimeoutError):
             async with asyncio.timeout(self.settings.limits.stalled_seconds):
                 while self.callers.unsent_bytes:
                     await asyncio.sleep(DRAIN_POLL_SECONDS)
 
     async def force_stop(self) -> None:
-        """End now: every caller gets a typed error, no stream is cancelled.
+        """End every open request with a typed error, without cancelling its stream.
 
-        Generations run on at their targets for a while, so callers of streams
-        can return to another entry for the rest.
+        Generations continue at their targets for a limited time, so that callers
+        can reconnect to another entry for the rest of a stream.
         """
         self.callers.ready = False
         self.dispatch(ShutdownForced())
@@ -232,16 +236,16 @@
         self.dispatch(RecordsRead(LEASES, tuple(records)))
 
     def find_target(self, name: str) -> TargetInfo | None:
-        """Return a target's inventory entry."""
+        """Return the inventory record of a target, or None if it is unknown."""
         target = self.entry_state.targets.get(name)
         return None if target is None else target.info
 
     def list_watched(self) -> list[EngineInfo]:
-        """Return the engines whose load reports this entry reads."""
+        """Return the engines whose load reports this entry polls."""
         return list_watched(self.entry_state, self.clock.now())
 
     def read_load(self) -> Load:
-        """Return what the gauges tell."""
+        """Return the values of the gauges."""
         targets = self.entry_state.targets.values()
         return Load(
             requests=len(self.entry_state.requests),
@@ -253,7 +257,7 @@
         )
 
     def read_status(self) -> dict[str, Any]:
-        """Return what ``GET /status`` tells."""
+        """Return the document that ``GET /status`` serves."""
         targets = {}
         for name, target in self.entry_state.targets.items():
             targets[name] = {
@@ -284,7 +288,7 @@
         }
 
     def dispatch(self, event: Event) -> None:
-        """Reduce an event and run its effects."""
+        """Reduce an event and run its effects, or queue it while another is reduced."""
         self._events.append(event)
         if self._reducing:
             return
--- a/figstep/audit.py
+++ b/figstep/audit.py
@@ -1,4 +1,4 @@
-"""Audit trail of the configuration: who changed what, when, why, and the verdict."""
+"""Audit trail of the configuration: author, time, reason, changes and verdict."""
 
 from dataclasses import dataclass
 
@@ -15,19 +15,19 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryEntry:
-    """An edit and what became of it.
+    """An edit and its verdict.
 
     Attributes:
-        offset: Offset of its record.
-        time: When the log took it, in milliseconds since the epoch.
-        edit: Its unique id.
-        author: Who published it.
-        reason: Why.
-        base: Accepted offset that it was made from.
+        offset: Offset of the edit's record in the log.
+        time: When the log stored the record, in milliseconds since the epoch.
+        edit: Unique id of the edit.
+        author: Author of the edit.
+        reason: Reason that the author gave.
+        base: Offset of the accepted document on which the edit is based.
         verdict: "accepted", "refused" or "unknown".
-        rule: Rule that refused it, or "".
-        why: What was wrong, or "".
-        changes: What it changes against the document in force before it.
+        rule: Name of the rule by which the edit was refused, or "".
+        why: Explanation of a refused or unknown verdict, or "".
+        changes: Changes against the document that was in force before the edit.
     """
 
     offset: int
@@ -44,12 +44,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Trail:
-    """What the records that the log still keeps tell.
+    """Configuration history from the records that the log still holds.
 
     Attributes:
-        position: Last offset folded; -1 for none.
-        current: The accepted edit, or None.
-        stalled: Why the last records cannot be judged here, or "".
+        position: Offset of the last applied record; -1 if there is none.
+        current: Checkpoint of the document in force, or None.
+        stalled: Why later records cannot be evaluated by this version, or "".
         entries: Edits in order of offset.
     """
 
@@ -60,7 +60,7 @@
 
 
 class TrailReader:
-    """Folds kept records by the code that every entry runs, as they come."""
+    """Builds the audit trail incrementally, with the same reducer as the entries."""
 
     def __init__(self) -> None:
         self._state = State("reader")
@@ -73,7 +73,7 @@
         return self._records[-1].offset + 1 if self._records else 0
 
     def add(self, records: list[LogRecord]) -> None:
-        """Fold the next records of the configuration stream, in order."""
+        """Apply the next records of the configuration stream, in order."""
         index = len(self._records)
         self._records += records
         while index < len(self._records):
@@ -88,14 +88,14 @@
 
     @property
     def trail(self) -> Trail:
-        """What the records so far tell."""
+        """Audit trail of the records added so far."""
         fold = self._state.configuration
         ordered = tuple(self._entries[offset] for offset in sorted(self._entries))
         return Trail(fold.position, fold.current, fold.stalled, ordered)
 
 
 def read_trail(records: list[LogRecord]) -> Trail:
-    """Fold every kept record of the configuration stream."""
+    """Return the audit trail of records of the configuration stream."""
     reader = TrailReader()
     reader.add(records)
     return reader.trail
--- a/figstep/bench.py
+++ b/figstep/bench.py
@@ -1,7 +1,8 @@
-"""Load on an entry, and what its callers see of it.
+"""Benchmark of an entry: parallel streams, their throughput and delays.
 
-The events may carry ``sent_ns``, the monotonic time at which a target on the
-same machine wrote them; the token source stand-in does. Delay is told then.
+The token source stand-in adds ``sent_ns`` to its events: the monotonic time in
+nanoseconds at which it wrote them. If events carry it, the delay to the caller is
+measured too, which requires that the target runs on the same machine.
 """
 
 import asyncio
@@ -19,20 +20,20 @@
 
 
 class BenchmarkError(FigstepError):
-    """The entry did not answer as a benchmark needs."""
+    """A benchmark received no events, so it has nothing to report."""
 
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """Streams that are kept open.
+    """Parameters of a benchmark.
 
     Attributes:
         url: Base URL of an entry or of a target.
-        key: Customer's key.
-        model: Model name.
-        streams: Streams open at once.
-        tokens: Tokens of each answer.
-        gap: Time between tokens that the token source is asked for, in ms.
+        key: Key of the customer.
+        model: Name of the model.
+        streams: Number of parallel streams.
+        tokens: Length of each answer, in tokens.
+        gap: Requested time between two tokens of the token source, in milliseconds.
     """
 
     url: str
@@ -45,14 +46,14 @@
 
 @dataclass(slots=True)
 class Tally:
-    """What the callers of a workload saw.
+    """Results that the callers of a workload collect.
 
     Attributes:
-        tokens: Events received.
-        requests: Answers that ended whole.
-        failures: Answers that did not, by reason.
-        first: Waits for the first event, in milliseconds.
-        delays: Times from the target's write to the caller's read, in ms.
+        tokens: Number of events received.
+        requests: Number of complete answers.
+        failures: Number of incomplete answers by reason.
+        first: Times to the first bytes of an answer, in milliseconds.
+        delays: Times from the target's write to the caller's read, in milliseconds.
     """
 
     tokens: int = 0
@@ -62,7 +63,7 @@
     delays: list[float] = field(default_factory=list)
 
     def clear(self) -> None:
-        """Forget what was seen, as at the end of a warm-up."""
+        """Reset all results, as at the end of a warm-up."""
         self.tokens = self.requests = 0
         self.failures.clear()
         self.first.clear()
@@ -70,7 +71,12 @@
 
 
 def find_quantile(values: list[float], share: float) -> float:
-    """Return the value below which ``share`` of the values lie; 0 for none."""
+    """Return a quantile of values; 0 for no values.
+
+    Args:
+        values: Values in any order.
+        share: Fraction of the values below the quantile, from 0 to 1.
+    """
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -78,7 +84,7 @@
 
 
 class LoadGenerator:
-    """Keeps the streams of a workload open; each starts anew as it ends."""
+    """Keeps the streams of a workload open; a stream that ends is replaced."""
 
     def __init__(self, workload: Workload) -> None:
         self.workload = workload
@@ -87,7 +93,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def start(self, ramp: float) -> None:
-        """Open the streams evenly over ``ramp`` seconds."""
+        """Open the streams, spread evenly over ``ramp`` seconds."""
         connector = aiohttp.TCPConnector(limit=0)
         timeout = aiohttp.ClientTimeout(total=None)
         self._session = aiohttp.ClientSession(connector=connector, timeout=timeout)
@@ -96,7 +102,7 @@
             await asyncio.sleep(ramp / self.workload.streams)
 
     async def stop(self) -> None:
-        """Close the streams."""
+        """Close all streams and the HTTP session."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -116,7 +122,7 @@
             await asyncio.sleep(0.5)
 
     async def _read_answer(self, session: aiohttp.ClientSession) -> str:
-        """Return why the answer was not whole, or ""."""
+        """Read one answer; return why it was incomplete, or ""."""
         load = self.workload
         body = {
             "model": load.model,
@@ -157,13 +163,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """Figures of one workload over one period."""
+    """Results of a workload.
+
+    Attributes:
+        seconds: Duration of the measurement, in seconds.
+        tally: Results of the callers over that time.
+    """
 
     seconds: float
     tally: Tally
 
     def list_lines(self) -> list[str]:
-        """Return the figures as lines of text."""
+        """Return the results as lines of text."""
         tally = self.tally
         return [
             f"tokens/s {tally.tokens / self.seconds:.0f}",
@@ -177,10 +188,15 @@
 
 
 async def measure(workload: Workload, warm_up: float, seconds: float) -> Report:
-    """Run a workload and report what its callers saw.
+    """Run a workload and return its results.
+
+    Args:
+        workload: Parameters of the benchmark.
+        warm_up: Time over which the streams are opened, in seconds; not measured.
+        seconds: Duration of the measurement, in seconds.
 
     Raises:
-        BenchmarkError: If no token came at all.
+        BenchmarkError: If no token was received.
     """
     generator = LoadGenerator(workload)
     await generator.start(warm_up)
--- a/figstep/checker.py
+++ b/figstep/checker.py
@@ -1,8 +1,8 @@
-"""Checker of the promises over what callers saw and what targets executed.
+"""Checks the guarantees against what callers received and targets executed.
 
-Evidence is only ever missing, never invented: a target that died may have
-executed more than it could tell. So the checker never concludes from the
-absence of an execution, save where a caller was given a whole answer.
+Records of executions may be missing but are never wrong: a target that crashed may
+have executed more than it reported. So the checker draws no conclusion from a missing
+execution, except where a caller received a complete answer.
 """
 
 from dataclasses import dataclass, field
@@ -14,13 +14,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedEvent:
-    """A token event as the caller saw it.
+    """A token event that a caller received.
 
     Attributes:
-        generation: Generation that its id names.
-        index: Index that its id names, from 1.
-        text: The token's text.
-        finish: Why the generation ended, or "" before its last token.
+        generation: Generation in the event's id.
+        index: Index in the event's id, from 1.
+        text: Text of the token.
+        finish: Reason why the generation ended, or "" before its last token.
     """
 
     generation: str
@@ -31,13 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How one connection of a caller ended.
+    """End of one connection of a caller.
 
     Attributes:
-        status: HTTP status, or 0 where none came.
-        ended: Whether the answer came whole: the end marker for a stream.
+        status: HTTP status, or 0 if none was received.
+        ended: Whether the answer was complete; for a stream, whether its end marker
+            was received.
         problem: Code of the problem, or "".
-        ran: What the problem says of whether the request ran, or None.
+        ran: Whether the request ran according to the problem, or None.
     """
 
     status: int
@@ -48,17 +49,17 @@
 
 @dataclass(slots=True)
 class CallerHistory:
-    """All that one caller saw of one request, over all its connections.
+    """Everything that a caller received for one request, over all its connections.
 
     Attributes:
-        tag: What tells this request from all others; its body carries it, and
-            targets repeat it in what they answer.
+        tag: Unique tag of the request; the request body carries it, and targets
+            repeat it in their answers.
         identity: Idempotency key of a non-idempotent request, or "".
         stream: Whether the answer was read as a stream.
-        events: Token events over all connections, in the order seen.
-        outcomes: How each connection ended, in order.
-        text: Text of an answer that did not come as a stream.
-        abandoned: Whether the caller itself left before the end.
+        events: Token events over all connections, in order of arrival.
+        outcomes: Outcome of each connection, in order.
+        text: Text of an answer that was not streamed.
+        abandoned: Whether the caller disconnected before the end.
     """
 
     tag: str
@@ -72,12 +73,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ExecutedGeneration:
-    """A generation as its engine started it.
+    """A generation that an engine started.
 
     Attributes:
         target: Name of the engine.
-        generation: Its id.
-        tag: Tag of the request that asked for it.
+        generation: Id of the generation.
+        tag: Tag of the request that started it.
     """
 
     target: str
@@ -87,12 +88,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ExecutedCall:
-    """A call as its plain service executed it.
+    """A call that a plain service executed.
 
     Attributes:
         target: Name of the service's replica.
-        tag: Tag of the request that asked for it.
-        identity: Its idempotency key, or "".
+        tag: Tag of the request that caused the call.
+        identity: Idempotency key of the request, or "".
     """
 
     target: str
@@ -102,7 +103,7 @@
 
 @dataclass(slots=True)
 class History:
-    """One run: what the callers saw and what the targets executed."""
+    """Records of a run: what callers received and what targets executed."""
 
     callers: list[CallerHistory] = field(default_factory=list)
     generations: list[ExecutedGeneration] = field(default_factory=list)
@@ -111,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutOfOrder:
-    """A caller saw ``index`` where ``expected`` was next."""
+    """A caller received event ``index`` where ``expected`` was next."""
 
     tag: str
     expected: int
@@ -120,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Repeated:
-    """A caller saw an event a second time."""
+    """A caller received an event more than once."""
 
     tag: str
     index: int
@@ -128,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Mixed:
-    """One answer was made of several generations."""
+    """An answer contains events of several generations."""
 
     tag: str
     generations: tuple[str, ...]
@@ -136,14 +137,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Unanswered:
-    """A caller got neither a whole answer nor a final problem."""
+    """A caller received neither a complete answer nor a final problem."""
 
     tag: str
 
 
 @dataclass(frozen=True, slots=True)
 class Truncated:
-    """An answer was called whole without the generation's last token."""
+    """An answer was marked complete without ending at the last token."""
 
     tag: str
     events: int
@@ -151,11 +152,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Misdelivered:
-    """A caller was given what another request asked for, or nobody did.
+    """A caller received the answer to another request, or to none.
 
     Attributes:
-        tag: The request.
-        source: Tag of the request that the answer belongs to, or "".
+        tag: Tag of the caller's request.
+        source: Tag of the request that the answer belongs to, or "" if unknown.
     """
 
     tag: str
@@ -164,7 +165,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FalselyNotRun:
-    """A caller was told that a request did not run, but a target ran it."""
+    """A request was reported as not run, but a target executed it."""
 
     tag: str
     target: str
@@ -172,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RanAgain:
-    """Targets ran one non-idempotent identity more than once."""
+    """A non-idempotent request was executed more than once."""
 
     identity: str
     targets: tuple[str, ...]
@@ -191,7 +192,7 @@
 
 
 def check_history(history: History) -> list[Violation]:
-    """Return every violation of a promise, callers first."""
+    """Return all violations of the guarantees, those of single callers first."""
     violations: list[Violation] = []
     for caller in history.callers:
         violations += _check_order(caller)
--- a/figstep/cli.py
+++ b/figstep/cli.py
@@ -1,4 +1,4 @@
-"""Command line: parses, calls the operations and prints."""
+"""Command line interface: parses arguments, runs operations, prints results."""
 
 import asyncio
 import getpass
@@ -45,7 +45,7 @@
 
 @app.command()
 def demo(hold: bool = False) -> None:
-    """Run stand-ins and entries in this process and stream one answer."""
+    """Run stand-ins and entries in one process and stream an answer."""
     install_logs("WARNING")
     if hold:
         uvloop.run(demonstration.hold_demo())
@@ -73,7 +73,7 @@
     instances: InstancesUrl = "",
     timeout: Annotated[float, typer.Option(help="Seconds to wait.")] = 30.0,
 ) -> None:
-    """Publish an inventory file; accepted only once read back from the log."""
+    """Publish an inventory file; report success once it is read back from the log."""
     document = operations.load_document(inventory)
     author = author or getpass.getuser()
     offset = operations.run_with_log(
@@ -110,7 +110,7 @@
     timeout: float = 30.0,
     end: Annotated[bool, typer.Option("--end", help="End the drain.")] = False,
 ) -> None:
-    """Publish that a target gets no new work; what runs there goes on."""
+    """Publish that a target gets no new work; requests that run there continue."""
     author = author or getpass.getuser()
     offset = operations.run_with_log(
         log,
@@ -133,7 +133,7 @@
     timeout: float = 30.0,
     undo: Annotated[bool, typer.Option("--undo", help="End the evacuation.")] = False,
 ) -> None:
-    """Publish that a failure domain's targets get no new work; runs there go on."""
+    """Publish that a domain's targets get no new work; requests there continue."""
     author = author or getpass.getuser()
     offset = operations.run_with_log(
         log,
@@ -161,7 +161,7 @@
 
 @app.command()
 def diff(inventory: Path, log: LogUrl) -> None:
-    """Print what a file would change; exit code 1 if anything."""
+    """Print the changes that a file would make; exit with 1 if there are any."""
     document = operations.load_document(inventory)
     changes = operations.run_with_log(
         log, lambda client: operations.compare_document(client, document)
@@ -176,7 +176,7 @@
 def history(
     log: LogUrl, as_json: Annotated[bool, typer.Option("--json")] = False
 ) -> None:
-    """Print the audit trail: who changed what, when, why, and the verdict."""
+    """Print the audit trail: author, time, reason, changes and verdict of each edit."""
     trail = operations.run_with_log(log, operations.read_history)
     for entry in trail.entries:
         if as_json:
@@ -210,7 +210,7 @@
 
 @app.command()
 def status(instances: InstancesUrl) -> None:
-    """Print what every live entry tells of itself; exit code 1 if one is silent."""
+    """Print the status of every live entry; exit with 1 if one does not answer."""
     if not instances:
         raise typer.BadParameter("status needs --instances")
     entries = asyncio.run(operations.read_status(instances))
@@ -244,7 +244,7 @@
     tokens: int = 250,
     seconds: float = 20.0,
 ) -> None:
-    """Keep streams open through an entry and tell what their callers see."""
+    """Load an entry with parallel streams and print throughput and delays."""
     workload = bench.Workload(entry, key, model, streams, tokens, 50.0)
     report = uvloop.run(bench.measure(workload, seconds / 4, seconds))
     for line in report.list_lines():
@@ -261,9 +261,9 @@
     memory: int = 16_384,
     batch: int = 32,
 ) -> None:
-    """Run a stand-in of an outside system until SIGTERM or SIGINT.
+    """Run a stand-in for an external system until SIGTERM or SIGINT.
 
-    With --speed an engine batches, fills its memory and preempts.
+    With --speed, an engine simulates batching, cache memory and preemption.
     """
     profile = None
     if speed > 0:
@@ -284,7 +284,7 @@
     ablate: bool = False,
     output: Annotated[Path | None, typer.Option()] = None,
 ) -> None:
-    """Compare policies with one reducer before engine models on a fake clock."""
+    """Compare routing policies in a simulation of engines with a fake clock."""
     options = trials.Options(
         tuple(deployment),
         tuple(load),
@@ -309,7 +309,7 @@
 
 @app.command("experiment-table")
 def print_experiment(files: list[Path]) -> None:
-    """Print the table of experiments that were written with --output."""
+    """Print the result table of experiments that were saved with --output."""
     results = []
     for file in files:
         results += json.loads(file.read_text())
@@ -319,7 +319,7 @@
 
 @app.command()
 def cost() -> None:
-    """Measure the reducer's microseconds per event by targets and requests."""
+    """Measure the reducer's time per event by number of targets and requests."""
     costs = []
     for targets, requests in itertools.product(TARGETS, REQUESTS):
         costs.append(measure_cost(targets, requests))
@@ -332,7 +332,7 @@
     label: str = "figstep",
     output: Annotated[Path | None, typer.Option()] = None,
 ) -> None:
-    """Send a scenario's requests to live entries and print the measures."""
+    """Send the requests of a scenario to live entries and print the measures."""
     summary = uvloop.run(LoadRun(load_scenario(scenario)).run())
     typer.echo(format_summary(summary))
     if output is not None:
@@ -341,7 +341,7 @@
 
 @app.command()
 def plot(results: list[Path], output: Annotated[Path, typer.Option()]) -> None:
-    """Draw the three measures of one or more result files."""
+    """Draw the latency and preemption measures of result files."""
     draw_measures(read_results(results), output)
 
 
@@ -351,7 +351,7 @@
     first: Annotated[int, typer.Option(help="Latest first event, ms.")] = 1_800,
     pause: Annotated[int, typer.Option(help="Longest pause, ms.")] = 180,
 ) -> None:
-    """Tell from entries' logs which requests were lost, late or refused, and why."""
+    """Summarize from logs which requests were lost, late or refused, and why."""
     traces: dict[str, accounts.RequestTrace] = {}
     for log in logs:
         with log.open(errors="replace") as lines:
@@ -374,7 +374,7 @@
 
 
 def main() -> None:
-    """Run the command line; a typed error ends it with its remedy."""
+    """Run the command line; print the message of a figstep error and exit with 1."""
     try:
         app()
     except FigstepError as error:
--- a/figstep/demo.py
+++ b/figstep/demo.py
@@ -1,4 +1,4 @@
-"""The demo: stand-ins and entries in one process on one loop."""
+"""Demo deployment: stand-ins and entries in one process, on one event loop."""
 
 import asyncio
 import signal
@@ -23,22 +23,24 @@
 
 KEY = "demo-key"
 MODEL = "langar-8b"
+# Time between two tokens of each engine, in seconds.
 ENGINE_TOKEN_GAPS = (0.01, 0.02, 0.04)
+# Interval at which the start checks whether the inventory is in force.
 READY_POLL_SECONDS = 0.02
 
 
 @dataclass(slots=True)
 class Deployment:
-    """A running deployment on loopback.
+    """A running deployment on the loopback interface.
 
     Attributes:
-        document: The published inventory.
-        offset: Offset at which it was accepted.
-        entries: The entry applications.
-        engines: The engine stand-ins.
-        service: The plain service.
-        log: The log service.
-        instances: The instance list.
+        document: Published inventory document.
+        offset: Offset at which the inventory was accepted.
+        entries: Applications of the entries.
+        engines: Stand-ins of the engines.
+        service: Stand-in of the plain service.
+        log: Stand-in of the log service.
+        instances: Stand-in of the instance list.
     """
 
     document: dict[str, Any]
@@ -51,7 +53,7 @@
 
 
 def build_document(engines: dict[str, str], service_url: str) -> dict[str, Any]:
-    """Return the demo's inventory.
+    """Return the inventory document of the demo.
 
     Args:
         engines: Base URL by engine name.
@@ -95,13 +97,13 @@
     tls: Tls | None = None,
     gaps: tuple[float, ...] = ENGINE_TOKEN_GAPS,
 ) -> AsyncIterator[Deployment]:
-    """Start stand-ins and entries, publish the inventory, wait until in force.
+    """Run stand-ins and entries with a published inventory that is in force.
 
     Args:
-        entries: How many entry applications to run.
-        limits: Bounds on callers; None for the defaults.
+        entries: Number of entry applications.
+        limits: Limits for callers; None for the defaults.
         tls: Certificate for callers; None for plain HTTP.
-        gaps: Seconds between tokens of each engine.
+        gaps: Time between two tokens of each engine, in seconds.
     """
     async with AsyncExitStack() as stack:
         log, instances = LogService(), InstanceList()
@@ -154,7 +156,7 @@
 
 
 async def show_demo() -> None:
-    """Publish, stream one answer and tell which target served it."""
+    """Publish an inventory, stream one answer and print which target served it."""
     async with run_deployment() as deployment:
         print(f"published inventory at offset {deployment.offset}")
         url = deployment.entries[0].callers.address
@@ -187,7 +189,7 @@
 
 
 async def hold_demo() -> None:
-    """Stay up until SIGTERM or SIGINT; prints addresses, a key and ``ready``."""
+    """Run the demo until SIGTERM or SIGINT; print addresses, a key and ``ready``."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/figstep/errors.py
+++ b/figstep/errors.py
@@ -1,14 +1,14 @@
-"""Typed errors; each message names the remedy."""
+"""Exceptions of figstep; messages for operators say how to resolve the problem."""
 
 from figstep.core.problems import Problem
 
 
 class FigstepError(Exception):
-    """Base of every error that figstep raises on purpose."""
+    """Base class of all exceptions that figstep raises deliberately."""
 
 
 class SettingsError(FigstepError):
-    """The settings file cannot be used."""
+    """The settings file cannot be read or is not valid."""
 
 
 class ListenError(FigstepError):
@@ -20,11 +20,15 @@
 
 
 class LogUnavailableError(FigstepError):
-    """The log service gave no answer; what was sent may have taken effect."""
+    """The log service gave no answer; an append may still have taken effect."""
 
 
 class LogTruncatedError(FigstepError):
-    """Records before ``earliest`` are gone."""
+    """The requested records were deleted from the log.
+
+    Attributes:
+        earliest: Offset of the first record that the log still holds.
+    """
 
     def __init__(self, earliest: int) -> None:
         super().__init__(f"records before {earliest} are gone; read from there")
@@ -32,19 +36,19 @@
 
 
 class PublishRefusedError(FigstepError):
-    """The log holds the edit, but the fold refused it."""
+    """The log holds the edit, but the configuration rules refuse it."""
 
 
 class FrameError(FigstepError):
-    """A target's stream of events cannot be read."""
+    """The event stream of a target cannot be parsed."""
 
 
 class PublishUncertainError(FigstepError):
-    """The append got no answer and the log could not be read back in time."""
+    """An append got no answer, and its record was not found before the deadline."""
 
 
 class NotInForceError(FigstepError):
-    """The edit is accepted, but not every live entry shows it yet."""
+    """The edit is accepted, but not yet in force on every required live entry."""
 
 
 class InstancesUnavailableError(FigstepError):
@@ -52,11 +56,15 @@
 
 
 class UnknownTargetError(FigstepError):
-    """The accepted document has no such target."""
+    """The accepted document has no such target or failure domain."""
 
 
 class RefusedError(FigstepError):
-    """A request ends at the border with ``problem`` as its answer."""
+    """A request is refused before it is dispatched.
+
+    Attributes:
+        problem: Problem that the caller gets as the answer.
+    """
 
     def __init__(self, problem: Problem) -> None:
         super().__init__(problem.detail)
@@ -64,8 +72,8 @@
 
 
 class PeerMessageError(FigstepError):
-    """A message between entries is damaged or not authentic."""
+    """A message between entries is malformed or fails authentication."""
 
 
 class ChangeError(FigstepError):
-    """A change of the configuration does not fit the document it was made from."""
+    """A configuration change cannot be applied to its base document."""
--- a/figstep/inventory.py
+++ b/figstep/inventory.py
@@ -1,4 +1,7 @@
-"""Border of the inventory document: pydantic in, frozen data classes out."""
+"""Validation of the inventory document with pydantic, and its conversion.
+
+The result is the frozen data classes of ``figstep.core.inventory``.
+"""
 
 import hashlib
 from collections import Counter
@@ -20,14 +23,14 @@
 
 
 class FailureDomainModel(_Model):
-    """A failure domain and its region."""
+    """A failure domain and the region that it belongs to."""
 
     name: str = Name
     region: str
 
 
 class InstanceModel(_Model):
-    """A machine of the asset register."""
+    """A machine that the asset register lists, as an entry or a target."""
 
     name: str = Name
     kind: Literal["entry", "target"] = "target"
@@ -36,7 +39,7 @@
 
 
 class EngineModel(_Model):
-    """A model engine of the asset register."""
+    """A model engine that the asset register lists."""
 
     name: str = Name
     address: str
@@ -62,7 +65,7 @@
 
 
 class ModelModel(_Model):
-    """A model, its wanted version and adapters."""
+    """A model with the version and the adapters that engines shall load."""
 
     name: str
     version: str = "1"
@@ -70,7 +73,7 @@
 
 
 class CustomerModel(_Model):
-    """A customer and the SHA-256 of its key, in hexadecimal."""
+    """A customer and the SHA-256 hash of its key, in hexadecimal."""
 
     name: str
     key_hash: str = Field(pattern=r"^[0-9a-f]{64}$")
@@ -79,7 +82,7 @@
 
 
 class NonIdempotentModel(_Model):
-    """Calls that run at most once."""
+    """Rule that matches non-idempotent requests, which run at most once."""
 
     service: str
     method: str | None = None
@@ -89,7 +92,7 @@
 
 
 class PriorityModel(_Model):
-    """Priority of requests by customer and model."""
+    """Rule for the priority of requests by customer and model."""
 
     priority: int = Field(ge=-100, le=100)
     customer: str | None = None
@@ -97,7 +100,7 @@
 
 
 class PlacementModel(_Model):
-    """Wanted replicas of a model in each of the failure domains."""
+    """Rule for the number of replicas of a model in each listed failure domain."""
 
     model: str
     replicas: int = Field(ge=0)
@@ -105,21 +108,21 @@
 
 
 class DrainModel(_Model):
-    """A target that shall get no new work."""
+    """A draining target, which gets no new work."""
 
     target: str
     reason: str = ""
 
 
 class EvacuationModel(_Model):
-    """A failure domain whose targets shall get no new work."""
+    """An evacuated failure domain, whose targets get no new work."""
 
     failure_domain: str
     reason: str = ""
 
 
 class RulesModel(_Model):
-    """Operators' rules."""
+    """Rules that the operators set."""
 
     non_idempotent: tuple[NonIdempotentModel, ...] = ()
     deadline_ms: int = Field(default=60_000, gt=0)
@@ -134,7 +137,7 @@
 
 
 class InventoryModel(_Model):
-    """The whole document."""
+    """The inventory document."""
 
     failure_domains: tuple[FailureDomainModel, ...] = ()
     instances: tuple[InstanceModel, ...] = ()
@@ -211,22 +214,26 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the SHA-256 of a customer's key, in hexadecimal."""
+    """Return the SHA-256 hash of a customer's key, in hexadecimal."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 VALIDATION = 2
-"""Version of the rules below; any change of what is valid raises it."""
+"""Version of the validation rules in this module. Any change to the set of valid
+documents increases it."""
 
 MIN_VERSION_WITH_EVACUATIONS = 2
-"""Version from which on a document may name evacuated failure domains."""
+"""First validation version that allows evacuated failure domains in a document."""
 
 
 def parse_version(document: Any, validation: int) -> core.Inventory | None:
-    """Validate by the rules of one version; None if it is not known here.
+    """Validate a document by the rules of a validation version.
+
+    Returns:
+        The inventory, or None if this program does not know the version.
 
     Raises:
-        InventoryError: Naming each wrong field and what to write.
+        InventoryError: Names each invalid field and its correction.
     """
     if not 1 <= validation <= VALIDATION:
         return None
@@ -239,10 +246,10 @@
 
 
 def parse_inventory(document: Any) -> core.Inventory:
-    """Validate a document and turn it into data classes.
+    """Validate a document and convert it to data classes.
 
     Raises:
-        InventoryError: Naming each wrong field and what to write.
+        InventoryError: Names each invalid field and its correction.
     """
     try:
         model = InventoryModel.model_validate(document)
--- a/figstep/load.py
+++ b/figstep/load.py
@@ -1,4 +1,4 @@
-"""Load on live entries over HTTP, from a YAML scenario with a fixed seed."""
+"""Load generator for live entries, from a YAML scenario with a fixed seed."""
 
 import asyncio
 import random
@@ -16,6 +16,7 @@
 from figstep.net.frames import FrameSplitter
 from figstep.settings import describe_errors, load_yaml
 
+# Number of characters that a prompt gets for each of its tokens.
 CHARACTERS_PER_TOKEN = 4
 
 
@@ -24,7 +25,13 @@
 
 
 class LoadCustomer(_Model):
-    """A customer that sends requests; ``weight`` is its part of all."""
+    """A customer that sends requests.
+
+    Attributes:
+        name: Name of the customer.
+        key: Key that authenticates its requests.
+        weight: Relative share of all requests that this customer sends.
+    """
 
     name: str
     key: str
@@ -32,10 +39,17 @@
 
 
 class Lengths(_Model):
-    """Lengths of answers, in tokens: short ones, and a heavy tail of long ones.
+    """Distribution of answer lengths: short answers and a heavy tail of long ones.
 
-    Stand-in engines take the drawn length from the body; a real engine
-    ignores it and decides for itself.
+    Stand-in engines read the drawn length from the request body. A real engine
+    ignores it and decides the length itself.
+
+    Attributes:
+        short_part: Fraction of short answers, from 0 to 1.
+        short_mean: Mean length of short answers, in tokens.
+        long_median: Median length of long answers, in tokens.
+        long_sigma: Standard deviation of the logarithm of long lengths.
+        most: Largest length of an answer, in tokens.
     """
 
     short_part: float = Field(default=0.7, ge=0, le=1)
@@ -46,19 +60,19 @@
 
 
 class Scenario(_Model):
-    """What to send where.
+    """Load scenario.
 
     Attributes:
-        entries: Base URLs; each request goes to the next one.
-        model: Model asked for.
-        customers: Who sends.
-        seconds: How long requests are sent for.
-        rate: Mean requests a second (Poisson arrivals).
+        entries: Base URLs of the entries, used in turn by successive requests.
+        model: Name of the requested model.
+        customers: Customers that send requests.
+        seconds: Duration for which requests are sent, in seconds.
+        rate: Mean number of requests a second (Poisson arrivals).
         seed: Seed of arrivals, customers and lengths.
-        prompt_tokens: Mean length of a prompt.
-        lengths: Lengths of answers.
-        returns: How often a caller whose stream broke comes back.
-        timeout_seconds: When a caller gives up.
+        prompt_tokens: Mean length of a prompt, in tokens.
+        lengths: Distribution of answer lengths.
+        returns: Largest number of reconnects of a caller whose stream broke.
+        timeout_seconds: Time after which a caller abandons a connection, in seconds.
     """
 
     entries: tuple[str, ...] = Field(min_length=1)
@@ -75,7 +89,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request of the scenario; ``at`` in seconds from the start."""
+    """One request of a scenario.
+
+    Attributes:
+        at: Time at which the request is sent, in seconds from the start.
+        customer: Customer that sends the request.
+        prompt_tokens: Length of the prompt, in tokens.
+        length: Length of the answer, in tokens.
+    """
 
     at: float
     customer: LoadCustomer
@@ -87,7 +108,7 @@
     """Read and validate a scenario.
 
     Raises:
-        SettingsError: Naming the file, each wrong field and what to write.
+        SettingsError: Names the file, each invalid field and its correction.
     """
     try:
         return Scenario.model_validate(load_yaml(path))
@@ -96,7 +117,7 @@
 
 
 def draw_arrivals(scenario: Scenario) -> list[Arrival]:
-    """Return the scenario's requests, the same ones for the same seed."""
+    """Draw the requests of a scenario; the same seed gives the same requests."""
     rng = random.Random(scenario.seed)
     weights = [customer.weight for customer in scenario.customers]
     arrivals = []
@@ -119,7 +140,11 @@
 
 
 class LoadRun:
-    """Sends one scenario and keeps what its callers saw."""
+    """Sends the requests of a scenario and records when their events arrive.
+
+    Attributes:
+        streams: Timestamps of each request, in the order of sending.
+    """
 
     def __init__(self, scenario: Scenario) -> None:
         self._scenario = scenario
@@ -127,7 +152,7 @@
         self.streams: list[StreamTimes] = []
 
     async def run(self) -> Summary:
-        """Send every request at its time; return when the last has ended."""
+        """Send each request at its time, wait for all of them, return the measures."""
         timeout = aiohttp.ClientTimeout(total=self._scenario.timeout_seconds)
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(
@@ -156,7 +181,7 @@
     async def _read_stream(
         self, entry: str, arrival: Arrival, stream: StreamTimes, last_event: str
     ) -> str:
-        """Read until the end or a break; return the id of the last event."""
+        """Read a stream until it ends or breaks; return the id of the last event."""
         assert self._session is not None
         headers = {"Authorization": f"Bearer {arrival.customer.key}"}
         if last_event:
@@ -210,7 +235,7 @@
 
 
 def format_summary(summary: Summary) -> str:
-    """Return the measures as a table, one a line."""
+    """Return the measures as a text table with one measure per line."""
     lines = []
     for name, value in asdict(summary).items():
         shown = f"{value:.1f}" if isinstance(value, float) else str(value)
@@ -219,6 +244,6 @@
 
 
 def write_results(path: Path, label: str, summary: Summary) -> None:
-    """Write the measures as JSON, under the label that a plot shows."""
+    """Write the measures to a JSON file, with the label that plots show."""
     document: dict[str, Any] = {"label": label, **asdict(summary)}
     path.write_bytes(orjson.dumps(document, option=orjson.OPT_INDENT_2))
--- a/figstep/logs.py
+++ b/figstep/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line, by logbook."""
+"""Structured logging through logbook, as one JSON object per line."""
 
 import os
 import sys
@@ -11,15 +11,16 @@
 import orjson
 
 MAX_LINES_PER_SECOND = 400
-"""Lines a second. An entry at its share of the peak writes some tens; a flood
-of refusals would else spend its processor on writing about them."""
+"""Maximum number of log lines a second. An entry at its share of the peak load writes
+some tens a second. Without a limit, a flood of refused requests would use up the
+processor for writing log lines."""
 
 
 class JsonLinesHandler(logbook.StreamHandler):  # type: ignore[misc]
-    """Writes each record as a JSON object on its own line."""
+    """Log handler that writes each record as a JSON object on its own line."""
 
     def format(self, record: logbook.LogRecord) -> str:
-        """Return the record as one line."""
+        """Return a record as one line of JSON, without the line end."""
         line: dict[str, Any] = {
             "time": record.time.isoformat(),
             "level": record.level_name.lower(),
@@ -33,14 +34,15 @@
 
 
 class BoundedLinesHandler(JsonLinesHandler):
-    """Writes a bounded number of lines a second, and never waits for a reader.
+    """Log handler that limits the lines a second and never blocks on its output.
 
-    A reader that stops reading would hold up the process at its next line, and
-    with it every caller. Lines that find no room are counted, and the count is
-    written with the next line that does.
+    If the process that reads the logs stops reading, a blocking write would stall
+    this process and all of its callers. Lines over the limit, or that the pipe does
+    not accept, are dropped and counted; the next line that is written carries the
+    count as ``lines_left_out``.
 
     Attributes:
-        dropped_lines: Lines left out since the last one written.
+        dropped_lines: Number of lines dropped since the last one written.
     """
 
     def __init__(
@@ -59,7 +61,7 @@
         self._unwritten = b""
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Write a record, or count it as left out."""
+        """Write a record, or drop and count it."""
         second = int(self._read_clock())
         if second != self._second:
             self._second = second
@@ -76,14 +78,18 @@
         self._flush_unwritten()
 
     def _flush_unwritten(self) -> bool:
-        """Write what is left of a line; False while the reader takes none."""
+        """Write the pending bytes of a line.
+
+        Returns:
+            False if the pipe is full and bytes are still pending.
+        """
         while self._unwritten:
             try:
                 written = os.write(self._descriptor, self._unwritten)
             except BlockingIOError:
                 return False
             except OSError:
-                # Nobody reads any more; there is nowhere to say so.
+                # The reading end is closed, so this error cannot be logged either.
                 self._unwritten = b""
                 return True
             self._unwritten = self._unwritten[written:]
@@ -91,9 +97,11 @@
 
 
 def install_logs(level: str = "INFO", stream: TextIO | None = None) -> None:
-    """Send every log record to ``stream`` (standard error if None).
+    """Write all log records to a stream, including those of the ``logging`` module.
 
-    Libraries that use the standard library's logging are included.
+    Args:
+        level: Lowest level that is written.
+        stream: Stream to write to; standard error if None.
     """
     handler = JsonLinesHandler(stream or sys.stderr, level=level.upper())
     handler.push_application()
@@ -101,7 +109,11 @@
 
 
 def install_bounded_logs(level: str = "INFO") -> None:
-    """Send log records to standard output, bounded, without ever waiting."""
+    """Write log records to standard output, rate-limited and without blocking.
+
+    Args:
+        level: Lowest level that is written.
+    """
     handler = BoundedLinesHandler(sys.stdout.fileno(), level.upper())
     handler.push_application()
     logbook.compat.redirect_logging()
--- a/figstep/measures.py
+++ b/figstep/measures.py
@@ -1,27 +1,27 @@
-"""The measures that the users weigh, from the times at which events came."""
+"""Latency measures of streams, computed from the arrival times of their events."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 STALL_THRESHOLD_MS = 250.0
-"""A wait longer than this, in milliseconds, counts as a stall, whole."""
+"""Threshold in milliseconds: a longer wait counts as a stall with its whole length."""
 
 
 @dataclass(slots=True)
 class StreamTimes:
-    """What one caller saw of one request; times in milliseconds.
+    """Timestamps of one request as its caller observed them, in milliseconds.
 
     Attributes:
-        customer: Whose request it was.
-        asked: When it was sent.
-        tokens: When each token event came.
-        ended: When the answer ended, or None if it never did.
-        whole: Whether the answer was whole.
-        refused: Code of the problem that ended it, or "".
+        customer: Customer that sent the request.
+        sent_at: Time at which the request was sent.
+        tokens: Arrival time of each token event.
+        ended: Time at which the answer ended, or None if it did not end.
+        whole: Whether the answer was complete.
+        refused: Code of the problem that ended the request, or "".
     """
 
     customer: str
-    asked: float
+    sent_at: float
     tokens: list[float] = field(default_factory=list)
     ended: float | None = None
     whole: bool = False
@@ -30,7 +30,7 @@
     def list_waits(self) -> list[float]:
         """Return the wait for the first token, then the gaps between tokens."""
         waits = []
-        previous = self.asked
+        previous = self.sent_at
         for at in self.tokens:
             waits.append(at - previous)
             previous = at
@@ -39,23 +39,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """Measures of a run; times in milliseconds.
+    """Measures of a run, with times in milliseconds.
 
     Attributes:
-        requests: Requests sent.
-        whole: Requests answered whole.
-        refused: Requests that ended with a problem.
-        broken: Requests that ended with neither.
-        tokens: Token events that came.
-        stall_sum: Sum of all stalls.
-        stall_p99: 99th percentile over streams of a stream's stalls.
-        first_token_p95: 95th percentile of the wait for the first token.
+        requests: Number of requests sent.
+        whole: Number of requests with a complete answer.
+        refused: Number of requests that ended with a problem.
+        broken: Number of requests with neither a complete answer nor a problem.
+        tokens: Number of token events received.
+        stall_sum: Sum of the stall times of all streams.
+        stall_p99: 99th percentile over streams of the stall time per stream.
+        first_token_p95: 95th percentile of the time to the first token.
         gap_p50: Median gap between tokens.
-        gap_p95: 95th percentile of it.
-        gap_p99: 99th percentile of it.
+        gap_p95: 95th percentile of the gap between tokens.
+        gap_p99: 99th percentile of the gap between tokens.
         gap_max: Longest gap between tokens.
-        least_share: Least over customers of the share of its requests that
-            were answered whole.
+        least_share: Smallest fraction of completely answered requests over all
+            customers, from 0 to 1.
     """
 
     requests: int
@@ -74,7 +74,7 @@
 
 
 def find_percentile(values: Iterable[float], percent: float) -> float:
-    """Return the smallest value that ``percent`` of all do not exceed; 0 if none."""
+    """Return the percentile of values by the nearest-rank method; 0 for no values."""
     ordered = sorted(values)
     if not ordered:
         return 0.0
@@ -83,12 +83,12 @@
 
 
 def sum_stalls(stream: StreamTimes) -> float:
-    """Return the time that a stream waited with nothing delivered, in ms."""
+    """Return the total stall time of a stream, in milliseconds."""
     return sum(wait for wait in stream.list_waits() if wait > STALL_THRESHOLD_MS)
 
 
 def summarize_streams(streams: list[StreamTimes]) -> Summary:
-    """Return the measures of a run."""
+    """Return the measures over all streams of a run."""
     gaps: list[float] = []
     firsts = []
     for stream in streams:
@@ -116,11 +116,11 @@
 
 
 def _find_least_share(streams: list[StreamTimes]) -> float:
-    asked: dict[str, int] = {}
+    requested: dict[str, int] = {}
     answered: dict[str, int] = {}
     for stream in streams:
-        asked[stream.customer] = asked.get(stream.customer, 0) + 1
+        requested[stream.customer] = requested.get(stream.customer, 0) + 1
         if stream.whole:
             answered[stream.customer] = answered.get(stream.customer, 0) + 1
-    shares = [answered.get(name, 0) / count for name, count in asked.items()]
+    shares = [answered.get(name, 0) / count for name, count in requested.items()]
     return min(shares, default=1.0)
--- a/figstep/metrics.py
+++ b/figstep/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by statsd; without an address they go nowhere."""
+"""Metrics through statsd, or in memory if no server is configured."""
 
 from abc import ABC, abstractmethod
 
@@ -6,7 +6,7 @@
 
 
 class Metrics(ABC):
-    """Where counters, gauges and timings go."""
+    """Interface for recording counters, gauges and timings."""
 
     @abstractmethod
     def count(self, name: str, value: int = 1) -> None:
@@ -22,10 +22,10 @@
 
 
 class StatsdMetrics(Metrics):
-    """Sends to a statsd server over UDP."""
+    """Sends metrics to a statsd server over UDP."""
 
     def __init__(self, host: str, port: int, node: str) -> None:
-        # Gauges of two entries under one name would overwrite each other.
+        # Gauges of two entries with the same name would overwrite each other.
         prefix = f"figstep.{node.replace('.', '-')}"
         self._client = statsd.StatsClient(host, port, prefix=prefix)
 
@@ -43,7 +43,7 @@
 
 
 class MemoryMetrics(Metrics):
-    """Keeps everything in memory: the twin for tests and for no server."""
+    """Keeps metrics in memory, for tests and for entries without a statsd server."""
 
     def __init__(self) -> None:
         self.counters: dict[str, int] = {}
@@ -58,5 +58,5 @@
         self.gauges[name] = value
 
     def time(self, name: str, millis: float) -> None:
-        """Record a duration as the last gauge of that name."""
+        """Store a duration in milliseconds as the gauge of that name."""
         self.gauges[name] = millis
--- a/figstep/operations.py
+++ b/figstep/operations.py
@@ -1,4 +1,4 @@
-"""What an operator can do, one function each; the command line wraps these."""
+"""Operator commands as functions; the command line interface calls these."""
 
 import asyncio
 import time
@@ -44,20 +44,24 @@
 
 T = TypeVar("T")
 
+# Longest time to look for an appended edit in the log.
 READ_BACK_TIMEOUT_SECONDS = 30.0
+# Interval between two reads of the log while looking for an appended edit.
 READ_BACK_INTERVAL_SECONDS = 0.5
+# Interval between two rounds of status queries while waiting for an edit.
 STATUS_POLL_INTERVAL_SECONDS = 0.1
+# Longest time for one query of an entry's status or of the instance list.
 STATUS_TIMEOUT = aiohttp.ClientTimeout(total=2.0)
 
 
 @dataclass(frozen=True, slots=True)
 class EntryStatus:
-    """What one entry of the instance list tells of itself.
+    """Status of one entry of the instance list.
 
     Attributes:
-        name: Its name.
-        address: Base URL.
-        status: Its ``GET /status`` document, or None if it gave no answer.
+        name: Name of the entry.
+        address: Base URL of the entry.
+        status: Document from ``GET /status``, or None if the entry did not answer.
     """
 
     name: str
@@ -66,7 +70,7 @@
 
     @property
     def offset(self) -> int | None:
-        """Offset of the document in force there; None if unknown."""
+        """Offset of the document in force on this entry; None if unknown."""
         return None if self.status is None else self.status["configuration_offset"]
 
 
@@ -74,14 +78,18 @@
     """Validate an inventory file.
 
     Raises:
-        SettingsError: If the file cannot be read.
+        SettingsError: If the file cannot be read or is not YAML.
         InventoryError: If the document is not valid.
     """
     return parse_inventory(load_yaml(path))
 
 
 async def read_records(log: LogClient) -> list[LogRecord]:
-    """Return every record of the configuration stream that is still kept."""
+    """Return all records of the configuration stream that the log still holds.
+
+    Raises:
+        LogUnavailableError: The log could not be read.
+    """
     records: list[LogRecord] = []
     start = 0
     while True:
@@ -97,7 +105,11 @@
 
 
 async def follow_trail(log: LogClient, reader: TrailReader) -> TrailReader:
-    """Read on to the end of the stream; start anew where the log dropped some."""
+    """Read the configuration stream to its end, from the reader's position.
+
+    Returns:
+        The reader, or a new one if the log deleted records that were not read yet.
+    """
     start = reader.next
     while True:
         try:
@@ -123,14 +135,15 @@
     reason: str,
     read_back_timeout: float = READ_BACK_TIMEOUT_SECONDS,
 ) -> int:
-    """Append a document and return its offset once the fold accepts it.
+    """Append a document to the log and return its offset once it is accepted.
 
     Raises:
         InventoryError: The document is not valid; nothing was appended.
         LogUnavailableError: The log could not be read; nothing was appended.
-        PublishRefusedError: Another edit won.
-        PublishUncertainError: The append's answer was lost and the log could
-            not be read back; nothing was appended again.
+        PublishRefusedError: The edit is refused, for example because another edit
+            was accepted first, or this program cannot evaluate the log.
+        PublishUncertainError: The append got no answer and the edit was not found
+            in the log before the deadline; the append is not repeated.
     """
     parse_inventory(document)
     reader = await follow_trail(log, TrailReader())
@@ -140,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """A document that someone wants in force, and why."""
+    """A document to be published, with its author and reason."""
 
     document: dict[str, Any]
     author: str
@@ -150,7 +163,13 @@
 async def append_edit(
     log: LogClient, reader: TrailReader, edit: Edit, read_back_timeout: float
 ) -> int:
-    """Append an edit made from what ``reader`` shows; see ``publish_document``."""
+    """Append an edit that is based on the reader's trail and return its offset.
+
+    Raises:
+        LogUnavailableError: See ``publish_document``.
+        PublishRefusedError: See ``publish_document``.
+        PublishUncertainError: See ``publish_document``.
+    """
     trail = reader.trail
     if trail.stalled:
         raise PublishRefusedError(
@@ -169,9 +188,9 @@
     try:
         await log.append(CONFIGURATION, [record])
     except LogUnavailableError:
-        # The append may have taken effect although its answer was lost. A
-        # second append would be a second edit in the audit trail, and would
-        # be reported refused although the first one won; the log itself tells.
+        # The append may have taken effect although its answer was lost. Repeating
+        # it would add a second edit to the audit trail, which would be reported as
+        # refused although the first one was accepted. So the log is read instead.
         pass
     entry = await _read_back(log, reader, name, read_back_timeout)
     if entry.verdict != "accepted":
@@ -182,8 +201,8 @@
 def _encode_content(trail: Trail, document: dict[str, Any]) -> dict[str, Any]:
     """Return the changes against the document in force, or the whole document.
 
-    A record is read by every entry: at some thousand customers the whole
-    document at each edit would use up what an entry may read for control.
+    Every entry reads each record. With some thousand customers, sending the whole
+    document with each edit would exceed an entry's budget for control traffic.
     """
     if trail.current is None:
         return {"document": document}
@@ -201,7 +220,7 @@
         try:
             reader = await follow_trail(log, reader)
         except LogUnavailableError:
-            pass  # The outage may end before the deadline.
+            pass  # The log may become available again before the deadline.
         for entry in reader.trail.entries:
             if entry.edit == name:
                 return entry
@@ -217,18 +236,21 @@
 async def drain_target(
     log: LogClient, target: str, author: str, reason: str, drain: bool = True
 ) -> int:
-    """Publish the document in force with ``target`` listed as draining, or not.
+    """Publish the document in force with a target added to or removed from draining.
 
     Args:
-        log: The log service.
-        target: Target name.
-        author: Who drains it.
-        reason: Why.
-        drain: False ends a drain.
+        log: Client of the log service.
+        target: Name of the target.
+        author: Author of the edit.
+        reason: Reason for the edit.
+        drain: Whether to start the drain; False ends it.
+
+    Returns:
+        Offset of the accepted edit.
 
     Raises:
         UnknownTargetError: The document has no such target.
-        PublishRefusedError: Another edit won.
+        PublishRefusedError: Another edit was accepted first.
     """
     reader, document = await _read_document(log)
     targets = [*document.get("engines", []), *document.get("services", [])]
@@ -244,18 +266,21 @@
 async def evacuate_domain(
     log: LogClient, domain: str, author: str, reason: str, evacuate: bool = True
 ) -> int:
-    """Publish the document in force with ``domain`` listed as evacuated, or not.
+    """Publish the document in force with a domain added to or removed from evacuated.
 
     Args:
-        log: The log service.
+        log: Client of the log service.
         domain: Name of the failure domain.
-        author: Who evacuates it.
-        reason: Why.
-        evacuate: False ends an evacuation.
+        author: Author of the edit.
+        reason: Reason for the edit.
+        evacuate: Whether to start the evacuation; False ends it.
+
+    Returns:
+        Offset of the accepted edit.
 
     Raises:
         UnknownTargetError: The document has no such failure domain.
-        PublishRefusedError: Another edit won.
+        PublishRefusedError: Another edit was accepted first.
     """
     reader, document = await _read_document(log)
     if domain not in {item["name"] for item in document.get("failure_domains", [])}:
@@ -301,7 +326,12 @@
 async def compare_document(
     log: LogClient, document: dict[str, Any]
 ) -> list[FieldChange]:
-    """Return what ``document`` would change against the one in force."""
+    """Return the changes from the document in force to ``document``.
+
+    Raises:
+        InventoryError: The document is not valid.
+        LogUnavailableError: The log could not be read.
+    """
     parse_inventory(document)
     trail = await read_history(log)
     current = {} if trail.current is None else trail.current.document
@@ -311,10 +341,10 @@
 async def read_entries(
     session: aiohttp.ClientSession, instances_url: str
 ) -> list[InstanceInfo]:
-    """Return the live entries of the platform's instance list.
+    """Return the entries of the platform's instance list that are not leaving.
 
     Raises:
-        InstancesUnavailableError: The list gave no answer.
+        InstancesUnavailableError: The list gave no valid answer.
     """
     url = instances_url.rstrip("/") + "/instances"
     try:
@@ -332,7 +362,11 @@
 
 
 async def read_status(instances_url: str) -> list[EntryStatus]:
-    """Ask every live entry for its status."""
+    """Query the status of every live entry.
+
+    Raises:
+        InstancesUnavailableError: The instance list gave no valid answer.
+    """
     async with aiohttp.ClientSession() as session:
         entries = await read_entries(session, instances_url)
         return await _query_entries(session, entries)
@@ -360,16 +394,21 @@
 async def wait_in_force(
     instances_url: str, offset: int, seconds: float, required_entries: int | None = None
 ) -> int:
-    """Return how many entries show ``offset`` or later, once all live ones do.
+    """Wait until an edit is in force on the required number of live entries.
 
     Args:
         instances_url: Base URL of the instance list.
         offset: Offset of the accepted edit.
-        seconds: Longest wait, in seconds.
-        required_entries: Entries that must show it; all listed ones if None.
+        seconds: Longest time to wait, in seconds.
+        required_entries: Number of entries that must show the offset or a later one;
+            all live entries if None.
+
+    Returns:
+        Number of entries that show the offset or a later one.
 
     Raises:
-        NotInForceError: The time ran out; names the entries that lag.
+        NotInForceError: The time ran out; the message names the entries that lag.
+        InstancesUnavailableError: The instance list gave no valid answer.
     """
     deadline = time.monotonic() + seconds
     async with aiohttp.ClientSession() as session:
@@ -404,7 +443,7 @@
 
 @asynccontextmanager
 async def open_log(url: str) -> AsyncIterator[LogClient]:
-    """Open the log service for one operation."""
+    """Open a client of the log service and close it afterwards."""
     log = HttpLog(url)
     try:
         yield log
@@ -413,7 +452,7 @@
 
 
 def run_with_log(url: str, operation: Callable[[LogClient], Awaitable[T]]) -> T:
-    """Run one operation on the log service to its end."""
+    """Run an operation on the log service in a new event loop; return its result."""
 
     async def run() -> T:
         async with open_log(url) as log:
@@ -426,7 +465,7 @@
     """Read an inventory file and validate it.
 
     Raises:
-        SettingsError: If the file cannot be read.
+        SettingsError: If the file cannot be read or is not YAML.
         InventoryError: If the document is not valid.
     """
     document: dict[str, Any] = load_yaml(path)
--- a/figstep/plots.py
+++ b/figstep/plots.py
@@ -1,4 +1,4 @@
-"""Plots of the three measures by policy; needs the extra ``plots``."""
+"""Bar plots of the measures of runs; requires the extra ``plots``."""
 
 from pathlib import Path
 from typing import Any
@@ -19,7 +19,7 @@
 
 
 def read_results(paths: list[Path]) -> list[dict[str, Any]]:
-    """Read result files; each holds one run or a list of runs."""
+    """Read result files, each with one run or a list of runs."""
     runs: list[dict[str, Any]] = []
     for path in paths:
         document = orjson.loads(path.read_bytes())
@@ -28,14 +28,15 @@
 
 
 def draw_measures(runs: list[dict[str, Any]], path: Path) -> None:
-    """Draw a bar for each run and measure that the runs have.
+    """Draw one bar chart per measure, with a bar for each run.
 
     Args:
-        runs: Runs with a ``label`` and their measures.
-        path: Image to write; its ending sets the format.
+        runs: Runs with a ``label`` and their measures. Only measures of the first
+            run are drawn.
+        path: Path of the image; its suffix selects the format.
 
     Raises:
-        PlotUnavailableError: If matplotlib is missing.
+        PlotUnavailableError: If matplotlib is not installed.
     """
     try:
         import matplotlib
--- a/figstep/problems.py
+++ b/figstep/problems.py
@@ -1,4 +1,4 @@
-"""Problem documents: ``application/problem+json`` with an OpenAI-style error."""
+"""Problem documents (``application/problem+json``) with an OpenAI-style error."""
 
 import math
 from typing import Any
--- a/figstep/reporting.py
+++ b/figstep/reporting.py
@@ -1,4 +1,4 @@
-"""Periodic gauges of one entry: requests, memory, processor time, loop lag."""
+"""Periodic gauges of an entry: requests, memory, processor time and loop lag."""
 
 import asyncio
 import os
@@ -11,6 +11,7 @@
 
 from figstep.metrics import Metrics
 
+# Interval between two reports of the gauges.
 REPORT_INTERVAL_SECONDS = 5.0
 _PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 _STATM = Path("/proc/self/statm")
@@ -18,15 +19,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What an entry holds at a moment.
+    """Numbers of requests, streams and targets of an entry at one time.
 
     Attributes:
-        requests: Requests without a final answer.
-        queued: Those that wait for a target.
-        streams: Open streams towards callers.
-        targets: Known targets.
-        leaving: Targets that take no new work.
-        configuration_offset: Offset of the document in force; -1 for none.
+        requests: Number of requests without a final answer.
+        queued: Number of requests that wait for a target.
+        streams: Number of open streams to callers.
+        targets: Number of known targets.
+        leaving: Number of targets that accept no new work.
+        configuration_offset: Offset of the document in force; -1 if there is none.
     """
 
     requests: int
@@ -38,7 +39,7 @@
 
 
 class LoadReporter(Service):
-    """Sends the gauges of one entry."""
+    """Service that periodically reports the gauges of one entry."""
 
     def __init__(self, metrics: Metrics, read_load: Callable[[], Load]) -> None:
         super().__init__()
@@ -56,12 +57,12 @@
 
 
 def report_load(metrics: Metrics, load: Load, lag: float) -> None:
-    """Send the gauges of one moment.
+    """Report the current gauges of an entry.
 
     Args:
-        metrics: Where they go.
-        load: What the entry holds.
-        lag: How late the loop ran a timer, in seconds.
+        metrics: Receiver of the gauges.
+        load: Current load of the entry.
+        lag: Delay with which the event loop ran a timer, in seconds.
     """
     metrics.gauge("requests.open", load.requests)
     metrics.gauge("requests.queued", load.queued)
@@ -75,5 +76,5 @@
 
 
 def read_memory() -> int:
-    """Return the resident memory of this process, in bytes."""
+    """Return the resident set size of this process, in bytes."""
     return int(_STATM.read_text().split()[1]) * _PAGE_BYTES
--- a/figstep/server.py
+++ b/figstep/server.py
@@ -1,4 +1,4 @@
-"""Running an entry instance as a process: loop, signals, exit."""
+"""Runs an entry instance as a process: event loop, signals and exit code."""
 
 import asyncio
 import signal
@@ -10,17 +10,19 @@
 from figstep.logs import install_logs
 from figstep.settings import Settings
 
+# Exit code after a graceful shutdown that finished every request.
 EXIT_DRAINED = 0
+# Exit code after a second signal, which ends open requests with an error.
 EXIT_FORCED = 3
 
 _log = logbook.Logger("figstep.server")
 
 
 async def serve_until_signal(settings: Settings) -> int:
-    """Serve until SIGTERM or SIGINT, then drain; a second signal ends at once.
+    """Serve until SIGTERM or SIGINT, then drain; a second signal forces the stop.
 
     Returns:
-        ``EXIT_DRAINED`` if every request ended in its own time, or
+        ``EXIT_DRAINED`` if every request ended normally, or
         ``EXIT_FORCED`` after a second signal.
     """
     signals: asyncio.Queue[int] = asyncio.Queue()
@@ -54,6 +56,6 @@
 
 
 def run_server(settings: Settings) -> int:
-    """Run an entry instance until it is told to end; returns its exit code."""
+    """Run an entry instance until a signal ends it; return its exit code."""
     install_logs(settings.log_level)
     return uvloop.run(serve_until_signal(settings))
--- a/figstep/settings.py
+++ b/figstep/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one entry instance: YAML, validated whole at start."""
+"""Settings of one entry instance, read from YAML and validated at start."""
 
 from pathlib import Path
 from typing import Annotated, Any, Literal
@@ -23,7 +23,7 @@
 
 
 class Listen(_Model):
-    """An address to listen on; port 0 takes a free one."""
+    """An address to listen on; port 0 selects a free port."""
 
     host: str = "127.0.0.1"
     port: int = Field(default=0, ge=0, le=65535)
@@ -36,7 +36,7 @@
         log: The log service.
         instances: The instance list.
         weights: The weight store, or None.
-        log_retention_seconds: How long the log keeps a record at least.
+        log_retention_seconds: Shortest time that the log keeps a record.
     """
 
     log: BaseUrl
@@ -46,13 +46,13 @@
 
 
 class Peers(_Model):
-    """How this entry talks to the others.
+    """Communication with the other entries.
 
     Attributes:
         listen: UDP and TCP address for peers.
-        start: Addresses of other entries to try first, as "host:port".
+        start: Addresses of entries to contact at start, as "host:port".
         key: Shared key that authenticates messages.
-        old_key: Second key, accepted while keys are changed.
+        old_key: Second key, accepted while keys are rotated.
     """
 
     listen: Listen = Listen()
@@ -62,22 +62,23 @@
 
 
 class Limits(_Model):
-    """Bounds on what callers may send, hold and wait for.
+    """Limits on requests, answers and connections of callers.
 
     Attributes:
-        body_bytes: Largest body.
-        header_bytes: Largest header, request line included.
-        headers: Most headers in a request.
-        body_seconds: How long a caller may take to send its body.
-        idle_seconds: How long a connection may stay without a request, and
-            how long a request's headers may take.
-        deadline_ms: Longest deadline that a caller may ask for.
-        resume_grace_seconds: Longest time that a generation may run on for a
-            caller that vanished and asked for it.
-        buffer_bytes: Most bytes of a stream that wait for a slow reader.
-        answer_bytes: Largest answer gathered for a caller without a stream.
-        keep_alive_seconds: Period of the comments on a quiet stream.
-        stalled_seconds: How long a reader may take nothing at all.
+        body_bytes: Largest request body, in bytes.
+        header_bytes: Largest size of the request line and headers, in bytes.
+        headers: Largest number of headers in a request.
+        body_seconds: Longest time for receiving a request body, in seconds.
+        idle_seconds: Longest time that a connection may be idle, and longest time
+            for receiving the headers of a request, in seconds.
+        deadline_ms: Longest deadline that a caller may request, in milliseconds.
+        resume_grace_seconds: Longest time that a generation may continue after its
+            caller disconnected, if the caller asked for it, in seconds.
+        buffer_bytes: Largest number of unsent bytes of a stream.
+        answer_bytes: Largest answer that is collected for a caller that does not
+            stream, in bytes.
+        keep_alive_seconds: Interval of comments on an idle stream, in seconds.
+        stalled_seconds: Longest time that a caller may read nothing, in seconds.
     """
 
     body_bytes: int = Field(default=1_048_576, gt=0)
@@ -101,27 +102,28 @@
 
 
 class Tls(_Model):
-    """Certificate chain and key for callers, as PEM files."""
+    """Paths of the PEM files with the certificate chain and key for callers."""
 
     certificate: str
     key: str
 
 
 class Settings(_Model):
-    """Everything a process learns at start.
+    """All settings of an entry process.
 
     Attributes:
         node: Name of this instance.
-        failure_domain: Its failure domain.
-        region: Its region.
-        callers: Address for callers.
-        platform: The platform's services.
+        failure_domain: Failure domain of this instance.
+        region: Region of this instance.
+        callers: Address on which callers connect.
+        platform: Addresses of the platform's services.
         peers: Addresses and keys for other entries.
-        limits: Bounds on what callers may send.
+        limits: Limits on requests, answers and connections of callers.
         statsd: Metrics server, or None.
         tls: Certificate for callers, or None for plain HTTP.
-        notice_seconds: How long the listener stays open after readiness falls.
-        log_level: Lowest level written.
+        notice_seconds: How long new requests are still accepted after the entry
+            reports that it is not ready, in seconds.
+        log_level: Lowest log level that is written.
     """
 
     node: str = Field(pattern=r"^[a-z0-9.-]+$")
@@ -138,7 +140,7 @@
 
 
 def describe_errors(error: ValidationError) -> list[str]:
-    """Return a line for each wrong field: its path and what to write."""
+    """Return one line per invalid field, with its path and the correction."""
     lines = []
     for item in error.errors():
         path = ".".join(str(part) for part in item["loc"]) or "document"
@@ -151,7 +153,7 @@
     """Read a YAML file.
 
     Raises:
-        SettingsError: If it cannot be read or is not YAML.
+        SettingsError: If the file cannot be read or is not YAML.
     """
     try:
         return yaml.safe_load(path.read_text())
@@ -167,7 +169,7 @@
     """Read and validate a settings file.
 
     Raises:
-        SettingsError: Naming the file, each wrong field and what to write.
+        SettingsError: Names the file, each invalid field and its correction.
     """
     document = load_yaml(path)
     try:
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests; ``test_X.py`` mirrors ``X.py``."""
+"""Tests of figstep; ``test_X.py`` tests the module ``X.py``."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Tests listed in KNOWN-RED.txt are run, and told apart from other failures."""
+"""Runs the tests listed in KNOWN-RED.txt and reports them separately."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -12,7 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """A line of KNOWN-RED.txt."""
+    """A line of KNOWN-RED.txt.
+
+    Attributes:
+        test: Id of the test.
+        command: Command and seed that reproduce the failure.
+        cause: What was seen, and the cause as far as it is known.
+        issue: Number of the issue.
+    """
 
     test: str
     command: str
@@ -21,7 +28,7 @@
 
 
 def read_known_red(path: Path) -> list[KnownRed]:
-    """Return the lines of the list; a missing file is an empty one.
+    """Return the listed tests; an empty list if the file does not exist.
 
     Raises:
         pytest.UsageError: If a line is incomplete, or a test is listed twice.
--- a/tests/integration/conftest.py
+++ b/tests/integration/conftest.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios; each step runs on the scenario's own loop."""
+"""Step definitions; each step runs on the event loop of its scenario."""
 
 import asyncio
 from collections.abc import Coroutine, Iterator
@@ -19,7 +19,14 @@
 
 
 class World:
-    """A scenario: its loop, its fleet and the caller that it is told of."""
+    """State of one scenario.
+
+    Attributes:
+        fleet: Fleet of entries and stand-ins.
+        caller: Caller that the steps refer to as "it".
+        others: Further callers of the scenario.
+        engine: Name of the engine that runs the caller's request; "" if not known.
+    """
 
     def __init__(self, runner: asyncio.Runner, folder: Path) -> None:
         self._runner = runner
@@ -29,15 +36,15 @@
         self.engine = ""
 
     def run(self, work: Coroutine[Any, Any, Any]) -> Any:
-        """Run to the end."""
+        """Run a coroutine to its end; return its result."""
         return self._runner.run(work)
 
     def call(self, **kwargs: Any) -> Caller:
-        """Return a new caller with a tag of its own."""
+        """Return a new caller with a unique tag."""
         return self.fleet.call(f"request-{len(self.fleet.callers) + 1}", **kwargs)
 
     def find_engine(self) -> str:
-        """Return the engine that runs the caller's request."""
+        """Return the name of the engine that runs the caller's request."""
         if not self.engine:
             self.engine = self.run(self.fleet.find_engine(self.caller.history.tag))
         return self.engine
--- a/tests/integration/test_configuration.py
+++ b/tests/integration/test_configuration.py
@@ -1,4 +1,4 @@
-"""Publishing under races and failures of the log."""
+"""Tests of publishing during races and failures of the log."""
 
 import asyncio
 from copy import deepcopy
@@ -26,7 +26,7 @@
 
 
 async def add_customer(world: World, name: str) -> int | FigstepError:
-    """Publish one more customer, whose key is its name."""
+    """Publish the document with one more customer, whose key is its name."""
     document = deepcopy(world.fleet.document)
     document["customers"].append({"name": name, "key_hash": hash_key(name)})
     try:
@@ -36,7 +36,7 @@
 
 
 async def request_as(url: str, key: str) -> int:
-    """Return the status that a customer gets from one entry."""
+    """Return the HTTP status of a customer's completion request to one entry."""
     body = {"model": MODEL, "prompt": "menu", "standin_length": 1}
     headers = {"Authorization": f"Bearer {key}"}
     async with (
@@ -107,7 +107,7 @@
     async def run() -> Any:
         log = world.fleet.log
         edit = asyncio.create_task(add_customer(world, name))
-        # Entries append snapshots and claims of their own meanwhile.
+        # Meanwhile the entries append their own snapshots and claims.
         await wait_for(lambda: holds_edit(log, name), "the append took effect")
         log.available = False
         await asyncio.sleep(OUTAGE_SECONDS)
@@ -119,7 +119,7 @@
 
 def holds_edit(log: LogService, author: str) -> bool:
     for record in log.list_records(CONFIGURATION):
-        # A snapshot names the author of the document as well.
+        # A snapshot also names the author of its document.
         if record["author"] == author and record["kind"] != SNAPSHOT:
             return True
     return False
@@ -140,7 +140,7 @@
     records = world.run(read_records(world.fleet.log_client))
     edits = []
     for record in records:
-        # An entry may have appended a snapshot, which names the author as well.
+        # An entry may have appended a snapshot, which also names the author.
         if record.data["author"] == "alpha" and record.data["kind"] != SNAPSHOT:
             edits.append(record)
     assert len(edits) == 1
--- a/tests/integration/test_generations.py
+++ b/tests/integration/test_generations.py
@@ -1,4 +1,4 @@
-"""Answers under failures of entries, engines and links."""
+"""Tests of answers while entries, engines and links fail."""
 
 from pytest_bdd import scenarios
 
--- a/tests/integration/test_leases.py
+++ b/tests/integration/test_leases.py
@@ -1,4 +1,4 @@
-"""Orders to engines while the holder of the lease is frozen and wakes."""
+"""Tests of orders to engines when a lease holder is frozen and resumes."""
 
 from copy import deepcopy
 from pathlib import Path
@@ -31,11 +31,11 @@
 async def test_a_frozen_holder_is_replaced_and_does_no_harm_when_it_wakes(
     tmp_path: Path,
 ) -> None:
-    """An engine is to serve a new version while the node that orders is frozen.
+    """An engine must load a new version while the lease holder is frozen.
 
-    The frozen node's lease lapses and the other one takes it, with a higher
-    number, and loads the version. When the first node wakes it must not load
-    the old version again, nor act on its old number.
+    The frozen holder's lease expires, and the other entry acquires it with a higher
+    fencing number and orders the new version. When the first holder resumes, it must
+    not load the old version again or act with its old fencing number.
     """
     fleet = Fleet(tmp_path)
     engine = EngineServer("engine-1")
--- a/tests/integration/test_orders.py
+++ b/tests/integration/test_orders.py
@@ -1,4 +1,4 @@
-"""Non-idempotent orders under failures of entries, links and the log."""
+"""Tests of non-idempotent orders while entries, links and the log fail."""
 
 import asyncio
 from dataclasses import replace
@@ -16,7 +16,7 @@
 
 
 async def order(world: World, name: str, entry: str) -> Caller:
-    """Send an order without waiting; the same caller sends it again."""
+    """Send an order without waiting; an order sent again uses the same caller."""
     caller = world.caller
     if caller.history.tag != name:
         caller = world.caller = world.fleet.call(name)
@@ -86,8 +86,8 @@
 
 @when(parsers.parse("{entry} freezes as soon as its claim is in the log"))
 def freeze_owner(world: World, entry: str) -> None:
-    # The log runs in this process, so the entry is stopped before the answer
-    # to its append can leave.
+    # The log runs in this process, so the entry is frozen before the log sends the
+    # answer to its append.
     running = world.fleet.entries[entry]
     world.fleet.log.on_append["claim"] = lambda request: running.freeze()
 
@@ -97,7 +97,7 @@
     async def run() -> None:
         waits = world.fleet.log.on_append
         await wait_for(lambda: "claim" not in waits, "the claim is in the log")
-        await asyncio.sleep(1.0)  # the other entry meets the claim meanwhile
+        await asyncio.sleep(1.0)  # the other entry reads the claim meanwhile
         world.fleet.entries[entry].thaw()
 
     world.run(run())
--- a/tests/integration/test_replacement.py
+++ b/tests/integration/test_replacement.py
@@ -1,4 +1,4 @@
-"""Entries that are replaced under load."""
+"""Tests of the replacement of entries under load."""
 
 import asyncio
 import signal
@@ -12,7 +12,7 @@
 scenarios("replacement.feature")
 
 LONG, SHORT = 200, 2
-NOTICE_SECONDS = 2.0  # ten polls of the balancer
+NOTICE_SECONDS = 2.0  # ten poll intervals of the balancer
 
 
 @given(parsers.parse("{entries:d} entries that give notice, and {engines:d} engines"))
--- a/tests/integration/test_requests.py
+++ b/tests/integration/test_requests.py
@@ -1,4 +1,4 @@
-"""Orders, deaths and silence through real entries and stand-ins on loopback."""
+"""Tests of orders, crashes and silent connections with entries and stand-ins."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -24,7 +24,7 @@
 
 @asynccontextmanager
 async def run_callers(deployment: Deployment) -> AsyncIterator["Callers"]:
-    """Give callers of a deployment whose entries can settle claims."""
+    """Provide callers once all entries of a deployment have read the claims."""
     for entry in deployment.entries:
         await wait_for(
             lambda entry=entry: entry.entry_state.claims.caught_up, "claims are read"
@@ -34,7 +34,7 @@
 
 
 class Callers:
-    """Sends orders and asks for answers."""
+    """Sends orders and completion requests to the entries of a deployment."""
 
     def __init__(self, deployment: Deployment, session: aiohttp.ClientSession) -> None:
         self._session = session
@@ -43,7 +43,7 @@
     async def order(
         self, entry: int, key: str, body: str = "flour", method: str = "POST"
     ) -> tuple[int, dict[str, Any], bool]:
-        """Return status, document and whether the answer was replayed."""
+        """Send an order; return status, document and whether it was replayed."""
         async with self._session.request(
             method,
             self._urls[entry] + "/services/planning/orders",
@@ -54,7 +54,7 @@
             return response.status, document, REPLAYED_HEADER in response.headers
 
     async def request_completion(self, entry: int, **fields: Any) -> tuple[int, str]:
-        """Return status and text of a completion."""
+        """Request a completion; return the status and text of the answer."""
         body = {"model": MODEL, "prompt": "menu", **fields}
         url = self._urls[entry] + "/v1/completions"
         async with self._session.post(url, json=body) as response:
@@ -62,14 +62,14 @@
 
 
 def count(deployment: Deployment, entry: int, name: str) -> int:
-    """Return a counter of an entry."""
+    """Return the value of a counter of an entry."""
     metrics = deployment.entries[entry].metrics
     assert isinstance(metrics, MemoryMetrics)
     return metrics.counters.get(name, 0)
 
 
 def find_running(deployment: Deployment) -> EngineServer | None:
-    """Return the engine that has started a generation."""
+    """Return the first engine that has started a generation, or None."""
     for engine in deployment.engines:
         if engine.executed:
             return engine
@@ -79,8 +79,9 @@
 async def test_the_same_order_through_two_entries_is_executed_once() -> None:
     """A caller sends an order to both entries at once, and once more later.
 
-    Both claim it, the log's order decides, and the other waits for the
-    recorded outcome. All three callers see the same answer.
+    Both entries claim it, and the order of the claims in the log decides which one
+    dispatches it. The other waits for the recorded outcome. All three answers must be
+    the same.
     """
     async with run_deployment() as deployment, run_callers(deployment) as callers:
         deployment.service.delay = 0.2
@@ -96,10 +97,10 @@
 
 @pytest.mark.parametrize("method", ["POST", "PUT", "DELETE"])
 async def test_an_order_whose_answer_is_lost_is_not_sent_again(method: str) -> None:
-    """The service executes an order and its connection breaks.
+    """The service executes an order, but the connection breaks before its answer.
 
-    Neither the entry, nor the HTTP client below it, nor another entry may send
-    it again; the caller and a duplicate learn that it is unknown.
+    Neither the entry, nor its HTTP client, nor another entry may send the order
+    again. The caller and a duplicate must get the outcome "unknown".
     """
     async with run_deployment() as deployment, run_callers(deployment) as callers:
         deployment.document["rules"]["non_idempotent"][0]["method"] = None
@@ -113,10 +114,10 @@
 
 
 async def test_an_order_that_the_service_refuses_is_tried_again() -> None:
-    """A busy service refuses an order twice before it takes it.
+    """A busy service refuses an order twice before it accepts it.
 
-    Refused means not run, so the order may go out again; the refusals are not
-    recorded as its outcome and the caller gets the one real answer.
+    A refused order did not run, so it may be sent again. Refusals must not be
+    recorded as its outcome, and the caller must get the final answer.
     """
     async with run_deployment() as deployment, run_callers(deployment) as callers:
         deployment.service.refusals = [503, 429]
@@ -126,10 +127,11 @@
 
 
 async def test_a_refusal_that_proves_nothing_is_not_tried_again() -> None:
-    """Something before the service answers 503, perhaps after the order went in.
+    """A proxy before the service answers 503, possibly after forwarding the order.
 
-    The inventory says that its refusals prove nothing. The order does not go
-    out again, and its caller is told that it may have run.
+    The inventory states that refusals of this service do not prove that a request
+    did not run. So the order must not be sent again, and its caller must be told that
+    it may have run.
     """
     async with run_deployment() as deployment, run_callers(deployment) as callers:
         deployment.document["services"][0]["refusals_not_run"] = False
@@ -141,7 +143,7 @@
 
 
 async def publish_again(deployment: Deployment) -> None:
-    """Publish the deployment's document as edited, and wait until in force."""
+    """Publish the edited document of a deployment and wait until it is in force."""
     log = HttpLog(deployment.entries[0].settings.platform.log)
     offset = await publish_document(log, deployment.document, "demo", "edit")
     await log.close()
@@ -153,10 +155,10 @@
 
 
 async def test_orders_wait_for_the_log_and_generations_do_not() -> None:
-    """The log is down: an order cannot be shown to be the only one.
+    """The log is down, so an entry cannot exclude a duplicate of an order.
 
-    It is refused with "not run" and is not run; generations go on. When the
-    log is back the same key is served.
+    The order must be refused with "not run" and must not run, while generations
+    continue. When the log is available again, the same key must be served.
     """
     async with run_deployment() as deployment, run_callers(deployment) as callers:
         deployment.log.available = False
@@ -175,9 +177,10 @@
 
 
 async def test_an_answer_in_one_piece_survives_the_death_of_its_engine() -> None:
-    """An engine dies late in an answer of which the caller has seen nothing.
+    """An engine crashes late in an answer that is not streamed.
 
-    The answer starts anew elsewhere and the caller gets it whole.
+    As the caller has received nothing yet, the request must be restarted on another
+    engine, and the caller must get the complete answer.
     """
     async with run_deployment() as deployment, run_callers(deployment) as callers:
         task = asyncio.create_task(callers.request_completion(0, standin_length=50))
@@ -199,9 +202,10 @@
 
 
 async def test_a_request_that_crashes_engines_is_finally_refused() -> None:
-    """A request crashes each engine that runs it; its neighbours are innocent.
+    """A request crashes each engine that runs it; other requests do not.
 
-    After two deaths it is refused before the third engine, which goes on.
+    After two crashes it must be refused without reaching the third engine, which
+    continues to serve other requests.
     """
     async with run_deployment() as deployment, run_callers(deployment) as callers:
         status, text = await callers.request_completion(0, standin_crash_at=2)
@@ -213,10 +217,11 @@
 
 
 async def test_a_frozen_connection_is_replaced_under_a_stream() -> None:
-    """The connections to an engine go silent for good while new ones work.
+    """All open connections to an engine stay silent, while new ones work.
 
-    Nothing is closed, so only the silence tells. A probe over a new connection
-    brings the rest, the pool is replaced, and the caller sees a pause only.
+    As no connection is closed, the failure shows only as silence. A probe over a new
+    connection must fetch the rest, the pool must be replaced, and the caller must
+    notice no more than a pause.
     """
     async with run_deployment() as deployment, run_callers(deployment) as callers:
         proxies = {}
@@ -250,9 +255,10 @@
 
 
 async def test_a_caller_that_leaves_does_not_undo_its_order() -> None:
-    """The caller's time-out is shorter than the service; it asks again.
+    """A caller times out before the service answers, and sends its order again.
 
-    The first order goes on without its caller, and the second joins it.
+    The first order must continue without its caller, and the second must get the
+    answer to the first.
     """
     async with run_deployment() as deployment, run_callers(deployment) as callers:
         deployment.service.delay = 0.5
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Real processes for integration tests; each ends with its test."""
+"""Runs figstep processes for integration tests; each ends with its test."""
 
 import asyncio
 import os
@@ -13,31 +13,37 @@
 import yaml
 
 ROOT = Path(__file__).resolve().parent.parent
+# Longest time for a process to print its address, in seconds.
 START_TIMEOUT = 60
 
 
 @dataclass(slots=True)
 class Running:
-    """A process of figstep and its first line, ``KIND URL ...``."""
+    """A running figstep process.
+
+    Attributes:
+        process: Handle of the process.
+        words: Words of the first line that it printed, ``KIND URL ...``.
+    """
 
     process: asyncio.subprocess.Process
     words: list[str]
 
     @property
     def url(self) -> str:
-        """Where it listens."""
+        """URL on which the process listens."""
         return self.words[1]
 
     def kill(self) -> None:
-        """End it at once, as a crash does."""
+        """Kill the process immediately, as a crash does."""
         self.process.kill()
 
     def freeze(self) -> None:
-        """Stop it from running, without closing anything."""
+        """Suspend the process; its connections stay open."""
         self.process.send_signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a frozen process."""
         self.process.send_signal(signal.SIGCONT)
 
 
@@ -65,7 +71,7 @@
 
 
 async def run_command(*arguments: str) -> tuple[int, str]:
-    """Run ``figstep ARGUMENTS`` to its end; return exit code and output."""
+    """Run ``figstep ARGUMENTS`` to its end; return its exit code and output."""
     environment = {**os.environ, "PYTHONPATH": str(ROOT)}
     process = await asyncio.create_subprocess_exec(
         sys.executable,
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -1,4 +1,4 @@
-"""Tests of the account of requests from the entries' logs."""
+"""Tests of the summary of requests from the logs of entries."""
 
 from pathlib import Path
 from typing import Any
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -1,4 +1,4 @@
-"""The audit trail."""
+"""Tests of the audit trail of the configuration."""
 
 from figstep.audit import read_trail
 from figstep.core.records import LogRecord
@@ -10,10 +10,10 @@
 
 
 def test_trail_after_truncation_starts_from_the_snapshot() -> None:
-    """The log dropped its beginning.
+    """The log deleted its oldest records.
 
-    Edits before the first kept snapshot cannot be judged any more; those after
-    its position are, also the ones that came before its record.
+    Edits before the position of the first remaining snapshot have no known verdict.
+    Edits after that position have one, also those stored before the snapshot itself.
     """
     records = [
         build_record(4, base=2),
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -1,4 +1,4 @@
-"""The benchmark's callers against an entry with the token source as engine."""
+"""Tests of the benchmark against an entry and against the token source."""
 
 import pytest
 
--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -1,4 +1,4 @@
-"""The packed file: it starts without any package installed, as one process."""
+"""Tests of the packed binary, which needs no installed package."""
 
 import asyncio
 import os
@@ -15,10 +15,10 @@
 
 
 async def test_packed_file_serves_as_one_process(tmp_path: Path) -> None:
-    """The file runs on an interpreter that has none of the packages.
+    """The binary runs on an interpreter without any of the required packages.
 
-    It must unpack itself, load the schema file of the peers' messages from
-    there, listen, start no process of its own, and end by SIGTERM.
+    It must unpack itself, load the schema file of peer messages from the unpacked
+    files, listen, start no child process, and exit on SIGTERM.
     """
     file = tmp_path / "figstep"
     build_binary(file)
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""Histories that the checker must accept, and such that it must refuse."""
+"""Histories that the checker must accept or report as violations."""
 
 import pytest
 
--- a/tests/test_conftest.py
+++ b/tests/test_conftest.py
@@ -1,4 +1,4 @@
-"""The list of known failures."""
+"""Tests of the list of known failures, KNOWN-RED.txt."""
 
 from pathlib import Path
 
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize(
-    ("listed", "other", "code", "told"),
+    ("listed", "other", "code", "expected"),
     [
         ([], True, pytest.ExitCode.TESTS_FAILED, "*1 failed*"),
         (["test_red"], True, pytest.ExitCode.OK, "KNOWN-RED *test_red FAILED*"),
@@ -33,11 +33,11 @@
     ],
 )
 def test_only_listed_failures_pass(
-    pytester: pytest.Pytester, listed: list[str], other: bool, code: int, told: str
+    pytester: pytest.Pytester, listed: list[str], other: bool, code: int, expected: str
 ) -> None:
     result = run(pytester, "".join(map(LINE.format, listed)), other)
     assert result.ret == code
-    (result.stderr if code == 4 else result.stdout).fnmatch_lines([told])
+    (result.stderr if code == 4 else result.stdout).fnmatch_lines([expected])
 
 
 def test_an_incomplete_line_is_refused(pytester: pytest.Pytester) -> None:
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo, in one process."""
+"""Tests of the demo deployment, in one process."""
 
 import aiohttp
 from openai import AsyncOpenAI
@@ -27,9 +27,9 @@
 
 
 async def test_caller_returns_through_another_entry() -> None:
-    """The caller's connection breaks after some events.
+    """A caller loses its connection after some events.
 
-    It comes back to another entry with the id of the last event that it saw
+    It reconnects to another entry with the id of the last event that it received,
     and gets the rest of the same generation, which the target still holds.
     """
     async with run_deployment() as deployment, aiohttp.ClientSession() as session:
--- a/tests/test_inventory.py
+++ b/tests/test_inventory.py
@@ -1,4 +1,4 @@
-"""The border of the inventory document."""
+"""Tests of the validation of the inventory document."""
 
 from copy import deepcopy
 from pathlib import Path
@@ -60,7 +60,7 @@
 
 
 def test_documents_of_the_first_validation_version_stay_valid() -> None:
-    """Guards against a log that an upgraded program can't read any more."""
+    """Guards against an upgraded program that cannot read existing logs."""
     document = load_yaml(EXAMPLES / "bavaria.yaml")
     assert parse_version(document, 1) == parse_inventory(document)
     with pytest.raises(InventoryError, match="version 2 or later"):
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""The load tool: its scenario, and a short run against the demo."""
+"""Tests of the load generator: its scenario and short runs against the demo."""
 
 import json
 from pathlib import Path
@@ -64,8 +64,8 @@
 async def test_a_caller_moves_from_a_dead_entry_to_another() -> None:
     """One of two entries is down.
 
-    The caller's connection is refused; it comes back through the other entry
-    and still gets its whole answer.
+    A caller whose connection is refused must reconnect through the other entry
+    and still get its complete answer.
     """
     async with run_deployment(entries=1) as deployment:
         entry = deployment.entries[0].callers.address
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON object a line, with the request's names and no secret."""
+"""Tests of the logs: one JSON object per line, with ids but without secrets."""
 
 import io
 import json
@@ -44,7 +44,7 @@
 
 
 async def send_all(url: str) -> None:
-    """Send good and bad requests that hold the secret and the key."""
+    """Send valid and invalid requests that contain the secret and the key."""
     headers = {"Authorization": f"Bearer {KEY}", "X-Deadline-Ms": "300"}
     bodies: list[Any] = [
         {"model": MODEL, "prompt": SECRET, "stream": True},
@@ -113,10 +113,11 @@
 
 
 def test_a_blocked_log_reader_does_not_block_the_process() -> None:
-    """Every caller would wait for whoever reads the logs.
+    """Guards against callers that wait for the process that reads the logs.
 
-    The reader stops, the pipe fills up, and the next line would wait for it.
-    Lines are left out instead, no line is torn, and the count comes later.
+    When the reader stops, the pipe fills up and the next write would block. Lines
+    must be dropped instead, no line may be cut off, and the next line that is
+    written carries the number of dropped lines.
     """
     reader, writer = os.pipe()
     now = [10.0]
--- a/tests/test_measures.py
+++ b/tests/test_measures.py
@@ -1,4 +1,4 @@
-"""Measures, from times written down by hand."""
+"""Tests of the measures, computed from fixed timestamps."""
 
 import pytest
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: what arrives at a statsd server, and that all names are documented."""
+"""Tests of the metrics: what statsd receives, and that all names are documented."""
 
 import ast
 import re
@@ -16,7 +16,7 @@
 
 
 def find_names() -> set[str]:
-    """Return every name that the code gives to a metric."""
+    """Return the name of every metric that the code records."""
     names = set()
     for path in (ROOT / "figstep").rglob("*.py"):
         if any(part in _OUTSIDE for part in (path.stem, *path.parts)):
--- a/tests/test_openai_client.py
+++ b/tests/test_openai_client.py
@@ -1,4 +1,4 @@
-"""The public client library, unmodified, against one entry."""
+"""Tests of an entry with the unmodified OpenAI client library."""
 
 import asyncio
 import ssl
@@ -84,10 +84,10 @@
 
 
 async def test_refusal_without_a_target_is_a_server_error_with_retry_after() -> None:
-    """The only engine leaves, so nothing can start before the deadline.
+    """The only engine leaves, so no request can start before its deadline.
 
-    The caller gets its final answer then, with ``ran: no`` and the time to
-    come back; nothing ran anywhere.
+    The caller must then get a final answer with ``ran: no`` and a ``Retry-After``
+    header, and the request must not have run on any engine.
     """
     async with open_client() as (client, deployment):
         deployment.engines[0].leaving = True
@@ -107,10 +107,10 @@
 
 
 async def test_broken_stream_is_an_api_error_and_not_a_short_answer() -> None:
-    """The target of a running stream dies for good.
+    """The target of a running stream crashes and does not return.
 
-    Its caller has seen a part that no other target can go on from, so the
-    stream ends with an error event, which the client library raises.
+    The caller has received a part that no other target can continue, so the stream
+    must end with an error event, which the client library raises.
     """
     async with open_client(gap=0.02) as (client, deployment):
         stream = await client.chat.completions.create(
@@ -150,7 +150,7 @@
                 model=MODEL, prompt="menu", stream=True
             )
             assert len([chunk async for chunk in stream]) == 20
-        # A caller that speaks plain HTTP to the TLS port harms nobody.
+        # Plain HTTP on the TLS port must only end that connection.
         host, _, port = url.removeprefix("https://").partition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"GET / HTTP/1.1\r\n\r\n")
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""What operators do: publish, wait, drain, read the trail."""
+"""Tests of the operator commands: publish, wait, drain, read the audit trail."""
 
 import asyncio
 import json
@@ -49,10 +49,10 @@
 
 
 async def test_lost_answer_is_settled_by_reading_back() -> None:
-    """The log takes the edit but its answer is lost.
+    """The log stores the edit but its answer is lost.
 
-    Appending again would leave two edits, the second of them refused, and the
-    operator would be told that the edit failed although it is in force.
+    Repeating the append would add a second edit, which is refused. The operator
+    would get an error although the first edit is in force.
     """
     async with run_log() as (service, log):
         service.faults = Faults(lose_answers=1)
@@ -113,7 +113,7 @@
 
 
 async def test_an_evacuation_is_an_edit_of_the_document_in_force() -> None:
-    """Guards against an evacuation that no history tells of, or that stays."""
+    """Guards against an evacuation that is missing from the history or cannot end."""
     log = MemoryLog()
     document = load_example()
     domain = document["failure_domains"][0]["name"]
@@ -133,7 +133,7 @@
 
 
 async def test_wait_names_the_entry_that_lags() -> None:
-    """An entry of the instance list died and the list still calls it live."""
+    """An entry has died, but the instance list still reports it as live."""
     async with run_deployment() as deployment:
         url = deployment.entries[0].settings.platform.instances
         assert await operations.wait_in_force(url, deployment.offset, 30) == 2
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path as separate processes."""
+"""Tests of the whole path of a request, with each part as its own process."""
 
 import asyncio
 from contextlib import AsyncExitStack
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,4 +1,4 @@
-"""Each row of docs/PROMISES.md names tests that exist, or says why there is none."""
+"""Tests that each row of docs/PROMISES.md names existing tests or states a gap."""
 
 import ast
 import re
@@ -46,7 +46,7 @@
 
 
 def list_tests(path: Path) -> set[str]:
-    """Return the names of the tests or scenarios of a file."""
+    """Return the names of the tests or scenarios that a file defines."""
     text = path.read_text()
     if path.suffix == ".feature":
         return set(re.findall(r"Scenario(?: Outline)?: (.+)", text))
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""An entry as a process: how it ends."""
+"""Tests of the shutdown of an entry process."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Served:
-    """An entry process with its surroundings, and a client of it."""
+    """An entry process and an HTTP client session for it."""
 
     entry: Running
     session: aiohttp.ClientSession
@@ -69,9 +69,9 @@
 async def test_graceful_shutdown_cuts_off_no_answer(tmp_path: Path) -> None:
     """An entry gets SIGTERM while it streams a long answer.
 
-    Readiness falls first; through the notice period new requests are still
-    served, since balancers lag. Then new ones are refused without having run,
-    the long answer arrives whole, and the process exits 0.
+    It must become unready first, and serve new requests during the notice period,
+    as load balancers react with a delay. After that it must refuse new requests
+    without running them, finish the long answer, and exit with 0.
     """
     async with serve(tmp_path, notice=1.0) as served:
         async with served.post(LONG) as response:
@@ -102,8 +102,8 @@
 async def test_second_signal_ends_with_typed_errors(tmp_path: Path) -> None:
     """An entry gets a second signal while it streams a long answer.
 
-    Its caller gets an error event that tells how to go on, never a stream
-    that just stops, and the exit code tells operators that requests were cut.
+    Its caller must get an error event that describes how to continue, not a stream
+    that just stops. The exit code must show that requests were interrupted.
     """
     async with serve(tmp_path, notice=0) as served:
         async with served.post(LONG) as response:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: each error names file, field, fault and remedy."""
+"""Tests of the settings: each error names file, field, problem and correction."""
 
 import json
 import socket
