--- a/tests/faults/__init__.py
+++ b/tests/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized fault soak: real entries under faults from outside."""
+"""Randomized soak test: real entry processes under injected faults."""
--- a/tests/faults/__main__.py
+++ b/tests/faults/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m tests.faults --runs 50``: the fault soak, with fresh seeds."""
+"""Fault soak with fresh seeds: ``python -m tests.faults --runs 50``."""
 
 import argparse
 import asyncio
@@ -17,7 +17,7 @@
 from tests.faults.sites import Site
 
 FAULT_PHASE_SECONDS = 10.0
-"""Length of the part of a run in which faults come."""
+"""Length in seconds of the part of a run in which faults are injected."""
 
 
 async def run_seed(
@@ -27,9 +27,21 @@
     engines: int = 5,
     extras: tuple[Extra, ...] = ALL_EXTRAS,
 ) -> tuple[Record, list[Breach]]:
-    """Play one seed; return what was seen and the promises that were broken."""
+    """Run one seed and check its record.
+
+    Args:
+        seed: Seed of the plan and of the traffic.
+        folder: Directory of the settings and logs of the entries.
+        entries: Number of entries.
+        engines: Number of engines.
+        extras: Extra faults that the plan contains.
+
+    Returns:
+        The record of the run and the breaches of promises that it shows.
+    """
     site = Site(seed, folder, entries, engines)
-    # A full collection of what earlier tests left would stop all stand-ins.
+    # A full garbage collection of objects from earlier tests would block the
+    # event loop and with it all stand-ins.
     gc.collect()
     gc.freeze()
     try:
@@ -42,7 +54,7 @@
 
 
 def describe_record(record: Record) -> str:
-    """Return how the attempts of a run ended, in one line."""
+    """Return one line with the number of faults and of attempts by outcome."""
     outcomes: Counter[str] = Counter()
     for attempt in record.attempts:
         if attempt.disconnected:
@@ -53,7 +65,7 @@
             outcomes[str(attempt.status or attempt.error)] += 1
     summary = ", ".join(f"{count} {end}" for end, count in sorted(outcomes.items()))
     for start, end in record.loop_stalls:
-        summary += f"; stood still at {start:.2f} until {end:.2f}"
+        summary += f"; event loop blocked from {start:.2f} to {end:.2f}"
     return f"{len(record.disturbances)} faults; {summary}"
 
 
@@ -82,7 +94,7 @@
 async def _run_in_subprocess(
     seed: int, folder: Path, arguments: argparse.Namespace
 ) -> tuple[int, list[str]]:
-    # A process of its own: one busy loop for several sites would be late itself.
+    # Several sites on one event loop would delay each other.
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -103,17 +115,18 @@
 
 
 def main() -> None:
-    """Play one seed, or many side by side."""
+    """Run one seed, or many of them in parallel."""
     parser = argparse.ArgumentParser(prog="python -m tests.faults", description=__doc__)
     parser.add_argument("--runs", type=int, default=50)
     parser.add_argument("--jobs", type=int, default=3)
     parser.add_argument("--entries", type=int, default=3)
     parser.add_argument("--engines", type=int, default=5)
-    parser.add_argument("--seed", type=int, default=None, help="play only this one")
+    parser.add_argument("--seed", type=int, default=None, help="run this one only")
     parser.add_argument("--plain", action="store_true", help="draw none of the extras")
     parser.add_argument("--folder", type=Path, default=None)
     arguments = parser.parse_args()
-    # Callers that leave and engines that die end the stand-ins' handlers.
+    # aiohttp logs an error for each handler of a stand-in that ends because its
+    # caller disconnected or its engine was killed.
     logging.getLogger("aiohttp.server").setLevel(logging.CRITICAL)
     if arguments.seed is not None:
         folder = arguments.folder or Path(tempfile.mkdtemp(prefix="faults-"))
--- a/tests/faults/callers.py
+++ b/tests/faults/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: steady traffic of all kinds, with forged headers."""
+"""Callers of the fault soak: steady traffic of all kinds, with forged headers."""
 
 import asyncio
 import random
@@ -21,32 +21,35 @@
 from tests.platform.standins import ROUTE_HOST
 
 MEAN_REQUEST_INTERVAL = 0.07
-"""Mean time between two requests of all callers."""
+"""Mean time in seconds between two requests of all callers together."""
 
 ANSWER_TIMEOUT_SECONDS = 6.0
-"""Seconds that a caller waits for its answer."""
+"""Time limit of a request in seconds; it is also sent as Deadline-Ms."""
 
 DISCONNECT_SHARE = 0.06
-"""Part of the callers that leave in mid-answer."""
+"""Share of the requests that the caller abandons if open after a random delay."""
 
 CONNECTIONS = 4
-"""Connections that are kept to each entry; they are used until they close."""
+"""Connections to each entry; not used, as the sessions do not limit them."""
 
 METHODS = ("POST", "POST", "GET", "PUT", "DELETE")
-"""Methods of calls: what may be repeated follows from their route."""
+"""Methods of calls to plain services, POST twice as often.
+
+Whether a call may be repeated depends on its route, not on its method.
+"""
 
 _KIND_SHARES = {Kind.PLAN: 0.25, Kind.CHECK: 0.2, Kind.ORDER: 0.3, Kind.LOOKUP: 0.25}
 
 
 @dataclass(slots=True)
 class EntryEndpoint:
-    """Where callers reach one entry.
+    """Address and readiness of one entry, as callers know them.
 
     Attributes:
         entry: Number of the entry.
-        address: Its address, as "ip:port".
-        incarnation: Which process of it runs.
-        ready: Whether it said that callers may come.
+        address: Address that callers connect to, as "ip:port".
+        incarnation: Number of restarts of the entry's process.
+        ready: Whether the last readiness check of the entry succeeded.
     """
 
     entry: int
@@ -57,15 +60,16 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """Sends requests until it is told to end.
+    """Generator of random requests to all entries.
 
     Attributes:
-        record: Where it notes them.
-        rng: Draws them.
-        endpoints: The entries.
+        record: Record to which each attempt is added.
+        rng: Source of all random choices except methods.
+        endpoints: Endpoints of all entries.
         list_paths: Returns paths that have, had or never had a route.
         list_keys: Returns keys that are, or were, in force.
-        methods: Draws the methods of calls.
+        methods: Source of the methods of calls; separate, so that drawing them does
+            not change the other random choices of a seed.
     """
 
     record: Record
@@ -79,7 +83,7 @@
     _count: int = 0
 
     async def run(self, stop_event: asyncio.Event) -> None:
-        """Send requests, and wait for their answers in the end."""
+        """Send requests until an event is set, then wait for all answers."""
         for endpoint in self.endpoints:
             self._sessions[endpoint.entry] = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=30),
@@ -125,7 +129,13 @@
         attempt.ended = read_clock()
 
     async def send_crashing(self, kind: Kind, name: str) -> None:
-        """Send a request that crashes the targets that run it."""
+        """Send a request that crashes each target that runs it, and await its end.
+
+        Args:
+            kind: Kind of the request.
+            name: Name of the request; requests with the same kind and name are
+                the same request to the entries.
+        """
         endpoint = self._choose_endpoint()
         path = f"/{kind.value}/{CRASHING}{name}"
         attempt = self._add_attempt(endpoint, kind, path, "key-1")
@@ -166,7 +176,7 @@
         if attempt.kind not in STREAMS:
             method = self.methods.choice(METHODS)
         if attempt.is_crashing:
-            # It is the same request only with the same method and body.
+            # Entries recognize a repeated request by its method, path and body.
             method, body = "POST" if attempt.kind in STREAMS else "GET", b""
         url = f"http://{endpoint.address}{attempt.path}"
         try:
--- a/tests/faults/plans.py
+++ b/tests/faults/plans.py
@@ -1,52 +1,56 @@
-"""Plans of faults: drawn from a seed before a run starts."""
+"""Plans of faults, drawn from a seed before a run starts."""
 
 import random
 from dataclasses import dataclass
 from enum import Enum
 
 FIRST_FAULT_DELAY = 1.0
-"""Seconds of traffic before the first fault."""
+"""Time of undisturbed traffic before the first fault, in seconds."""
 
 FAULT_DURATION_RANGE = (0.3, 2.5)
-"""Seconds that a fault lasts, shortest and longest."""
+"""Shortest and longest duration of a fault, in seconds."""
 
 
 SIGNAL_DURATION_RANGE = (5.0, 9.0)
-"""Seconds for which a target says something in its answers."""
+"""Shortest and longest duration of an extra fault, in seconds."""
 
 RATES = (0.5, 1.0, 2.0, 4.0)
-"""Requests a second that targets name."""
+"""Rate limits that targets name in their answers, in requests per second."""
 
 RETRY_AFTERS = (0.8, 1.5, 3.0)
-"""Seconds that targets ask for."""
+"""Values of Retry-After that targets send when they reject requests, in seconds."""
 
 CRASHING_RETRY_INTERVALS = (0.02, 0.4, 1.2, 2.5)
-"""Seconds after which the caller of a request that crashes targets comes again."""
+"""Intervals at which a request that crashes targets is repeated, in seconds."""
 
 
 class Extra(Enum):
-    """What is drawn apart: a plan without it is as it was before there was any."""
+    """Kind of extra fault.
 
-    RATE = "words"  # the value draws the plan, and kept seeds were drawn by this one
+    Each kind has its own random generator, so that adding or removing one leaves the
+    rest of a plan unchanged, and recorded seeds still reproduce their runs.
+    """
+
+    RATE = "words"  # part of the random seed: another value would change the plans
     LEAVING = "leaving"
     PAUSE = "pause"
     CRASHES = "crashes"
 
 
 SIGNALS = (Extra.RATE, Extra.LEAVING, Extra.PAUSE)
-"""What a target may say of itself in its answers."""
+"""Extras in which a target sends a signal about itself in its answers."""
 
 ALL_EXTRAS = tuple(Extra)
 
 
 @dataclass(frozen=True, slots=True)
 class EntryFault:
-    """Do something to one entry's process.
+    """Fault of the process of one entry.
 
     Attributes:
         action: ``kill``, ``stop``, ``freeze`` or ``reload``.
         entry: Number of the entry.
-        seconds: How long it lasts.
+        seconds: Duration of a freeze.
     """
 
     action: str
@@ -56,19 +60,21 @@
 
 @dataclass(frozen=True, slots=True)
 class AllEntriesKilled:
-    """Kill all entries at once; they are restarted."""
+    """Fault that kills all entries at once; they are restarted."""
 
 
 @dataclass(frozen=True, slots=True)
 class LinkFault:
-    """Harm a link.
+    """Fault of a network link.
 
     Attributes:
         action: ``delay``, ``stall``, ``lose_to``, ``lose_from``, ``cut``,
             ``freeze``, ``half_open`` or ``lose_answers``.
-        link: ``store`` of an entry, ``caller`` of an entry, or ``target``.
-        number: Number of the entry or target, taken modulo what there is.
-        seconds: How long it lasts.
+        link: ``store`` for the link between an entry and the store, ``caller``
+            for the link between callers and an entry, or ``target`` for the link
+            between the entries and a target.
+        number: Number of the entry or target, taken modulo their count.
+        seconds: Duration; a ``cut`` has none.
     """
 
     action: str
@@ -79,11 +85,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreFault:
-    """Let the store misbehave for all.
+    """Fault of the store that affects all entries.
 
     Attributes:
-        action: ``away`` or ``forget``.
-        seconds: How long it lasts.
+        action: ``away`` (the store answers 503 to all calls) or ``forget`` (it
+            deletes the records of all topics).
+        seconds: Duration of ``away``.
     """
 
     action: str
@@ -92,12 +99,15 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetFault:
-    """Do something to a target.
+    """Fault or departure of a target.
 
     Attributes:
-        action: ``crash``, ``leave``, ``drain``, ``grey``, ``mute`` or ``full``.
-        number: Number of the target, taken modulo what there is.
-        seconds: How long it lasts.
+        action: ``crash``, ``leave`` (its registration is deleted), ``drain`` (its
+            registration says that it drains), ``grey`` (half of its calls fail),
+            ``mute`` (it never answers) or ``full`` (it rejects requests as not
+            run).
+        number: Number of the target, taken modulo the count of those that stay.
+        seconds: Duration of ``grey``, ``mute`` and ``full``.
     """
 
     action: str
@@ -107,12 +117,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RateSignal:
-    """Let a target name the requests a second that it takes in all its answers.
+    """Signal of a target that names its rate limit in all its answers.
 
     Attributes:
-        number: Number of the target, taken modulo what there is.
-        rate: Requests a second.
-        seconds: How long it names it.
+        number: Number of the target, taken modulo the number of targets.
+        rate: Rate limit in requests per second.
+        seconds: Time for which the target names it.
     """
 
     number: int
@@ -122,11 +132,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LeavingSignal:
-    """Let a target say in all its answers that it leaves; the store learns later.
+    """Signal of a target that announces in its answers that it leaves.
+
+    The registration in the store changes only later.
 
     Attributes:
-        number: Number of the target, taken modulo what there is.
-        seconds: How long the store is not told.
+        number: Number of the target, taken modulo the count of those that stay.
+        seconds: Time until the registration in the store changes.
     """
 
     number: int
@@ -135,12 +147,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PauseSignal:
-    """Let a target turn requests away and ask for a pause.
+    """Signal of a target that rejects requests with Retry-After.
 
     Attributes:
-        number: Number of the target, taken modulo what there is.
-        pause: Seconds that it asks for.
-        seconds: How long it turns requests away.
+        number: Number of the target, taken modulo the number of targets.
+        pause: Value of Retry-After in seconds.
+        seconds: Time for which the target rejects requests.
     """
 
     number: int
@@ -150,12 +162,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashingRequests:
-    """Let a caller send a request that crashes targets, again and again.
+    """Caller that repeats a request that crashes each target that runs it.
 
     Attributes:
-        stream: Whether it is a stream; else it is a read.
-        pause: Seconds until it comes again.
-        seconds: For how long it does.
+        stream: Whether the request is a stream; otherwise it is a read.
+        pause: Seconds between the end of a request and its repetition.
+        seconds: Time for which the caller repeats the request.
     """
 
     stream: bool
@@ -165,7 +177,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationChange:
-    """Write a new version of the configuration.
+    """Change that publishes a new version of the configuration.
 
     Attributes:
         action: ``add_route``, ``drop_route``, ``add_key`` or ``drop_key``.
@@ -190,7 +202,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """A fault and when it comes, in seconds from the start of traffic."""
+    """Fault with its time.
+
+    Attributes:
+        at: Seconds from the start of traffic.
+        fault: Fault to apply.
+    """
 
     at: float
     fault: Fault
@@ -201,13 +218,16 @@
 ) -> list[Step]:
     """Return the steps of one run; the same seed gives the same plan.
 
-    Faults of one kind may come in series, and all may overlap.
+    A fault may be repeated shortly after it began, and all faults may overlap.
 
     Args:
-        seed: Draws the plan.
-        entries: Entries that there are.
-        seconds: Length of the part in which faults come.
-        extras: What is drawn besides, each apart.
+        seed: Seed of the random choices.
+        entries: Number of entries.
+        seconds: Length of the part of the run in which faults are injected.
+        extras: Kinds of extra faults; each is drawn by its own random generator.
+
+    Returns:
+        The steps, sorted by time.
     """
     rng = random.Random(seed)
     steps = []
--- a/tests/faults/promises.py
+++ b/tests/faults/promises.py
@@ -1,4 +1,8 @@
-"""The promises, checked on what callers and targets saw."""
+"""Checks of the promises of the system on the record of a run.
+
+Most bounds on time are checked only where no fault of the entry or target concerned
+overlaps the span in question. Stalls of the soak's own event loop excuse no breach.
+"""
 
 import itertools
 import re
@@ -9,58 +13,83 @@
 from tests.faults.records import EVENTS, STREAMS, Attempt, Kind, Record, Run, Version
 
 STABILIZATION_SECONDS = 3.0
-"""Seconds without disturbance after which bounds on time hold again."""
+"""Time without a fault after which bounds on time are checked again, in seconds."""
 
 CONFIGURATION_SECONDS = 2.0
-"""Seconds until a version is in force at an entry in touch."""
+"""Time until an undisturbed entry has a new version in force, in seconds."""
 
 DRAIN_SECONDS = 2.0
-"""Seconds after which a leaving target gets nothing new."""
+"""Time after which a leaving target gets no new requests, in seconds."""
 
 CRASHES_BEFORE_REFUSAL = 3
+"""Crashes of targets by one request after which entries refuse the request."""
+
 MAX_LATE_RUNS = 3
-"""Crashes under one request after which no more than so many retries of it, sent
-later than CONTACT, reach targets."""
+"""Tolerated runs of a request that crashed CRASHES_BEFORE_REFUSAL targets.
+
+Runs count that begin more than STABILIZATION_SECONDS and TIMING_SLACK after the crash
+that reached this number.
+"""
 
 PAUSE_START_DELAY = 0.5
+"""Time after a rejection with Retry-After from which requests of the same entry to
+the target are counted, in seconds."""
+
 MAX_IN_PAUSE = 2
-"""Requests of one entry to a target within a pause, from so many seconds on."""
+"""Upper bound of the requests of one entry to a target within its pause."""
 
 CANCEL_SECONDS = 0.5
-"""Seconds after which nothing runs for a caller that left."""
+"""Time after which no run for a disconnected caller is open, in seconds."""
 
 HANDOVER_SECONDS = 0.4
-"""Seconds for which two engines may be at work on one run."""
+"""Time for which two targets may run one request at once, in seconds."""
 
 RETRY_WINDOW = 10.0
+"""Window of the fleet's retry budget in seconds, also written into the settings."""
+
 RETRY_RATIO = 0.2
+"""Repeats that the retry budget allows in a window, as a share of the requests of
+callers; also written into the settings."""
+
 RETRY_EXTRA = 20
-"""The fleet's retry budget, as the entries' settings say it."""
+"""Repeats that the retry budget allows in a window in addition to RETRY_RATIO; also
+written into the settings."""
 
 RATE_WINDOW = 4.0
+"""Window in which the requests to a target that names a rate are counted, in seconds.
+"""
+
 RATE_RATIO = 1.5
+"""Tolerated requests to a target in RATE_WINDOW, as a multiple of its named rate
+times the window."""
+
 RATE_EXTRA = 5
-"""What a target gets that names a rate: in a window, so much of it, and more."""
+"""Tolerated requests to a target in RATE_WINDOW in addition to RATE_RATIO."""
 
 RATE_START_DELAY = 0.5
-"""Seconds after an answer that named a rate from which its entry counts."""
+"""Time after the first answer that named a rate to an entry from which the requests
+of this entry count, in seconds."""
 
 TIMING_SLACK = 0.4
-"""Seconds that a busy machine of eight cores may add to any of these: entries,
-callers and targets share it, and timers there fire late."""
+"""Tolerance of all bounds on time, in seconds.
+
+Entries, callers and targets share one machine of eight cores, and on a busy machine
+timers fire late.
+"""
 
 NOT_RUN_STATUSES = (408, 421, 429, 503)
+"""Statuses that tell a caller that its request did not run."""
 
 _EVENT = re.compile(rb"id: (\d+)\ndata: (\S+) (\S+)\n\n")
 
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """A promise that was broken.
+    """Promise that a record shows to be broken.
 
     Attributes:
-        promise: Its name.
-        detail: Which request, and how.
+        promise: Name of the promise.
+        detail: Request, target or entry concerned, and what happened.
     """
 
     promise: str
@@ -68,7 +97,7 @@
 
 
 def check_promises(record: Record) -> list[Breach]:
-    """Return every breach that a record shows."""
+    """Return all breaches of promises that a record shows."""
     runs: dict[str, list[Run]] = defaultdict(list)
     for run in record.runs:
         runs[run.request].append(run)
@@ -118,7 +147,7 @@
     if any(owner != attempt.id.encode() for _, _, owner in events):
         return [Breach("answer", f"{attempt.id} got another request's events")]
     if attempt.whole and len(events) != EVENTS[attempt.kind]:
-        return [Breach("order", f"{attempt.id} looks whole at {len(events)}")]
+        return [Breach("order", f"{attempt.id} ended normally at event {len(events)}")]
     return []
 
 
@@ -126,8 +155,8 @@
     breaches = []
     for run in runs:
         if run.forged or run.customer != "gurdwara":
-            first_answers = f"{run.customer!r} with {run.forged}"
-            breaches.append(Breach("headers", f"{attempt.id} ran as {first_answers}"))
+            customer_info = f"{run.customer!r} with {run.forged}"
+            breaches.append(Breach("headers", f"{attempt.id} ran as {customer_info}"))
     return breaches
 
 
@@ -222,7 +251,7 @@
 
 
 def _was_abandoned(run: Run, limit: float) -> bool:
-    """Tell whether a run ended by a time, and not because it was whole."""
+    """Return whether a run ended by a time without being completed."""
     return not run.whole and run.ended is not None and run.ended <= limit
 
 
@@ -407,7 +436,18 @@
 def _find_first_answers(
     record: Record, target: str, since: float, entries: dict[str, int]
 ) -> dict[int, float]:
-    """Return when each entry first got an answer of a target begun after a time."""
+    """Return when each entry first received a complete answer of a target.
+
+    Args:
+        record: Record of a run.
+        target: Name of the target.
+        since: Time from which runs count, by their begin.
+        entries: Number of the entry of each request, by id of the request.
+
+    Returns:
+        Time of the first answer, by number of the entry; entries without one are
+        left out.
+    """
     first_answers: dict[int, float] = {}
     for run in record.runs:
         if run.target != target or run.ended is None or run.request not in entries:
--- a/tests/faults/records.py
+++ b/tests/faults/records.py
@@ -1,4 +1,7 @@
-"""What callers and targets saw, and what was done to the entries meanwhile."""
+"""Records of a run: attempts of callers, runs at targets, and injected faults.
+
+All times are in seconds of the clock that ``read_clock`` returns.
+"""
 
 import time
 from dataclasses import dataclass, field
@@ -6,19 +9,22 @@
 
 
 class Kind(Enum):
-    """What may be repeated of a request."""
+    """Kind of a request; it decides the route and whether a repetition is allowed."""
 
-    PLAN = "plan"  # a long stream
-    CHECK = "check"  # a short stream
-    ORDER = "order"  # at most once
-    LOOKUP = "lookup"  # may be repeated
+    PLAN = "plan"  # long stream
+    CHECK = "check"  # short stream
+    ORDER = "order"  # call that runs at most once
+    LOOKUP = "lookup"  # call that may be repeated
 
 
 CRASHING = "crash-"
-"""Part of the path of a request that crashes the targets that run it."""
+"""Part of the path of a request that crashes each target that runs it."""
 
 STREAMS = (Kind.PLAN, Kind.CHECK)
+"""Kinds that are generations and are answered with a stream of events."""
+
 EVENTS = {Kind.PLAN: 80, Kind.CHECK: 4}
+"""Number of events in a complete stream, by kind."""
 
 
 @dataclass(slots=True)
@@ -28,16 +34,16 @@
     Attributes:
         request: Id of the request.
         target: Name of the target.
-        generation: Name of the generation; it stays when a run goes on from a
-            copy.
-        began: When it began.
-        ended: When it ended; None while it runs.
-        whole: Whether it came to its end.
-        status: Status that it answered with.
-        customer: Customer that the target was told.
-        forged: Headers that only the system sets, as the caller sent them.
-        body: Body that was answered.
-        crashed: Whether it crashed the target.
+        generation: Name of the generation; a run that resumes from a copy has the
+            name of the run that was copied.
+        began: Time at which the run began.
+        ended: Time at which the run ended; None while it runs.
+        whole: Whether the run was completed.
+        status: HTTP status of the answer.
+        customer: Customer named in the request that the target received.
+        forged: System-only headers that reached the target with the caller's value.
+        body: Body of the answer; empty for a stream.
+        crashed: Whether the run crashed the target.
     """
 
     request: str
@@ -55,23 +61,23 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt of a caller, and what it got.
+    """One request of a caller with the answer that it received.
 
     Attributes:
-        id: Its id.
-        kind: Its kind.
+        id: Id of the request.
+        kind: Kind of the request.
         entry: Number of the entry that it was sent to.
-        incarnation: Which process of that entry took it.
-        path: Path.
-        key: Key.
-        sent: When it was sent.
-        ended: When its answer ended, or its connection.
-        status: Status of its answer; 0 for none.
-        stamp: Signature of the target that answered.
-        body: What came of the body.
-        whole: Whether the answer ended as a whole one.
-        disconnected: Whether the caller left before the end.
-        error: How the connection ended otherwise.
+        incarnation: Incarnation of that entry when the request was sent.
+        path: Path of the request.
+        key: Key of the caller.
+        sent: Time at which the request was sent.
+        ended: Time at which the answer or the connection ended.
+        status: HTTP status of the answer; 0 if none arrived.
+        stamp: Value of the Server-Stamp header, which names the target.
+        body: Part of the body that arrived.
+        whole: Whether the answer was received to its end.
+        disconnected: Whether the caller disconnected before the end.
+        error: Name of the client's exception if the connection failed, else "".
     """
 
     id: str
@@ -91,17 +97,17 @@
 
     @property
     def is_crashing(self) -> bool:
-        """Whether it crashes the targets that run it."""
+        """Whether the request crashes each target that runs it."""
         return CRASHING in self.path
 
 
 @dataclass(frozen=True, slots=True)
 class Version:
-    """A version of the configuration.
+    """Version of the configuration.
 
     Attributes:
-        number: Its number.
-        acknowledged: When the store took it.
+        number: Number of the version.
+        acknowledged: Time at which the store had acknowledged it.
         paths: Paths that have a route.
         keys: Keys that are in force.
     """
@@ -114,13 +120,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """A graceful end of an entry.
+    """Graceful stop of an entry.
 
     Attributes:
         entry: Number of the entry.
-        incarnation: Its process.
-        at: When it was asked to end.
-        took: Seconds until it had ended; None if it had to be killed.
+        incarnation: Incarnation of the entry that was stopped.
+        at: Time at which SIGTERM was sent.
+        took: Seconds until the process ended; None if it was killed after its
+            grace time.
     """
 
     entry: int
@@ -131,14 +138,14 @@
 
 @dataclass(slots=True)
 class Disturbance:
-    """A span in which bounds on time don't hold.
+    """Span of a fault, in which bounds on time are not checked.
 
     Attributes:
-        name: What was done.
-        entry: Number of the entry; None for all.
-        target: Name of the target; "" for none.
-        start: When it began.
-        end: When it ended; None while it lasts.
+        name: Name of the fault.
+        entry: Number of the entry that is affected; None for all.
+        target: Name of the target that is affected; "" for none.
+        start: Time at which the fault began.
+        end: Time at which the fault ended; None while it lasts.
     """
 
     name: str
@@ -148,19 +155,19 @@
     end: float | None = None
 
     def overlaps(self, start: float, end: float) -> bool:
-        """Tell whether it lasted in any part of a span."""
+        """Return whether the fault overlaps a span; both ends are included."""
         return self.start <= end and (self.end is None or self.end >= start)
 
 
 @dataclass(slots=True)
 class NamedRate:
-    """A span in which a target named a rate in its answers.
+    """Span in which a target named a rate limit in its answers.
 
     Attributes:
         target: Name of the target.
-        rate: Requests a second.
-        start: When it began.
-        end: When it ended; None while it lasts.
+        rate: Rate limit in requests per second.
+        start: Time from which the target names it.
+        end: Time from which it is no longer named; None while it is.
     """
 
     target: str
@@ -171,24 +178,30 @@
 
 @dataclass(slots=True)
 class Record:
-    """Everything that was seen in one run of the soak.
+    """Observations of one run of the soak.
 
     Attributes:
-        runs: What targets ran.
-        attempts: What callers sent.
+        runs: Runs of requests at targets.
+        attempts: Requests of callers.
         versions: Versions of the configuration, oldest first.
-        departures: When the store acknowledged that a target leaves.
-        stops: Graceful ends of entries.
-        disturbances: What was done.
-        arrivals: Requests as they came to targets, refused ones included: time,
-            service and id.
-        target_arrivals: The same with the name of the target: time, target and id.
-        rates: Spans in which targets named rates.
-        leaving_since: When targets began to say in their answers that they leave.
-        pauses: Pauses that targets asked for: time, target, request, seconds.
-        loop_stalls: Spans in which this process, with all stand-ins, stood still. They
-            are told, and excuse nothing.
-        final_phase_start: When all faults had been lifted for good.
+        departures: Time at which the store acknowledged that a target leaves, by
+            name of the target; infinity from the decision until then.
+        stops: Graceful stops of entries.
+        disturbances: Spans of the injected faults.
+        arrivals: Requests that reached targets, including those that a target
+            rejected as not run: time, service and id of each request. Requests
+            that were meant for another instance (status 421) are left out.
+        target_arrivals: Requests that reached targets, as in ``arrivals``, but
+            with the target in place of its service: time, target and id.
+        rates: Spans in which targets named rate limits.
+        leaving_since: Time from which a target announces in its answers that it
+            leaves, by name of the target.
+        pauses: Rejections with Retry-After: time, target, id of the request and
+            seconds that the target asked for.
+        loop_stalls: Spans in which the event loop of this process, and with it all
+            stand-ins, was blocked. They are reported, but excuse no breach.
+        final_phase_start: Time from which all must work again, after the last
+            fault and the time to recover from it.
     """
 
     runs: list[Run] = field(default_factory=list)
@@ -208,13 +221,13 @@
     def begin_disturbance(
         self, name: str, entry: int | None = None, target: str = ""
     ) -> Disturbance:
-        """Note that something is done from now on."""
+        """Record a fault that begins now and return it; the caller sets its end."""
         found = Disturbance(name, entry, target, time.monotonic())
         self.disturbances.append(found)
         return found
 
     def is_undisturbed(self, entry: int, start: float, end: float) -> bool:
-        """Tell whether nothing was done to an entry or the store in a span."""
+        """Return whether no fault of an entry, its links or the store is in a span."""
         for one in self.disturbances:
             if one.target or one.entry not in (None, entry):
                 continue
@@ -223,7 +236,10 @@
         return True
 
     def is_entry_undisturbed(self, entry: int, start: float, end: float) -> bool:
-        """Tell whether nothing was done to an entry itself in a span."""
+        """Return whether no fault of an entry or its links overlaps a span.
+
+        Faults that affect all entries, such as those of the store, do not count.
+        """
         for one in self.disturbances:
             if one.target or one.entry != entry:
                 continue
@@ -232,7 +248,7 @@
         return True
 
     def is_target_undisturbed(self, target: str, start: float, end: float) -> bool:
-        """Tell whether nothing was done to a target in a span."""
+        """Return whether no fault of a target overlaps a span."""
         for one in self.disturbances:
             if one.target != target:
                 continue
@@ -242,5 +258,5 @@
 
 
 def read_clock() -> float:
-    """Return the time that all records use, in seconds."""
+    """Return the monotonic time that all records use, in seconds."""
     return time.monotonic()
--- a/tests/faults/sites.py
+++ b/tests/faults/sites.py
@@ -1,4 +1,4 @@
-"""One run of the soak: entries as processes, stand-ins and proxies around them."""
+"""Site of one run of the soak: entry processes with stand-ins and proxies."""
 
 import asyncio
 import os
@@ -34,30 +34,36 @@
 from tests.processes import ROOT
 
 GRACE_SECONDS = 4.0
-"""Seconds that an entry has for a graceful end."""
+"""Grace time of a stop in seconds, after which an entry is killed."""
 
 RESTART_DELAY = 0.3
-"""How soon an entry that ended is started again."""
+"""Time between the end of an entry and its next start, in seconds."""
 
 READY_TIMEOUT_SECONDS = 20.0
-"""Longest that a start may take, also while the store is away."""
+"""Time limit of the start of an entry, also while the store is unavailable."""
 
 READY_POLL_INTERVAL = 0.5
-"""How often callers learn which entries are ready."""
+"""Pause between two readiness checks of all entries for the callers, in seconds."""
 
 SERVE_AFTER_NOTICE_SECONDS = 2.5
-"""Seconds that a target serves after it has said that it leaves."""
+"""Time for which a target still serves after its departure is in the store, in
+seconds."""
 
 RECOVERY_SECONDS = 4.0
-"""Seconds after the last fault within which all has to work again."""
+"""Time after the last fault within which all must work again, in seconds."""
 
 LOOP_CHECK_INTERVAL = 0.05
+"""Interval of the timer that detects stalls of the event loop, in seconds."""
+
 LOOP_STALL_THRESHOLD = 0.2
-"""Seconds by which a timer of WATCH_PERIOD is late where this process stood still:
-its targets, callers, links and store all did, and entries took them for silent."""
+"""Delay of a timer of LOOP_CHECK_INTERVAL that is recorded as a stall, in seconds.
+
+The targets, callers, links and the store run on this loop, so that entries take them
+for silent during a stall.
+"""
 
 FINAL_TRAFFIC_SECONDS = 2.0
-"""Seconds of traffic after that."""
+"""Time of traffic after RECOVERY_SECONDS for the recovery check, in seconds."""
 
 SETTINGS_TEMPLATE = """
 node = "entry-{number}"
@@ -83,20 +89,20 @@
 
 @dataclass(slots=True)
 class EntryHost:
-    """One entry instance: its process, its settings and the proxies around it.
+    """Entry instance with its process, its settings and the proxies around it.
 
     Attributes:
-        number: Its number, from 0.
-        ip: Its own loopback address.
-        ready: Where it tells whether callers may come, as "ip:port".
-        endpoint: Where callers reach it.
-        settings: Its settings file.
-        store: Proxy between it and the store.
-        front: Proxy between callers and it.
-        log: Where its lines go.
-        process: Its process, or None while there is none.
-        stopping: Whether it was made to end and is not back yet.
-        starting: Whether it is not ready since its start.
+        number: Number of the entry, from 0.
+        ip: Loopback address of the entry.
+        ready: Address of the readiness check, as "ip:port".
+        endpoint: Address and readiness as callers know them.
+        settings: Path of the settings file.
+        store: Proxy between the entry and the store.
+        front: Proxy between callers and the entry.
+        log: Path of the log file.
+        process: Current or last process; None before the first start.
+        stopping: Whether the entry was stopped or killed and is not ready again.
+        starting: Whether the entry has not been ready since its start.
     """
 
     number: int
@@ -112,7 +118,7 @@
     starting: bool = True
 
     async def start(self) -> None:
-        """Start the process; its log is kept over restarts."""
+        """Start the process and append its output to the log."""
         with self.log.open("ab") as lines:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -128,13 +134,16 @@
             )
 
     def send_signal(self, number: int) -> None:
-        """Signal the process if it still runs."""
+        """Send a signal to the process if it still runs."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
 
 
 class Site:
-    """Everything of one run; a seed decides the traffic, a plan the faults."""
+    """Entries, targets, store and callers of one run.
+
+    The seed determines the traffic and the plan determines the faults.
+    """
 
     def __init__(self, seed: int, folder: Path, entries: int, engines: int) -> None:
         self.record = Record()
@@ -157,7 +166,12 @@
         self._dropped_keys: list[str] = []
 
     async def run_plan(self, steps: list[Step], seconds: float) -> None:
-        """Play a plan, then a calm end; the record tells what was seen."""
+        """Run a plan, then a final phase without faults; fill the record.
+
+        Args:
+            steps: Faults with their times, sorted by time.
+            seconds: Length of the part of the run with faults.
+        """
         try:
             await self._start()
             self._traffic = self._build_traffic()
@@ -203,7 +217,8 @@
             await self._wait_until_ready(host, launch=False)
 
     async def _build_host(self, number: int, ports: list[int]) -> EntryHost:
-        # One process id names one network, so that runs side by side don't meet.
+        # The network follows from the process id, so that parallel runs use different
+        # addresses.
         network = os.getpid() % 250 + 1
         ip = f"127.{network}.{ports[0] % 250}.{number + 1}"
         host, _, port = self._store.address.rpartition(":")
@@ -356,7 +371,7 @@
         span = self.record.begin_disturbance(action, host.number)
         match action:
             case "kill" if host.stopping:
-                # Whoever stops it, or starts it again, sees to the rest.
+                # The task that stops or restarts the entry handles the end.
                 host.send_signal(signal.SIGKILL)
             case "stop" if host.stopping:
                 host.send_signal(signal.SIGTERM)
@@ -374,7 +389,7 @@
                 text = host.settings.read_text()
                 host.settings.write_text(text + f"# {read_clock()}\n")
                 if not host.starting:
-                    # Before it has its handlers a signal would end it.
+                    # SIGHUP ends a process that has not installed its handlers yet.
                     host.send_signal(signal.SIGHUP)
         span.end = read_clock()
 
@@ -489,7 +504,7 @@
         if target.name in self.record.departures:
             self._start_task(target.kill())
             return
-        # Before the task runs another request may crash it as well.
+        # A second request may crash the target before the task below runs.
         self.record.departures[target.name] = float("inf")
         self._start_task(self._replace(target, "crash"))
 
@@ -504,7 +519,7 @@
         await self._add_target(target.service)
         await asyncio.sleep(fault.seconds)
         if target.name in self.record.departures:
-            # It has crashed meanwhile.
+            # The target has crashed in the meantime.
             return
         self.record.begin_disturbance("drain", None, target.name)
         await self._replace(target, "drain")
@@ -556,7 +571,7 @@
 
 
 async def record_loop_stalls(record: Record) -> None:
-    """Note each time at which this process stood still."""
+    """Record each span in which the event loop was blocked, until cancelled."""
     while True:
         due = read_clock() + LOOP_CHECK_INTERVAL
         await asyncio.sleep(LOOP_CHECK_INTERVAL)
@@ -586,6 +601,6 @@
             proxy.set_fault(Lose(Direction.TO_CLIENT))
     await asyncio.sleep(seconds)
     if isinstance(proxy.fault, Lose):
-        # No network passes later bytes of a connection on after it lost some.
+        # A network does not deliver later bytes of a connection after losing some.
         proxy.cut()
     proxy.clear_fault()
--- a/tests/faults/targets.py
+++ b/tests/faults/targets.py
@@ -1,4 +1,4 @@
-"""Targets of the soak: they sign, count and remember what they ran."""
+"""Targets of the fault soak, which sign their answers and record what they ran."""
 
 import asyncio
 import random
@@ -14,37 +14,47 @@
 from tests.platform.standins import FakeStore, build_registration, start_app
 
 FORGED = "forged"
-"""Value of the headers that callers may not set."""
+"""Value with which callers forge headers that only the system may set."""
 
 SYSTEM_ONLY_HEADERS = ("Hold", "Pin-Ms", "Kv-Backup", "Kv-From", "Tenant")
+"""Headers that only the system may set on requests to targets."""
 
 CRASH_DELAY = 0.05
-"""From when a target begins to run a request that crashes it until it has."""
+"""Time from the begin of a run that crashes its target to the crash, in seconds."""
 
 EVENT_INTERVAL = 0.02
+"""Time before each event of a stream, in seconds."""
+
 MIN_CALL_SECONDS = 0.03
+"""Shortest duration of a call; the longest is twice as long."""
 
 _generations = count(1)
 
 
 @dataclass(slots=True)
 class SoakTarget:
-    """One target behind a proxy of its own.
+    """Target behind a proxy of its own.
 
     Attributes:
-        name: Its id.
-        service: Its service.
-        record: Where it notes what it ran.
-        rng: Draws which calls fail while it is grey.
-        targets_by_address: All targets by the address that they registered.
-        failure_rate: Part of its calls that fail.
-        unresponsive: Whether it runs calls and never answers.
-        rejects_calls: Whether it turns calls away as not run.
-        rates: Rates that it names now; its answers tell the lowest.
-        pauses: Pauses that it asks for now as it turns calls away.
-        copies: Generations that it holds copies of, by request.
-        running: Runs that are open, by request.
-        crash: Ends it at once, with all that it runs.
+        name: Id of the target.
+        service: Name of the service.
+        record: Record to which arrivals and runs are added.
+        rng: Source of the durations of calls and of the choice of calls that fail.
+        targets_by_address: All targets, by their registered addresses.
+        crash: Called with this target when a request crashes it; ends the target
+            with all its runs.
+        failure_rate: Share of the calls that are answered with status 500.
+        unresponsive: Whether the target runs requests without answering.
+        rejects_calls: Whether the target rejects requests as not run. Requests that
+            resume from a copy are accepted.
+        rates: Rate limits of the active signals; answers name the lowest.
+        pauses: Values of Retry-After of the active signals, in seconds. While there
+            are any, requests are rejected with the longest; requests that resume
+            from a copy are accepted.
+        copies: Generation of which the target holds a copy, by request.
+        running: Open run, by request.
+        proxy: Proxy before the target; None before the start.
+        runner: HTTP server of the target; None before the start.
     """
 
     name: str
@@ -65,12 +75,12 @@
 
     @property
     def address(self) -> str:
-        """Address that it registers."""
+        """Address of the proxy, which the target registers."""
         assert self.proxy is not None
         return self.proxy.address
 
     async def start(self, store: FakeStore) -> None:
-        """Listen and register."""
+        """Start the server and its proxy, and register the target."""
         app = web.Application()
         app.router.add_post("/figstep/kv-move", self._copy_run)
         app.router.add_get("/figstep/report", self._report)
@@ -84,12 +94,12 @@
         await self.register(store)
 
     async def register(self, store: FakeStore, state: str = "ready") -> None:
-        """Write the registration."""
+        """Write the registration with a state, such as "draining", into the store."""
         entry = build_registration(self.service, self.address, state)
         await store.put("keyed.servers", self.name, entry)
 
     async def kill(self) -> None:
-        """End with all connections."""
+        """Close all connections and end all runs."""
         if self.proxy is not None:
             await self.proxy.stop()
         if self.runner is not None:
--- a/tests/faults/test_plans.py
+++ b/tests/faults/test_plans.py
@@ -1,4 +1,4 @@
-"""Plans are the same for the same seed and stay within their time."""
+"""Tests that plans are reproducible and within the time for faults."""
 
 from tests.faults.plans import ALL_EXTRAS, draw_plan
 
@@ -9,7 +9,7 @@
 
 
 def test_an_extra_leaves_the_base_plan_unchanged() -> None:
-    """Guards against seeds that showed a fault and play otherwise later."""
+    """Guards against recorded seeds that give another plan when an extra is added."""
     for seed in range(50):
         base = draw_plan(seed, 3, 10.0, extras=())
         for extra in ALL_EXTRAS:
--- a/tests/faults/test_promises.py
+++ b/tests/faults/test_promises.py
@@ -1,4 +1,4 @@
-"""Each promise's check finds a record that breaks it, and lets a good one pass."""
+"""Tests that each check finds a record with a breach and passes a correct one."""
 
 import pytest
 
@@ -20,7 +20,7 @@
 
 
 def build_record(kind: Kind = Kind.ORDER) -> tuple[Record, Attempt, Run]:
-    """Return a record of one request that was served well."""
+    """Return a record of one correctly served request, with its attempt and run."""
     run = Run("r1", "i-1", "g1", START, START + 0.1, True, customer="gurdwara")
     run.body = b"answer"
     attempt = Attempt("r1", kind, 0, 0, f"/{kind.value}/", "key-1", START)
@@ -153,7 +153,10 @@
 def test_a_run_that_is_abandoned_as_it_begins_is_not_counted(
     lasted: float, whole: bool, found: set[str]
 ) -> None:
-    """Guards against entries blamed for requests that reach a target late."""
+    """Guards against reports of runs that a target begins after they were abandoned.
+
+    A request may reach its target late, when the entry has abandoned it already.
+    """
     record, _, run = build_record(Kind.PLAN)
     run.ended = START + 3
     later = Run("r1", "i-2", "g1", START, START + lasted, whole, customer="gurdwara")
@@ -162,7 +165,7 @@
 
 
 def test_a_loop_stall_excuses_no_breach() -> None:
-    """Guards against faults of entries that hide behind a busy machine."""
+    """Guards against faults of entries that go unreported on a busy machine."""
     record, _, run = build_record(Kind.PLAN)
     run.ended = START + 3
     record.runs.append(Run("r1", "i-2", "g1", START, START + 3, customer="gurdwara"))
@@ -187,7 +190,11 @@
 
 
 def build_limited_record(requests: int) -> Record:
-    """Return a record of a target that names a rate of 1 and gets requests."""
+    """Return a record of a target that names a rate of 1 per second.
+
+    Args:
+        requests: Number of requests that the target gets, 0.1 s apart.
+    """
     record, _, _ = build_record()
     record.rates.append(NamedRate("i-1", 1.0, START - 1, START + 20))
     record.target_arrivals += [
@@ -208,7 +215,11 @@
 
 
 def build_leaving_record(sent: float) -> Record:
-    """Return a record of a target that says that it leaves, and a later request."""
+    """Return a record of a target that announces that it leaves, and a request to it.
+
+    Args:
+        sent: Seconds from START to the request; the announcement is 1 s before START.
+    """
     record, _, _ = build_record()
     record.leaving_since["i-1"] = START - 1
     late = Attempt("r2", Kind.LOOKUP, 0, 0, "/lookup/", "key-1", START + sent)
@@ -258,7 +269,12 @@
 
 
 def build_crashing_record(retries: int, entry: int = 0) -> Record:
-    """Return a record of a read that crashed three targets and is sent again."""
+    """Return a record of a read that crashed three targets and is sent again.
+
+    Args:
+        retries: Number of further runs, 1 s apart from 6 s after START.
+        entry: Number of the entry of all requests.
+    """
     record, _, _run = build_record()
     times = [START, START + 0.1, START + 1.0]
     times += [START + 6.0 + number for number in range(retries)]
--- a/tests/faults/test_sites.py
+++ b/tests/faults/test_sites.py
@@ -1,4 +1,4 @@
-"""The soak tells its own standstills apart from faults of entries."""
+"""Tests that the soak reports stalls of its own event loop."""
 
 import asyncio
 import time
@@ -12,7 +12,7 @@
 
 
 async def test_a_blocked_event_loop_is_recorded() -> None:
-    """Guards against failures whose report hides that the soak stood still."""
+    """Guards against reports of failures that omit a stall of the soak itself."""
     record = Record()
     recorder = asyncio.create_task(record_loop_stalls(record))
     await asyncio.sleep(2 * LOOP_CHECK_INTERVAL)
--- a/tests/faults/test_soak.py
+++ b/tests/faults/test_soak.py
@@ -1,4 +1,4 @@
-"""Short runs of the fault soak, with seeds that stay as they are."""
+"""Short runs of the fault soak with fixed seeds."""
 
 from pathlib import Path
 
@@ -8,10 +8,11 @@
 from tests.faults.plans import ALL_EXTRAS, SIGNALS, Extra
 
 SEEDS = [11, 2398170]
-"""Played in each run of the tests; one that ever failed is added with its cause.
+"""Seeds without extras; each seed that failed is added here with its cause.
 
-2398170: the caller's proxy swallowed 37 events of a stream and passed the next ones
-on over the same connection, which no network does; the entry had delivered all 80.
+2398170: the proxy before the entry dropped 37 events of a stream and passed on the
+next ones over the same connection, which no network does; the entry had delivered
+all 80.
 """
 
 SIGNAL_SEEDS = [
@@ -21,16 +22,16 @@
     (3103866, SIGNALS),
     (3103878, SIGNALS),
 ]
-"""The same, with targets that say things of themselves in their answers.
+"""Seeds with targets that send signals about themselves, with the extras drawn.
 
-8381831, 8381837: an answer to an engine's report, or to the order of a copy, named no
-rate and ended the one that the engine's answers to requests had named.
+8381831, 8381837: the answer to a state query or to a copy order named no rate and
+thereby ended the rate limit that the engine had named in its answers to requests.
 
-3103866: the check of the end took 404s of paths without a route for callers that were
+3103866: the recovery check counted 404s of paths without a route as callers that were
 not served.
 
-3103878: of a grace time of four seconds too little was left to close an answer that
-was still open and to end the process.
+3103878: of a grace time of 4 s too little was left to close an open answer and to end
+the process.
 """
 
 
@@ -42,30 +43,31 @@
     (15367872, ALL_EXTRAS),
     (1679473, ALL_EXTRAS),
 ]
-"""The same, with requests that crash the targets that run them.
+"""Seeds with requests that crash the targets that run them, with the extras drawn.
 
-45: the HTTP client sent calls again by itself; orders ran twice, and a read reached
-target after target as one that none had run.
+45: the HTTP client repeated calls by itself, so that orders ran twice and a read that
+crashed its targets was sent to one target after another as if it had not run.
 
-9130283: the soak replaced a target twice that crashed after it had said that it leaves.
+9130283: the soak replaced a target twice that crashed after it had announced that it
+leaves.
 
-15367845: the same for one that two requests crashed in the same moment.
+15367845: the soak replaced a target twice that two requests crashed at the same time.
 
 15367847, 15367872: on a busy machine too little of the grace time was left for the
 process to end.
 
-1679473: the check of the handover counted a run that its entry had given up before the
+1679473: the handover check counted a run that its entry had abandoned before the
 target began it.
 """
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 async def test_promises_hold_under_faults(seed: int, tmp_path: Path) -> None:
-    """Callers would get halves, doubles or lies while parts die around them.
+    """Guards against incomplete, duplicate or wrong answers under faults.
 
-    Entries are killed, frozen and stopped, links delayed and cut, engines leave
-    and crash, and the store goes away, as the seed draws it. Every promise is
-    checked on what callers and targets saw.
+    Entries are killed, frozen and stopped, links delayed and cut, targets leave and
+    crash, and the store becomes unavailable, as drawn from the seed. All promises are
+    checked on the records of callers and targets.
     """
     record, breaches = await run_seed(seed, tmp_path, extras=())
     assert breaches == [], describe_record(record)
@@ -76,7 +78,7 @@
 async def test_promises_hold_as_targets_send_signals(
     seed: int, extras: tuple[Extra, ...], tmp_path: Path
 ) -> None:
-    """Guards against entries that don't act on what answers of targets say."""
+    """Guards against entries that ignore the signals in the answers of targets."""
     record, breaches = await run_seed(seed, tmp_path, extras=extras)
     assert breaches == [], describe_record(record)
     assert sum(attempt.status == 200 for attempt in record.attempts) > 50
@@ -86,7 +88,7 @@
 async def test_promises_hold_as_requests_crash_targets(
     seed: int, extras: tuple[Extra, ...], tmp_path: Path
 ) -> None:
-    """Guards against targets that crash one after another under one request."""
+    """Guards against one request that crashes one target after another."""
     record, breaches = await run_seed(seed, tmp_path, extras=extras)
     assert breaches == [], describe_record(record)
     assert any(run.crashed for run in record.runs)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes behind proxies, and callers that keep a record."""
+"""Fleet of real processes behind proxies, with callers that record their answers."""
 
 import asyncio
 from collections.abc import Callable
@@ -30,12 +30,25 @@
 from tests.processes import Running, run_figstep, write_yaml
 
 TIMEOUT_SECONDS = 60
+"""Longest wait for a condition or an answer, far above what any test needs."""
+
 POLL_INTERVAL = 0.02
+"""Pause between two checks of a condition, in seconds."""
+
 HEADERS = {"Authorization": f"Bearer {KEY}"}
+"""Headers with the key of the demo customer."""
 
 
 async def wait_for(condition: Callable[[], Any], description: str) -> None:
-    """Poll until ``condition`` is true; the bound is far above any need."""
+    """Poll a condition until it is true.
+
+    Args:
+        condition: Returns the condition, or a coroutine that does.
+        description: Description of the condition for the error message.
+
+    Raises:
+        AssertionError: The condition was not true within TIMEOUT_SECONDS.
+    """
     try:
         async with asyncio.timeout(TIMEOUT_SECONDS):
             while True:
@@ -46,11 +59,18 @@
                     return
                 await asyncio.sleep(POLL_INTERVAL)
     except TimeoutError:
-        raise AssertionError(f"never came true: {description}") from None
+        raise AssertionError(f"timed out: {description}") from None
 
 
 class Caller:
-    """Asks for one thing, perhaps over several connections."""
+    """Caller of one generation or call, over one or several connections.
+
+    Attributes:
+        history: Record of the events and outcomes that the caller received.
+        body: Body of the request for a generation.
+        retry_after: Retry-After header of the last answer, if it had one.
+        document: JSON document of the last answer that was one.
+    """
 
     def __init__(self, tag: str, tokens: int = 20, stream: bool = True) -> None:
         self.history = CallerHistory(tag, stream=stream)
@@ -66,44 +86,44 @@
 
     @property
     def last(self) -> Outcome:
-        """How the last connection ended."""
+        """Outcome of the last connection."""
         return self.history.outcomes[-1]
 
     @property
     def target(self) -> str:
-        """Target whose generation the caller sees."""
+        """Target that the id of the last received event names."""
         return self.history.events[-1].generation.partition("~")[0]
 
     def start_generation(self, url: str) -> None:
-        """Start asking; where events were seen, only the rest is asked for."""
+        """Start a request for a generation; resume it if events were received."""
         self._task = asyncio.create_task(self._generate(url))
 
     def order(self, url: str) -> None:
-        """Start a call that must run at most once; its tag is its key."""
+        """Start a call that must run at most once, with the tag as idempotency key."""
         self.history.identity = self.history.tag
         self.history.stream = False
         self._task = asyncio.create_task(self._call(url))
 
     async def finish(self) -> None:
-        """Wait until the connection ended, in whatever way."""
+        """Wait until the connection has ended, also if it failed."""
         assert self._task is not None
         await asyncio.wait_for(self._task, TIMEOUT_SECONDS)
 
     async def stream_to_end(self, url: str) -> None:
-        """Ask, and wait until the connection ended."""
+        """Request a generation and wait until the connection has ended."""
         self.start_generation(url)
         await self.finish()
 
     async def wait_for_events(self, count: int) -> None:
-        """Wait until so many events were seen."""
+        """Wait until ``count`` events were received or the connection has ended."""
         events = self.history.events
         await wait_for(
             lambda: len(events) >= count or (self._task and self._task.done()),
-            f"{self.history.tag} sees {count} events",
+            f"{self.history.tag} receives {count} events",
         )
 
     def disconnect(self) -> None:
-        """Close the connection from the caller's side."""
+        """Close the connection before the answer is complete."""
         assert self._task is not None
         self.history.abandoned = True
         self._task.cancel()
@@ -178,11 +198,11 @@
 
 
 class HookedLog(LogService):
-    """Log service that acts between an append and the answer to it.
+    """Log service with hooks that run between an append and its answer.
 
     Attributes:
-        on_append: What to do at the next append of a record, by the record's
-            kind; done once.
+        on_append: Hook for the next append of a record, by the kind of the record;
+            it is called once with the request.
     """
 
     def __init__(self) -> None:
@@ -190,7 +210,7 @@
         self.on_append: dict[str, Callable[[web.Request], None]] = {}
 
     def lose_answer(self, kind: str) -> None:
-        """Lose the answer to the next append of a record of this kind."""
+        """Abort the connection after the next append of a record of this kind."""
         self.on_append[kind] = _reset
 
     async def _append(self, request: web.Request) -> web.Response:
@@ -209,16 +229,20 @@
 
 
 class Fleet:
-    """Entries and engines as processes; the platform on the test's own loop.
+    """Entries and engines as processes; the platform on the event loop of the test.
 
     Attributes:
+        stack: Exit stack that ends all processes and servers.
         log: Log service; entries reach it through ``log_proxy``.
         instances: Instance list.
         engines: Engine processes by name; entries reach them through ``links``.
         entries: Entry processes by name.
         links: Proxy by target name.
         services: Plain services by name.
-        callers: Everyone who asked for anything.
+        callers: All callers.
+        notice_seconds: Setting of entries that are started from now on.
+        retention_seconds: Log retention in the settings of entries that are started
+            from now on.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -236,7 +260,13 @@
         self._executed: dict[str, dict[str, str]] = {}
 
     async def start(self, entries: int, engines: int, gap: float) -> None:
-        """Start everything and wait until the inventory is in force."""
+        """Start all parts and wait until the inventory is in force at all entries.
+
+        Args:
+            entries: Number of entries.
+            engines: Number of engines.
+            gap: Time between two tokens of an engine, in seconds.
+        """
         log_url = await self._serve(self.log.build_app())
         self.log_proxy = await self._start_proxy(log_url)
         self.log_client = HttpLog(log_url)
@@ -258,7 +288,7 @@
             await self.wait_ready(name)
 
     async def close(self) -> None:
-        """End every process and close every server."""
+        """Cancel all callers, end all processes and close all servers."""
         for caller in self.callers:
             if caller._task is not None:
                 caller._task.cancel()
@@ -294,7 +324,7 @@
         self.links[name] = await self._start_proxy(running.url)
 
     async def start_entry(self, name: str) -> None:
-        """Start an entry process."""
+        """Start an entry process and add it to the instance list."""
         settings = {
             "node": name,
             "failure_domain": "muc-a",
@@ -315,7 +345,7 @@
         self.instances.list_entry(name, running.url, status["control"]["address"])
 
     async def read(self, url: str) -> dict[str, Any]:
-        """Return the JSON that ``url`` answers; empty where it does not."""
+        """Return the JSON document at ``url``, or an empty one if the request fails."""
         timeout = aiohttp.ClientTimeout(total=TIMEOUT_SECONDS)
         try:
             async with (
@@ -328,7 +358,7 @@
             return {}
 
     async def wait_ready(self, name: str) -> None:
-        """Wait until an entry is ready."""
+        """Wait until an entry has a configuration in force."""
 
         async def is_ready() -> bool:
             status = await self.read(self.entries[name].url + "/status")
@@ -337,20 +367,20 @@
         await wait_for(is_ready, f"{name} is ready")
 
     def call(self, tag: str, tokens: int = 20, stream: bool = True) -> Caller:
-        """Return a new caller, whose history will be judged."""
+        """Return a new caller, whose history ``collect_history`` includes."""
         caller = Caller(tag, tokens, stream)
         self.callers.append(caller)
         return caller
 
     async def kill_engine(self, name: str) -> None:
-        """Keep what an engine executed, then kill it."""
+        """Record what an engine executed, then kill its process."""
         await self._record_executed(name)
         running = self.engines.pop(name)
         running.kill()
         await running.process.wait()
 
     async def find_engine(self, tag: str) -> str:
-        """Return the engine that runs a request, once one does."""
+        """Wait until an engine runs the request with a tag, and return its name."""
         found: list[str] = []
 
         async def find_running() -> list[str]:
@@ -370,7 +400,7 @@
             recorded[generation] = prompt.split()[-1]
 
     async def collect_history(self) -> History:
-        """Return all that callers saw and targets executed so far."""
+        """Return what callers received and targets executed so far."""
         history = History([caller.history for caller in self.callers])
         for name in self.engines:
             await self._record_executed(name)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,4 +1,4 @@
-"""A long run of the state machines: ``python -m tests.soak --examples 5000``."""
+"""Long run of the stateful property tests: ``python -m tests.soak --examples 5000``."""
 
 import argparse
 import random
@@ -10,10 +10,11 @@
 from tests.core.test_generations_properties import GenerationsMachine
 
 MACHINES: list[type[RuleBasedStateMachine]] = [ClaimsMachine, GenerationsMachine]
+"""State machines that are run, in order."""
 
 
 def main() -> None:
-    """Run each machine and print the seed that repeats the run."""
+    """Run each state machine after printing the seed that reproduces the run."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--examples", type=int, default=5_000)
     parser.add_argument("--steps", type=int, default=80)
