--- a/figstep/application.py
+++ b/figstep/application.py
@@ -134,7 +134,7 @@
             self._log_client,
             LEASES,
             self._handle_lease_records,
-            rest=LEASES_READ_DELAY_SECONDS,
+            read_delay=LEASES_READ_DELAY_SECONDS,
         )
         self.orders = OrderEdge(self.dispatch, self.find_target, self.clock)
         self.peers = PeerEdge(
