--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -206,14 +206,14 @@
 def test_second_key_is_accepted_while_keys_are_changed() -> None:
     body = encode_gossip(Gossip("a", "h:1", 1, 1))
     signed = Keyring("old").sign(MessageKind.GOSSIP, body)
-    assert Keyring("new", "old").open(MessageKind.GOSSIP, signed) == body
+    assert Keyring("new", "old").verify(MessageKind.GOSSIP, signed) == body
     with pytest.raises(PeerMessageError, match=r"peers\.key"):
-        Keyring("new").open(MessageKind.GOSSIP, signed)
+        Keyring("new").verify(MessageKind.GOSSIP, signed)
     with pytest.raises(PeerMessageError):
-        Keyring("old").open(MessageKind.ANSWER, signed)
+        Keyring("old").verify(MessageKind.ANSWER, signed)
     for damaged in (b"", b"\xff" * 40, signed[:-3]):
         with pytest.raises(PeerMessageError):
-            Keyring("old").open(MessageKind.GOSSIP, damaged)
+            Keyring("old").verify(MessageKind.GOSSIP, damaged)
 
 
 def test_a_list_without_incarnations_counts_while_it_says_so() -> None:
