--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -1,8 +1,8 @@
-"""Appends and added time of claimed calls at real entry processes.
+"""Benchmark of claimed calls at real entry processes: appends and added time.
 
-Run as ``python -m benchmarks.claims --entries 8 --rate 80 --seconds 10``. The
-log service, the plain services and the callers share this process's loop, so
-the times include theirs.
+Run as ``python -m benchmarks.claims --entries 8 --rate 80 --seconds 10``. The log
+service, the plain services and the callers share the event loop of this process,
+so the measured times include theirs.
 """
 
 import argparse
@@ -18,21 +18,22 @@
 from figstep.standins.log import Faults
 from tests.fleet import HEADERS, Fleet
 
-WARM_SECONDS = 3.0
+WARM_UP_SECONDS = 3.0
+"""Seconds from the start of the fleet to the start of the measurement."""
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """One kind of call under load.
+    """Measurements of one kind of call under load.
 
     Attributes:
-        answered: Calls answered with 200.
-        failed: Calls answered otherwise.
-        p50: Median time, in milliseconds.
-        p99: 99th percentile, in milliseconds.
-        appends: Appends to the log, each of a batch of records.
-        records: Records appended.
-        seconds: How long the load lasted.
+        answered: Number of calls answered with 200.
+        failed: Number of calls answered with another status.
+        p50: Median time of a successful call, in milliseconds.
+        p99: 99th percentile of the time of a successful call, in milliseconds.
+        appends: Number of appends to the log, each with a batch of records.
+        records: Number of records appended.
+        seconds: Duration of the load.
     """
 
     answered: int
@@ -45,7 +46,14 @@
 
 
 async def apply_load(fleet: Fleet, path: str, rate: float, seconds: float) -> Result:
-    """Send calls at a fixed rate, spread over the entries in turn."""
+    """Send calls at a fixed rate, to the entries in turn.
+
+    Args:
+        fleet: Fleet to send to.
+        path: Path of the calls at the service.
+        rate: Calls per second.
+        seconds: Duration of the load.
+    """
     urls = [entry.url for entry in fleet.entries.values()]
     times: list[float] = []
     failed = 0
@@ -56,13 +64,13 @@
             nonlocal failed
             url = urls[number % len(urls)] + "/services/planning" + path
             headers = {"Idempotency-Key": f"{path}-{started}-{number}"}
-            before = time.perf_counter()
+            sent_at = time.perf_counter()
             async with session.post(url, data=b"flour", headers=headers) as response:
                 await response.read()
             if response.status != 200:
                 failed += 1
                 return
-            times.append((time.perf_counter() - before) * 1000)
+            times.append((time.perf_counter() - sent_at) * 1000)
 
         started = time.perf_counter()
         tasks = []
@@ -72,12 +80,12 @@
             tasks.append(asyncio.create_task(call(number)))
         await asyncio.gather(*tasks)
         elapsed = time.perf_counter() - started
-    cuts = quantiles(times, n=100)
+    percentiles = quantiles(times, n=100)
     return Result(
         len(times),
         failed,
-        cuts[49],
-        cuts[98],
+        percentiles[49],
+        percentiles[98],
         fleet.log.appends - appends,
         fleet.log.appended_records - records,
         elapsed,
@@ -85,13 +93,20 @@
 
 
 async def measure(entries: int, rate: float, seconds: float, delay: int) -> None:
-    """Compare claimed calls to others, and count what an idle fleet appends."""
+    """Compare claimed calls with others and print the append rate of an idle fleet.
+
+    Args:
+        entries: Number of entries.
+        rate: Calls per second.
+        seconds: Duration of each measurement.
+        delay: Delay of every answer of the log, in milliseconds.
+    """
     with TemporaryDirectory() as folder:
         fleet = Fleet(Path(folder))
         try:
             await fleet.start(entries, 1, 0.01)
             fleet.log.faults = Faults(delay_ms=delay)
-            await asyncio.sleep(WARM_SECONDS)
+            await asyncio.sleep(WARM_UP_SECONDS)
             idle = fleet.log.appends
             await asyncio.sleep(seconds)
             print(f"idle: {(fleet.log.appends - idle) / seconds:.1f} appends/s")
@@ -108,7 +123,7 @@
 
 
 def main() -> None:
-    """Read the arguments and measure."""
+    """Parse the arguments and run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--entries", type=int, default=8)
     parser.add_argument("--rate", type=float, default=80.0, help="calls a second")
--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -1,6 +1,7 @@
-"""Baseline: a bare aiohttp pass-through that decides nothing.
+"""Baseline for benchmarks: a minimal aiohttp proxy that relays to one target.
 
-``python -m benchmarks.passthrough URL LOOP`` prints ``passthrough URL``.
+``python -m benchmarks.passthrough URL LOOP`` relays to ``URL`` on the event loop
+"uvloop" or "asyncio" and prints ``passthrough`` and its own URL.
 """
 
 import asyncio
@@ -12,7 +13,7 @@
 
 
 async def serve(target: str) -> None:
-    """Pass requests on to ``target`` for ever, one write for each event."""
+    """Relay requests to ``target`` until killed, with one write for each event."""
     session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
 
     async def relay(request: web.Request) -> web.StreamResponse:
@@ -20,9 +21,9 @@
         response = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
         async with session.post(target + request.path, data=body) as answer:
             await response.prepare(request)
-            rest = b""
+            remainder = b""
             async for chunk in answer.content.iter_any():
-                *frames, rest = (rest + chunk).split(b"\n\n")
+                *frames, remainder = (remainder + chunk).split(b"\n\n")
                 for frame in frames:
                     await response.write(frame + b"\n\n")
         return response
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,7 +1,7 @@
-"""How long a stream stalls when its connection is cut or goes silent.
+"""Benchmark of the stall of a stream whose connection breaks or goes silent.
 
-Run as ``python -m benchmarks.recovery --runs 10``. One entry, three engines
-with gaps of 10, 20 and 40 ms behind proxies, all in this process.
+Run as ``python -m benchmarks.recovery --runs 10``. One entry and three engines
+with gaps of 10, 20 and 40 ms behind proxies all run in this process.
 """
 
 import argparse
@@ -18,12 +18,16 @@
 from figstep.standins.proxy import TcpProxy
 
 TOKENS = 200
-STRIKE_AFTER = 100
+"""Tokens of each answer."""
+
+FAULT_AFTER_TOKENS = 100
+"""Number of received tokens after which the fault is injected."""
+
 HEADERS = {"Authorization": f"Bearer {KEY}"}
 
 
 async def relay_engines(deployment: Deployment) -> list[TcpProxy]:
-    """Put a proxy before each engine and publish its address."""
+    """Start a proxy in front of each engine and publish the proxies' addresses."""
     proxies = []
     for item in deployment.document["engines"]:
         parts = urlsplit(item["address"])
@@ -40,33 +44,47 @@
 
 
 async def stream_once(url: str, proxies: list[TcpProxy], fault: str) -> float:
-    """Stream an answer, strike in its middle, return the longest gap in ms."""
+    """Stream an answer and inject a fault in the middle of it.
+
+    Returns:
+        The longest gap between two tokens, in milliseconds.
+
+    Raises:
+        RuntimeError: If the answer is not complete.
+    """
     body = {
         "model": MODEL,
         "prompt": "menu",
         "stream": True,
         "standin_length": TOKENS,
     }
-    longest, seen = 0.0, 0
+    longest, received = 0.0, 0
     async with aiohttp.ClientSession(headers=HEADERS) as session:
         async with session.post(url + "/v1/completions", json=body) as response:
-            before = time.perf_counter()
+            previous = time.perf_counter()
             async for line in response.content:
                 if not line.startswith(b"id: "):
                     continue
                 now = time.perf_counter()
-                longest = max(longest, (now - before) * 1000)
-                before = now
-                seen += 1
-                if seen == STRIKE_AFTER:
-                    strike(proxies, fault)
-    if seen != TOKENS:
-        raise RuntimeError(f"{seen} of {TOKENS} tokens came; look at the entry's log")
+                longest = max(longest, (now - previous) * 1000)
+                previous = now
+                received += 1
+                if received == FAULT_AFTER_TOKENS:
+                    inject_fault(proxies, fault)
+    if received != TOKENS:
+        raise RuntimeError(
+            f"{received} of {TOKENS} tokens came; look at the entry's log"
+        )
     return longest
 
 
-def strike(proxies: list[TcpProxy], fault: str) -> None:
-    """Strike the connections that are open now."""
+def inject_fault(proxies: list[TcpProxy], fault: str) -> None:
+    """Apply the fault to the open connections of all proxies.
+
+    Args:
+        proxies: Proxies in front of the engines.
+        fault: "cut", "frozen" or "none".
+    """
     for proxy in proxies:
         match fault:
             case "cut":
@@ -78,7 +96,7 @@
 
 
 async def measure(runs: int) -> None:
-    """Print the longest gap of each kind of run."""
+    """Print median and maximum of the longest gap for each kind of fault."""
     async with run_deployment(entries=1) as deployment:
         proxies = await relay_engines(deployment)
         url = deployment.entries[0].callers.address
@@ -93,7 +111,7 @@
 
 
 def main() -> None:
-    """Read the arguments and measure."""
+    """Parse the arguments and run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--runs", type=int, default=10)
     asyncio.run(measure(parser.parse_args().runs))
--- a/figstep/account.py
+++ b/figstep/account.py
@@ -1,7 +1,7 @@
-"""An account of a run's requests from the entries' logs: lost, late, refused, why.
+"""Summary of requests from the logs of entries: outcome and cause of each.
 
-Each line of a log is one JSON object; whatever stands before it, such as a time or
-the name of an instance, is left out.
+Each log line holds one JSON object. Text before the object, such as a time or the name
+of an instance, is ignored.
 """
 
 from collections import Counter, defaultdict
@@ -12,13 +12,13 @@
 
 import orjson
 
-NO_LOSS = "no target was lost"
+NO_TARGET_LOST = "no target was lost"
 
 
 class Outcome(Enum):
-    """What became of a request."""
+    """Outcome of a request."""
 
-    IN_TIME = "in time"
+    ON_TIME = "in time"
     LATE = "late"
     REFUSED = "refused"
     BROKEN = "broken"
@@ -27,12 +27,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
-    """From when on an answer counts as late.
+class LatencyLimits:
+    """Times above which an answer counts as late.
 
     Attributes:
         first: Longest time to a stream's first event, in milliseconds.
-        pause: Longest pause between its events, in milliseconds.
+        pause: Longest pause between two events of a stream, in milliseconds.
     """
 
     first: int = 1_800
@@ -40,36 +40,36 @@
 
 
 @dataclass(slots=True)
-class Course:
-    """A request's lines, in the order in which they were written.
+class RequestTrace:
+    """Log lines of one request.
 
     Attributes:
-        lines: Its lines.
+        lines: Parsed log lines, in the order in which they were written.
     """
 
     lines: list[dict[str, Any]] = field(default_factory=list)
 
     def find_last(self, message: str) -> dict[str, Any] | None:
-        """Return the last line with a message, or None."""
+        """Return the last line with the given message, or None."""
         found = [line for line in self.lines if line["message"] == message]
         return found[-1] if found else None
 
     def find_first(self, message: str) -> dict[str, Any] | None:
-        """Return the first line with a message, or None."""
+        """Return the first line with the given message, or None."""
         found = [line for line in self.lines if line["message"] == message]
         return found[0] if found else None
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """Requests with the same outcome for the same cause.
+    """Number of requests of a route with the same outcome and cause.
 
     Attributes:
-        route: Their route; "" where no line names it.
-        outcome: What became of them.
-        cause: Why, as far as the lines tell.
-        requests: How many there are.
-        events: Events that they had delivered.
+        route: Route of the requests; "" if no line names it.
+        outcome: Outcome of the requests.
+        cause: Cause of the outcome as far as it is logged; "" if there is none.
+        requests: Number of requests.
+        events: Number of events that were delivered for these requests.
     """
 
     route: str
@@ -79,9 +79,9 @@
     events: int
 
 
-def read_courses(lines: Iterable[str]) -> dict[str, Course]:
-    """Return the lines of each request by its id; other lines are passed over."""
-    courses: dict[str, Course] = defaultdict(Course)
+def read_traces(lines: Iterable[str]) -> dict[str, RequestTrace]:
+    """Return the log lines of each request by its id; skip all other lines."""
+    traces: dict[str, RequestTrace] = defaultdict(RequestTrace)
     for line in lines:
         start = line.find("{")
         if start < 0:
@@ -89,23 +89,29 @@
         try:
             document = orjson.loads(line[start:])
         except orjson.JSONDecodeError:
-            # Lines of other programs may stand between those of an entry.
+            # The log may also contain lines of other programs.
             continue
         if not isinstance(document, dict) or "message" not in document:
             continue
         request = document.get("request")
         if isinstance(request, str):
-            courses[request].lines.append(document)
-    return dict(courses)
+            traces[request].lines.append(document)
+    return dict(traces)
 
 
-def account_courses(courses: dict[str, Course], limits: Limits) -> list[Row]:
-    """Return how many requests of each route ended how and why, most first."""
+def summarize_traces(
+    traces: dict[str, RequestTrace], limits: LatencyLimits
+) -> list[Row]:
+    """Count requests by route, outcome and cause.
+
+    Returns:
+        Rows sorted by route and outcome, then by descending number of requests.
+    """
     counts: Counter[tuple[str, Outcome, str]] = Counter()
     events: Counter[tuple[str, Outcome, str]] = Counter()
-    for course in courses.values():
-        end = course.find_last("request ended")
-        outcome, cause = judge_course(course, limits)
+    for trace in traces.values():
+        end = trace.find_last("request ended")
+        outcome, cause = classify_request(trace, limits)
         route = "" if end is None else str(end.get("route", ""))
         key = (route, outcome, cause)
         counts[key] += 1
@@ -115,44 +121,44 @@
     return rows
 
 
-def judge_course(course: Course, limits: Limits) -> tuple[Outcome, str]:
-    """Return what became of a request and why."""
-    end = course.find_last("request ended")
+def classify_request(trace: RequestTrace, limits: LatencyLimits) -> tuple[Outcome, str]:
+    """Return the outcome of a request and its cause."""
+    end = trace.find_last("request ended")
     if end is None:
-        turned_away = course.find_last("request turned away")
+        turned_away = trace.find_last("request turned away")
         if turned_away is not None:
             return Outcome.REFUSED, str(turned_away.get("reason", ""))
         return Outcome.OPEN, "its entry ended, or the log does"
     match end.get("outcome"):
         case "whole stream" | "answered":
-            return _judge_answer(course, end, limits)
+            return _classify_answer(trace, end, limits)
         case "refused":
             return Outcome.REFUSED, str(end.get("reason", ""))
         case "caller gone":
             return Outcome.CALLER_GONE, ""
         case _:
-            return Outcome.BROKEN, _explain_loss(course, end)
+            return Outcome.BROKEN, _explain_loss(trace, end)
 
 
-def _judge_answer(
-    course: Course, end: dict[str, Any], limits: Limits
+def _classify_answer(
+    trace: RequestTrace, end: dict[str, Any], limits: LatencyLimits
 ) -> tuple[Outcome, str]:
     if end.get("first_ms", 0) > limits.first:
-        return Outcome.LATE, _explain_late_start(course, limits)
+        return Outcome.LATE, _explain_late_start(trace, limits)
     if end.get("longest_pause_ms", 0) > limits.pause:
-        return Outcome.LATE, _explain_pause(course, limits)
-    return Outcome.IN_TIME, ""
+        return Outcome.LATE, _explain_pause(trace, limits)
+    return Outcome.ON_TIME, ""
 
 
-def _explain_late_start(course: Course, limits: Limits) -> str:
-    opened = course.find_first("attempt opened")
+def _explain_late_start(trace: RequestTrace, limits: LatencyLimits) -> str:
+    opened = trace.find_first("attempt opened")
     if opened is not None and opened.get("waited_ms", 0) > limits.first / 2:
         return "waited for room"
     return "its prompt was read late"
 
 
-def _explain_pause(course: Course, limits: Limits) -> str:
-    for line in course.lines:
+def _explain_pause(trace: RequestTrace, limits: LatencyLimits) -> str:
+    for line in trace.lines:
         if line["message"] != "stream goes on elsewhere":
             continue
         if line.get("pause_ms", 0) > limits.pause:
@@ -160,20 +166,20 @@
     return "its engine paused"
 
 
-def _explain_loss(course: Course, end: dict[str, Any]) -> str:
-    lost = course.find_last("attempt lost")
+def _explain_loss(trace: RequestTrace, end: dict[str, Any]) -> str:
+    lost = trace.find_last("attempt lost")
     if lost is None:
-        return str(end.get("reason", NO_LOSS))
+        return str(end.get("reason", NO_TARGET_LOST))
     if lost.get("standing") == "ready":
         return f"its target was lost without notice: {lost.get('loss')}"
-    if course.find_last("repeat denied by the fleet's budget") is not None:
+    if trace.find_last("repeat denied by the fleet's budget") is not None:
         return "the retry budget denied to go on"
-    return _explain_lost_in_notice(course, lost)
+    return _explain_lost_in_notice(trace, lost)
 
 
-def _explain_lost_in_notice(course: Course, lost: dict[str, Any]) -> str:
+def _explain_lost_in_notice(trace: RequestTrace, lost: dict[str, Any]) -> str:
     last = None
-    for line in course.lines:
+    for line in trace.lines:
         if line["message"] in ("copy ordered", "copy made", "copy failed"):
             last = line
         if line["message"] == "attempt opened" and line.get("goes_on_from"):
@@ -194,7 +200,7 @@
 
 
 def format_rows(rows: list[Row]) -> str:
-    """Return the account as a table."""
+    """Return the rows as a text table."""
     width = max([len(row.cause) for row in rows], default=0)
     lines = [f"{'route':12} {'outcome':16} {'cause':{width}} requests events"]
     for row in rows:
--- a/figstep/application.py
+++ b/figstep/application.py
@@ -1,4 +1,4 @@
-"""The application: owns the loop's state, the edges and the effects."""
+"""Application of one entry: holds the state, starts the edges, runs the effects."""
 
 import asyncio
 import os
@@ -55,7 +55,7 @@
 from figstep.net.callers import CallerEdge
 from figstep.net.clock import SystemClock
 from figstep.net.configuration import parse_record
-from figstep.net.exchanges import REPLAYED, Exchange, ServiceAnswer
+from figstep.net.exchanges import REPLAYED_HEADER, Exchange, ServiceAnswer
 from figstep.net.instances import InstanceEdge
 from figstep.net.log import HttpLog, LogClient
 from figstep.net.orders import OrderEdge
@@ -68,19 +68,23 @@
 
 _log = logbook.Logger("figstep")
 
-# A document of a large fleet takes long to parse and is large: a fresh entry
-# that took all kept ones in one go would hold up its loop and its memory.
-DOCUMENTS_READ = 4
+# Largest number of configuration records in one read. A document of a large fleet
+# is large and slow to parse: an entry that read all kept records at once after its
+# start would block its event loop and use much memory.
+MAX_DOCUMENTS_PER_READ = 4
+# Interval at which a drain checks whether requests and unsent bytes are left.
 DRAIN_POLL_SECONDS = 0.05
-CUT_SECONDS = 2.0
-LEASES_REST_SECONDS = 2.0
+# Longest time that a forced stop waits until its error answers are sent.
+FORCED_STOP_TIMEOUT_SECONDS = 2.0
+# Pause between reads of the lease stream, so that one read returns several records.
+LEASES_READ_DELAY_SECONDS = 2.0
 
 
 class Application(Service):
     """One entry instance.
 
-    Events are reduced one at a time; effects run at once, and events that they
-    cause wait in the queue, so no event is reduced inside another.
+    Events are reduced one at a time. Their effects run immediately; events caused by
+    an effect are queued, so that no event is reduced while another one is.
     """
 
     def __init__(
@@ -119,15 +123,18 @@
         self.configuration = StreamFollower(
             self._log_client,
             CONFIGURATION,
-            self._take_configuration,
-            limit=DOCUMENTS_READ,
+            self._handle_configuration_records,
+            limit=MAX_DOCUMENTS_PER_READ,
         )
         self.claims = StreamFollower(
-            self._log_client, CLAIMS, self._take_claims, dispatch=self.dispatch
+            self._log_client, CLAIMS, self._handle_claim_records, dispatch=self.dispatch
         )
         self.appender = StreamAppender(self._log_client, self.dispatch)
         self.leases = StreamFollower(
-            self._log_client, LEASES, self._take_leases, rest=LEASES_REST_SECONDS
+            self._log_client,
+            LEASES,
+            self._handle_lease_records,
+            read_delay=LEASES_READ_DELAY_SECONDS,
         )
         self.orders = OrderEdge(self.dispatch, self.find_target, self.clock)
         self.peers = PeerEdge(
@@ -144,7 +151,7 @@
         self.reporter = LoadReporter(self.metrics, self.read_load)
 
     async def on_start(self) -> None:
-        """Start the edges; the listener opens last."""
+        """Start the edges; the listener for callers opens last."""
         edges = (
             self.targets,
             self.reports,
@@ -163,45 +170,45 @@
         self.dispatch(Started())
 
     async def on_stop(self) -> None:
-        """Stop the timers."""
+        """Cancel all timers."""
         for handle in self._timers.values():
             handle.cancel()
 
     async def on_shutdown(self) -> None:
-        """Close the log client, which the edges use until they have ended."""
+        """Close the log client, which the edges use until they have stopped."""
         await self._log_client.close()
 
     async def drain(self) -> None:
-        """End gracefully: readiness falls, callers are served to their end."""
+        """Shut down gracefully: become unready, then finish every open request."""
         self.callers.ready = False
         await asyncio.sleep(self.settings.notice_seconds)
         self.dispatch(ShutdownRequested())
-        # A claim's outcome that is not in the log would leave its caller, and
-        # any duplicate of the request, with "unknown" for good.
+        # If the outcome of a claim is not written to the log, its caller and any
+        # duplicate of the request get "unknown" for ever.
         while self._is_busy():
             await asyncio.sleep(DRAIN_POLL_SECONDS)
         await self._flush_answers()
 
     async def _flush_answers(self) -> None:
-        # An answer that is written may still wait in its socket's buffer; the
-        # end of the process would drop it. A reader that takes nothing must
-        # not hold the process for ever.
+        # Bytes of an answer may still be in the send buffer, and are lost when the
+        # process exits. The timeout keeps a caller that reads nothing from
+        # blocking the exit for ever.
         with suppress(TimeoutError):
             async with asyncio.timeout(self.settings.limits.stalled_seconds):
-                while self.callers.unsent:
+                while self.callers.unsent_bytes:
                     await asyncio.sleep(DRAIN_POLL_SECONDS)
 
-    async def cut_short(self) -> None:
-        """End now: every caller gets a typed error, no stream is cancelled.
+    async def force_stop(self) -> None:
+        """End every open request with a typed error, without cancelling its stream.
 
-        Generations run on at their targets for a while, so callers of streams
-        can return to another entry for the rest.
+        Generations continue at their targets for a limited time, so that callers
+        can reconnect to another entry for the rest of a stream.
         """
         self.callers.ready = False
         self.dispatch(ShutdownForced())
         with suppress(TimeoutError):
-            async with asyncio.timeout(CUT_SECONDS):
-                while self.exchanges or self.callers.unsent:
+            async with asyncio.timeout(FORCED_STOP_TIMEOUT_SECONDS):
+                while self.exchanges or self.callers.unsent_bytes:
                     await asyncio.sleep(DRAIN_POLL_SECONDS)
 
     def _is_busy(self) -> bool:
@@ -210,13 +217,13 @@
             return True
         return bool(self.exchanges) or not self.appender.idle
 
-    def _take_configuration(self, records: list[LogRecord]) -> None:
+    def _handle_configuration_records(self, records: list[LogRecord]) -> None:
         for record in records:
             fold = self.entry_state.configuration
             if record.offset > fold.position:
                 self.dispatch(parse_record(record, fold.current))
 
-    def _take_claims(self, records: list[LogRecord]) -> None:
+    def _handle_claim_records(self, records: list[LogRecord]) -> None:
         self.dispatch(RecordsRead(CLAIMS, tuple(records)))
 
     def _read_snapshot(self) -> dict[str, Any] | None:
@@ -225,20 +232,20 @@
             return None
         return encode_snapshot(fold.current, fold.position)
 
-    def _take_leases(self, records: list[LogRecord]) -> None:
+    def _handle_lease_records(self, records: list[LogRecord]) -> None:
         self.dispatch(RecordsRead(LEASES, tuple(records)))
 
     def find_target(self, name: str) -> TargetInfo | None:
-        """Return a target's inventory entry."""
+        """Return the inventory record of a target, or None if it is unknown."""
         target = self.entry_state.targets.get(name)
         return None if target is None else target.info
 
     def list_watched(self) -> list[EngineInfo]:
-        """Return the engines whose load reports this entry reads."""
+        """Return the engines whose load reports this entry polls."""
         return list_watched(self.entry_state, self.clock.now())
 
     def read_load(self) -> Load:
-        """Return what the gauges tell."""
+        """Return the values of the gauges."""
         targets = self.entry_state.targets.values()
         return Load(
             requests=len(self.entry_state.requests),
@@ -250,7 +257,7 @@
         )
 
     def read_status(self) -> dict[str, Any]:
-        """Return what ``GET /status`` tells."""
+        """Return the document that ``GET /status`` serves."""
         targets = {}
         for name, target in self.entry_state.targets.items():
             targets[name] = {
@@ -281,7 +288,7 @@
         }
 
     def dispatch(self, event: Event) -> None:
-        """Reduce an event and run its effects."""
+        """Reduce an event and run its effects, or queue it while another is reduced."""
         self._events.append(event)
         if self._reducing:
             return
@@ -340,7 +347,7 @@
     def _replay_answer(self, effect: ReplayAnswer) -> None:
         exchange = self.exchanges.get(effect.request)
         if exchange is not None:
-            headers = {REPLAYED: "true"}
+            headers = {REPLAYED_HEADER: "true"}
             if effect.content_type:
                 headers["Content-Type"] = effect.content_type
             exchange.answer = ServiceAnswer(effect.status, headers, effect.body)
@@ -359,9 +366,9 @@
             exchange.end(problem)
 
     def _set_timer(self, timer: Timer, at: int) -> None:
-        before = self._timers.pop(timer, None)
-        if before is not None:
-            before.cancel()
+        previous = self._timers.pop(timer, None)
+        if previous is not None:
+            previous.cancel()
         delay = max(0, at - self.clock.now()) / 1000
         loop = asyncio.get_running_loop()
         self._timers[timer] = loop.call_later(delay, self._fire_timer, timer)
--- a/figstep/experiment/scenarios.py
+++ b/figstep/experiment/scenarios.py
@@ -1,4 +1,4 @@
-"""What an experiment plays: engines, customers, arrivals and faults."""
+"""Scenarios of an experiment: engines, customers and arrivals."""
 
 import math
 import random
@@ -9,26 +9,42 @@
 from figstep.standins.engine_model import EngineModel, EngineProfile, Sequence
 
 MODEL = "langar-8b"
+"""Name of the model that all engines serve and all requests name."""
+
 SECOND = 1_000.0
+"""Milliseconds in a second."""
+
 PEAK_PERIOD = 120 * SECOND
-PEAK_SWING = 0.15
-PREFIXES = 5
-"""Templates that a customer's prompts begin with; all together don't fit."""
+"""Period of the sine in the arrival rate, in milliseconds."""
+
+PEAK_AMPLITUDE = 0.15
+"""Amplitude of the sine in the arrival rate, as a fraction of the mean rate."""
+
+PREFIXES_PER_CUSTOMER = 5
+"""Number of templates that the prompts of a customer begin with.
+
+The templates of all customers do not fit into an engine's prefix cache together.
+"""
+
+CALIBRATION_DURATION = 240 * SECOND
+"""Length of a simulation that measures an engine's capacity, in milliseconds."""
 
-CALIBRATION = 240 * SECOND
 CALIBRATION_WARM_UP = 60 * SECOND
+"""Time at the start of a capacity measurement that does not count, in milliseconds."""
+
 CALIBRATION_BATCHES = (4, 6, 8, 12, 16, 24, 32, 48, 64)
+"""Numbers of concurrent sequences at which an engine's capacity is measured."""
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class RequestKind:
     """A kind of request; lengths are log-normal, in tokens.
 
     Attributes:
-        kind: Name that the reducer learns lengths by.
+        kind: Name under which the reducer records lengths.
         median: Median length of the answer.
-        sigma: Spread of its logarithm.
-        longest: No answer is longer.
+        sigma: Standard deviation of the logarithm of the length.
+        longest: Maximum length of an answer.
         prompt: Median length of the prompt without the shared prefix.
     """
 
@@ -44,23 +60,23 @@
     """Engines and workload of one association.
 
     Attributes:
-        name: Its name.
-        profiles: Its engines.
-        short: Short answers.
-        long: Long answers.
-        long_share: Share of long answers, on average over the customers.
-        mixed: Share of requests that come under the other kind's name.
+        name: Name of the deployment.
+        profiles: Profiles of the engines.
+        short: Kind of the requests with short answers.
+        long: Kind of the requests with long answers.
+        long_share: Fraction of long answers, on average over the customers.
+        mixed: Fraction of requests that name the other kind.
     """
 
     name: str
     profiles: tuple[EngineProfile, ...]
-    short: Kind
-    long: Kind
+    short: RequestKind
+    long: RequestKind
     long_share: float
     mixed: float = 0.1
 
 
-def _engine(speed: float, memory: int, running: int) -> EngineProfile:
+def _build_profile(speed: float, memory: int, running: int) -> EngineProfile:
     return EngineProfile(speed=speed, memory_tokens=memory, max_running=running)
 
 
@@ -68,27 +84,27 @@
     "bavaria": Deployment(
         "bavaria",
         (
-            _engine(1.0, 16_384, 32),
-            _engine(1.0, 12_288, 32),
-            _engine(2.0, 24_576, 48),
-            _engine(3.0, 32_768, 48),
-            _engine(4.0, 40_960, 64),
+            _build_profile(1.0, 16_384, 32),
+            _build_profile(1.0, 12_288, 32),
+            _build_profile(2.0, 24_576, 48),
+            _build_profile(3.0, 32_768, 48),
+            _build_profile(4.0, 40_960, 64),
         ),
-        Kind("chat", 30, 0.7, 400, 60),
-        Kind("completion", 700, 0.9, 8_000, 250),
+        RequestKind("chat", 30, 0.7, 400, 60),
+        RequestKind("completion", 700, 0.9, 8_000, 250),
         long_share=0.3,
     ),
     "ireland": Deployment(
         "ireland",
         (
-            _engine(1.0, 12_288, 32),
-            _engine(1.5, 16_384, 32),
-            _engine(2.0, 16_384, 48),
-            _engine(2.5, 24_576, 48),
-            _engine(4.0, 32_768, 64),
+            _build_profile(1.0, 12_288, 32),
+            _build_profile(1.5, 16_384, 32),
+            _build_profile(2.0, 16_384, 48),
+            _build_profile(2.5, 24_576, 48),
+            _build_profile(4.0, 32_768, 64),
         ),
-        Kind("chat", 40, 0.6, 300, 40),
-        Kind("completion", 900, 0.6, 4_000, 400),
+        RequestKind("chat", 40, 0.6, 300, 40),
+        RequestKind("completion", 900, 0.6, 4_000, 400),
         long_share=0.2,
     ),
 }
@@ -96,13 +112,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """A customer and its part of the traffic.
+    """A customer and its fraction of the traffic.
 
     Attributes:
-        name: Its name.
-        weight: Its part of the arrivals.
-        long_share: Share of long answers among its requests.
-        prefixes: Lengths of the prefixes that its prompts share, by name.
+        name: Name of the customer.
+        weight: Relative weight of the customer among the arrivals.
+        long_share: Fraction of long answers among its requests.
+        prefixes: Lengths in tokens of the prefixes that its prompts share, by name.
     """
 
     name: str
@@ -113,7 +129,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request as it will come, with the length that only engines know."""
+    """A request that will arrive at ``at`` milliseconds.
+
+    Its ``length``, in tokens, is known only to the engines.
+    """
 
     at: float
     request: str
@@ -126,14 +145,16 @@
 
 
 def build_customers(deployment: Deployment) -> list[Customer]:
-    """Return ten customers, three of them large; the same in every run."""
+    """Return ten customers, three of them large; they are the same in every run."""
     rng = random.Random(deployment.name)
     customers = []
     for number in range(10):
         weight = 5.0 if number < 3 else 1.0
         share = deployment.long_share * rng.uniform(0.4, 1.6)
         name = f"customer-{number}"
-        prefixes = {f"{name}/{n}": rng.randint(60, 600) for n in range(PREFIXES)}
+        prefixes = {
+            f"{name}/{n}": rng.randint(60, 600) for n in range(PREFIXES_PER_CUSTOMER)
+        }
         customers.append(Customer(name, weight, share, prefixes))
     return customers
 
@@ -141,22 +162,22 @@
 def draw_arrival(
     rng: random.Random, deployment: Deployment, customer: Customer, at: float, name: str
 ) -> Arrival:
-    """Return one request of a customer."""
+    """Return one request of a customer, drawn from the deployment's workload."""
     long = rng.random() < customer.long_share
-    law = deployment.long if long else deployment.short
+    actual = deployment.long if long else deployment.short
     other = deployment.short if long else deployment.long
-    shown = other if rng.random() < deployment.mixed else law
+    declared = other if rng.random() < deployment.mixed else actual
     length = min(
-        law.longest, round(rng.lognormvariate(math.log(law.median), law.sigma))
+        actual.longest, round(rng.lognormvariate(math.log(actual.median), actual.sigma))
     )
     prefix, prefix_tokens = rng.choice(list(customer.prefixes.items()))
-    own = round(rng.lognormvariate(math.log(law.prompt), 0.6))
+    unshared_tokens = round(rng.lognormvariate(math.log(actual.prompt), 0.6))
     return Arrival(
         at,
         name,
         customer.name,
-        shown.kind,
-        prefix_tokens + max(1, own),
+        declared.kind,
+        prefix_tokens + max(1, unshared_tokens),
         prefix,
         prefix_tokens,
         max(1, length),
@@ -166,17 +187,18 @@
 def draw_arrivals(
     deployment: Deployment, seed: int, load: float, duration: float
 ) -> list[Arrival]:
-    """Return the arrivals of one run; their answers make up the load exactly.
+    """Return the arrivals of one run, whose answers add up to the load.
 
-    A Sunday peak: the rate swings around its mean. Heavy tails would make the
-    load of a short run a matter of luck, so requests are drawn until their
-    answers sum up, and their times are then stretched to the duration.
+    The arrival rate oscillates around its mean, as in a Sunday peak. With
+    heavy-tailed lengths the load of a short run would depend on chance, so
+    requests are drawn until the sum of their lengths reaches the load, and their
+    times are then scaled to the duration.
 
     Args:
-        deployment: Whose workload.
-        seed: Same seed, load and duration give the same arrivals.
-        load: Tokens per millisecond that are asked for.
-        duration: How long they come, in milliseconds.
+        deployment: Deployment whose workload is drawn.
+        seed: The same seed, load and duration give the same arrivals.
+        load: Requested tokens per millisecond.
+        duration: Time during which requests arrive, in milliseconds.
     """
     rng = random.Random(f"{deployment.name}/{seed}")
     customers = build_customers(deployment)
@@ -193,17 +215,21 @@
         tokens += arrival.length
     placed = []
     for arrival, time in zip(drawn, times, strict=True):
-        placed.append(replace(arrival, at=_warp(time / at, duration)))
+        placed.append(replace(arrival, at=_find_arrival_time(time / at, duration)))
     return placed
 
 
-def _warp(part: float, duration: float) -> float:
-    """Return when ``part`` of the arrivals has come, under the swing."""
+def _find_arrival_time(part: float, duration: float) -> float:
+    """Return the time by which the fraction ``part`` of the arrivals has come.
+
+    It is found by bisection, as the rate oscillates; the result is in
+    milliseconds.
+    """
     low, high = 0.0, duration
     for _ in range(40):
         middle = (low + high) / 2
         angle = 2 * math.pi * middle / PEAK_PERIOD
-        swing = PEAK_SWING * PEAK_PERIOD / (2 * math.pi) * (1 - math.cos(angle))
+        swing = PEAK_AMPLITUDE * PEAK_PERIOD / (2 * math.pi) * (1 - math.cos(angle))
         if middle + swing < part * duration:
             low = middle
         else:
@@ -214,7 +240,15 @@
 def draw_flood(
     deployment: Deployment, seed: int, load: float, start: float, end: float
 ) -> list[Arrival]:
-    """Return the requests of one small customer that floods."""
+    """Return the requests of one small customer that floods, in order of arrival.
+
+    Args:
+        deployment: Deployment whose workload is drawn.
+        seed: Seed of the requests.
+        load: Requested tokens per millisecond.
+        start: Start of the flood, in milliseconds.
+        end: End of the flood, in milliseconds.
+    """
     rng = random.Random(f"flood/{deployment.name}/{seed}")
     customer = build_customers(deployment)[9]
     arrivals: list[Arrival] = []
@@ -230,7 +264,14 @@
 def build_inventory(
     deployment: Deployment, routing: str, deadline: int, copies: int = 1
 ) -> Inventory:
-    """Return the inventory that the reducer is given."""
+    """Return the inventory that is applied to the reducer's state.
+
+    Args:
+        deployment: Engines and customers.
+        routing: Name of the routing policy.
+        deadline: Deadline of requests, in milliseconds.
+        copies: Number of times that every engine is listed.
+    """
     engines = []
     for copy in range(copies):
         for number, profile in enumerate(deployment.profiles, 1):
@@ -252,10 +293,11 @@
 
 
 def measure_capacity(deployment: Deployment) -> float:
-    """Return the tokens per millisecond that the engines can carry.
+    """Return the capacity of the engines, in tokens per millisecond.
 
-    Each engine is kept at a fixed number of sequences, a new one of the
-    workload for each that ends; the number with the most tokens counts.
+    Each engine is kept at a fixed number of sequences: whenever one ends, a new
+    one from the workload starts. The number of sequences with the highest token
+    rate counts.
     """
     tokens = 0.0
     for profile in deployment.profiles:
@@ -284,20 +326,27 @@
         start(0.0)
     now = 0.0
     produced = 0
-    while now < CALIBRATION:
+    while now < CALIBRATION_DURATION:
         now = engine.next_step() or now + 1
         for token in engine.advance(now):
             if now > CALIBRATION_WARM_UP:
                 produced += 1
             if token.finish:
                 start(now)
-    return produced / (CALIBRATION - CALIBRATION_WARM_UP)
+    return produced / (CALIBRATION_DURATION - CALIBRATION_WARM_UP)
 
 
 def build_sequence(
     arrival: Arrival, name: str, priority: int, produced: int = 0
 ) -> Sequence:
-    """Return a request as an engine runs it."""
+    """Return the sequence by which an engine runs a request.
+
+    Args:
+        arrival: The request.
+        name: Generation id.
+        priority: Priority of the sequence; higher is preempted later.
+        produced: Number of tokens that it continues after.
+    """
     return Sequence(
         name,
         arrival.length,
--- a/figstep/net/callers.py
+++ b/figstep/net/callers.py
@@ -1,4 +1,4 @@
-"""Edge towards callers: OpenAI-compatible HTTP and plain services."""
+"""HTTP server for callers: OpenAI-compatible endpoints and plain services."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 from figstep.net.deliveries import StreamSink, StreamTable
 from figstep.net.exchanges import Exchange, NullSink
 from figstep.net.headers import CallerHeaders, read_headers
-from figstep.net.keys import KeyRing
+from figstep.net.keys import CustomerKeys
 from figstep.net.listener import build_runner, build_tls
 from figstep.net.refusals import answer_problem
 from figstep.problems import build_document
@@ -29,6 +29,8 @@
 _log = logbook.Logger("figstep.callers")
 
 DONE = b"data: [DONE]\n\n"
+"""End marker of a stream, as sent to callers."""
+
 STREAM_HEADERS = {"Content-Type": "text/event-stream", "Cache-Control": "no-cache"}
 
 
@@ -36,9 +38,9 @@
     """HTTP server for callers and for health checks.
 
     Attributes:
-        ready: Whether new callers should come here.
-        address: Base URL, once listening.
-        streams: Open streams towards callers.
+        ready: Whether load balancers should send new callers to this entry.
+        address: Base URL; empty until the server listens.
+        streams: Open streams to callers.
     """
 
     def __init__(
@@ -59,16 +61,21 @@
         self._exchanges = exchanges
         self._read_inventory = read_inventory
         self._read_status = read_status
-        self._keys = KeyRing(read_inventory)
+        self._keys = CustomerKeys(read_inventory)
         self._reader = RequestReader(settings.node, settings.limits, clock)
         self._runner: web.AppRunner | None = None
-        self._away_tasks: set[asyncio.Task[None]] = set()
+        self._grace_tasks: set[asyncio.Task[None]] = set()
         self.streams = StreamTable(settings.limits)
         self.ready = True
         self.address = ""
 
     async def on_start(self) -> None:
-        """Listen for callers."""
+        """Start to listen for callers.
+
+        Raises:
+            ListenError: If the address cannot be bound or the TLS files cannot be
+                used.
+        """
         self._runner = build_runner(self._build_app(), self._settings.limits)
         await self._runner.setup()
         listen = self._settings.callers
@@ -99,31 +106,31 @@
         return app
 
     async def on_stop(self) -> None:
-        """Close the listener."""
-        for task in self._away_tasks:
+        """Cancel grace periods and close the listener and its connections."""
+        for task in self._grace_tasks:
             task.cancel()
         if self._runner is not None:
             await self._runner.cleanup()
 
     @property
-    def unsent(self) -> int:
-        """Bytes of answers that wait in the buffers of their connections."""
+    def unsent_bytes(self) -> int:
+        """Bytes of answers that are buffered in the connections to callers."""
         server = None if self._runner is None else self._runner.server
         if server is None:
             return 0
-        unsent = 0
+        unsent_bytes = 0
         for connection in server.connections:
             if connection.transport is not None:
-                unsent += connection.transport.get_write_buffer_size()
-        return unsent
+                unsent_bytes += connection.transport.get_write_buffer_size()
+        return unsent_bytes
 
     async def _prepare_response(
         self, request: web.Request, response: web.StreamResponse
     ) -> None:
-        # A kept connection would bring its next request here after the
-        # listener closed, and lose it; closing sends the caller elsewhere.
-        # The header tells the caller; without it, its next request on the
-        # connection would meet the close and be lost.
+        # On a kept-alive connection the caller's next request would arrive after
+        # the listener closed and be lost. Closing the connection makes the caller
+        # connect to another entry. The header announces the close: without it the
+        # next request on the connection could meet the close and be lost.
         if not self.ready:
             response.headers["Connection"] = "close"
             response.force_close()
@@ -165,7 +172,7 @@
         if exchange.problem is not None:
             return answer_problem(exchange.problem)
         chat = request.path == CHAT_PATH
-        body = orjson.dumps(assemble_answer(exchange.take_frames(), chat))
+        body = orjson.dumps(assemble_answer(exchange.pop_frames(), chat))
         return web.Response(body=body, content_type="application/json")
 
     async def _serve_service(self, request: web.Request) -> web.StreamResponse:
@@ -194,14 +201,14 @@
             self._finish(exchange)
 
     def _begin(self, exchange: Exchange, event: Event) -> None:
-        exchange.begun = self._clock.now()
+        exchange.received_at = self._clock.now()
         self._exchanges[exchange.spec.request] = exchange
         self._dispatch(event)
 
     def _finish(self, exchange: Exchange) -> None:
         spec = exchange.spec
         del self._exchanges[spec.request]
-        duration = self._clock.now() - exchange.begun
+        duration = self._clock.now() - exchange.received_at
         self._metrics.time("requests.duration", duration)
         problem = exchange.problem
         code = "gone" if problem is None else problem.code
@@ -222,31 +229,38 @@
         try:
             response = await self._write_stream(request, exchange)
         except BaseException:
-            self._leave(exchange, headers.grace)
+            self._handle_disconnect(exchange, headers.grace)
             raise
         self._finish(exchange)
         return response
 
-    def _leave(self, exchange: Exchange, grace: float) -> None:
-        """Cancel the generation of a vanished caller, now or after its grace."""
+    def _handle_disconnect(self, exchange: Exchange, grace: float) -> None:
+        """Cancel the generation of a disconnected caller, now or after its grace.
+
+        Args:
+            exchange: The caller's request.
+            grace: How long the generation runs on without its caller, in seconds.
+        """
         if not grace or exchange.sink is None or exchange.ended:
             self._dispatch(CallerGone(exchange.spec.request))
             self._finish(exchange)
             return
         exchange.sink = NullSink()
         self._metrics.count("callers.away")
-        task = asyncio.get_running_loop().create_task(self._run_on(exchange, grace))
-        self._away_tasks.add(task)
-        task.add_done_callback(self._away_tasks.discard)
+        task = asyncio.get_running_loop().create_task(
+            self._wait_out_grace(exchange, grace)
+        )
+        self._grace_tasks.add(task)
+        task.add_done_callback(self._grace_tasks.discard)
 
-    async def _run_on(self, exchange: Exchange, grace: float) -> None:
+    async def _wait_out_grace(self, exchange: Exchange, grace: float) -> None:
         try:
             async with asyncio.timeout(grace):
                 await exchange.wait_end()
         except TimeoutError:
-            # The caller may read the same generation through another entry by
-            # now, where a cancel would cut its answer. Without one the target
-            # ends the generation if nobody reads it.
+            # The caller may meanwhile read the same generation through another
+            # entry, where a cancellation would cut off its answer. Without a
+            # cancellation the target ends the generation if nobody reads it.
             self._dispatch(CallerGone(exchange.spec.request, cancel=False))
         finally:
             self._finish(exchange)
@@ -268,7 +282,7 @@
         self.streams.add(sink)
         try:
             if exchange.frames:
-                exchange.deliver(exchange.take_frames())
+                exchange.deliver(exchange.pop_frames())
             await exchange.wait_end()
         finally:
             self.streams.finish(sink)
@@ -277,8 +291,8 @@
         if exchange.problem is None:
             await response.write_eof(DONE)
             return response
-        # The bound on the buffer has cut this reader: waiting for it to drain
-        # would keep the buffer for as long as it likes.
+        # The reader may have exceeded the buffer limit: waiting for the buffer to
+        # drain would hold its memory until the reader reads.
         document = orjson.dumps(build_document(exchange.problem))
         response.force_close()
         await writer.write(b"event: error\ndata: " + document + b"\n\n", drain=False)
--- a/figstep/net/links.py
+++ b/figstep/net/links.py
@@ -1,4 +1,4 @@
-"""Links between gateways: loads by UDP, copies of the store's records by TCP."""
+"""Links between gateways: loads over UDP, copies of the store's records over TCP."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 from figstep.gateway.peers import select_changed
 from figstep.gateway.state import FULL_MESH_MAX_ENTRIES
 from figstep.net.hellos import (
-    MOST_COPY_BYTES,
+    MAX_COPY_BYTES,
     Hello,
     RecordCopy,
     decode_copy,
@@ -29,82 +29,108 @@
 
 _log = logbook.Logger("figstep.links")
 
-HELLO_SECONDS = 1.0
-"""Period of messages that tell nothing new: three in a row may be lost before
-a peer counts as silent."""
+HELLO_INTERVAL_SECONDS = 1.0
+"""Interval of messages while nothing changes, in seconds.
+
+Three messages in a row may be lost before a peer counts as silent.
+"""
 
 POLL_SECONDS = 0.1
-"""How soon a change of this entry's loads is told: requests come a few a
-second to each entry, and an engine's own reports are half a second old."""
+"""Interval at which an entry checks whether its loads have changed, in seconds.
+
+It bounds the delay of a report. Each entry gets a few requests a second, and an
+engine's own load reports are half a second old.
+"""
+
+LARGE_FLEET_POLL_SECONDS = 0.4
+"""Interval at which an entry of a large fleet checks its loads, in seconds.
+
+A large fleet announces prompts as they are sent; besides these, only the growth of
+running generations changes the loads.
+"""
 
-LARGE_POLL_SECONDS = 0.4
-"""The same in a large fleet, whose prompts are announced as they are sent: what
-changes besides is the growth of runs."""
+REMOTE_UPDATE_SECONDS = 0.4
+"""Interval of partial messages to other failure domains, in seconds."""
 
-FAR_SECONDS = 0.4
-"""How often another failure domain is told what has changed."""
+REMOTE_FULL_REPORT_SECONDS = 2.0
+"""Interval of full messages to other failure domains, in seconds.
 
-FAR_WHOLE_SECONDS = 2.0
-"""How often it is told all: some messages are lost."""
+Full messages make up for partial ones that were lost.
+"""
 
-MOST_STRANGERS = 8
-"""Entries of unknown failure domain that are asked for it in a second."""
+MAX_DOMAIN_REQUESTS = 8
+"""Most entries whose unknown failure domain is queried in one second."""
 
-COPY_SECONDS = 2.0
-"""Time for a copy of the records; the next try may go to another peer."""
+COPY_TIMEOUT_SECONDS = 2.0
+"""Timeout of a transfer of copied records, in seconds.
 
-TEXT_LIMIT = 60_000
-"""Largest datagram; loads of some hundred targets stay far below it."""
+The next attempt may go to another peer.
+"""
+
+MAX_DATAGRAM_BYTES = 60_000
+"""Largest datagram that is sent, in bytes.
+
+The loads of some hundred targets stay far below it.
+"""
 
 
 @dataclass(slots=True)
-class _Told:
-    """What was told last, and when."""
+class _LastReport:
+    """Content and time of the last message to the local entries.
+
+    Attributes:
+        at: Monotonic time of the message, in seconds.
+        content: Content of the message; None before the first one.
+    """
 
     at: float = -1e9
     content: PeerHeard | None = None
 
 
 class LinkHost(ABC):
-    """What a link asks of the entry that it belongs to."""
+    """Operations that a link needs from the entry to which it belongs."""
 
     @abstractmethod
     def describe_entry(self) -> PeerHeard:
-        """Return what the entries that hear all of each other are told."""
+        """Return the content of messages to entries that exchange all their loads."""
 
     @abstractmethod
     def describe_domain(self) -> PeerHeard:
-        """Return what other failure domains are told."""
+        """Return the content of messages to other failure domains."""
 
     @abstractmethod
     def describe_domain_at(self, target: str) -> PeerHeard:
-        """Return what other failure domains are told of one target."""
+        """Return the content of a message to other failure domains on one target."""
 
     @abstractmethod
     def is_domain_representative(self) -> bool:
-        """Tell whether this entry tells other failure domains of its own."""
+        """Return whether this entry sends its domain's loads to other domains."""
 
     @abstractmethod
     def read_copy(self) -> RecordCopy:
-        """Return what was read of the store, for one that can't read it."""
+        """Return the records read from the store, for an entry that can't read it."""
 
     @abstractmethod
-    def list_recent(self) -> tuple[tuple[str, bytes], ...]:
-        """Return the registrations read last, up to the position told."""
+    def list_recent_registrations(self) -> tuple[tuple[str, bytes], ...]:
+        """Return the registrations read last, up to the position in messages."""
 
     @abstractmethod
-    def take_message(
+    def handle_message(
         self, message: PeerHeard, records: tuple[tuple[str, bytes], ...]
     ) -> None:
-        """Take in a message, and the registrations that its sender read last."""
+        """Handle a message and the registrations that its sender read last."""
 
     @abstractmethod
-    def count_entries(self, entries: int) -> None:
-        """Take in how many entries are known."""
+    def update_entry_count(self, entries: int) -> None:
+        """Handle the number of known entries, including this one."""
 
 
 class PeerLink(Service):
-    """Sends this entry's loads to the others and takes in theirs."""
+    """Sends this entry's loads to the other entries and receives theirs.
+
+    In a small fleet all entries exchange all loads. In a large one this holds within a
+    failure domain, and one entry sends the sums of its domain to the others.
+    """
 
     def __init__(
         self,
@@ -124,22 +150,22 @@
         self._session = secrets.randbits(63)
         self._sequence = 0
         self._neighbors = NeighborTable(self._own, failure_domain)
-        self._told = _Told()
-        self._news = LoadUpdates()
-        self._told_far = -1e9
-        self._spoke_at = -1e9
-        self._told_bare: PeerHeard | None = None
-        self._told_loads: dict[str, PeerLoad] = {}
-        self._told_members = -1e9
-        self._announcing = False
+        self._last_report = _LastReport()
+        self._load_updates = LoadUpdates()
+        self._remote_full_report_at = -1e9
+        self._remote_sent_at = -1e9
+        self._remote_reported_fields: PeerHeard | None = None
+        self._remote_reported_loads: dict[str, PeerLoad] = {}
+        self._members_sent_at = -1e9
+        self._announcement_scheduled = False
         self._transport: asyncio.DatagramTransport | None = None
         self._server: asyncio.Server | None = None
 
     async def on_start(self) -> None:
-        """Listen for datagrams and for requests of copies."""
+        """Listen for datagrams and for requests for copies of records."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
-            lambda: _LinkProtocol(self._take_datagram),
+            lambda: _LinkProtocol(self._handle_datagram),
             local_addr=(self._host, self._port),
         )
         self._server = await asyncio.start_server(
@@ -147,20 +173,20 @@
         )
 
     async def on_stop(self) -> None:
-        """Tell the others that this entry ends, and close the sockets."""
-        self._tell_near(loop_time())
+        """Send a last message to the local entries and close the sockets."""
+        self._send_locally(loop_time())
         if self._transport is not None:
             self._transport.close()
         if self._server is not None:
             self._server.close()
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Look for the other entries at these addresses, as "ip:port"."""
+        """Set the addresses at which to look for other entries, as "ip:port"."""
         self._seeds = [seed for seed in seeds if seed != self._own]
 
     @property
     def is_large(self) -> bool:
-        """Whether the fleet is too large for all to hear all."""
+        """Whether the fleet is too large for all entries to exchange all loads."""
         return len(self._neighbors) >= FULL_MESH_MAX_ENTRIES
 
     @Service.task
@@ -170,91 +196,107 @@
             for seed in self._seeds:
                 self._neighbors.add(seed, now)
             self._neighbors.remove_expired(now)
-            self._entry.count_entries(1 + len(self._neighbors))
+            self._entry.update_entry_count(1 + len(self._neighbors))
             own = self._entry.describe_entry()
             if self._is_due(own, now):
-                self._tell_near(now)
-            await self.sleep(LARGE_POLL_SECONDS if self.is_large else POLL_SECONDS)
+                self._send_locally(now)
+            await self.sleep(
+                LARGE_FLEET_POLL_SECONDS if self.is_large else POLL_SECONDS
+            )
 
     def _is_due(self, own: PeerHeard, now: float) -> bool:
-        if now - self._told.at >= HELLO_SECONDS:
+        if now - self._last_report.at >= HELLO_INTERVAL_SECONDS:
             return True
         if self.is_large:
-            return self._news.has_urgent_changes(own)
-        told = self._told.content
-        return told is None or strip_ages(own) != strip_ages(told)
+            return self._load_updates.has_urgent_changes(own)
+        reported = self._last_report.content
+        return reported is None or strip_ages(own) != strip_ages(reported)
 
     @Service.task
-    async def _run_far(self) -> None:
+    async def _run_remote(self) -> None:
         while not self.should_stop:
-            await self.sleep(FAR_SECONDS)
+            await self.sleep(REMOTE_UPDATE_SECONDS)
             if self.is_large and self._entry.is_domain_representative():
-                self._tell_far(loop_time())
+                self._send_remotely(loop_time())
 
     def announce(self) -> None:
-        """Tell the near ones at the end of this turn of the loop."""
-        if self._announcing:
+        """Schedule a message to the local entries for when this callback has ended.
+
+        Several calls before the message is sent result in one message.
+        """
+        if self._announcement_scheduled:
             return
-        self._announcing = True
+        self._announcement_scheduled = True
         asyncio.get_running_loop().call_soon(self._announce_now)
 
     def _announce_now(self) -> None:
-        self._announcing = False
-        self._tell_near(loop_time())
+        self._announcement_scheduled = False
+        self._send_locally(loop_time())
 
     def announce_records(self) -> None:
-        """Tell all failure domains of records that were just read."""
+        """Send to all failure domains after records were read."""
         now = loop_time()
-        self._tell_near(now)
-        self._tell_far(now)
+        self._send_locally(now)
+        self._send_remotely(now)
 
     def announce_target(self, target: str) -> None:
-        """Tell other failure domains what this one has open at a target."""
+        """Send this failure domain's load at one target to the other domains."""
         hello = Hello(self._entry.describe_domain_at(target))
-        self._send(hello, self._neighbors.pick_far(loop_time()))
+        self._send(hello, self._neighbors.pick_remote(loop_time()))
 
-    def _tell_near(self, now: float) -> None:
+    def _send_locally(self, now: float) -> None:
+        """Send this entry's loads to the entries that exchange all loads.
+
+        These are all entries of a small fleet, or those of the own failure domain of
+        a large one.
+        """
         own = self._entry.describe_entry()
-        strangers = now - self._told.at >= HELLO_SECONDS
-        self._told = _Told(now, own)
-        near = self._neighbors.list_all()
+        query_domains = now - self._last_report.at >= HELLO_INTERVAL_SECONDS
+        self._last_report = _LastReport(now, own)
+        local = self._neighbors.list_all()
         message = own
         if self.is_large:
-            near = self._neighbors.list_near()
-            message = self._news.select(own, Millis(round(now * 1000)))
+            local = self._neighbors.list_local()
+            message = self._load_updates.select(own, Millis(round(now * 1000)))
         members = self._pick_members(now)
-        self._send(Hello(message, members=members, records=self._list_records()), near)
-        unknown = self._neighbors.list_unknown()
-        if strangers and unknown and self.is_large:
-            asked = random.sample(unknown, min(len(unknown), MOST_STRANGERS))
-            self._send(Hello(self._entry.describe_domain(), asks_domain=True), asked)
-
-    def _tell_far(self, now: float) -> None:
+        self._send(Hello(message, members=members, records=self._list_records()), local)
+        unknown = self._neighbors.list_without_domain()
+        if query_domains and unknown and self.is_large:
+            queried = random.sample(unknown, min(len(unknown), MAX_DOMAIN_REQUESTS))
+            self._send(
+                Hello(self._entry.describe_domain(), requests_failure_domain=True),
+                queried,
+            )
+
+    def _send_remotely(self, now: float) -> None:
+        """Send the sums of this failure domain to one entry of each other domain."""
         domain = self._entry.describe_domain()
-        if now - self._told_far >= FAR_WHOLE_SECONDS:
-            self._told_far = now
-            self._told_loads.clear()
+        if now - self._remote_full_report_at >= REMOTE_FULL_REPORT_SECONDS:
+            self._remote_full_report_at = now
+            self._remote_reported_loads.clear()
         else:
-            changed = select_changed(self._told_loads, domain.loads)
+            changed = select_changed(self._remote_reported_loads, domain.loads)
             domain = replace(domain, loads=changed, partial=True)
-            bare = strip_ages(replace(domain, loads=()))
-            is_known = not changed and bare == self._told_bare
-            if is_known and now - self._spoke_at < HELLO_SECONDS:
+            reported_fields = strip_ages(replace(domain, loads=()))
+            is_unchanged = (
+                not changed and reported_fields == self._remote_reported_fields
+            )
+            if is_unchanged and now - self._remote_sent_at < HELLO_INTERVAL_SECONDS:
                 return
-            self._told_bare = bare
-        self._spoke_at = now
-        self._told_loads.update((load.target, load) for load in domain.loads)
+            self._remote_reported_fields = reported_fields
+        self._remote_sent_at = now
+        self._remote_reported_loads.update((load.target, load) for load in domain.loads)
         hello = Hello(domain, records=self._list_records())
-        self._send(hello, self._neighbors.pick_far(now))
+        self._send(hello, self._neighbors.pick_remote(now))
 
     def _list_records(self) -> tuple[tuple[str, bytes], ...]:
-        return self._entry.list_recent()
+        return self._entry.list_recent_registrations()
 
     def _pick_members(self, now: float) -> tuple[Member, ...]:
-        # Messages are many and members change rarely.
-        if now - self._told_members < HELLO_SECONDS:
+        # Messages are frequent and members change rarely.
+        if now - self._members_sent_at < HELLO_INTERVAL_SECONDS:
             return ()
-        self._told_members = now
+        self._members_sent_at = now
         return self._neighbors.pick_members(now)
 
     def _send(self, hello: Hello, addresses: list[str]) -> None:
@@ -268,8 +310,10 @@
             sequence=self._sequence,
         )
         data = encode_hello(numbered)
-        if len(data) > TEXT_LIMIT:
-            _log.error("message too long", extra={"bytes": len(data)})
+        if len(data) > MAX_DATAGRAM_BYTES:
+            _log.error(
+                "peer message exceeds the datagram limit", extra={"bytes": len(data)}
+            )
             return
         self._send_bytes(data, addresses)
 
@@ -280,53 +324,61 @@
             host, _, port = address.rpartition(":")
             self._transport.sendto(data, (host, int(port)))
 
-    def _take_datagram(self, data: bytes, sender: str) -> None:
+    def _handle_datagram(self, data: bytes, sender: str) -> None:
         try:
             hello = decode_hello(data, sender)
         except PeerMessageError as error:
-            _log.info("message refused", extra={"from": sender, "error": str(error)})
+            _log.info(
+                "peer message rejected", extra={"from": sender, "error": str(error)}
+            )
             return
         now = loop_time()
         content = hello.content
         neighbor = self._neighbors.add(content.address, now)
         if hello.session == neighbor.session and hello.sequence <= neighbor.sequence:
-            # Overtaken on its way: what it tells is older than what is known.
+            # The message was overtaken and is older than the known state.
             return
         is_new = hello.session != neighbor.session
         neighbor.session, neighbor.sequence = hello.session, hello.sequence
-        neighbor.heard = now
+        neighbor.last_received = now
         neighbor.failure_domain = content.failure_domain
-        self._neighbors.note_members(hello.members, now)
-        if hello.asks_domain:
+        self._neighbors.record_members(hello.members, now)
+        if hello.requests_failure_domain:
             self._send(Hello(self._entry.describe_domain()), [content.address])
         elif is_new and not content.far:
-            self._greet(content.address, content.failure_domain, now)
+            self._answer_new_session(content.address, content.failure_domain, now)
         if content.far and content.address == sender:
-            self._pass_on(data, content.failure_domain)
-        self._entry.take_message(content, hello.records)
+            self._forward(data, content.failure_domain)
+        self._entry.handle_message(content, hello.records)
 
-    def _greet(self, address: str, failure_domain: str, now: float) -> None:
-        """Answer an entry that has just started: it knows nobody's loads yet."""
+    def _answer_new_session(
+        self, address: str, failure_domain: str, now: float
+    ) -> None:
+        """Send a message to an entry that has just started and knows no loads yet."""
         content = self._entry.describe_entry()
         if self.is_large and failure_domain != self._failure_domain:
             content = self._entry.describe_domain()
         members = self._neighbors.pick_members(now)
         self._send(Hello(content, members=members), [address])
 
-    def _pass_on(self, data: bytes, failure_domain: str) -> None:
-        """Hand what another failure domain told to all entries of this one."""
+    def _forward(self, data: bytes, failure_domain: str) -> None:
+        """Forward a message of another failure domain to all entries of this one."""
         if failure_domain != self._failure_domain:
-            self._send_bytes(data, self._neighbors.list_near())
+            self._send_bytes(data, self._neighbors.list_local())
 
     async def fetch_copy(self, address: str) -> RecordCopy:
-        """Return what the entry at "ip:port" has read of the store.
+        """Return the records that the entry at an address has read from the store.
+
+        Args:
+            address: Address of the entry, as "ip:port".
 
         Raises:
-            PeerMessageError: If it gives none in time.
+            PeerMessageError: If the entry sends no valid copy within
+                ``COPY_TIMEOUT_SECONDS``.
         """
         host, _, port = address.rpartition(":")
         try:
-            async with asyncio.timeout(COPY_SECONDS):
+            async with asyncio.timeout(COPY_TIMEOUT_SECONDS):
                 reader, writer = await asyncio.open_connection(host, int(port))
                 try:
                     data = await reader.read(-1)
@@ -334,19 +386,21 @@
                     writer.close()
         except (OSError, TimeoutError) as error:
             raise PeerMessageError(f"{address}: {type(error).__name__}") from error
-        if not data or len(data) > MOST_COPY_BYTES:
-            raise PeerMessageError(f"{address}: {len(data)} bytes are no copy")
+        if not data or len(data) > MAX_COPY_BYTES:
+            raise PeerMessageError(
+                f"{address}: {len(data)} bytes are not a copy of records"
+            )
         return decode_copy(data)
 
     async def _serve_copy(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
-            async with asyncio.timeout(COPY_SECONDS):
+            async with asyncio.timeout(COPY_TIMEOUT_SECONDS):
                 writer.write(encode_copy(self._entry.read_copy()))
                 await writer.drain()
         except (OSError, TimeoutError) as error:
-            _log.info("copy not sent", extra={"error": type(error).__name__})
+            _log.info("copy of records not sent", extra={"error": type(error).__name__})
         finally:
             writer.close()
 
@@ -357,8 +411,8 @@
 
 
 class _LinkProtocol(asyncio.DatagramProtocol):
-    def __init__(self, take: Callable[[bytes, str], None]) -> None:
-        self._take = take
+    def __init__(self, handler: Callable[[bytes, str], None]) -> None:
+        self._handler = handler
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self._take(data, f"{addr[0]}:{addr[1]}")
+        self._handler(data, f"{addr[0]}:{addr[1]}")
--- a/figstep/net/listener.py
+++ b/figstep/net/listener.py
@@ -1,4 +1,4 @@
-"""Listener for callers: aiohttp's, with typed answers to broken HTTP."""
+"""Listener for callers: aiohttp's, with problem documents for malformed HTTP."""
 
 import asyncio
 import ssl
@@ -9,16 +9,17 @@
 
 from figstep.core.problems import Problem
 from figstep.errors import ListenError
-from figstep.net.refusals import answer_problem, answer_refusals, describe_status
+from figstep.net.refusals import answer_errors, answer_problem, build_status_problem
 from figstep.settings import Limits, Tls
 
 _log = logbook.Logger("figstep.callers")
 
 SHUTDOWN_SECONDS = 1.0
+"""Time for which the listener waits for open requests when it closes, in seconds."""
 
 
 class _CallerProtocol(web.RequestHandler):
-    """Answers what the HTTP parser refuses with a problem document."""
+    """Answers requests that the HTTP parser rejects with a problem document."""
 
     __slots__ = ()
 
@@ -29,11 +30,11 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        # The library would log the offending line, which may hold a key.
-        _log.info("broken request", extra={"status": status})
+        # aiohttp would log the offending line, which may hold a customer's key.
+        _log.info("malformed HTTP request", extra={"status": status})
         if request.writer.output_size > 0:
             raise ConnectionError("the answer has begun; the connection is closed")
-        response = answer_problem(_describe_error(status, exc))
+        response = answer_problem(_build_error_problem(status, exc))
         response.force_close()
         return response
 
@@ -44,14 +45,15 @@
 
 
 class CallerRunner(web.AppRunner):
-    """Runs an application behind ``_CallerProtocol``."""
+    """Runs an application whose connections use ``_CallerProtocol``."""
 
     async def _make_server(self) -> web.Server:
-        # Around the whole application: a middleware would not see what the
-        # library refuses before it calls one, such as an unknown Expect.
+        # ``answer_errors`` wraps the whole application: a middleware would not see
+        # requests that aiohttp rejects before it calls one, such as those with an
+        # unknown Expect header.
         made = await super()._make_server()
         return _CallerServer(
-            partial(answer_refusals, handler=made.request_handler),
+            partial(answer_errors, handler=made.request_handler),
             request_factory=made.request_factory,
             handler_cancellation=made.handler_cancellation,
             loop=asyncio.get_running_loop(),
@@ -59,14 +61,14 @@
         )
 
 
-def _describe_error(status: int, error: BaseException | None) -> Problem:
+def _build_error_problem(status: int, error: BaseException | None) -> Problem:
     if type(error).__name__ == "LineTooLong":
-        return describe_status(431)
-    return describe_status(status)
+        return build_status_problem(431)
+    return build_status_problem(status)
 
 
 def build_runner(app: web.Application, limits: Limits) -> CallerRunner:
-    """Return the runner of ``app`` with its bounds on what callers may send."""
+    """Return the runner of ``app``, with limits on callers' requests."""
     return CallerRunner(
         app,
         access_log=None,
@@ -84,7 +86,7 @@
     """Return the TLS context for callers, or None for plain HTTP.
 
     Raises:
-        ListenError: If the files cannot be used.
+        ListenError: If the certificate and key files cannot be used.
     """
     if tls is None:
         return None
--- a/figstep/net/peers.py
+++ b/figstep/net/peers.py
@@ -1,4 +1,4 @@
-"""Edge towards other entries: gossip by UDP, checkpoints by TCP."""
+"""Edge to other entries: gossip over UDP, checkpoints over TCP."""
 
 import asyncio
 import secrets
@@ -19,7 +19,7 @@
 from figstep.errors import PeerMessageError, SettingsError
 from figstep.net.configuration import parse_checkpoint
 from figstep.net.messages import (
-    MOST_RECORD_BYTES,
+    MAX_RECORD_BYTES,
     Keyring,
     MessageKind,
     decode_answer,
@@ -33,15 +33,31 @@
 
 _log = logbook.Logger("figstep.peers")
 
-FETCH_SECONDS = 5.0
-MOST_REQUEST_BYTES = 1_024
-MOST_FETCHES_SERVED = 4
-BIND_TRIES = 20
-ANY_HOSTS = ("", "0.0.0.0", "::")
+FETCH_TIMEOUT_SECONDS = 5.0
+"""Timeout of a fetch of a checkpoint, on both sides, in seconds."""
+
+MAX_REQUEST_BYTES = 1_024
+"""Largest request for a checkpoint, in bytes."""
+
+MAX_SERVED_FETCHES = 4
+"""Most fetches that an entry serves at the same time."""
+
+MAX_BIND_ATTEMPTS = 20
+"""Most attempts to find a port that is free for both UDP and TCP."""
+
+WILDCARD_HOSTS = ("", "0.0.0.0", "::")
+"""Listen addresses to which other entries cannot send."""
 
 
 class PeerEdge(Service):
-    """Listens for peers and sends to them; needs a key to do either."""
+    """Exchanges gossip and checkpoints with other entries; inactive without a key.
+
+    Attributes:
+        address: Own address, as "ip:port"; empty until the edge listens.
+        bytes_sent: Bytes sent in datagrams and answers.
+        bytes_received: Bytes received in datagrams and answers.
+        rejected: Number of datagrams that were rejected.
+    """
 
     def __init__(
         self,
@@ -66,12 +82,19 @@
         self.rejected = 0
 
     async def on_start(self) -> None:
-        """Listen, unless no key is set."""
+        """Start to listen, unless no key is set.
+
+        Raises:
+            SettingsError: If the listen address is a wildcard.
+            OSError: If the port cannot be bound.
+        """
         if not self._settings.key:
-            _log.warning("no peers.key: this entry shares nothing with the others")
+            _log.warning(
+                "peers.key is not set: this entry exchanges nothing with the others"
+            )
             return
         host = self._settings.listen.host
-        if host in ANY_HOSTS:
+        if host in WILDCARD_HOSTS:
             raise SettingsError(
                 f"peers.listen.host: {host} is not an address that others can send"
                 " to; write this instance's own"
@@ -83,18 +106,22 @@
         )
 
     async def _bind(self, host: str, port: int) -> int:
-        """Bind UDP and TCP to the same port; a free one may be taken for TCP."""
+        """Bind UDP and TCP to the same port and return the port.
+
+        A port that the system picked for UDP may be in use for TCP; then another
+        one is tried, if ``port`` is 0.
+        """
         loop = asyncio.get_running_loop()
-        for attempt in range(BIND_TRIES):
+        for attempt in range(MAX_BIND_ATTEMPTS):
             transport, _ = await loop.create_datagram_endpoint(
-                lambda: _GossipProtocol(self._take_datagram), local_addr=(host, port)
+                lambda: _GossipProtocol(self._handle_datagram), local_addr=(host, port)
             )
             bound: int = transport.get_extra_info("sockname")[1]
             try:
                 self._server = await asyncio.start_server(self._serve, host, bound)
             except OSError:
                 transport.close()
-                if port or attempt == BIND_TRIES - 1:
+                if port or attempt == MAX_BIND_ATTEMPTS - 1:
                     raise
                 continue
             self._transport = transport
@@ -102,7 +129,7 @@
         raise AssertionError("unreachable")
 
     async def on_stop(self) -> None:
-        """Close the sockets."""
+        """Cancel a running fetch and close the sockets."""
         if self._fetch is not None:
             self._fetch.cancel()
         if self._transport is not None:
@@ -111,7 +138,7 @@
             self._server.close()
 
     def send(self, address: str, gossip: Gossip) -> None:
-        """Send one datagram; a lost one is made up by later ones."""
+        """Send one datagram; later ones make up for a lost one."""
         if self._transport is None or self._transport.is_closing():
             return
         host, _, port = address.rpartition(":")
@@ -119,10 +146,10 @@
         self.bytes_sent += len(data)
         self._transport.sendto(data, (host, int(port)))
 
-    def _take_datagram(self, data: bytes) -> None:
+    def _handle_datagram(self, data: bytes) -> None:
         self.bytes_received += len(data)
         try:
-            gossip = decode_gossip(self._keys.open(MessageKind.GOSSIP, data))
+            gossip = decode_gossip(self._keys.verify(MessageKind.GOSSIP, data))
         except PeerMessageError as error:
             self.rejected += 1
             _log.info("datagram dropped", extra={"why": str(error)})
@@ -130,7 +157,7 @@
         self._dispatch(GossipReceived(gossip))
 
     def fetch(self, address: str) -> None:
-        """Ask a peer for its checkpoint, one at a time."""
+        """Fetch the checkpoint of a peer, unless a fetch is running."""
         if self._fetch is not None and not self._fetch.done():
             return
         loop = asyncio.get_running_loop()
@@ -140,13 +167,13 @@
         nonce = secrets.randbits(64)
         request = self._keys.sign(MessageKind.REQUEST, encode_request(nonce))
         try:
-            async with asyncio.timeout(FETCH_SECONDS):
-                data = await _exchange(address, request)
+            async with asyncio.timeout(FETCH_TIMEOUT_SECONDS):
+                data = await _send_request(address, request)
             self.bytes_received += len(data)
-            body = self._keys.open(MessageKind.ANSWER, data)
+            body = self._keys.verify(MessageKind.ANSWER, data)
             checkpoint = parse_checkpoint(decode_answer(body, nonce))
         except (OSError, TimeoutError, PeerMessageError, ValidationError) as error:
-            # The next message of a peer that is ahead plans another fetch.
+            # The next message of a peer with a newer document schedules another fetch.
             _log.info("checkpoint not fetched", extra={"why": str(error)})
             return
         self._dispatch(CheckpointOffered(checkpoint))
@@ -155,11 +182,11 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
-            if self._serving >= MOST_FETCHES_SERVED:
+            if self._serving >= MAX_SERVED_FETCHES:
                 return
             self._serving += 1
             try:
-                async with asyncio.timeout(FETCH_SECONDS):
+                async with asyncio.timeout(FETCH_TIMEOUT_SECONDS):
                     await self._answer(reader, writer)
             finally:
                 self._serving -= 1
@@ -171,8 +198,8 @@
     async def _answer(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        data = await _read_to_end(reader, MOST_REQUEST_BYTES)
-        nonce = decode_request(self._keys.open(MessageKind.REQUEST, data))
+        data = await _read_to_end(reader, MAX_REQUEST_BYTES)
+        nonce = decode_request(self._keys.verify(MessageKind.REQUEST, data))
         record = self._read_record()
         if record is None:
             return
@@ -182,13 +209,13 @@
         await writer.drain()
 
 
-async def _exchange(address: str, request: bytes) -> bytes:
+async def _send_request(address: str, request: bytes) -> bytes:
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
         writer.write(request)
         writer.write_eof()
-        return await _read_to_end(reader, MOST_RECORD_BYTES)
+        return await _read_to_end(reader, MAX_RECORD_BYTES)
     finally:
         writer.close()
 
@@ -199,20 +226,22 @@
     while part := await reader.read(65_536):
         size += len(part)
         if size > limit:
-            raise PeerMessageError("message too long; check who sends here")
+            raise PeerMessageError(
+                "message too long; check which process sends to this port"
+            )
         parts.append(part)
     return b"".join(parts)
 
 
 class _GossipProtocol(asyncio.DatagramProtocol):
-    """Hands datagrams on."""
+    """Passes datagrams to a handler."""
 
-    def __init__(self, take: Callable[[bytes], None]) -> None:
-        self._take = take
+    def __init__(self, handler: Callable[[bytes], None]) -> None:
+        self._handler = handler
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Hand one datagram on."""
-        self._take(data)
+        """Pass one datagram to the handler."""
+        self._handler(data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that a peer's port is closed; its silence tells."""
+        """Ignore that a peer's port is closed; the peer is detected as silent."""
--- a/figstep/net/sockets.py
+++ b/figstep/net/sockets.py
@@ -1,20 +1,30 @@
-"""Sockets of outgoing connections that find out when the other side is gone."""
+"""Sockets of outgoing connections that detect an unreachable peer."""
 
 import socket
 
-PROBE_IDLE_SECONDS = 1
-PROBE_PERIOD_SECONDS = 1
-PROBES = 2
-"""A connection that has been quiet for a second is probed twice, a second
-apart. Behind a cut, or after something on the way forgot the connection, it
-would else stay open for good and its reader would wait in vain; three seconds
-find it without a call to the other side's program."""
+KEEPALIVE_IDLE_SECONDS = 1
+"""Idle time of a connection before the first keep-alive probe, in seconds.
 
-UNSENT_MILLIS = 2_000
-"""The same where bytes wait to be acknowledged, when no probe is sent."""
+After a network partition, or when a device on the path has lost the state of the
+connection, the connection would otherwise stay open forever while its reader waits.
+The keep-alive detects this within three seconds, without a request to the peer's
+program.
+"""
 
+KEEPALIVE_INTERVAL_SECONDS = 1
+"""Interval of keep-alive probes, in seconds."""
 
-def open_watched_socket(
+KEEPALIVE_PROBES = 2
+"""Number of unanswered keep-alive probes after which a connection is closed."""
+
+USER_TIMEOUT_MILLIS = 2_000
+"""Time for which sent bytes may stay unacknowledged, in milliseconds.
+
+While bytes are unacknowledged the system sends no keep-alive probes.
+"""
+
+
+def open_keepalive_socket(
     address: tuple[
         socket.AddressFamily | int,
         socket.SocketKind | int,
@@ -23,13 +33,15 @@
         tuple[object, ...],
     ],
 ) -> socket.socket:
-    """Return a socket for an address as ``getaddrinfo`` gives it."""
+    """Return a socket with TCP keep-alive for an address of ``getaddrinfo``."""
     family, kind, protocol, _, _ = address
     opened = socket.socket(family, kind, protocol)
     opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_SECONDS)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_PERIOD_SECONDS)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNSENT_MILLIS)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
+    opened.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS
+    )
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MILLIS)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return opened
--- a/figstep/net/streams.py
+++ b/figstep/net/streams.py
@@ -1,4 +1,4 @@
-"""Edges of the log's streams: followers and the batching appender."""
+"""Edges for the streams of the log: followers and a batching appender."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,45 +18,48 @@
 from figstep.errors import LogTruncatedError, LogUnavailableError
 from figstep.net.log import READ_LIMIT, LogClient
 
-POLL_WAIT = 10_000
+POLL_TIMEOUT = 10_000
+"""Longest wait of a long poll, in milliseconds."""
+
 RETRY_SECONDS = 0.5
+"""Pause after a read that failed, in seconds."""
 
 
 class StreamFollower(Service):
-    """Long-polls one stream and hands its records on, in order.
+    """Reads one stream by long polls and passes its records on in order.
 
-    With ``rest`` seconds, records that come soon after others are read
-    together: each read costs as much as several records.
+    The follower pauses for ``read_delay`` seconds after a read that returned records,
+    so that later records are read together: one read costs as much as several records.
     """
 
     def __init__(
         self,
         log: LogClient,
         stream: str,
-        take_records: Callable[[list[LogRecord]], None],
+        handle_records: Callable[[list[LogRecord]], None],
         start: int = 0,
         dispatch: Callable[[Event], None] | None = None,
         limit: int = READ_LIMIT,
-        rest: float = 0.0,
+        read_delay: float = 0.0,
     ) -> None:
         super().__init__()
-        self._rest = rest
+        self._read_delay = read_delay
         self._limit = limit
-        self._dispatch = dispatch or _drop_event
+        self._dispatch = dispatch or _ignore_event
         self._caught_up = False
         self._log_client = log
         self._stream = stream
-        self._take_records = take_records
+        self._handle_records = handle_records
         self._next = start
 
     def read_from(self, offset: int) -> None:
-        """Go on reading at ``offset``; what a running poll brings is dropped."""
+        """Continue at ``offset``; the result of a running poll is discarded."""
         self._next = offset
 
     @Service.task
     async def _follow(self) -> None:
         while not self.should_stop:
-            wait = POLL_WAIT if self._caught_up else 0
+            wait = POLL_TIMEOUT if self._caught_up else 0
             start = self._next
             try:
                 records = await self._log_client.read(
@@ -72,22 +75,22 @@
                 continue
             if records and self._next == start:
                 self._next = records[-1].offset + 1
-                self._take_records(records)
+                self._handle_records(records)
             if self._next != start + len(records):
                 continue
             if not self._caught_up and len(records) < self._limit:
                 self._caught_up = True
                 self._dispatch(StreamCaughtUp(self._stream))
-            if records and self._rest:
-                await self.sleep(self._rest)
+            if records and self._read_delay:
+                await self.sleep(self._read_delay)
 
 
-def _drop_event(event: Event) -> None:
-    """Stand for the dispatch of a follower that tells nobody."""
+def _ignore_event(event: Event) -> None:
+    """Ignore an event; the default dispatch of a follower."""
 
 
 class StreamAppender(Service):
-    """Appends records; those that wait for the same stream go in one batch."""
+    """Appends records; pending ones of the same stream are sent as one batch."""
 
     def __init__(self, log: LogClient, dispatch: Callable[[Event], None]) -> None:
         super().__init__()
@@ -97,17 +100,17 @@
         self._senders: dict[str, asyncio.Task[None]] = {}
 
     async def on_stop(self) -> None:
-        """Drop what is not sent."""
+        """Cancel all appends that are not confirmed."""
         for task in self._senders.values():
             task.cancel()
 
     @property
     def idle(self) -> bool:
-        """Whether nothing waits to be appended."""
+        """Whether no append is pending."""
         return not self._senders
 
     def append(self, effect: AppendRecords) -> None:
-        """Queue an append."""
+        """Queue an append; its outcome is dispatched as an event."""
         self._waiting.setdefault(effect.stream, []).append(effect)
         if effect.stream in self._senders:
             return
--- a/figstep/platform/documents.py
+++ b/figstep/platform/documents.py
@@ -1,4 +1,4 @@
-"""Records of the platform's store as the gateway's types."""
+"""Parsers that turn records of the platform's store into the gateway's types."""
 
 from typing import Any
 
@@ -19,7 +19,7 @@
 from figstep.gateway.targets import Registration
 
 EVACUATION_PREFIX = "evacuate/"
-"""Start of the keys that evacuate a failure domain; their values say nothing."""
+"""Prefix of the keys that evacuate a failure domain; their values have no meaning."""
 
 
 class _Model(BaseModel):
@@ -35,7 +35,7 @@
     name: str
     host: str
     prefix: str
-    type: RouteKind  # what may be repeated
+    type: RouteKind  # determines which requests may be repeated
     service: str = ""
     split: tuple[_Share, ...] = ()
     attempts: int = 1
@@ -45,7 +45,7 @@
     priority: int = 0
     public: bool = False
     resumable: bool = False
-    regions_allowed: tuple[str, ...] = ()  # none for any region
+    regions_allowed: tuple[str, ...] = ()  # empty: all regions are allowed
 
 
 class _Engine(_Model):
@@ -53,8 +53,8 @@
     kv_capacity: int = Field(default=1 << 30, gt=0)
     backups: bool = False
     moves: bool = False
-    stride: int = Field(default=1, gt=0)  # tokens in one event of a stream
-    handle_s: float = Field(default=5.0, gt=0)  # how long a copy is kept unused
+    stride: int = Field(default=1, gt=0)  # tokens in an event of a stream
+    handle_s: float = Field(default=5.0, gt=0)  # how long an unused copy is kept
 
 
 class _Service(_Model):
@@ -62,7 +62,7 @@
     max_conns: int = 100
     engine: _Engine | None = None
     warmup_s: float = Field(default=0.0, ge=0)
-    warmup_per_s: float = Field(default=0.0, ge=0)  # requests that a cold target bears
+    warmup_per_s: float = Field(default=0.0, ge=0)  # rate of a cold target
 
 
 class _Limits(_Model):
@@ -87,7 +87,7 @@
     tenants: tuple[_Tenant, ...] | None = None
 
 
-class _Beat(BaseModel):
+class _RegistrationDocument(BaseModel):
     model_config = ConfigDict(extra="ignore", frozen=True, strict=True)
 
     service: str
@@ -96,29 +96,33 @@
     slots: int = Field(ge=1)
     state: str = Field(pattern=r"^(ready|draining)$")
     warmup_left_ms: float = Field(default=0.0, ge=0)
-    born: int = 0  # Unix millisecond of the target's start
+    born: int = 0  # start of the target, in ms since the Unix epoch
 
 
 def parse_configuration(value: bytes) -> RoutingTable:
-    """Return the configuration that a record holds.
+    """Return the routing table of a configuration record.
+
+    Args:
+        value: Configuration as JSON.
 
     Raises:
-        ValueError: If it can't be read; the platform takes valid ones only.
+        ValueError: If the configuration is not valid; the platform should accept only
+            valid ones.
     """
-    read = _Configuration.model_validate(orjson.loads(value))
+    parsed = _Configuration.model_validate(orjson.loads(value))
     services = {}
-    for service in read.services:
+    for service in parsed.services:
         services[service.name] = _build_service(service)
     return RoutingTable(
-        version=read.version,
-        routes=group_routes([_build_route(route) for route in read.routes]),
+        version=parsed.version,
+        routes=group_routes([_build_route(route) for route in parsed.routes]),
         services=services,
-        customers=_build_customers(read.tenants),
+        customers=_build_customers(parsed.tenants),
         limits=CallerLimits(
-            read.limits.max_header_bytes,
-            read.limits.max_body_bytes,
-            Millis(round(read.limits.header_timeout_ms)),
-            Millis(round(read.limits.idle_timeout_ms)),
+            parsed.limits.max_header_bytes,
+            parsed.limits.max_body_bytes,
+            Millis(round(parsed.limits.header_timeout_ms)),
+            Millis(round(parsed.limits.idle_timeout_ms)),
         ),
     )
 
@@ -140,11 +144,11 @@
         priority=route.priority,
         public=route.public,
         resumable=route.resumable,
-        allowed_regions=_build_homes(route.regions_allowed),
+        allowed_regions=_build_allowed_regions(route.regions_allowed),
     )
 
 
-def _build_homes(regions: tuple[str, ...]) -> frozenset[str] | None:
+def _build_allowed_regions(regions: tuple[str, ...]) -> frozenset[str] | None:
     return frozenset(regions) or None
 
 
@@ -175,7 +179,7 @@
         return None
     customers = {}
     for tenant in tenants:
-        allowed_regions = _build_homes(tenant.regions_allowed)
+        allowed_regions = _build_allowed_regions(tenant.regions_allowed)
         customer = Customer(tenant.name, tenant.priority, allowed_regions)
         for key in tenant.api_keys:
             customers[key] = customer
@@ -183,30 +187,34 @@
 
 
 def parse_evacuation(key: str) -> str | None:
-    """Return the failure domain that a key evacuates; None for any other key."""
+    """Return the failure domain that a record's key evacuates; None for other keys."""
     if not key.startswith(EVACUATION_PREFIX):
         return None
     return key.removeprefix(EVACUATION_PREFIX) or None
 
 
 def parse_registration(key: str, value: bytes) -> Registration | None:
-    """Return what a target says of itself, or None where it names no target.
+    """Return a target's registration, or None if the record does not describe a target.
+
+    Other programs may write records to the topic: one with an unknown state, missing
+    fields or invalid JSON is ignored.
 
-    Entries may come from other writers: unknown states, missing fields or
-    unreadable bytes name nothing to use.
+    Args:
+        key: Name of the target.
+        value: Registration as JSON.
     """
     try:
         document: Any = orjson.loads(value)
-        read = _Beat.model_validate(document)
+        parsed = _RegistrationDocument.model_validate(document)
     except (orjson.JSONDecodeError, ValidationError):
         return None
     return Registration(
         target=key,
-        service=read.service,
-        address=read.addr,
-        failure_domain=read.zone,
-        slots=read.slots,
-        draining=read.state == "draining",
-        warmup=Millis(round(read.warmup_left_ms)),
-        born=read.born,
+        service=parsed.service,
+        address=parsed.addr,
+        failure_domain=parsed.zone,
+        slots=parsed.slots,
+        draining=parsed.state == "draining",
+        warmup=Millis(round(parsed.warmup_left_ms)),
+        born=parsed.born,
     )
--- a/figstep/platform/engines.py
+++ b/figstep/platform/engines.py
@@ -1,4 +1,4 @@
-"""The platform's targets: requests out, answers and copies of runs back."""
+"""HTTP client for the platform's targets: requests, queries and copies of runs."""
 
 import asyncio
 import errno
@@ -41,33 +41,36 @@
 
 _log = logbook.Logger("figstep.targets")
 
-CONNECT_SECONDS = 0.5
-"""Time to open a connection: targets answer within a few milliseconds, and one
-that doesn't may be given up on without a doubt whether it ran anything."""
+CONNECT_TIMEOUT_SECONDS = 0.5
+"""Timeout of opening a connection, in seconds. Targets accept within a few
+milliseconds, and a request whose connection was not opened has certainly not run."""
 
-COPY_SECONDS = 2.0
-"""Time for a copy of a run; an engine that leaves is gone by then."""
+COPY_TIMEOUT_SECONDS = 2.0
+"""Timeout of an order to copy a run, in seconds; a leaving engine has ended by
+then."""
 
-REPORT_SECONDS = 0.4
-"""Time for an engine's report; it needs no slot."""
+REPORT_TIMEOUT_SECONDS = 0.4
+"""Timeout of a query of an engine's state, in seconds; the query needs no slot of the
+engine."""
 
-MOST_ANSWER_BYTES = 8_388_608
-"""Largest answer that is gathered for a caller."""
+MAX_ANSWER_BYTES = 8_388_608
+"""Largest complete answer that may be sent to a caller, in bytes. A larger one counts
+as a lost attempt."""
 
-SMALLEST_DEADLINE = 1
-"""Targets reject a deadline of nothing."""
+MIN_DEADLINE = 1
+"""Smallest deadline that is sent to a target, in milliseconds: targets reject 0."""
 
-_ADDED_BY_CLIENT = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
+_SUPPRESSED_CLIENT_HEADERS = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
 
-_UNREACHED = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+_CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 
 
 class TargetEdge(Service, TargetPort):
-    """HTTP client towards targets; each request has a connection of its own.
+    """HTTP client for targets that opens a new connection for each request.
 
-    A kept connection can bring an answer that belongs to an earlier request,
-    or be reset as the next one is sent, when nobody can tell whether it ran.
-    A new one costs a millisecond and leaves no such doubt.
+    A reused connection can deliver the answer of an earlier request, or be reset
+    while the next one is sent, and then it is unknown whether that request ran. A new
+    connection costs a millisecond and avoids both.
     """
 
     def __init__(
@@ -89,14 +92,14 @@
         self._answers: dict[int, WholeAnswer] = {}
 
     async def on_start(self) -> None:
-        """Open the client."""
+        """Open the HTTP session."""
         connector = ResetAwareConnector(limit=0, force_close=True)
         self._session = open_target_session(
-            connector, CONNECT_SECONDS, _ADDED_BY_CLIENT
+            connector, CONNECT_TIMEOUT_SECONDS, _SUPPRESSED_CLIENT_HEADERS
         )
 
     async def on_stop(self) -> None:
-        """Drop all attempts."""
+        """Cancel all attempts and background tasks, and close the session."""
         tasks = [*self._attempt_tasks.values(), *self._background]
         for task in tasks:
             task.cancel()
@@ -105,22 +108,26 @@
             await self._session.close()
 
     def open_attempt(self, effect: OpenAttempt) -> None:
-        """Send a request to a target."""
+        """Send a request to a target.
+
+        The result is dispatched as events. AttemptLost is dispatched where the caller
+        or the target is already gone.
+        """
         exchange = self._find_exchange(effect.number)
         target = self._find_target(effect.target)
         if exchange is None or target is None:
-            self._lose_soon(effect.attempt, "no caller or target any more")
+            self._schedule_loss(effect.attempt, "caller or target is gone")
             return
-        work = self._run_attempt(effect, exchange, target)
-        task = asyncio.get_running_loop().create_task(work)
+        coroutine = self._run_attempt(effect, exchange, target)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._attempt_tasks[effect.attempt] = task
 
-    def _lose_soon(self, attempt: int, detail: str) -> None:
+    def _schedule_loss(self, attempt: int, detail: str) -> None:
         event = AttemptLost(attempt, Loss.UNREACHED, detail=detail)
         asyncio.get_running_loop().call_soon(self._dispatch, event)
 
     def close_attempt(self, attempt: int) -> None:
-        """Drop an attempt's connection."""
+        """Close an attempt's connection."""
         task = self._attempt_tasks.get(attempt)
         if task is not None:
             task.cancel()
@@ -130,7 +137,7 @@
         return self._heads[attempt]
 
     def find_answer(self, attempt: int) -> WholeAnswer:
-        """Return the whole answer of an attempt while its event is handled."""
+        """Return the complete answer of an attempt while its event is handled."""
         return self._answers[attempt]
 
     async def _run_attempt(
@@ -138,36 +145,36 @@
     ) -> None:
         number = effect.attempt
         try:
-            event = await self._try_attempt(effect, exchange, target)
+            event = await self._send_request(effect, exchange, target)
         except answers.RefusedError as refusal:
             event = AttemptLost(number, refusal.loss, refusal.retry_after)
-        except _UNREACHED as error:
+        except _CONNECT_ERRORS as error:
             event = AttemptLost(
                 number,
                 Loss.UNREACHED,
-                detail=_describe(error),
-                down=_is_refused(error),
+                detail=_describe_error(error),
+                down=_is_connection_refused(error),
             )
         except (FrameError, aiohttp.InvalidURL, aiohttp.ClientResponseError) as error:
-            event = AttemptLost(number, Loss.GARBLED, detail=_describe(error))
+            event = AttemptLost(number, Loss.GARBLED, detail=_describe_error(error))
         except (aiohttp.ClientError, OSError) as error:
-            event = AttemptLost(number, Loss.BROKEN, detail=_describe(error))
+            event = AttemptLost(number, Loss.BROKEN, detail=_describe_error(error))
         finally:
             self._attempt_tasks.pop(number, None)
-            # Its event is handled below, in the same turn of the loop.
-            asyncio.get_running_loop().call_soon(self._forget, number)
+            # The event is dispatched below, before the loop calls this.
+            asyncio.get_running_loop().call_soon(self._discard_answer, number)
         self._dispatch(event)
 
-    def _forget(self, attempt: int) -> None:
+    def _discard_answer(self, attempt: int) -> None:
         self._heads.pop(attempt, None)
         self._answers.pop(attempt, None)
 
-    async def _try_attempt(
+    async def _send_request(
         self, effect: OpenAttempt, exchange: CallerExchange, target: Target
     ) -> Event:
         assert self._session is not None
         url = URL(f"http://{target.info.address}{exchange.path}", encoded=True)
-        asked = self._clock.now()
+        requested_at = self._clock.now()
         async with self._session.request(
             exchange.method,
             url,
@@ -175,29 +182,35 @@
             headers=self._build_headers(effect, exchange, target),
             allow_redirects=False,
         ) as response:
-            self._take_words(response, target, asked)
+            self._dispatch_target_signals(response, target, requested_at)
             answers.check_answer(response, exchange.request_id)
             if effect.stream and response.status == 200:
                 return await self._read_stream(effect, response)
             return await self._read_answer(effect, response)
 
-    def _take_words(
-        self, response: aiohttp.ClientResponse, target: Target, asked: Millis
+    def _dispatch_target_signals(
+        self, response: aiohttp.ClientResponse, target: Target, requested_at: Millis
     ) -> None:
-        """Hand on what an answer says of the target itself and isn't known yet."""
-        words = answers.read_words(response)
-        if words.leaving and not target.announced_leaving:
+        """Dispatch what an answer reports of its target and this entry does not know.
+
+        Args:
+            response: Answer of the target.
+            target: Target that was sent the request.
+            requested_at: When the request was sent.
+        """
+        signals = answers.read_target_signals(response)
+        if signals.leaving and not target.announced_leaving:
             self._dispatch(TargetLeaving(target.info.incarnation))
-        ends_rate = words.ends_rate and limits.is_limited(target)
-        if words.rate is not None or ends_rate:
-            self._dispatch(RateNamed(target.name, words.rate, asked))
+        ends_rate = signals.ends_rate and limits.is_limited(target)
+        if signals.rate is not None or ends_rate:
+            self._dispatch(RateNamed(target.name, signals.rate, requested_at))
 
     def _build_headers(
         self, effect: OpenAttempt, exchange: CallerExchange, target: Target
     ) -> list[tuple[str, str]]:
-        left = max(SMALLEST_DEADLINE, effect.deadline - self._clock.now())
+        remaining = max(MIN_DEADLINE, effect.deadline - self._clock.now())
         headers = list(exchange.headers)
-        headers.append((names.DEADLINE, str(left)))
+        headers.append((names.DEADLINE, str(remaining)))
         headers.append((names.EXPECTED_TARGET, target.name))
         if effect.customer:
             headers.append((names.CUSTOMER, effect.customer))
@@ -209,12 +222,12 @@
         if effect.after is not None:
             headers.append((names.LAST_EVENT, str(effect.after)))
         if effect.source is not None:
-            headers.append((names.COPY, self._name_copy(effect.source)))
+            headers.append((names.COPY_SOURCE, self._format_copy_source(effect.source)))
         if not exchange.body and exchange.method not in ("GET", "HEAD"):
             headers.append(("Content-Length", "0"))
         return headers
 
-    def _name_copy(self, copy: RunCopy) -> str:
+    def _format_copy_source(self, copy: RunCopy) -> str:
         owner = self._find_target(copy.owner)
         address = "" if owner is None else owner.info.address
         return f"{address}/{copy.handle}"
@@ -232,39 +245,48 @@
             ]
             if pieces:
                 self._dispatch(PiecesArrived(attempt, pieces))
-        return StreamEnded(attempt, splitter.rest)
+        return StreamEnded(attempt, splitter.incomplete)
 
     async def _read_answer(
         self, effect: OpenAttempt, response: aiohttp.ClientResponse
     ) -> Event:
         body = await response.read()
-        if len(body) > MOST_ANSWER_BYTES:
+        if len(body) > MAX_ANSWER_BYTES:
             return AttemptLost(effect.attempt, Loss.GARBLED, detail="too long")
         self._answers[effect.attempt] = WholeAnswer(answers.read_head(response), body)
         if response.status < 500 and response.status not in (408, 429):
             return AnswerArrived(effect.attempt, response.status)
-        # 408, 429 and 503 would tell the caller that it did not run, which the
-        # target did not say; they can't be handed on.
-        handed_on = None if response.status in (408, 429, 503) else response.status
+        # A caller takes 408, 429 and 503 to mean that its request did not run. The
+        # target did not report this, so these statuses are not forwarded.
+        forwarded_status = (
+            None if response.status in (408, 429, 503) else response.status
+        )
         return AttemptLost(
             effect.attempt,
             Loss.FAILED,
-            retry_after=answers.read_pause(response),
+            retry_after=answers.read_retry_after(response),
             detail=f"answered {response.status}",
-            status=handed_on,
+            status=forwarded_status,
         )
 
     def copy_run(self, effect: CopyRun) -> None:
-        """Order an engine to copy a run to another."""
-        self._start(self._order_copy(effect))
+        """Order an engine to copy a run to another engine.
+
+        RunCopied or RunNotCopied is dispatched unless the caller or one of the engines
+        is gone.
+        """
+        self._run_in_background(self._order_copy(effect))
 
     def drop_copy(self, copy: RunCopy) -> None:
-        """Free a copy."""
-        self._start(self._free_copy(copy))
+        """Free a copy of a run at the engine that holds it."""
+        self._run_in_background(self._free_copy(copy))
 
     def probe_target(self, target: str) -> None:
-        """Look whether a target still listens at its address."""
-        self._start(self._probe(target))
+        """Probe whether a target still listens at its address.
+
+        TargetDown is dispatched if it does not.
+        """
+        self._run_in_background(self._probe(target))
 
     async def _probe(self, name: str) -> None:
         target = self._find_target(name)
@@ -272,17 +294,19 @@
             return
         host, _, port = target.info.address.rpartition(":")
         try:
-            listens = await is_listening(host, int(port), CONNECT_SECONDS)
+            listens = await is_listening(host, int(port), CONNECT_TIMEOUT_SECONDS)
         except OSError as error:
-            # A link that fails proves nothing of the target.
-            _log.info("no probe", extra={"target": name, "error": _describe(error)})
+            # A network failure does not prove that the target is down.
+            _log.info(
+                "probe failed", extra={"target": name, "error": _describe_error(error)}
+            )
             return
         if not listens:
             self._dispatch(TargetDown(target.info.incarnation))
 
     def read_report(self, target: str) -> None:
-        """Ask an engine for its state."""
-        self._start(self._read_report(target))
+        """Query an engine for its state; its report is dispatched as an event."""
+        self._run_in_background(self._read_report(target))
 
     async def _read_report(self, name: str) -> None:
         assert self._session is not None
@@ -290,24 +314,27 @@
         if target is None:
             return
         url = f"http://{target.info.address}/figstep/report"
-        asked = self._clock.now()
+        requested_at = self._clock.now()
         try:
             async with (
-                asyncio.timeout(REPORT_SECONDS),
+                asyncio.timeout(REPORT_TIMEOUT_SECONDS),
                 self._session.get(url) as response,
             ):
-                self._take_words(response, target, asked)
+                self._dispatch_target_signals(response, target, requested_at)
                 body = await response.read()
             if response.status != 200:
                 raise ValueError(f"answered {response.status}")
             event = answers.parse_report(name, body)
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
-            _log.info("no report", extra={"target": name, "error": _describe(error)})
+            _log.info(
+                "cannot read engine report",
+                extra={"target": name, "error": _describe_error(error)},
+            )
             return
         self._dispatch(event)
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _run_in_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._background.add(task)
         task.add_done_callback(self._background.discard)
 
@@ -323,25 +350,25 @@
             "target": holder.info.address,
         }
         url = f"http://{source.info.address}/figstep/kv-move"
-        asked = self._clock.now()
+        requested_at = self._clock.now()
         detail = ""
         handle = ""
         try:
             async with (
-                asyncio.timeout(COPY_SECONDS),
+                asyncio.timeout(COPY_TIMEOUT_SECONDS),
                 self._session.post(
                     url,
                     data=orjson.dumps(order),
                     headers={"Content-Type": "application/json"},
                 ) as response,
             ):
-                self._take_words(response, source, asked)
+                self._dispatch_target_signals(response, source, requested_at)
                 body = await response.read()
             detail = f"answered {response.status}"
             if response.status == 200:
                 handle = str(orjson.loads(body)["handle"])
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
-            detail = _describe(error)
+            detail = _describe_error(error)
         if handle:
             self._dispatch(
                 RunCopied(effect.number, effect.source, effect.holder, handle)
@@ -358,19 +385,22 @@
             return
         url = f"http://{owner.info.address}/figstep/kv-handle/{copy.handle}"
         try:
-            async with asyncio.timeout(CONNECT_SECONDS), self._session.delete(url):
+            async with (
+                asyncio.timeout(CONNECT_TIMEOUT_SECONDS),
+                self._session.delete(url),
+            ):
                 return
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            # The engine frees it by itself after some seconds.
-            _log.info("copy not freed", extra={"error": _describe(error)})
+            # The engine frees the copy by itself after some seconds.
+            _log.info("copy not freed", extra={"error": _describe_error(error)})
 
 
-def _is_refused(error: BaseException) -> bool:
-    """Tell whether a connection failed because nobody listens."""
+def _is_connection_refused(error: BaseException) -> bool:
+    """Return whether a connection failed because no process listens at the address."""
     if not isinstance(error, aiohttp.ClientConnectorError):
         return False
     return error.os_error.errno == errno.ECONNREFUSED
 
 
-def _describe(error: BaseException) -> str:
+def _describe_error(error: BaseException) -> str:
     return f"{type(error).__name__}: {error}"[:200]
--- a/figstep/platform/entry.py
+++ b/figstep/platform/entry.py
@@ -1,4 +1,4 @@
-"""An entry on the platform: parts, life cycle, signals."""
+"""An entry on the platform: its services, life cycle and signals."""
 
 import asyncio
 import gc
@@ -69,45 +69,57 @@
 
 _log = logbook.Logger("figstep.entry")
 
-STOP_SHARE = 0.88
-"""Part of the grace time after which open answers are cut: the rest is for the
-cut to reach callers before the process is killed."""
+DRAIN_FRACTION = 0.88
+"""Fraction of the grace time after which open answers are cut off. In the rest of it
+the cut reaches callers, before the process is killed."""
 
-POLL_SECONDS = 0.05
+DRAIN_POLL_SECONDS = 0.05
+"""Interval in seconds at which a draining entry checks for open answers."""
 
-LARGE_REST_SECONDS = 0.2
-"""Pause between two reads of the store in a large fleet, where calls are dear:
-an engine's notice is 1.5 s long, and another reader may tell of it earlier."""
+LARGE_FLEET_READ_DELAY_SECONDS = 0.2
+"""Delay between two reads of the store in a large fleet, in seconds.
 
-FIRST_START_REST_SECONDS = 2.0
-"""Pause after an entry's first read where the whole system starts for the first
-time: all start at once, no caller comes yet, and they have to find each other."""
+Calls are costly there. An engine's notice is 1.5 s long, so the delay leaves enough
+of it, and another reader may relay the record earlier.
+"""
 
-RESTART_REST_SECONDS = 0.3
-"""The same of an entry that starts again: the seeds answer it within this."""
+FIRST_START_READ_DELAY_SECONDS = 2.0
+"""Delay after an entry's first read of the store where the whole system starts for
+the first time, in seconds. All entries start at once and have to find each other, and
+no callers come yet."""
 
-FIRST_READ = Millis(300)
-"""How long a starting entry waits for the store's records before it takes callers
-in; the most impatient ones wait half a second."""
+RESTART_READ_DELAY_SECONDS = 0.3
+"""Delay after the first read of the store by an entry that starts again, in seconds;
+the seeds answer it within this time."""
+
+FIRST_READ_TIMEOUT = Millis(300)
+"""Longest time in milliseconds that a starting entry waits for the store's records
+before it accepts callers. The shortest deadline of a caller is half a second."""
 
 FIRST_READ_POLL_SECONDS = 0.005
+"""Interval in seconds at which a starting entry checks whether records were read."""
 
-STOP_SECONDS = 0.4
-"""Time for the parts to stop."""
+STOP_TIMEOUT_SECONDS = 0.4
+"""Timeout of stopping an entry's services, in seconds."""
 
 STOP_RESERVE = Millis(600)
-"""Least that the grace time leaves for the parts to stop and the process to end."""
+"""Part of the grace time, in milliseconds, that is always kept for the services to
+stop and the process to end."""
 
-MOST_RECENT = 6
-"""Registrations that a message holds: those of an engine or two that change
-together. Who misses one asks for all."""
+MAX_RECENT_REGISTRATIONS = 6
+"""Most registrations in a message to peers: enough for an engine or two that change
+together. An entry that misses a registration requests all of them."""
 
-RECENT_FOR = Millis(1_500)
-"""How long they are told: twice at least, as a datagram may be lost."""
+RECENT_ANNOUNCE_DURATION = Millis(1_500)
+"""Time in milliseconds for which registrations just read are sent to peers. Each is
+sent twice at least, as a datagram may be lost."""
 
 
 class Entry(Service, PeerPort, LinkHost):
-    """One entry instance on the platform."""
+    """One entry instance on the platform.
+
+    It connects the gateway with callers, targets, peers and the store.
+    """
 
     def __init__(
         self,
@@ -148,42 +160,44 @@
             self,
         )
         self.gateway.peers = self
-        self._listed = False
+        self._registrations_read = False
         self._configuration = b""
         self._evacuated: set[str] = set()
         self._registrations: dict[str, bytes] = {}
-        self._recent: deque[tuple[str, bytes]] = deque(maxlen=MOST_RECENT)
-        self._recent_at = Millis(-1_000_000)
-        self._fetch: asyncio.Task[None] | None = None
+        self._recent_registrations: deque[tuple[str, bytes]] = deque(
+            maxlen=MAX_RECENT_REGISTRATIONS
+        )
+        self._recent_read_at = Millis(-1_000_000)
+        self._fetch_task: asyncio.Task[None] | None = None
         self.configuration = TopicFollower(
             self._store,
             CONFIGURATION_TOPIC,
             TopicSink(
-                self._take_operator_snapshot,
-                self._take_operator_records,
+                self._apply_operator_snapshot,
+                self._apply_operator_records,
                 lambda reason: None,
                 lambda: None,
             ),
             self.reads_store,
-            self._choose_rest,
-            choose_first_rest(settings),
+            self._choose_read_delay,
+            choose_first_read_delay(settings),
         )
         self.registrations = TopicFollower(
             self._store,
             REGISTRATION_TOPIC,
             TopicSink(
-                self._take_registrations,
-                self._take_changes,
+                self._apply_registration_list,
+                self._apply_registration_changes,
                 lambda reason: self.gateway.dispatch(StoreLost()),
                 lambda: self.gateway.dispatch(StoreRegained()),
             ),
             self.reads_store,
-            self._choose_rest,
-            choose_first_rest(settings),
+            self._choose_read_delay,
+            choose_first_read_delay(settings),
         )
 
     async def on_start(self) -> None:
-        """Start the parts; callers are taken in last."""
+        """Start the services; callers are accepted last."""
         for part in (
             self.targets,
             self.configuration,
@@ -196,33 +210,35 @@
         await self.add_runtime_dependency(self.callers)
 
     async def _wait_for_records(self) -> None:
-        # Callers that wait in the listener's queue are served a moment later;
-        # taken in before the configuration is read they would be refused.
-        until = self._clock.now() + FIRST_READ
-        while not self.is_ready() and self._clock.now() < until:
+        # Callers wait in the listener's queue and are served a moment later. If they
+        # were accepted before the configuration is read, they would be refused.
+        deadline = self._clock.now() + FIRST_READ_TIMEOUT
+        while not self.is_ready() and self._clock.now() < deadline:
             await asyncio.sleep(FIRST_READ_POLL_SECONDS)
 
     async def on_shutdown(self) -> None:
-        """Close the store's client, which the followers use until they end."""
-        if self._fetch is not None:
-            self._fetch.cancel()
+        """Close the store's client, which the followers use until they have stopped."""
+        if self._fetch_task is not None:
+            self._fetch_task.cancel()
         await self._store.close()
 
     def is_ready(self) -> bool:
-        """Tell whether callers can be served."""
-        return self.gateway.known.table is not None and self._listed
+        """Return whether the configuration and the registrations have been read."""
+        return self.gateway.known.table is not None and self._registrations_read
 
     def find_exchange(self, number: int) -> CallerExchange | None:
-        """Return what the edge holds of a request."""
+        """Return the exchange with a request's caller; None once it has ended."""
         return self.callers.exchanges.get(number)
 
-    def _take_operator_snapshot(
+    def _apply_operator_snapshot(
         self, records: tuple[KeyedRecord, ...], position: int
     ) -> None:
         self._evacuated.clear()
-        self._take_operator_records(list(records), position)
+        self._apply_operator_records(list(records), position)
 
-    def _take_operator_records(self, records: list[KeyedRecord], position: int) -> None:
+    def _apply_operator_records(
+        self, records: list[KeyedRecord], position: int
+    ) -> None:
         for record in records:
             if record.key == CONFIGURATION_KEY and record.value is not None:
                 self._read_configuration(record.value)
@@ -233,50 +249,54 @@
                 self._evacuated.discard(domain)
             else:
                 self._evacuated.add(domain)
-        self._tell_evacuations(Evacuations(frozenset(self._evacuated), position))
+        self._dispatch_evacuations(Evacuations(frozenset(self._evacuated), position))
 
-    def _tell_evacuations(self, evacuations: Evacuations) -> None:
+    def _dispatch_evacuations(self, evacuations: Evacuations) -> None:
         known = self.gateway.known
         before = known.evacuations.domains
         self.gateway.dispatch(EvacuationsRead(evacuations))
         if known.evacuations.domains != before and known.is_large:
-            # Others wait to be told: few entries read the store for all.
+            # In a large fleet few entries read the store and relay its records.
             self.link.announce_records()
 
     def _read_configuration(self, value: bytes) -> None:
         try:
             table = parse_configuration(value)
         except ValueError as error:
-            _log.error("configuration unreadable", extra={"error": str(error)[:300]})
+            _log.error(
+                "invalid configuration ignored", extra={"error": str(error)[:300]}
+            )
             return
         self.gateway.dispatch(ConfigurationRead(table))
         known = self.gateway.known.table
         if known is not None and known.version == table.version:
             self._configuration = value
 
-    def _take_registrations(
+    def _apply_registration_list(
         self, records: tuple[KeyedRecord, ...] | list[KeyedRecord], position: int
     ) -> None:
         self._registrations.clear()
-        listed = []
+        registrations = []
         for record in records:
-            info = self._read_registration(record)
-            if info is not None:
-                listed.append(info)
-        self._listed = True
-        self.gateway.dispatch(TargetsListed(tuple(listed), position))
-
-    def _take_changes(self, records: list[KeyedRecord], position: int) -> None:
+            registration = self._read_registration(record)
+            if registration is not None:
+                registrations.append(registration)
+        self._registrations_read = True
+        self.gateway.dispatch(TargetsListed(tuple(registrations), position))
+
+    def _apply_registration_changes(
+        self, records: list[KeyedRecord], position: int
+    ) -> None:
         for record in records:
-            info = self._read_registration(record)
-            if info is not None:
-                self.gateway.dispatch(TargetRegistered(info))
+            registration = self._read_registration(record)
+            if registration is not None:
+                self.gateway.dispatch(TargetRegistered(registration))
             elif record.value is None:
                 self.gateway.dispatch(TargetDeparted(record.key))
         self.gateway.dispatch(PositionRead(position))
         for record in records:
-            self._recent.append((record.key, record.value or b""))
-        self._recent_at = self._clock.now()
+            self._recent_registrations.append((record.key, record.value or b""))
+        self._recent_read_at = self._clock.now()
         if self.gateway.known.is_large and self.reads_store():
             self.link.announce_records()
 
@@ -284,65 +304,76 @@
         if record.value is None:
             self._registrations.pop(record.key, None)
             return None
-        info = parse_registration(record.key, record.value)
-        if info is None:
-            _log.info("foreign registration", extra={"key": record.key[:80]})
+        registration = parse_registration(record.key, record.value)
+        if registration is None:
+            _log.info(
+                "registration of another format ignored", extra={"key": record.key[:80]}
+            )
             return None
         self._registrations[record.key] = record.value
-        return info
+        return registration
 
-    def _choose_rest(self) -> float:
-        return LARGE_REST_SECONDS if self.gateway.known.is_large else 0.0
+    def _choose_read_delay(self) -> float:
+        return LARGE_FLEET_READ_DELAY_SECONDS if self.gateway.known.is_large else 0.0
 
     def reads_store(self) -> bool:
-        """Tell whether this entry reads the store's records as they come."""
+        """Return whether this entry reads new records from the store itself."""
         return reads_store(self.gateway.known, self._clock.now())
 
     def describe_entry(self) -> PeerHeard:
-        """Return what the entries that hear all of each other are told."""
+        """Return the message to the entries that exchange messages with all others."""
         return describe_entry(self.gateway.known, self._clock.now())
 
     def describe_domain(self) -> PeerHeard:
-        """Return what other failure domains are told."""
+        """Return the message to other failure domains."""
         return describe_domain(self.gateway.known, self._clock.now())
 
     def describe_domain_at(self, target: str) -> PeerHeard:
-        """Return what other failure domains are told of one target."""
+        """Return the message to other failure domains about one target."""
         return describe_domain_at(self.gateway.known, target, self._clock.now())
 
     def is_domain_representative(self) -> bool:
-        """Tell whether this entry tells other failure domains of its own."""
+        """Return whether this entry reports for its domain to other failure domains."""
         return is_domain_representative(self.gateway.known, self._clock.now())
 
-    def count_entries(self, entries: int) -> None:
-        """Take in how many entries are known."""
+    def update_entry_count(self, entries: int) -> None:
+        """Record how many entries are known, this one included."""
         if entries != self.gateway.known.entries:
             self.gateway.dispatch(EntriesCounted(entries))
 
-    def list_recent(self) -> tuple[tuple[str, bytes], ...]:
-        """Return the registrations read last, up to the position told."""
+    def list_recent_registrations(self) -> tuple[tuple[str, bytes], ...]:
+        """Return the registrations read last, as keys and values.
+
+        The last one is the record before the position that the entry reports. The
+        list is empty in a small fleet, in an entry that does not read the store, and
+        once they were announced for RECENT_ANNOUNCE_DURATION.
+        """
         known = self.gateway.known
         if not known.is_large or not self.reads_store():
             return ()
-        if self._clock.now() - self._recent_at >= RECENT_FOR:
+        if self._clock.now() - self._recent_read_at >= RECENT_ANNOUNCE_DURATION:
             return ()
-        return tuple(self._recent)
+        return tuple(self._recent_registrations)
 
-    def take_message(
+    def handle_message(
         self, message: PeerHeard, records: tuple[tuple[str, bytes], ...]
     ) -> None:
-        """Take in a message, and the registrations that its sender read last."""
+        """Apply a peer's message, and the registrations that the peer read last.
+
+        The registrations are applied only where they close the gap to the peer's
+        position and this entry does not read the store itself.
+        """
         missing = message.position - self.gateway.known.position
         if 0 < missing <= len(records) and not self.reads_store():
-            told = [
+            relayed = [
                 KeyedRecord(key, value or None) for key, value in records[-missing:]
             ]
             self.registrations.skip_to(message.position)
-            self._take_changes(told, message.position)
+            self._apply_registration_changes(relayed, message.position)
         self.gateway.dispatch(message)
 
     def read_copy(self) -> RecordCopy:
-        """Return what was read of the store, for a peer that can't read it."""
+        """Return the records read from the store, for a peer that cannot read it."""
         return RecordCopy(
             self._configuration,
             self.gateway.known.position,
@@ -350,37 +381,40 @@
         )
 
     def fetch_records(self, address: str) -> None:
-        """Ask a peer for what it has read of the store."""
-        if self._fetch is None or self._fetch.done():
-            work = self._fetch_records(address)
-            self._fetch = asyncio.get_running_loop().create_task(work)
+        """Request from a peer the records that it has read from the store.
+
+        Nothing happens while an earlier request is still open.
+        """
+        if self._fetch_task is None or self._fetch_task.done():
+            coroutine = self._fetch_records(address)
+            self._fetch_task = asyncio.get_running_loop().create_task(coroutine)
 
     def announce(self) -> None:
-        """Tell the other entries of this one's loads at once."""
+        """Send this entry's loads to its peers at once."""
         self.link.announce()
 
     def announce_target(self, target: str) -> None:
-        """Tell other failure domains what this one has open at a target."""
+        """Report to other failure domains what this one has open at a target."""
         self.link.announce_target(target)
 
     async def _fetch_records(self, address: str) -> None:
         try:
             copy = await self.link.fetch_copy(address)
         except PeerMessageError as error:
-            _log.info("no records from peer", extra={"error": str(error)})
+            _log.info("cannot fetch records from peer", extra={"error": str(error)})
             return
         if copy.configuration:
             self._read_configuration(copy.configuration)
         if copy.position > self.gateway.known.position:
             records = [KeyedRecord(key, value) for key, value in copy.registrations]
             self.registrations.skip_to(copy.position)
-            self._take_registrations(records, copy.position)
+            self._apply_registration_list(records, copy.position)
 
     def apply_settings(self, settings: EntrySettings) -> None:
-        """Take settings that were read again.
+        """Apply settings that were read again.
 
-        Addresses and names hold until the process ends; bounds and seeds are
-        taken at once.
+        Seeds, retry bounds and regions change at once. Addresses and names stay as
+        they were at the start of the process.
         """
         self.settings = settings
         self.link.set_seeds(settings.seed_addresses)
@@ -395,30 +429,45 @@
         _log.info("settings read again", extra={"node": settings.node})
 
     async def drain(self) -> None:
-        """End gracefully: readiness falls, open answers go on to their end."""
+        """Fail readiness checks and wait until open answers have ended.
+
+        Callers are still served, as the platform sends some for up to
+        READINESS_NOTICE, and each connection is closed after its answer. The wait ends
+        after the time that ``choose_drain_time`` returns, if not earlier.
+        """
         self.callers.ready = False
         self.callers.closing = True
-        until = Millis(self._clock.now() + choose_drain_time(self.settings.grace))
-        self.gateway.dispatch(ShutdownRequested(until))
-        # The platform sends callers here until it has asked twice in vain.
-        quiet_from = Millis(self._clock.now() + NOTICE)
-        while self._clock.now() < until:
-            await asyncio.sleep(POLL_SECONDS)
+        deadline = Millis(self._clock.now() + choose_drain_time(self.settings.grace))
+        self.gateway.dispatch(ShutdownRequested(deadline))
+        # The platform sends callers here until two readiness checks have failed.
+        quiet_from = Millis(self._clock.now() + READINESS_NOTICE)
+        while self._clock.now() < deadline:
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
             if self._clock.now() >= quiet_from and not self.callers.exchanges:
                 return
 
 
-NOTICE = Millis(3_000)
-"""Time that new callers may still come after readiness fell."""
+READINESS_NOTICE = Millis(3_000)
+"""Time in milliseconds for which new callers may still arrive after the readiness
+checks began to fail."""
 
 
 def choose_drain_time(grace: Millis) -> Millis:
-    """Return how long open answers go on after a process was asked to end."""
-    return Millis(max(0, min(round(grace * STOP_SHARE), grace - STOP_RESERVE)))
+    """Return how long open answers may continue after SIGTERM, in milliseconds.
+
+    Args:
+        grace: Time from SIGTERM until the process is killed.
+    """
+    return Millis(max(0, min(round(grace * DRAIN_FRACTION), grace - STOP_RESERVE)))
 
 
 def build_state(settings: EntrySettings, now: Millis) -> State:
-    """Return the state that an entry starts with."""
+    """Return the initial state of an entry.
+
+    Args:
+        settings: Settings of the entry.
+        now: Time of the start.
+    """
     budget = RetryBudget(
         settings.retry_ratio,
         settings.retry_allowance,
@@ -436,19 +485,33 @@
     )
 
 
-def choose_first_rest(settings: EntrySettings) -> float:
-    """Return how long an entry waits after its first read of the store.
+def choose_first_read_delay(settings: EntrySettings) -> float:
+    """Return how long an entry waits after its first read of the store, in seconds.
 
-    Reading on at once, each entry of a large fleet would read record by record
-    how all targets register themselves.
+    Without the wait, each entry of a large fleet would read the registration of each
+    target one by one, although one reader can relay them.
     """
     if not settings.seeds:
         return 0.0
-    return FIRST_START_REST_SECONDS if settings.first_start else RESTART_REST_SECONDS
+    return (
+        FIRST_START_READ_DELAY_SECONDS
+        if settings.first_start
+        else RESTART_READ_DELAY_SECONDS
+    )
 
 
 async def serve_until_signal(path: Path, listener: socket.socket | None = None) -> None:
-    """Serve until SIGTERM or SIGINT, then drain."""
+    """Serve callers until SIGTERM or SIGINT, then drain and stop.
+
+    SIGHUP reads the settings file again.
+
+    Args:
+        path: Settings file.
+        listener: Socket that already listens for callers; None to open one.
+
+    Raises:
+        SettingsError: If the settings file is not valid.
+    """
     loop = asyncio.get_running_loop()
     stopping = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -466,21 +529,24 @@
     watching.cancel()
     _log.info("stopped", extra={"requests": len(entry.callers.exchanges)})
     try:
-        async with asyncio.timeout(STOP_SECONDS):
+        async with asyncio.timeout(STOP_TIMEOUT_SECONDS):
             await entry.stop()
     except TimeoutError:
-        # Waiting for what is still open would run into the platform's kill,
-        # which counts the process as one that doesn't end when asked.
-        _log.warning("parts did not stop in time")
+        # If the process waited for open requests, the platform would kill it and
+        # count it as one that does not end when asked.
+        _log.warning("services did not stop before the timeout")
 
 
 def run_entry(listener: socket.socket | None = None) -> None:
-    """Run an entry by the platform's settings file until it is told to end.
+    """Run an entry with the platform's settings file until a signal ends it.
 
     Args:
-        listener: Socket that listens for callers already, or None to open one.
+        listener: Socket that already listens for callers; None to open one.
+
+    Raises:
+        SettingsError: If the settings file is not named or not valid.
     """
     install_bounded_logs("INFO")
     uvloop.run(serve_until_signal(read_path(), listener))
-    # The interpreter's last collection would use up what is left of the grace time.
+    # The garbage collection at exit would use up the rest of the grace time.
     gc.freeze()
--- a/figstep/standins/engine.py
+++ b/figstep/standins/engine.py
@@ -1,18 +1,18 @@
-"""Stand-in of a model engine: ``EngineModel`` served over HTTP.
+"""Stand-in for a model engine: serves ``EngineModel`` over HTTP.
 
-Speaks the OpenAI-compatible streaming API. Each event carries
-``id: <generation>:<index>``; the caller of the engine chooses the generation
-id by the ``X-Generation-Id`` header and its priority by ``X-Priority``.
+It implements the OpenAI-compatible streaming API. Each event carries
+``id: <generation>:<index>``. A request sets the generation id in the
+``X-Generation-Id`` header and the priority in ``X-Priority``.
 ``GET /v1/generations/ID?after=N`` resumes a stream, ``DELETE`` cancels it,
-``GET /load`` reports load, ``GET /cache-events?after=N`` tells of cached
-prefixes and ``POST /orders`` takes orders with a fencing number.
-
-A request whose ``X-Continue-After`` header says N carries the N tokens that
-were produced so far as ``continuation`` in its body; indexes go on at N + 1.
-The body's ``standin_length`` sets the length of the answer, and the engine
-crashes before its token number ``standin_crash_at``. The first token repeats
-the prompt's last word, so that a reader can tell whose answer it is.
-``POST /standin/do/KIND`` does ``leave``, ``crash`` or ``restart``.
+``GET /load`` reports the load, ``GET /cache-events?after=N`` lists changes of
+the prefix cache and ``POST /orders`` takes orders with a fencing number.
+
+A request with ``X-Continue-After: N`` carries the N tokens produced so far as
+``continuation`` in its body; indexes continue at N + 1. ``standin_length`` in
+the body sets the length of the answer, and the engine crashes before the token
+with the index ``standin_crash_at``. The first token repeats the last word of
+the prompt, so that a reader can match the answer to its request.
+``POST /standin/do/KIND`` calls ``leave``, ``crash`` or ``restart``.
 """
 
 import asyncio
@@ -28,19 +28,38 @@
 from figstep.standins.engine_model import (
     EngineModel,
     EngineProfile,
-    LengthLaw,
+    LengthDistribution,
     Sequence,
     Token,
 )
 from figstep.standins.http import answer_json
 
 DONE = b"data: [DONE]\n\n"
+"""Last server-sent event of a stream that was not cancelled."""
+
 WORDS = "rice lentils spinach paneer chapati kheer apples cumin".split()
+"""Texts of the tokens, in turn."""
+
 PREFIX_CHARS = 256
+"""Number of leading characters of a prompt that count as its shared prefix."""
+
 CHARS_PER_TOKEN = 4
+"""Characters of a prompt that count as one token."""
+
 RUN_AHEAD_MS = 0.5
-THIN_MEMORY = 16_777_216
-THIN_RUNNING = 65_536
+"""Milliseconds by which the model runs ahead of the clock.
+
+A step that ends within this time is finished at once, without another sleep.
+"""
+
+FIXED_GAP_MEMORY_TOKENS = 16_777_216
+"""Cache memory of an engine with a fixed gap, and tokens prefilled in one step.
+
+It is chosen so large that neither limits the engine.
+"""
+
+FIXED_GAP_MAX_RUNNING = 65_536
+"""Batch limit of an engine with a fixed gap, in sequences."""
 
 
 @dataclass(slots=True)
@@ -61,39 +80,44 @@
         self.changed = asyncio.Event()
 
 
-def build_thin_profile(gap: float) -> EngineProfile:
-    """Return an engine that gives a token every ``gap`` seconds, at once for all."""
+def build_fixed_gap_profile(gap: float) -> EngineProfile:
+    """Return a profile that gives every sequence a token each ``gap`` seconds."""
     return EngineProfile(
-        memory_tokens=THIN_MEMORY,
-        max_running=THIN_RUNNING,
+        memory_tokens=FIXED_GAP_MEMORY_TOKENS,
+        max_running=FIXED_GAP_MAX_RUNNING,
         step=max(gap * 1_000, 0.01),
         per_sequence=0.0,
         per_thousand=0.0,
         per_prefill=0.0,
-        prefill_chunk=THIN_MEMORY,
+        prefill_chunk=FIXED_GAP_MEMORY_TOKENS,
         report_lag=0.0,
     )
 
 
 class EngineServer:
-    """An engine over HTTP; thin unless it is given a profile.
+    """An engine over HTTP; without a profile it has a fixed gap between tokens.
 
     Attributes:
         name: Target name.
-        length: Tokens in an answer unless the request or a law says.
-        law: Draws lengths in place of ``length``, if set.
-        grace: Seconds for which a generation without a reader goes on.
-        answer_delay: Seconds by which every answer is late.
-        crashed: While set, connections are cut and none is served.
+        length: Tokens in an answer, unless the request or
+            ``length_distribution`` sets another length.
+        length_distribution: Distribution that lengths are drawn from in place of
+            ``length``, or None.
+        grace: Seconds until a generation without a reader is cancelled.
+        answer_delay: Seconds by which every answer is delayed.
+        crashed: Whether the engine has crashed: connections are reset.
         checks_fencing: Whether orders with an old fencing number are refused.
-        load_seconds: How long an order takes.
+        load_seconds: Seconds that an order takes.
+        leaving: Whether new generations are rejected with 503.
+        role: Role that the last order of kind "role" set.
         executed: Generation ids in the order in which they started.
-        prompts: Prompt by generation id.
+        prompts: Prompts by generation id.
         cancelled: Generation ids that were cancelled.
-        fencing: Highest fencing number seen.
-        orders: Orders that were carried out.
-        models: What is loaded, "model@version" and "model+adapter"; while no
-            model was ever ordered, every model is served.
+        fencing: Highest fencing number received.
+        orders: Orders that were executed.
+        model: Simulation of batching, memory and preemption.
+        models: Loaded models, as "model@version" and "model+adapter"; every model
+            is served while no model version is loaded.
     """
 
     def __init__(
@@ -102,11 +126,11 @@
         gap: float = 0.01,
         length: int = 20,
         profile: EngineProfile | None = None,
-        law: LengthLaw | None = None,
+        length_distribution: LengthDistribution | None = None,
     ) -> None:
         self.name = name
         self.length = length
-        self.law = law
+        self.length_distribution = length_distribution
         self.grace = 10.0
         self.answer_delay = 0.0
         self.crashed = False
@@ -120,7 +144,7 @@
         self.prompts: dict[str, str] = {}
         self.cancelled: list[str] = []
         self.model = EngineModel(
-            profile or build_thin_profile(gap), random.Random(hash_name(name))
+            profile or build_fixed_gap_profile(gap), random.Random(hash_name(name))
         )
         self.models: list[str] = []
         self._generations: dict[str, _Generation] = {}
@@ -131,7 +155,7 @@
 
     @property
     def incarnation(self) -> int:
-        """Grows each time the engine starts anew."""
+        """Number that increases with each crash."""
         return self.model.incarnation
 
     @incarnation.setter
@@ -149,30 +173,36 @@
 
     @property
     def gap(self) -> float:
-        """Seconds between tokens of a thin engine; setting it makes it thin."""
+        """Seconds between tokens of an engine with a fixed gap.
+
+        Setting it replaces the profile by one with a fixed gap.
+        """
         return self.model.profile.step / 1_000
 
     @gap.setter
     def gap(self, seconds: float) -> None:
-        self.model.profile = build_thin_profile(seconds)
+        self.model.profile = build_fixed_gap_profile(seconds)
 
     def build_app(self) -> web.Application:
-        """Return the HTTP application."""
-        app = web.Application(middlewares=[self._play_faults])
+        """Return the HTTP application of the engine."""
+        app = web.Application(middlewares=[self._apply_faults])
         app.router.add_post("/v1/chat/completions", self._start)
         app.router.add_post("/v1/completions", self._start)
         app.router.add_get("/v1/generations/{id}", self._resume)
         app.router.add_delete("/v1/generations/{id}", self._cancel)
         app.router.add_get("/load", self._report_load)
         app.router.add_get("/cache-events", self._list_cache_events)
-        app.router.add_post("/orders", self._take_order)
+        app.router.add_post("/orders", self._handle_order)
         app.router.add_get("/standin/executed", self._list_executed)
-        app.router.add_post("/standin/do/{kind}", self._do)
+        app.router.add_post("/standin/do/{kind}", self._handle_action)
         app.on_cleanup.append(self._clean_up)
         return app
 
     def crash(self) -> None:
-        """Cut all connections, lose all generations, refuse until ``restart``."""
+        """Reset all connections and lose all generations.
+
+        Until ``restart``, every new connection is reset too.
+        """
         self.crashed = True
         self.model.crash(_read_clock())
         for generation in self._generations.values():
@@ -183,30 +213,30 @@
             _cut(request)
 
     def restart(self) -> None:
-        """Serve again, empty and under a new incarnation."""
+        """Serve again after ``crash``, without generations, in a new incarnation."""
         self.crashed = False
         self.leaving = False
 
     def freeze(self) -> None:
-        """Stop without closing anything; nothing is answered."""
+        """Stop answering until ``thaw`` but keep all connections open."""
         self.model.freeze(_read_clock())
 
     def thaw(self) -> None:
-        """Go on after ``freeze``."""
+        """Continue after ``freeze``."""
         self.model.thaw(_read_clock())
         self._work.set()
 
     def leave(self) -> None:
-        """Turn new work away; what runs goes on."""
+        """Reject new generations with 503; running ones continue."""
         self.leaving = True
 
-    async def _do(self, request: web.Request) -> web.Response:
-        deeds = {"leave": self.leave, "crash": self.crash, "restart": self.restart}
-        deeds[request.match_info["kind"]]()
+    async def _handle_action(self, request: web.Request) -> web.Response:
+        actions = {"leave": self.leave, "crash": self.crash, "restart": self.restart}
+        actions[request.match_info["kind"]]()
         return answer_json({})
 
     @web.middleware
-    async def _play_faults(self, request: web.Request, handler: Any) -> Any:
+    async def _apply_faults(self, request: web.Request, handler: Any) -> Any:
         while self.model.frozen and not self.crashed:
             await asyncio.sleep(0.05)
         if self.crashed and not request.path.startswith("/standin/"):
@@ -253,17 +283,21 @@
     def _build_sequence(
         self, name: str, body: dict[str, Any], after: int, priority: int
     ) -> Sequence:
-        wanted = body.get("standin_length")
-        if wanted is None:
-            wanted = self.length if self.law is None else self.law.draw()
+        answer_length = body.get("standin_length")
+        if answer_length is None:
+            answer_length = (
+                self.length
+                if self.length_distribution is None
+                else self.length_distribution.draw()
+            )
         limit = body.get("max_tokens") or body.get("max_completion_tokens")
-        length = min(wanted, limit) if limit else wanted
+        length = min(answer_length, limit) if limit else answer_length
         prompt = str(body.get("prompt") or body.get("messages") or "")
         shared = prompt[:PREFIX_CHARS]
         return Sequence(
             name,
             length,
-            "length" if limit and limit <= wanted else "stop",
+            "length" if limit and limit <= answer_length else "stop",
             prompt_tokens=1 + len(prompt) // CHARS_PER_TOKEN,
             priority=priority,
             prefix=hashlib.sha256(shared.encode()).hexdigest()[:16],
@@ -279,7 +313,7 @@
     async def _run(self) -> None:
         while True:
             for token in self.model.advance(_read_clock() + RUN_AHEAD_MS):
-                self._take_token(token)
+                self._handle_token(token)
             step = self.model.next_step()
             if step is None:
                 self._work.clear()
@@ -287,7 +321,7 @@
                 continue
             await asyncio.sleep(max(0.0, step - _read_clock()) / 1_000)
 
-    def _take_token(self, token: Token) -> None:
+    def _handle_token(self, token: Token) -> None:
         generation = self._generations.get(token.name)
         if generation is None or generation.cancelled:
             return
@@ -309,9 +343,9 @@
         generation.ended = token.finish is not None
         generation.notify()
         if generation.ended:
-            self._forget_later(token.name)
+            self._schedule_removal(token.name)
 
-    def _forget_later(self, name: str) -> None:
+    def _schedule_removal(self, name: str) -> None:
         loop = asyncio.get_running_loop()
         retention = self.model.profile.retention / 1_000
         loop.call_later(retention, self._generations.pop, name, None)
@@ -335,7 +369,7 @@
         generation.ended = True
         self.cancelled.append(name)
         generation.notify()
-        self._forget_later(name)
+        self._schedule_removal(name)
 
     async def _report_load(self, request: web.Request) -> web.Response:
         now = _read_clock()
@@ -359,7 +393,7 @@
         events = self.model.read_cache_events(_read_clock(), after)
         return answer_json({"events": [asdict(event) for event in events]})
 
-    async def _take_order(self, request: web.Request) -> web.Response:
+    async def _handle_order(self, request: web.Request) -> web.Response:
         order = orjson.loads(await request.read())
         number = int(order["fencing"])
         if self.checks_fencing and number < self.fencing:
@@ -369,12 +403,12 @@
         self.fencing = max(self.fencing, number)
         if self.load_seconds:
             await asyncio.sleep(self.load_seconds)
-        if not self._carry_out(order):
+        if not self._execute_order(order):
             return answer_json({"error": "unknown kind of order"}, status=400)
         self.orders.append(order)
         return answer_json({"models": self.models, "role": self.role})
 
-    def _carry_out(self, order: dict[str, Any]) -> bool:
+    def _execute_order(self, order: dict[str, Any]) -> bool:
         model = order.get("model", "")
         versioned = f"{model}@{order.get('version', '1')}"
         match order.get("kind"):
@@ -423,7 +457,7 @@
             self._readers.remove(request)
             generation.readers -= 1
             if not generation.ended and not generation.readers:
-                self._cancel_later(name)
+                self._schedule_cancel(name)
         return response
 
     async def _send_frames(
@@ -446,9 +480,9 @@
         if not generation.cancelled:
             await response.write(DONE)
 
-    def _cancel_later(self, name: str) -> None:
-        # A reader that lost its connection may come back for the rest; one
-        # that is gone for good would leave the generation eating memory.
+    def _schedule_cancel(self, name: str) -> None:
+        # A reader that lost its connection may resume the stream. If it never
+        # does, the generation must not hold cache memory any longer.
         task = asyncio.create_task(self._cancel_unread(name))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -466,7 +500,7 @@
 
 
 def hash_name(name: str) -> int:
-    """Return a seed that depends on the name alone."""
+    """Return a seed that depends only on the name."""
     return int.from_bytes(hashlib.sha256(name.encode()).digest()[:4])
 
 
@@ -482,7 +516,7 @@
 def build_frame(
     generation: str, index: int, text: str, finish: str | None, model: str, chat: bool
 ) -> bytes:
-    """Return one server-sent event of a generation."""
+    """Return the server-sent event of one token of a generation."""
     choice: dict[str, Any] = {"index": 0, "finish_reason": finish}
     if chat:
         choice["delta"] = {"role": "assistant", "content": text}
--- a/figstep/standins/engine_model.py
+++ b/figstep/standins/engine_model.py
@@ -1,24 +1,25 @@
-"""Model of one engine on a passed-in clock: batching, memory, preemption.
+"""Model of one engine: batching, memory and preemption, without a clock of its own.
 
-Assumptions, each a field of ``EngineProfile`` where it has a size:
+The caller passes the time to every method. The model assumes the following;
+every quantity is a field of ``EngineProfile``:
 
 - Decoding is batched and continuous: sequences join and leave between steps;
   a step gives each decoding sequence one token.
 - A step takes a fixed time, plus time per sequence, per 1,000 tokens of cache
   memory read and per token prefilled, all divided by the engine's speed.
 - Prefill is chunked: a step prefills at most ``prefill_chunk`` tokens.
-- A sequence holds cache memory for its prompt and all that it produced. It is
-  let in when what it needs now fits with a small watermark free; what it will
-  need later is unknown to the engine.
-- Where the next token of every sequence doesn't fit, the sequence of lowest
-  priority, and among equals the latest, is preempted: its memory is freed and
-  prompt and produced tokens are prefilled again before it goes on.
-- Cached prefixes live in a region of their own (least recently used goes
-  first); a hit saves prefill of the shared part, not memory.
-- A load report shows the engine as it was ``report_lag`` ago; cache events
-  are published ``cache_lag`` late and some are lost, which their sequence
+- A sequence holds cache memory for its prompt and all produced tokens. It is
+  admitted when its current need fits and a small watermark stays free; the
+  engine does not know what it will need later.
+- If the next token of every sequence does not fit, the sequence of lowest
+  priority, and among equals the latest, is preempted: its memory is freed, and
+  prompt and produced tokens are prefilled again before it continues.
+- Cached prefixes are kept in a separate region with least-recently-used
+  eviction; a hit saves prefill of the shared part, not memory.
+- A load report shows the engine as it was ``report_lag`` ago. Cache events are
+  published ``cache_lag`` late and some are lost, which gaps in their sequence
   numbers show.
-- A generation is kept for ``retention`` after its end, to be resumed.
+- A generation can be resumed for ``retention`` after its end.
 """
 
 import math
@@ -32,20 +33,20 @@
     """Sizes and costs of an engine; all times in milliseconds at speed 1.
 
     Attributes:
-        speed: Divides every time.
+        speed: Factor by which every time is divided.
         memory_tokens: Cache memory, in tokens.
-        max_running: Most sequences in the batch.
+        max_running: Maximum number of sequences in the batch.
         step: Fixed time of a step.
         per_sequence: Time per decoding sequence in a step.
         per_thousand: Time per 1,000 tokens of cache memory in use in a step.
         per_prefill: Time per token prefilled.
-        prefill_chunk: Most tokens prefilled in a step.
-        watermark: Share of the memory kept free when a sequence is let in.
+        prefill_chunk: Maximum number of tokens prefilled in a step.
+        watermark: Fraction of the memory kept free when a sequence is admitted.
         prefix_memory: Size of the region of cached prefixes, in tokens.
         report_lag: Age of a load report.
         cache_lag: Age at which a cache event is published.
-        cache_loss: Share of cache events that are lost.
-        retention: How long an ended generation can be resumed.
+        cache_loss: Fraction of cache events that are lost.
+        retention: Time for which an ended generation can be resumed.
     """
 
     speed: float = 1.0
@@ -70,18 +71,18 @@
 
     Attributes:
         name: Generation id.
-        length: Tokens after which it ends; unknown to all but the engine.
-        finish: How it ends, "stop" or "length".
-        prompt_tokens: Length of the prompt.
-        priority: Higher is preempted later.
-        prefix: Digest of the prompt's shared part, or "".
-        prefix_tokens: Length of the shared part.
-        produced: Tokens so far, with those given to continue from.
-        to_prefill: Tokens to prefill before the next one is decoded.
+        length: Number of tokens after which it ends; only the engine knows it.
+        finish: Finish reason, "stop" or "length".
+        prompt_tokens: Length of the prompt, in tokens.
+        priority: Sequences of higher priority are preempted later.
+        prefix: Digest of the shared prefix of the prompt, or "".
+        prefix_tokens: Length of the shared prefix, in tokens.
+        produced: Tokens so far, including those that it continues from.
+        to_prefill: Tokens to prefill before the next token is decoded.
         held: Cache memory held, in tokens.
         order: Position in the order of arrival.
-        preemptions: How often it was preempted.
-        ended: When it ended, or None.
+        preemptions: Number of times it was preempted.
+        ended: Time of its end in milliseconds, or None.
     """
 
     name: str
@@ -101,7 +102,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Token:
-    """A token came out; ``finish`` is set on the last one."""
+    """A token that was decoded.
+
+    Attributes:
+        name: Generation id.
+        index: Index of the token in the generation, from 1.
+        at: Time at which it was decoded, in milliseconds.
+        finish: Finish reason on the last token, None on all others.
+    """
 
     name: str
     index: int
@@ -111,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What the engine tells of its load as of ``at``."""
+    """Load of the engine at the time ``at``; memory is counted in tokens."""
 
     at: float
     running: int
@@ -122,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """A prefix entered ("stored") or left ("evicted") the cache."""
+    """A prefix that entered ("stored") or left ("evicted") the cache."""
 
     number: int
     at: float
@@ -131,14 +139,15 @@
 
 
 @dataclass(slots=True)
-class LengthLaw:
-    """Seeded heavy-tailed lengths: many short answers, few very long ones.
+class LengthDistribution:
+    """Seeded heavy-tailed distribution: many short answers, few very long ones.
 
     Attributes:
         rng: Source of randomness.
-        median: Median of a log-normal law, in tokens.
-        sigma: Its spread; 1.2 gives a 99th percentile of 16 medians.
-        longest: Nothing is longer.
+        median: Median of a log-normal distribution, in tokens.
+        sigma: Standard deviation of the logarithm; 1.2 gives a 99th percentile of
+            16 medians.
+        longest: Maximum length, in tokens.
     """
 
     rng: random.Random
@@ -157,15 +166,16 @@
     """One engine; times are milliseconds on the caller's clock.
 
     Attributes:
-        profile: Its sizes and costs.
-        rng: Source of randomness, for lost cache events only.
-        incarnation: Grows with each crash.
-        slow: Factor on every step's time, to play a sick engine.
-        frozen: While set nothing moves; see ``freeze`` and ``thaw``.
-        preemptions: How often a sequence was preempted.
-        produced: Tokens decoded, without those of repeated prefill.
-        prefilled: Tokens prefilled, repeated ones included.
-        prefix_hits: Prefills that found their prefix cached.
+        profile: Sizes and costs of the engine.
+        rng: Source of randomness, used only for lost cache events.
+        incarnation: Number that increases with each crash.
+        slow: Factor on the time of every step, to simulate a degraded engine.
+        frozen: Whether the engine makes no progress; see ``freeze`` and ``thaw``.
+        preemptions: Number of preemptions.
+        produced: Tokens decoded; tokens that are prefilled again do not count.
+        prefilled: Tokens prefilled, including those prefilled again.
+        prefix_hits: Prefills whose prefix was cached.
+        sequences: Generations by id, until ``retention`` after their end.
     """
 
     profile: EngineProfile = field(default_factory=EngineProfile)
@@ -185,7 +195,7 @@
     _time: float = 0.0
     _step_end: float | None = None
     _order: int = 0
-    _out: list[Token] = field(default_factory=list)
+    _pending_tokens: list[Token] = field(default_factory=list)
     _reports: deque[LoadReport] = field(default_factory=deque)
     _prefixes: OrderedDict[str, int] = field(default_factory=OrderedDict)
     _prefix_used: int = 0
@@ -193,9 +203,9 @@
     _event_number: int = 0
 
     def start(self, sequence: Sequence, now: float) -> None:
-        """Queue a sequence; a known generation id is left alone.
+        """Queue a sequence; a known generation id is ignored.
 
-        A sequence whose ``produced`` is above 0 goes on after that index.
+        A sequence with ``produced`` above 0 continues after that index.
         """
         self._run(now)
         if sequence.name in self.sequences:
@@ -207,7 +217,7 @@
         self._run(now)
 
     def cancel(self, name: str, now: float) -> bool:
-        """End a generation early; tell whether it was still going."""
+        """End a generation early and return whether it had not ended yet."""
         self._run(now)
         sequence = self.sequences.get(name)
         if sequence is None or sequence.ended is not None:
@@ -220,7 +230,7 @@
         return True
 
     def crash(self, now: float) -> None:
-        """Lose every generation and all memory; start anew."""
+        """Lose every generation and all memory; start a new incarnation."""
         self._run(now)
         self.sequences.clear()
         self._running.clear()
@@ -228,38 +238,38 @@
         self._ended.clear()
         self._prefixes.clear()
         self._reports.clear()
-        self._out.clear()
+        self._pending_tokens.clear()
         self._used = self._prefix_used = 0
         self._step_end = None
         self._time = now
         self.incarnation += 1
 
     def freeze(self, now: float) -> None:
-        """Stop where it is; connections stay open."""
+        """Stop all progress until ``thaw``; connections stay open."""
         self._run(now)
         self.frozen = True
 
     def thaw(self, now: float) -> None:
-        """Go on from here; the time in between is lost."""
+        """Continue from ``now``; the time since ``freeze`` is not made up for."""
         self.frozen = False
         self._time = now
         if self._step_end is not None:
             self._step_end = now
 
     def advance(self, now: float) -> list[Token]:
-        """Run to ``now`` and return the tokens since the last call, in order."""
+        """Run until ``now`` and return the tokens since the last call, in order."""
         self._run(now)
-        out, self._out = self._out, []
+        out, self._pending_tokens = self._pending_tokens, []
         return out
 
     def next_step(self) -> float | None:
-        """Return when the current step ends; None while idle or frozen."""
+        """Return the end time of the current step, or None while idle or frozen."""
         return None if self.frozen else self._step_end
 
     def read_load(self, now: float) -> LoadReport:
-        """Return the load as it was ``report_lag`` ago, or the oldest known."""
+        """Return the load as of ``report_lag`` ago, or the oldest known load."""
         self._run(now)
-        self._note_load(now)
+        self._record_load(now)
         while len(self._reports) > 1:
             if self._reports[1].at > now - self.profile.report_lag:
                 break
@@ -267,7 +277,7 @@
         return self._reports[0]
 
     def read_cache_events(self, now: float, after: int = 0) -> list[CacheEvent]:
-        """Return published cache events numbered above ``after``."""
+        """Return published cache events with a sequence number above ``after``."""
         published = now - self.profile.cache_lag
         return [e for e in self._cache_events if e.at <= published and e.number > after]
 
@@ -284,7 +294,7 @@
         if not self._running and not self._waiting:
             self._time = max(self._time, now)
             return False
-        self._make_room()
+        self._preempt_until_fits()
         self._admit()
         if not self._running:
             self._time = max(self._time, now)
@@ -314,10 +324,10 @@
         assert self._step_end is not None
         now = self._time = self._step_end
         self._step_end = None
-        going: list[Sequence] = []
+        still_running: list[Sequence] = []
         for sequence in self._running:
             if sequence.to_prefill > 0:
-                going.append(sequence)
+                still_running.append(sequence)
                 continue
             sequence.produced += 1
             sequence.held += 1
@@ -325,15 +335,17 @@
             self.produced += 1
             last = sequence.produced >= sequence.length
             finish = sequence.finish if last else None
-            self._out.append(Token(sequence.name, sequence.produced, now, finish))
+            self._pending_tokens.append(
+                Token(sequence.name, sequence.produced, now, finish)
+            )
             if last:
                 self._end(sequence, now)
                 continue
-            going.append(sequence)
-        self._running = going
-        self._note_load(now)
+            still_running.append(sequence)
+        self._running = still_running
+        self._record_load(now)
 
-    def _make_room(self) -> None:
+    def _preempt_until_fits(self) -> None:
         while self._used + len(self._running) > self.profile.memory_tokens:
             if len(self._running) <= 1:
                 return
@@ -354,8 +366,8 @@
         while self._waiting and len(self._running) < self.profile.max_running:
             sequence = self._waiting[0]
             needed = sequence.prompt_tokens + sequence.produced
-            room = free - self._used - len(self._running)
-            if needed + 1 > room and self._running:
+            free_tokens = free - self._used - len(self._running)
+            if needed + 1 > free_tokens and self._running:
                 return
             self._waiting.pop(0)
             sequence.held = needed
@@ -401,7 +413,7 @@
         if len(self._cache_events) > 1_000:
             self._cache_events.popleft()
 
-    def _note_load(self, now: float) -> None:
+    def _record_load(self, now: float) -> None:
         report = LoadReport(
             now,
             len(self._running),
--- a/figstep/standins/proxy.py
+++ b/figstep/standins/proxy.py
@@ -1,8 +1,8 @@
-"""Fault-injecting proxy between two ends, over TCP and UDP.
+"""Fault-injecting proxy between a client and a target, over TCP and UDP.
 
-A fault in force holds for every connection, open or new, until it is lifted.
-``freeze``, ``cut`` and ``half_open`` strike the connections that are open at
-that moment; later ones work.
+A fault that is set applies to every connection, open or new, until it is
+cleared. ``freeze``, ``cut`` and ``half_open`` affect only the connections that
+are open at that moment; connections opened later work.
 """
 
 import asyncio
@@ -16,10 +16,11 @@
 from figstep.standins.http import answer_json
 
 CHUNK_BYTES = 65_536
+"""Largest number of bytes read from a connection at once."""
 
 
 class Direction(Enum):
-    """Which way bytes travel."""
+    """Direction in which bytes are relayed."""
 
     TO_TARGET = "to_target"
     TO_CLIENT = "to_client"
@@ -27,26 +28,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Delay:
-    """Hold each chunk or datagram back for ``seconds``."""
+    """Fault that delays each chunk or datagram by ``seconds``."""
 
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class Stall:
-    """Carry nothing either way and close nothing."""
+    """Fault that relays nothing in either direction and keeps connections open."""
 
 
 @dataclass(frozen=True, slots=True)
 class Lose:
-    """Swallow what travels one way."""
+    """Fault that drops everything sent in one direction."""
 
     direction: Direction
 
 
 @dataclass(frozen=True, slots=True)
 class Drip:
-    """Pass ``size`` bytes towards the client, then pause for ``seconds``."""
+    """Fault that sends ``size`` bytes to the client, then pauses for ``seconds``."""
 
     size: int
     seconds: float
@@ -54,11 +55,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LoseAnswers:
-    """Let requests through but cut the connection in place of the answer.
+    """Fault that relays requests but resets the connection instead of answering.
 
     Attributes:
-        count: How many answers are lost.
-        prefix: Only answers to requests that begin with these bytes.
+        count: Number of answers to lose.
+        prefix: Bytes that a request must begin with for its answer to be lost.
     """
 
     count: int = 1
@@ -67,11 +68,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CutAfter:
-    """Cut a connection once ``size`` bytes went to the client.
+    """Fault that closes a connection once ``size`` bytes were sent to the client.
 
     Attributes:
-        size: Bytes that still pass.
-        count: How many connections are cut.
+        size: Bytes that the client still receives.
+        count: Number of connections to close.
     """
 
     size: int
@@ -81,11 +82,11 @@
 Fault = Delay | Stall | Lose | Drip | LoseAnswers | CutAfter
 
 
-def read_fault(document: dict[str, Any]) -> Fault:
-    """Return the fault that a JSON object tells of.
+def parse_fault(document: dict[str, Any]) -> Fault:
+    """Return the fault that a JSON object describes.
 
     Raises:
-        ValueError: If its kind is not known.
+        ValueError: If the kind of the fault is unknown.
     """
     match document:
         case {"kind": "delay", "seconds": seconds}:
@@ -105,7 +106,7 @@
 
 
 class _Link:
-    """One client's connection and the one that belongs to it."""
+    """A client's connection and the matching connection to the target."""
 
     def __init__(
         self, client: asyncio.StreamWriter, target: asyncio.StreamWriter
@@ -113,7 +114,7 @@
         self.client = client
         self.target = target
         self.frozen = False
-        self.passed = 0
+        self.bytes_to_client = 0
         self.request = b""
 
     def cut(self) -> None:
@@ -127,8 +128,8 @@
 
     Attributes:
         fault: Fault in force, or None.
-        address: ``host:port`` to connect to.
-        accepted: Connections taken so far.
+        address: ``host:port`` that clients connect to.
+        accepted: Connections accepted so far.
     """
 
     def __init__(self, host: str, port: int) -> None:
@@ -136,34 +137,34 @@
         self._server: asyncio.Server | None = None
         self._links: set[_Link] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._lifted = asyncio.Event()
+        self._fault_cleared = asyncio.Event()
         self._port = 0
         self.fault: Fault | None = None
         self.address = ""
         self.accepted = 0
 
     def choose_target(self) -> tuple[str, int] | None:
-        """Return where a new connection goes, or None to reset it."""
+        """Return the host and port for a new connection, or None to reset it."""
         return self._target
 
     @property
     def url(self) -> str:
-        """Base URL, for targets that speak HTTP."""
+        """Base URL of the proxy, for targets that serve HTTP."""
         return f"http://{self.address}"
 
     @property
     def open_connections(self) -> int:
-        """Connections that are relayed now."""
+        """Number of connections that are currently relayed."""
         return len(self._links)
 
     async def start(self, port: int = 0) -> None:
-        """Listen on loopback."""
+        """Listen on the loopback interface; port 0 takes a free port."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", port)
         self._port = self._server.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{self._port}"
 
     async def refuse(self) -> None:
-        """Stop listening: new connections are refused, open ones go on."""
+        """Stop listening: new connections are refused, open ones are still relayed."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -181,30 +182,37 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def set_fault(self, fault: Fault) -> None:
-        """Put a fault in force."""
+        """Apply a fault to all connections until it is cleared."""
         self.fault = fault
 
-    def lift(self) -> None:
-        """End the fault; what a stall held back goes on, frozen links do not."""
+    def clear_fault(self) -> None:
+        """Clear the fault and relay what a stall held back.
+
+        Frozen connections stay frozen.
+        """
         self.fault = None
-        self._lifted.set()
-        self._lifted = asyncio.Event()
+        self._fault_cleared.set()
+        self._fault_cleared = asyncio.Event()
 
     def freeze(self) -> int:
-        """Freeze the open connections for good; return how many."""
+        """Freeze the open connections permanently and return their number."""
         for link in self._links:
             link.frozen = True
         return len(self._links)
 
     def cut(self) -> int:
-        """Reset the open connections; return how many."""
+        """Reset the open connections and return their number."""
         links = list(self._links)
         for link in links:
             link.cut()
         return len(links)
 
     def half_open(self) -> int:
-        """Reset the targets' ends; clients do not learn of it."""
+        """Reset the connections to the target but keep those of the clients open.
+
+        Returns:
+            Number of connections.
+        """
         for link in self._links:
             link.frozen = True
             link.target.transport.abort()
@@ -233,10 +241,12 @@
                 group.create_task(self._pump(link, reader, Direction.TO_TARGET))
                 group.create_task(self._pump(link, target_reader, Direction.TO_CLIENT))
         except asyncio.CancelledError:
-            link.cut()  # only ``stop`` cancels; asyncio's server would log it
+            # Only ``stop`` cancels this task. The asyncio server would log the
+            # exception if it were raised again.
+            link.cut()
         finally:
             self._links.discard(link)
-            # A reset would drop what still waits in the sockets' buffers.
+            # A reset would discard the data that is still in the socket buffers.
             writer.close()
             target_writer.close()
 
@@ -282,58 +292,58 @@
                     link.cut()
                     return
             case CutAfter(size=size, count=count) if to_client:
-                if link.passed + len(chunk) >= size:
-                    writer.write(chunk[: size - link.passed])
+                if link.bytes_to_client + len(chunk) >= size:
+                    writer.write(chunk[: size - link.bytes_to_client])
                     await writer.drain()
                     self.fault = CutAfter(size, count - 1) if count > 1 else None
                     link.client.close()
                     link.target.transport.abort()
                     return
         if to_client:
-            link.passed += len(chunk)
+            link.bytes_to_client += len(chunk)
         writer.write(chunk)
         await writer.drain()
 
     async def _hold_stalled(self, link: _Link) -> None:
         while link.frozen or isinstance(self.fault, Stall):
-            await self._lifted.wait()
+            await self._fault_cleared.wait()
 
 
 class UdpProxy:
-    """Relays datagrams to one target; knows ``Delay``, ``Stall`` and ``Lose``.
+    """Relays datagrams to one target; supports ``Delay``, ``Stall`` and ``Lose``.
 
     Attributes:
         fault: Fault in force, or None.
-        address: ``host:port`` to send to.
+        address: ``host:port`` that clients send to.
     """
 
     def __init__(self, host: str, port: int) -> None:
         self._target = (host, port)
         self._listener: asyncio.DatagramTransport | None = None
-        self._towards: dict[tuple[str, int], asyncio.DatagramTransport] = {}
+        self._target_transports: dict[tuple[str, int], asyncio.DatagramTransport] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self.fault: Fault | None = None
         self.address = ""
 
     async def start(self) -> None:
-        """Listen on loopback."""
+        """Listen on a free port of the loopback interface."""
         loop = asyncio.get_running_loop()
         self._listener, _ = await loop.create_datagram_endpoint(
-            lambda: _Receiver(self._take_request), local_addr=("127.0.0.1", 0)
+            lambda: _Receiver(self._handle_datagram), local_addr=("127.0.0.1", 0)
         )
         host, port = self._listener.get_extra_info("sockname")
         self.address = f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Close every socket."""
+        """Cancel pending deliveries and close every socket."""
         for task in self._tasks:
             task.cancel()
-        for transport in self._towards.values():
+        for transport in self._target_transports.values():
             transport.close()
         if self._listener is not None:
             self._listener.close()
 
-    def _take_request(self, data: bytes, client: tuple[str, int]) -> None:
+    def _handle_datagram(self, data: bytes, client: tuple[str, int]) -> None:
         self._start(self._send_to_target(data, client))
 
     def _start(self, work) -> None:  # type: ignore[no-untyped-def]
@@ -342,7 +352,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _send_to_target(self, data: bytes, client: tuple[str, int]) -> None:
-        if client not in self._towards:
+        if client not in self._target_transports:
             loop = asyncio.get_running_loop()
             transport, _ = await loop.create_datagram_endpoint(
                 lambda: _Receiver(
@@ -350,15 +360,15 @@
                 ),
                 remote_addr=self._target,
             )
-            self._towards[client] = transport
-        if await self._passes(Direction.TO_TARGET):
-            self._towards[client].sendto(data)
+            self._target_transports[client] = transport
+        if await self._apply_fault(Direction.TO_TARGET):
+            self._target_transports[client].sendto(data)
 
     async def _send_to_client(self, data: bytes, client: tuple[str, int]) -> None:
-        if await self._passes(Direction.TO_CLIENT) and self._listener is not None:
+        if await self._apply_fault(Direction.TO_CLIENT) and self._listener is not None:
             self._listener.sendto(data, client)
 
-    async def _passes(self, direction: Direction) -> bool:
+    async def _apply_fault(self, direction: Direction) -> bool:
         match self.fault:
             case Delay(seconds=seconds):
                 await asyncio.sleep(seconds)
@@ -371,38 +381,39 @@
 
 
 class _Receiver(asyncio.DatagramProtocol):
-    def __init__(self, take) -> None:  # type: ignore[no-untyped-def]
-        self._take = take
+    def __init__(self, handler) -> None:  # type: ignore[no-untyped-def]
+        self._handler = handler
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self._take(data, addr)
+        self._handler(data, addr)
 
 
 def build_control(proxy: TcpProxy) -> web.Application:
-    """Return the HTTP application that steers a proxy run as a process.
+    """Return the HTTP application that controls a proxy in a process of its own.
 
-    ``PUT /standin/fault`` sets a fault, ``DELETE`` lifts it;
-    ``POST /standin/strike/KIND`` does ``freeze``, ``cut`` or ``half_open``.
+    ``PUT /standin/fault`` sets a fault and ``DELETE /standin/fault`` clears it.
+    ``POST /standin/strike/KIND`` calls ``freeze``, ``cut`` or ``half_open`` and
+    returns the number of connections affected as ``struck``.
     """
 
     async def set_fault(request: web.Request) -> web.Response:
-        proxy.set_fault(read_fault(orjson.loads(await request.read())))
+        proxy.set_fault(parse_fault(orjson.loads(await request.read())))
         return answer_json({})
 
-    async def lift(request: web.Request) -> web.Response:
-        proxy.lift()
+    async def clear_fault(request: web.Request) -> web.Response:
+        proxy.clear_fault()
         return answer_json({})
 
-    async def strike(request: web.Request) -> web.Response:
-        strikes = {
+    async def inject_fault(request: web.Request) -> web.Response:
+        actions = {
             "freeze": proxy.freeze,
             "cut": proxy.cut,
             "half_open": proxy.half_open,
         }
-        return answer_json({"struck": strikes[request.match_info["kind"]]()})
+        return answer_json({"struck": actions[request.match_info["kind"]]()})
 
     app = web.Application()
     app.router.add_put("/standin/fault", set_fault)
-    app.router.add_delete("/standin/fault", lift)
-    app.router.add_post("/standin/strike/{kind}", strike)
+    app.router.add_delete("/standin/fault", clear_fault)
+    app.router.add_post("/standin/strike/{kind}", inject_fault)
     return app
--- a/figstep/standins/source.py
+++ b/figstep/standins/source.py
@@ -1,7 +1,8 @@
-"""Token source: a fast stand-in of an engine for benchmarks.
+"""Token source: a fast stand-in for an engine, for benchmarks.
 
-All streams get their tokens in one pass of a timer, each with the time at
-which it was written, so that a reader on the same machine can tell its delay.
+A timer writes the tokens of all streams of a slot in one pass. Each token
+carries the time at which it was written, so that a reader on the same machine
+can compute the delay.
 """
 
 import asyncio
@@ -14,10 +15,19 @@
 from figstep.standins.http import answer_json
 
 DONE = b"data: [DONE]\n\n"
+"""Last server-sent event of every stream."""
+
 DEFAULT_LENGTH = 250
-DEFAULT_GAP = 0.05
-SLOTS = 10
-"""Passes per gap, so that streams do not all fire at once."""
+"""Tokens of an answer if the request has no ``max_tokens``."""
+
+DEFAULT_GAP_SECONDS = 0.05
+"""Seconds between two tokens of a stream if the request has no ``gap_ms``."""
+
+SLOTS_PER_GAP = 10
+"""Timer passes per gap; the streams are distributed over them.
+
+Otherwise all streams would write their tokens at the same time.
+"""
 
 
 class _Stream:
@@ -51,7 +61,10 @@
 
 
 class TokenSource:
-    """Streams tokens at a fixed gap; ``gap_ms`` and ``max_tokens`` are asked for."""
+    """Streams tokens at a fixed gap.
+
+    The body of a request can set ``gap_ms`` and ``max_tokens``.
+    """
 
     def __init__(self) -> None:
         self._slots: dict[float, list[list[_Stream]]] = {}
@@ -59,7 +72,7 @@
         self._next_slot = 0
 
     def build_app(self) -> web.Application:
-        """Return the HTTP application."""
+        """Return the HTTP application of the token source."""
         app = web.Application()
         app.router.add_post("/v1/completions", self._start)
         app.router.add_post("/v1/chat/completions", self._start)
@@ -81,7 +94,7 @@
         assert isinstance(writer, StreamWriter)
         length = body.get("max_tokens", DEFAULT_LENGTH)
         stream = _Stream(writer, generation, length)
-        slot = self._choose_slot(body.get("gap_ms", DEFAULT_GAP * 1000) / 1000)
+        slot = self._choose_slot(body.get("gap_ms", DEFAULT_GAP_SECONDS * 1000) / 1000)
         slot.append(stream)
         try:
             await stream.ended
@@ -91,18 +104,18 @@
 
     def _choose_slot(self, gap: float) -> list[_Stream]:
         if gap not in self._slots:
-            self._slots[gap] = [[] for _ in range(SLOTS)]
+            self._slots[gap] = [[] for _ in range(SLOTS_PER_GAP)]
             task = asyncio.create_task(self._run(gap, self._slots[gap]))
             self._timers.add(task)
         self._next_slot += 1
-        return self._slots[gap][self._next_slot % SLOTS]
+        return self._slots[gap][self._next_slot % SLOTS_PER_GAP]
 
     async def _run(self, gap: float, slots: list[list[_Stream]]) -> None:
         loop = asyncio.get_running_loop()
-        due, turn = loop.time(), 0
+        due, slot_index = loop.time(), 0
         while True:
-            for stream in list(slots[turn]):
+            for stream in list(slots[slot_index]):
                 stream.write_token()
-            turn = (turn + 1) % SLOTS
-            due = max(due + gap / SLOTS, loop.time() - gap)
+            slot_index = (slot_index + 1) % SLOTS_PER_GAP
+            due = max(due + gap / SLOTS_PER_GAP, loop.time() - gap)
             await asyncio.sleep(max(0.0, due - loop.time()))
--- a/tests/contracts/test_orders.py
+++ b/tests/contracts/test_orders.py
@@ -1,4 +1,4 @@
-"""The contract of orders to engines, those that check numbers and those that don't."""
+"""Tests of the contract of orders to engines, with and without fencing checks."""
 
 from typing import Any
 
@@ -15,8 +15,8 @@
 from figstep.standins.proxy import CutAfter, Delay, Fault, LoseAnswers, TcpProxy
 from tests.fleet import wait_for
 
-SEEN = 7
-UNTIL = Millis(1_000)
+NEWEST_FENCING = 7
+LEASE_END = Millis(1_000)
 
 APPLIED, STALE = OrderOutcome.APPLIED, OrderOutcome.STALE
 UNCERTAIN = OrderOutcome.UNCERTAIN
@@ -38,15 +38,15 @@
 async def test_an_order_is_applied_refused_or_uncertain(
     case: dict[str, Any], outcome: OrderOutcome, applied: bool
 ) -> None:
-    """An order meets an engine, a link or a lease in some state.
+    """Guards against a wrong outcome of an order.
 
-    The sender must not take a lost answer for a refusal, nor send once its
-    lease is over: an engine that ignores numbers would obey.
+    The sender must not treat a lost answer as a refusal, and must not send after its
+    lease has expired: an engine that ignores fencing numbers would execute the order.
     """
     engine = EngineServer("engine-1")
     engine.checks_fencing = case.get("checks", True)
     engine.crashed = case.get("crashed", False)
-    engine.fencing = SEEN
+    engine.fencing = NEWEST_FENCING
     runner, url = await start_app(engine.build_app())
     host, _, port = url.removeprefix("http://").rpartition(":")
     proxy = TcpProxy(host, int(port))
@@ -63,8 +63,8 @@
     )
     await edge.start()
     order = LoadModel("m", "2")
-    number = case.get("fencing", SEEN)
-    edge.send_order(SendOrder(1, "engine-1", order, number, UNTIL))
+    number = case.get("fencing", NEWEST_FENCING)
+    edge.send_order(SendOrder(1, "engine-1", order, number, LEASE_END))
     await wait_for(lambda: events, "the order was answered")
     await edge.stop()
     await proxy.stop()
--- a/tests/contracts/test_targets.py
+++ b/tests/contracts/test_targets.py
@@ -1,7 +1,7 @@
-"""Engines and plain services as targets: what a caller sees of each fault.
+"""Tests of faults of engines and plain services, as their callers observe them.
 
-The first attempt meets the fault and the target behaves afterwards, so a whole
-answer shows that the fault was hidden, and a problem that it could not be.
+Only the first attempt meets the fault. A complete answer shows that the fault was
+hidden from the caller, and a problem shows that it was reported.
 """
 
 from collections.abc import AsyncIterator
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A status in place of a stream."""
+    """An HTTP status that is sent instead of a stream."""
 
     status: int
     headers: tuple[tuple[str, str], ...] = ()
@@ -39,12 +39,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Frames:
-    """Events by index in the order sent; then the end marker, if ``done``.
+    """Events in the order in which they are sent.
 
     Attributes:
-        order: Indexes, from 1.
-        rename: Generation that the ids name instead, or "".
-        done: Whether the end marker follows.
+        order: Indexes of the events, from 1.
+        rename: Generation written into the ids instead of the real one, or "".
+        done: Whether the end marker follows the events.
     """
 
     order: tuple[int, ...]
@@ -53,7 +53,7 @@
 
 
 class FaultyEngine(EngineServer):
-    """Plays the next of the faults that it shares with other engines."""
+    """Engine that injects the next of the faults that it shares with other engines."""
 
     def __init__(self, name: str, faults: list[Answer | Frames]) -> None:
         super().__init__(name, gap=0.0)
@@ -88,10 +88,10 @@
 
 
 class CrashingService(PlainService):
-    """A target of a plain service that a read of ``/crash`` ends.
+    """A target of a plain service that crashes when ``/crash`` is read.
 
     Attributes:
-        runner: Runs it; set once it is started.
+        runner: Runner of its application; set once the target is started.
     """
 
     runner: web.AppRunner
@@ -107,7 +107,7 @@
 
 
 def build_engines(fault: Answer | Frames) -> list[FaultyEngine]:
-    """Return two engines, of which the first to be asked plays the fault."""
+    """Return two engines; the first one to get a request injects the fault."""
     faults = [fault]
     return [FaultyEngine(f"engine-{number}", faults) for number in (1, 2)]
 
@@ -116,7 +116,7 @@
 async def run_entry(
     engines: list[FaultyEngine], *services: PlainService
 ) -> AsyncIterator[str]:
-    """Run one entry before some engines and targets of a service; yield its URL."""
+    """Run one entry with engines and targets of a plain service; yield its URL."""
     runners, urls = [], []
     for standin in (*engines, *services, InstanceList()):
         runner, url = await start_app(standin.build_app())
@@ -125,12 +125,12 @@
         if isinstance(standin, CrashingService):
             standin.runner = runner
     log = MemoryLog()
-    named = {engine.name: urls[at] for at, engine in enumerate(engines)}
-    document = build_document(named, urls[-2])
-    shape = document["services"].pop()
+    engine_urls = {engine.name: urls[at] for at, engine in enumerate(engines)}
+    document = build_document(engine_urls, urls[-2])
+    template = document["services"].pop()
     for at, service in enumerate(services, len(engines)):
         document["services"].append(
-            {**shape, "name": service.name, "address": urls[at]}
+            {**template, "name": service.name, "address": urls[at]}
         )
     await publish_document(log, document, "ops", "first")
     settings = Settings(
@@ -152,7 +152,7 @@
 
 
 WHOLE = "whole"
-HIDDEN = {
+ENGINE_FAULTS = {
     "refused": Answer(503),
     "refused, come back": Answer(429, (("Retry-After", "1"),)),
     "server error": Answer(500),
@@ -170,14 +170,14 @@
 
 
 @pytest.mark.parametrize("stream", [True, False], ids=["stream", "one piece"])
-@pytest.mark.parametrize("fault", HIDDEN.values(), ids=HIDDEN.keys())
+@pytest.mark.parametrize("fault", ENGINE_FAULTS.values(), ids=ENGINE_FAULTS.keys())
 async def test_a_fault_of_an_engine_is_hidden_or_told(
     fault: Answer | Frames, stream: bool
 ) -> None:
     engines = build_engines(fault)
     async with run_entry(engines, PlainService("planning-1")) as url:
         caller = Caller("tag", TOKENS, stream)
-        await caller.stream_whole(url)
+        await caller.stream_to_end(url)
     generations = []
     for engine in engines:
         for name, prompt in engine.prompts.items():
@@ -187,17 +187,17 @@
     assert caller.last.ended or caller.last.problem
 
 
-async def test_a_request_that_an_engine_finds_wrong_is_not_repeated() -> None:
+async def test_a_request_that_an_engine_rejects_is_not_retried() -> None:
     engines = build_engines(Answer(422))
     async with run_entry(engines, PlainService("planning-1")) as url:
         caller = Caller("tag", TOKENS)
-        await caller.stream_whole(url)
+        await caller.stream_to_end(url)
     assert (caller.last.status, caller.last.ran) == (400, Ran.NO)
     assert [engine.executed for engine in engines] == [[], []]
 
 
 class FaultyService(PlainService):
-    """Plays one fault towards the first call."""
+    """Plain service that injects one fault into the first call."""
 
     def __init__(self, fault: str) -> None:
         super().__init__("planning-1")
@@ -218,10 +218,10 @@
 
 @pytest.mark.parametrize("fault", ["503", "500", "answer lost", "answer truncated"])
 async def test_a_call_is_not_repeated_where_it_may_have_run(fault: str) -> None:
-    """The service loses or garbles its answer, or refuses the call.
+    """Guards against a second run of a call that may run at most once.
 
-    The rules say that the call runs at most once. Where it may have taken
-    effect the caller is told so, and no second call reaches the service.
+    The service loses or truncates its answer, or refuses the call. If the call may
+    have run, the caller is told so and no second call reaches the service.
     """
     service = FaultyService(fault)
     async with run_entry([], service) as url:
@@ -236,7 +236,7 @@
 
 
 async def test_a_call_that_crashes_services_is_kept_away_from_the_rest() -> None:
-    """Guards against a read that ends all targets of a service, again and again."""
+    """Guards against a read that repeatedly crashes all targets of a service."""
     services = [CrashingService(f"planning-{number}") for number in range(6)]
     statuses = []
     headers = {"Authorization": f"Bearer {KEY}"}
