--- a/tests/experiment/test_harness.py
+++ b/tests/experiment/test_harness.py
@@ -1,4 +1,4 @@
-"""One reducer before engine models: decisions measured, at a small size."""
+"""Tests of the experiment: the reducer in front of engine models, at a small size."""
 
 from functools import cache
 
@@ -7,17 +7,18 @@
 from figstep.core.policies import POLICIES
 from figstep.experiment.cost import measure_cost
 from figstep.experiment.harness import Fault, Run
-from figstep.experiment.measures import GapHistogram, Ledger, Stream
+from figstep.experiment.measures import GapHistogram, RunStatistics, Stream
 from figstep.experiment.scenarios import DEPLOYMENTS, draw_arrivals
 
 LOAD = 3.4
-"""Tokens per millisecond; about what Bavaria's engines carry."""
+"""Requested tokens per millisecond, close to the capacity of Bavaria's engines."""
 
 DURATION = 60_000.0
+"""Time during which requests arrive, in milliseconds."""
 
 
 @cache
-def play(policy: str, kind: str = "", entries: int = 1) -> dict[str, float]:
+def run_policy(policy: str, kind: str = "", entries: int = 1) -> dict[str, float]:
     fault = Fault(kind, start=20_000, end=40_000)
     run = Run(
         DEPLOYMENTS["bavaria"],
@@ -28,7 +29,7 @@
         fault,
         entries,
     )
-    return run.play()
+    return run.simulate()
 
 
 def test_same_seed_gives_the_same_arrivals_and_the_stated_load() -> None:
@@ -40,22 +41,25 @@
     assert all(0 <= arrival.at <= DURATION for arrival in first)
 
 
-def test_memory_is_not_overfilled_where_a_baseline_does() -> None:
-    """Engines at full load, answers of unknown length.
+def test_memory_is_not_overcommitted_where_a_baseline_does() -> None:
+    """Guards against preemptions when engines are fully loaded.
 
-    Least in flight lets memory fill in the middle of answers; their streams
-    stall while they are recomputed. Predicted memory holds work back in time.
+    The lengths of answers are unknown. ``least_in_flight`` lets the memory of an
+    engine fill in the middle of answers, and their streams stall while they are
+    recomputed. figstep predicts the memory and delays requests before it fills.
     """
-    ours, baseline = play("figstep"), play("least_in_flight")
+    figstep_results, baseline = run_policy("figstep"), run_policy("least_in_flight")
     assert baseline["preemptions_per_1000"] > 10
-    assert ours["preemptions_per_1000"] < baseline["preemptions_per_1000"] / 2
-    assert ours["stall_sum_s"] < baseline["stall_sum_s"]
-    assert ours["tokens_whole"] >= baseline["tokens_whole"]
+    assert (
+        figstep_results["preemptions_per_1000"] < baseline["preemptions_per_1000"] / 2
+    )
+    assert figstep_results["stall_sum_s"] < baseline["stall_sum_s"]
+    assert figstep_results["tokens_whole"] >= baseline["tokens_whole"]
 
 
 @pytest.mark.parametrize("kind", ["", "death", "slow", "silence", "flood"])
 def test_every_request_gets_a_final_answer(kind: str) -> None:
-    result = play("figstep", kind)
+    result = run_policy("figstep", kind)
     assert result["unfinished"] == 0
     answered = result["whole"] + result["given_up"] + result["lost"]
     assert answered == result["requests"]
@@ -63,19 +67,19 @@
         assert result["lost"] == 0
 
 
-def test_entries_that_do_not_see_each_other_still_answer_everything() -> None:
-    result = play("figstep", entries=4)
+def test_entries_without_gossip_answer_every_request() -> None:
+    result = run_policy("figstep", entries=4)
     assert result["whole"] == result["requests"]
 
 
-def test_measures_count_waits_as_callers_see_them() -> None:
-    ledger = Ledger()
-    stream = ledger.streams["r"] = Stream("c", 0.0, 3, 0.0)
+def test_measures_count_waits_of_callers() -> None:
+    statistics = RunStatistics()
+    stream = statistics.streams["r"] = Stream("c", 0.0, 3, 0.0)
     for at in (100.0, 130.0, 1_130.0):
-        ledger.deliver(stream, at, 1)
+        statistics.deliver(stream, at, 1)
     stream.ended = 1_130.0
-    ledger.streams["never"] = Stream("c", 0.0, 3, 0.0)
-    result = ledger.summarize(5_000.0, 2_000.0, 1)
+    statistics.streams["never"] = Stream("c", 0.0, 3, 0.0)
+    result = statistics.summarize(5_000.0, 2_000.0, 1)
     assert result["stall_sum_s"] == 6.0
     assert result["slowest_gap_p99_ms"] == 1_000.0
     assert result["unfinished"] == 1
--- a/tests/faults/callers.py
+++ b/tests/faults/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: steady traffic of all kinds, with forged headers."""
+"""Callers of the fault soak: steady traffic of all kinds, with forged headers."""
 
 import asyncio
 import random
@@ -17,36 +17,39 @@
     Record,
     read_clock,
 )
-from tests.faults.targets import FORGED, ONLY_SYSTEM
+from tests.faults.targets import FORGED, SYSTEM_ONLY_HEADERS
 from tests.platform.standins import ROUTE_HOST
 
-REQUEST_SECONDS = 0.07
-"""Mean time between two requests of all callers."""
+MEAN_REQUEST_INTERVAL = 0.07
+"""Mean time in seconds between two requests of all callers together."""
 
-PATIENCE = 6.0
-"""Seconds that a caller waits for its answer."""
+ANSWER_TIMEOUT_SECONDS = 6.0
+"""Time limit of a request in seconds; it is also sent as Deadline-Ms."""
 
-LEAVERS = 0.06
-"""Part of the callers that leave in mid-answer."""
+DISCONNECT_SHARE = 0.06
+"""Share of the requests that the caller abandons if open after a random delay."""
 
 CONNECTIONS = 4
-"""Connections that are kept to each entry; they are used until they close."""
+"""Connections to each entry; not used, as the sessions do not limit them."""
 
 METHODS = ("POST", "POST", "GET", "PUT", "DELETE")
-"""Methods of calls: what may be repeated follows from their route."""
+"""Methods of calls to plain services, POST twice as often.
 
-_SHARES = {Kind.PLAN: 0.25, Kind.CHECK: 0.2, Kind.ORDER: 0.3, Kind.LOOKUP: 0.25}
+Whether a call may be repeated depends on its route, not on its method.
+"""
+
+_KIND_SHARES = {Kind.PLAN: 0.25, Kind.CHECK: 0.2, Kind.ORDER: 0.3, Kind.LOOKUP: 0.25}
 
 
 @dataclass(slots=True)
-class Door:
-    """Where callers reach one entry.
+class EntryEndpoint:
+    """Address and readiness of one entry, as callers know them.
 
     Attributes:
         entry: Number of the entry.
-        address: Its address, as "ip:port".
-        incarnation: Which process of it runs.
-        ready: Whether it said that callers may come.
+        address: Address that callers connect to, as "ip:port".
+        incarnation: Number of restarts of the entry's process.
+        ready: Whether the last readiness check of the entry succeeded.
     """
 
     entry: int
@@ -57,20 +60,21 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """Sends requests until it is told to end.
+    """Generator of random requests to all entries.
 
     Attributes:
-        record: Where it notes them.
-        rng: Draws them.
-        doors: The entries.
+        record: Record to which each attempt is added.
+        rng: Source of all random choices except methods.
+        endpoints: Endpoints of all entries.
         list_paths: Returns paths that have, had or never had a route.
         list_keys: Returns keys that are, or were, in force.
-        methods: Draws the methods of calls.
+        methods: Source of the methods of calls; separate, so that drawing them does
+            not change the other random choices of a seed.
     """
 
     record: Record
     rng: random.Random
-    doors: list[Door]
+    endpoints: list[EntryEndpoint]
     list_paths: Callable[[], list[str]]
     list_keys: Callable[[], list[str]]
     methods: random.Random
@@ -78,67 +82,75 @@
     _calls: set[asyncio.Task[None]] = field(default_factory=set)
     _count: int = 0
 
-    async def run(self, ended: asyncio.Event) -> None:
-        """Send requests, and wait for their answers in the end."""
-        for door in self.doors:
-            self._sessions[door.entry] = aiohttp.ClientSession(
+    async def run(self, stop_event: asyncio.Event) -> None:
+        """Send requests until an event is set, then wait for all answers."""
+        for endpoint in self.endpoints:
+            self._sessions[endpoint.entry] = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=30),
-                timeout=aiohttp.ClientTimeout(total=PATIENCE),
+                timeout=aiohttp.ClientTimeout(total=ANSWER_TIMEOUT_SECONDS),
                 auto_decompress=False,
                 middlewares=(send_once,),
             )
         try:
-            while not ended.is_set():
+            while not stop_event.is_set():
                 task = asyncio.create_task(self._send())
                 self._calls.add(task)
                 task.add_done_callback(self._calls.discard)
-                await asyncio.sleep(self.rng.expovariate(1 / REQUEST_SECONDS))
+                await asyncio.sleep(self.rng.expovariate(1 / MEAN_REQUEST_INTERVAL))
             await asyncio.gather(*self._calls)
         finally:
             for session in self._sessions.values():
                 await session.close()
 
-    def _choose_door(self) -> Door:
-        ready = [door for door in self.doors if door.ready]
-        return self.rng.choice(ready or self.doors)
+    def _choose_endpoint(self) -> EntryEndpoint:
+        ready = [endpoint for endpoint in self.endpoints if endpoint.ready]
+        return self.rng.choice(ready or self.endpoints)
 
     async def _send(self) -> None:
-        door = self._choose_door()
-        kinds = list(_SHARES)
-        kind = self.rng.choices(kinds, list(_SHARES.values()))[0]
+        endpoint = self._choose_endpoint()
+        kinds = list(_KIND_SHARES)
+        kind = self.rng.choices(kinds, list(_KIND_SHARES.values()))[0]
         path = f"/{kind.value}/"
         key = "key-1"
         if self.rng.random() < 0.15:
             kind = Kind.LOOKUP
             path = self.rng.choice(self.list_paths())
             key = self.rng.choice(self.list_keys())
-        attempt = self._add_attempt(door, kind, f"{path}x", key)
-        leaves = None
-        if self.rng.random() < LEAVERS:
-            leaves = self.rng.uniform(0.05, 1.0)
-        call = asyncio.create_task(self._call(door, attempt))
-        done, _ = await asyncio.wait({call}, timeout=leaves)
+        attempt = self._add_attempt(endpoint, kind, f"{path}x", key)
+        disconnect_after = None
+        if self.rng.random() < DISCONNECT_SHARE:
+            disconnect_after = self.rng.uniform(0.05, 1.0)
+        call = asyncio.create_task(self._call(endpoint, attempt))
+        done, _ = await asyncio.wait({call}, timeout=disconnect_after)
         if not done:
             call.cancel()
             await asyncio.wait({call})
-            attempt.left = not attempt.whole
+            attempt.disconnected = not attempt.whole
         attempt.ended = read_clock()
 
     async def send_crashing(self, kind: Kind, name: str) -> None:
-        """Send a request that crashes the targets that run it."""
-        door = self._choose_door()
+        """Send a request that crashes each target that runs it, and await its end.
+
+        Args:
+            kind: Kind of the request.
+            name: Name of the request; requests with the same kind and name are
+                the same request to the entries.
+        """
+        endpoint = self._choose_endpoint()
         path = f"/{kind.value}/{CRASHING}{name}"
-        attempt = self._add_attempt(door, kind, path, "key-1")
-        await self._call(door, attempt)
+        attempt = self._add_attempt(endpoint, kind, path, "key-1")
+        await self._call(endpoint, attempt)
         attempt.ended = read_clock()
 
-    def _add_attempt(self, door: Door, kind: Kind, path: str, key: str) -> Attempt:
+    def _add_attempt(
+        self, endpoint: EntryEndpoint, kind: Kind, path: str, key: str
+    ) -> Attempt:
         self._count += 1
         attempt = Attempt(
             f"r{self._count}",
             kind,
-            door.entry,
-            door.incarnation,
+            endpoint.entry,
+            endpoint.incarnation,
             path,
             key,
             read_clock(),
@@ -146,12 +158,12 @@
         self.record.attempts.append(attempt)
         return attempt
 
-    async def _call(self, door: Door, attempt: Attempt) -> None:
+    async def _call(self, endpoint: EntryEndpoint, attempt: Attempt) -> None:
         headers = {
             "Host": ROUTE_HOST,
             "Request-Id": attempt.id,
             "Credential": attempt.key,
-            "Deadline-Ms": str(int(PATIENCE * 1000)),
+            "Deadline-Ms": str(int(ANSWER_TIMEOUT_SECONDS * 1000)),
         }
         if attempt.kind in STREAMS:
             output = EVENTS[attempt.kind] * 4
@@ -159,16 +171,16 @@
             headers["Token-Count"] = f"600,{output}"
             headers["Length-Hint"] = str(output)
         if self.rng.random() < 0.1:
-            headers[self.rng.choice(ONLY_SYSTEM)] = FORGED
+            headers[self.rng.choice(SYSTEM_ONLY_HEADERS)] = FORGED
         method, body = "POST", b"flour" * self.rng.choice([0, 1, 2000])
         if attempt.kind not in STREAMS:
             method = self.methods.choice(METHODS)
         if attempt.is_crashing:
-            # It is the same request only with the same method and body.
+            # Entries recognize a repeated request by its method, path and body.
             method, body = "POST" if attempt.kind in STREAMS else "GET", b""
-        url = f"http://{door.address}{attempt.path}"
+        url = f"http://{endpoint.address}{attempt.path}"
         try:
-            async with self._sessions[door.entry].request(
+            async with self._sessions[endpoint.entry].request(
                 method, url, data=body or None, headers=headers
             ) as response:
                 attempt.status = response.status
--- a/tests/faults/plans.py
+++ b/tests/faults/plans.py
@@ -1,118 +1,128 @@
-"""Plans of faults: drawn from a seed before a run starts."""
+"""Plans of faults, drawn from a seed before a run starts."""
 
 import random
 from dataclasses import dataclass
 from enum import Enum
 
-QUIET_BEFORE = 1.0
-"""Seconds of traffic before the first fault."""
+FIRST_FAULT_DELAY = 1.0
+"""Time of undisturbed traffic before the first fault, in seconds."""
 
-LASTING = (0.3, 2.5)
-"""Seconds that a fault lasts, shortest and longest."""
+FAULT_DURATION_RANGE = (0.3, 2.5)
+"""Shortest and longest duration of a fault, in seconds."""
 
 
-WORD_LASTING = (5.0, 9.0)
-"""Seconds for which a target says something in its answers."""
+SIGNAL_DURATION_RANGE = (5.0, 9.0)
+"""Shortest and longest duration of an extra fault, in seconds."""
 
 RATES = (0.5, 1.0, 2.0, 4.0)
-"""Requests a second that targets name."""
+"""Rate limits that targets name in their answers, in requests per second."""
 
-PAUSES = (0.8, 1.5, 3.0)
-"""Seconds that targets ask for."""
+RETRY_AFTERS = (0.8, 1.5, 3.0)
+"""Values of Retry-After that targets send when they reject requests, in seconds."""
 
-RETURNS = (0.02, 0.4, 1.2, 2.5)
-"""Seconds after which the caller of a request that crashes targets comes again."""
+CRASHING_RETRY_INTERVALS = (0.02, 0.4, 1.2, 2.5)
+"""Intervals at which a request that crashes targets is repeated, in seconds."""
 
 
 class Extra(Enum):
-    """What is drawn apart: a plan without it is as it was before there was any."""
+    """Kind of extra fault.
 
-    RATE = "words"  # the value draws the plan, and kept seeds were drawn by this one
+    Each kind has its own random generator, so that adding or removing one leaves the
+    rest of a plan unchanged, and recorded seeds still reproduce their runs.
+    """
+
+    RATE = "words"  # part of the random seed: another value would change the plans
     LEAVING = "leaving"
     PAUSE = "pause"
     CRASHES = "crashes"
 
 
-WORDS = (Extra.RATE, Extra.LEAVING, Extra.PAUSE)
-"""What a target may say of itself in its answers."""
+SIGNALS = (Extra.RATE, Extra.LEAVING, Extra.PAUSE)
+"""Extras in which a target sends a signal about itself in its answers."""
 
 ALL_EXTRAS = tuple(Extra)
 
 
 @dataclass(frozen=True, slots=True)
-class StrikeEntry:
-    """Do something to one entry's process.
+class EntryFault:
+    """Fault of the process of one entry.
 
     Attributes:
-        how: ``kill``, ``stop``, ``freeze`` or ``reload``.
+        action: ``kill``, ``stop``, ``freeze`` or ``reload``.
         entry: Number of the entry.
-        seconds: How long it lasts.
+        seconds: Duration of a freeze.
     """
 
-    how: str
+    action: str
     entry: int
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
-class KillAll:
-    """Kill all entries at once; they are restarted."""
+class AllEntriesKilled:
+    """Fault that kills all entries at once; they are restarted."""
 
 
 @dataclass(frozen=True, slots=True)
-class StrikeLink:
-    """Harm a link.
+class LinkFault:
+    """Fault of a network link.
 
     Attributes:
-        how: ``delay``, ``stall``, ``lose_to``, ``lose_from``, ``cut``,
+        action: ``delay``, ``stall``, ``lose_to``, ``lose_from``, ``cut``,
             ``freeze``, ``half_open`` or ``lose_answers``.
-        where: ``store`` of an entry, ``caller`` of an entry, or ``target``.
-        number: Number of the entry or target, taken modulo what there is.
-        seconds: How long it lasts.
+        link: ``store`` for the link between an entry and the store, ``caller``
+            for the link between callers and an entry, or ``target`` for the link
+            between the entries and a target.
+        number: Number of the entry or target, taken modulo their count.
+        seconds: Duration; a ``cut`` has none.
     """
 
-    how: str
-    where: str
+    action: str
+    link: str
     number: int
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
-class StrikeStore:
-    """Let the store misbehave for all.
+class StoreFault:
+    """Fault of the store that affects all entries.
 
     Attributes:
-        how: ``away`` or ``forget``.
-        seconds: How long it lasts.
+        action: ``away`` (the store answers 503 to all calls) or ``forget`` (it
+            deletes the records of all topics).
+        seconds: Duration of ``away``.
     """
 
-    how: str
+    action: str
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
-class StrikeTarget:
-    """Do something to a target.
+class TargetFault:
+    """Fault or departure of a target.
 
     Attributes:
-        how: ``crash``, ``leave``, ``drain``, ``grey``, ``mute`` or ``full``.
-        number: Number of the target, taken modulo what there is.
-        seconds: How long it lasts.
+        action: ``crash``, ``leave`` (its registration is deleted), ``drain`` (its
+            registration says that it drains), ``grey`` (half of its calls fail),
+            ``mute`` (it never answers) or ``full`` (it rejects requests as not
+            run).
+        number: Number of the target, taken modulo the count of those that stay.
+        seconds: Duration of ``grey``, ``mute`` and ``full``.
     """
 
-    how: str
+    action: str
     number: int
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
-class NameRate:
-    """Let a target name the requests a second that it takes in all its answers.
+class RateSignal:
+    """Signal of a target that names its rate limit in all its answers.
 
     Attributes:
-        number: Number of the target, taken modulo what there is.
-        rate: Requests a second.
-        seconds: How long it names it.
+        number: Number of the target, taken modulo the number of targets.
+        rate: Rate limit in requests per second.
+        seconds: Time for which the target names it.
     """
 
     number: int
@@ -121,12 +131,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SayLeaving:
-    """Let a target say in all its answers that it leaves; the store learns later.
+class LeavingSignal:
+    """Signal of a target that announces in its answers that it leaves.
+
+    The registration in the store changes only later.
 
     Attributes:
-        number: Number of the target, taken modulo what there is.
-        seconds: How long the store is not told.
+        number: Number of the target, taken modulo the count of those that stay.
+        seconds: Time until the registration in the store changes.
     """
 
     number: int
@@ -134,13 +146,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskPause:
-    """Let a target turn requests away and ask for a pause.
+class PauseSignal:
+    """Signal of a target that rejects requests with Retry-After.
 
     Attributes:
-        number: Number of the target, taken modulo what there is.
-        pause: Seconds that it asks for.
-        seconds: How long it turns requests away.
+        number: Number of the target, taken modulo the number of targets.
+        pause: Value of Retry-After in seconds.
+        seconds: Time for which the target rejects requests.
     """
 
     number: int
@@ -149,13 +161,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendCrashing:
-    """Let a caller send a request that crashes targets, again and again.
+class CrashingRequests:
+    """Caller that repeats a request that crashes each target that runs it.
 
     Attributes:
-        stream: Whether it is a stream; else it is a read.
-        pause: Seconds until it comes again.
-        seconds: For how long it does.
+        stream: Whether the request is a stream; otherwise it is a read.
+        pause: Seconds between the end of a request and its repetition.
+        seconds: Time for which the caller repeats the request.
     """
 
     stream: bool
@@ -164,33 +176,38 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Configure:
-    """Write a new version of the configuration.
+class ConfigurationChange:
+    """Change that publishes a new version of the configuration.
 
     Attributes:
-        how: ``add_route``, ``drop_route``, ``add_key`` or ``drop_key``.
+        action: ``add_route``, ``drop_route``, ``add_key`` or ``drop_key``.
     """
 
-    how: str
+    action: str
 
 
 Fault = (
-    StrikeEntry
-    | KillAll
-    | StrikeLink
-    | StrikeStore
-    | StrikeTarget
-    | NameRate
-    | SayLeaving
-    | AskPause
-    | SendCrashing
-    | Configure
+    EntryFault
+    | AllEntriesKilled
+    | LinkFault
+    | StoreFault
+    | TargetFault
+    | RateSignal
+    | LeavingSignal
+    | PauseSignal
+    | CrashingRequests
+    | ConfigurationChange
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """A fault and when it comes, in seconds from the start of traffic."""
+    """Fault with its time.
+
+    Attributes:
+        at: Seconds from the start of traffic.
+        fault: Fault to apply.
+    """
 
     at: float
     fault: Fault
@@ -201,18 +218,21 @@
 ) -> list[Step]:
     """Return the steps of one run; the same seed gives the same plan.
 
-    Faults of one kind may come in series, and all may overlap.
+    A fault may be repeated shortly after it began, and all faults may overlap.
 
     Args:
-        seed: Draws the plan.
-        entries: Entries that there are.
-        seconds: Length of the part in which faults come.
-        extras: What is drawn besides, each apart.
+        seed: Seed of the random choices.
+        entries: Number of entries.
+        seconds: Length of the part of the run in which faults are injected.
+        extras: Kinds of extra faults; each is drawn by its own random generator.
+
+    Returns:
+        The steps, sorted by time.
     """
     rng = random.Random(seed)
     steps = []
     for _ in range(rng.randint(4, 14)):
-        at = rng.uniform(QUIET_BEFORE, seconds)
+        at = rng.uniform(FIRST_FAULT_DELAY, seconds)
         fault = _draw_fault(rng, entries)
         steps.append(Step(at, fault))
         if rng.random() < 0.25:
@@ -227,32 +247,34 @@
 def _draw_extra(extra: Extra, rng: random.Random, seconds: float) -> list[Step]:
     steps = []
     for _ in range(rng.randint(1, 3)):
-        lasting = round(rng.uniform(*WORD_LASTING), 2)
+        duration = round(rng.uniform(*SIGNAL_DURATION_RANGE), 2)
         number = rng.randrange(100)
         match extra:
             case Extra.RATE:
-                fault: Fault = NameRate(number, rng.choice(RATES), lasting)
+                fault: Fault = RateSignal(number, rng.choice(RATES), duration)
             case Extra.LEAVING:
-                fault = SayLeaving(number, lasting)
+                fault = LeavingSignal(number, duration)
             case Extra.PAUSE:
-                fault = AskPause(number, rng.choice(PAUSES), lasting)
+                fault = PauseSignal(number, rng.choice(RETRY_AFTERS), duration)
             case Extra.CRASHES:
                 stream = rng.random() < 0.4
-                fault = SendCrashing(stream, rng.choice(RETURNS), lasting)
-        steps.append(Step(rng.uniform(QUIET_BEFORE, seconds / 2), fault))
+                fault = CrashingRequests(
+                    stream, rng.choice(CRASHING_RETRY_INTERVALS), duration
+                )
+        steps.append(Step(rng.uniform(FIRST_FAULT_DELAY, seconds / 2), fault))
     return steps
 
 
 def _draw_fault(rng: random.Random, entries: int) -> Fault:
-    lasting = round(rng.uniform(*LASTING), 2)
+    duration = round(rng.uniform(*FAULT_DURATION_RANGE), 2)
     draw = rng.random()
     if draw < 0.22:
-        how = rng.choice(["kill", "stop", "freeze", "reload"])
-        return StrikeEntry(how, rng.randrange(entries), lasting)
+        action = rng.choice(["kill", "stop", "freeze", "reload"])
+        return EntryFault(action, rng.randrange(entries), duration)
     if draw < 0.25:
-        return KillAll()
+        return AllEntriesKilled()
     if draw < 0.50:
-        how = rng.choice(
+        action = rng.choice(
             [
                 "delay",
                 "stall",
@@ -264,11 +286,15 @@
                 "lose_answers",
             ]
         )
-        where = rng.choice(["store", "caller", "target", "target"])
-        return StrikeLink(how, where, rng.randrange(100), lasting)
+        link = rng.choice(["store", "caller", "target", "target"])
+        return LinkFault(action, link, rng.randrange(100), duration)
     if draw < 0.58:
-        return StrikeStore(rng.choice(["away", "forget"]), lasting)
+        return StoreFault(rng.choice(["away", "forget"]), duration)
     if draw < 0.85:
-        how = rng.choice(["crash", "leave", "leave", "drain", "grey", "mute", "full"])
-        return StrikeTarget(how, rng.randrange(100), lasting)
-    return Configure(rng.choice(["add_route", "drop_route", "add_key", "drop_key"]))
+        action = rng.choice(
+            ["crash", "leave", "leave", "drain", "grey", "mute", "full"]
+        )
+        return TargetFault(action, rng.randrange(100), duration)
+    return ConfigurationChange(
+        rng.choice(["add_route", "drop_route", "add_key", "drop_key"])
+    )
--- a/tests/faults/promises.py
+++ b/tests/faults/promises.py
@@ -1,4 +1,8 @@
-"""The promises, checked on what callers and targets saw."""
+"""Checks of the promises of the system on the record of a run.
+
+Most bounds on time are checked only where no fault of the entry or target concerned
+overlaps the span in question. Stalls of the soak's own event loop excuse no breach.
+"""
 
 import itertools
 import re
@@ -8,59 +12,84 @@
 
 from tests.faults.records import EVENTS, STREAMS, Attempt, Kind, Record, Run, Version
 
-CONTACT = 3.0
-"""Seconds without disturbance after which bounds on time hold again."""
+STABILIZATION_SECONDS = 3.0
+"""Time without a fault after which bounds on time are checked again, in seconds."""
+
+CONFIGURATION_SECONDS = 2.0
+"""Time until an undisturbed entry has a new version in force, in seconds."""
+
+DRAIN_SECONDS = 2.0
+"""Time after which a leaving target gets no new requests, in seconds."""
 
-CONFIGURATION = 2.0
-"""Seconds until a version is in force at an entry in touch."""
+CRASHES_BEFORE_REFUSAL = 3
+"""Crashes of targets by one request after which entries refuse the request."""
 
-DRAIN = 2.0
-"""Seconds after which a leaving target gets nothing new."""
+MAX_LATE_RUNS = 3
+"""Tolerated runs of a request that crashed CRASHES_BEFORE_REFUSAL targets.
 
-MOST_CRASHES = 3
-MOST_RETRIES = 3
-"""Crashes under one request after which no more than so many retries of it, sent
-later than CONTACT, reach targets."""
+Runs count that begin more than STABILIZATION_SECONDS and TIMING_SLACK after the crash
+that reached this number.
+"""
 
-PAUSE_BEGINS = 0.5
-MOST_IN_A_PAUSE = 2
-"""Requests of one entry to a target within a pause, from so many seconds on."""
+PAUSE_START_DELAY = 0.5
+"""Time after a rejection with Retry-After from which requests of the same entry to
+the target are counted, in seconds."""
 
-GONE = 0.5
-"""Seconds after which nothing runs for a caller that left."""
+MAX_IN_PAUSE = 2
+"""Upper bound of the requests of one entry to a target within its pause."""
 
-HANDOVER = 0.4
-"""Seconds for which two engines may be at work on one run."""
+CANCEL_SECONDS = 0.5
+"""Time after which no run for a disconnected caller is open, in seconds."""
+
+HANDOVER_SECONDS = 0.4
+"""Time for which two targets may run one request at once, in seconds."""
 
 RETRY_WINDOW = 10.0
+"""Window of the fleet's retry budget in seconds, also written into the settings."""
+
 RETRY_RATIO = 0.2
+"""Repeats that the retry budget allows in a window, as a share of the requests of
+callers; also written into the settings."""
+
 RETRY_EXTRA = 20
-"""The fleet's retry budget, as the entries' settings say it."""
+"""Repeats that the retry budget allows in a window in addition to RETRY_RATIO; also
+written into the settings."""
 
 RATE_WINDOW = 4.0
+"""Window in which the requests to a target that names a rate are counted, in seconds.
+"""
+
 RATE_RATIO = 1.5
+"""Tolerated requests to a target in RATE_WINDOW, as a multiple of its named rate
+times the window."""
+
 RATE_EXTRA = 5
-"""What a target gets that names a rate: in a window, so much of it, and more."""
+"""Tolerated requests to a target in RATE_WINDOW in addition to RATE_RATIO."""
+
+RATE_START_DELAY = 0.5
+"""Time after the first answer that named a rate to an entry from which the requests
+of this entry count, in seconds."""
 
-TOLD = 0.5
-"""Seconds after an answer that named a rate from which its entry counts."""
+TIMING_SLACK = 0.4
+"""Tolerance of all bounds on time, in seconds.
 
-SLACK = 0.4
-"""Seconds that a busy machine of eight cores may add to any of these: entries,
-callers and targets share it, and timers there fire late."""
+Entries, callers and targets share one machine of eight cores, and on a busy machine
+timers fire late.
+"""
 
-NOT_RUN = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+"""Statuses that tell a caller that its request did not run."""
 
 _EVENT = re.compile(rb"id: (\d+)\ndata: (\S+) (\S+)\n\n")
 
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """A promise that was broken.
+    """Promise that a record shows to be broken.
 
     Attributes:
-        promise: Its name.
-        detail: Which request, and how.
+        promise: Name of the promise.
+        detail: Request, target or entry concerned, and what happened.
     """
 
     promise: str
@@ -68,7 +97,7 @@
 
 
 def check_promises(record: Record) -> list[Breach]:
-    """Return every breach that a record shows."""
+    """Return all breaches of promises that a record shows."""
     runs: dict[str, list[Run]] = defaultdict(list)
     for run in record.runs:
         runs[run.request].append(run)
@@ -90,7 +119,7 @@
 
 
 def _check_refusal(record: Record, attempt: Attempt, runs: list[Run]) -> list[Breach]:
-    if attempt.status not in NOT_RUN or not runs:
+    if attempt.status not in NOT_RUN_STATUSES or not runs:
         return []
     if attempt.kind is Kind.LOOKUP:
         return []
@@ -118,7 +147,7 @@
     if any(owner != attempt.id.encode() for _, _, owner in events):
         return [Breach("answer", f"{attempt.id} got another request's events")]
     if attempt.whole and len(events) != EVENTS[attempt.kind]:
-        return [Breach("order", f"{attempt.id} looks whole at {len(events)}")]
+        return [Breach("order", f"{attempt.id} ended normally at event {len(events)}")]
     return []
 
 
@@ -126,23 +155,25 @@
     breaches = []
     for run in runs:
         if run.forged or run.customer != "gurdwara":
-            told = f"{run.customer!r} with {run.forged}"
-            breaches.append(Breach("headers", f"{attempt.id} ran as {told}"))
+            customer_info = f"{run.customer!r} with {run.forged}"
+            breaches.append(Breach("headers", f"{attempt.id} ran as {customer_info}"))
     return breaches
 
 
 def _check_configuration(
     record: Record, attempt: Attempt, runs: list[Run]
 ) -> list[Breach]:
-    since = attempt.sent - CONFIGURATION - SLACK
-    if not record.is_calm(attempt.entry, since - CONTACT, attempt.sent):
+    since = attempt.sent - CONFIGURATION_SECONDS - TIMING_SLACK
+    if not record.is_undisturbed(
+        attempt.entry, since - STABILIZATION_SECONDS, attempt.sent
+    ):
         since = 0.0
     allowed = set()
     for index, version in enumerate(record.versions):
         later = record.versions[index + 1 :]
         if later and later[0].acknowledged < since:
             continue
-        if version.acknowledged > attempt.ended + SLACK:
+        if version.acknowledged > attempt.ended + TIMING_SLACK:
             continue
         allowed.add(_is_allowed(attempt, version))
     if not allowed:
@@ -162,26 +193,35 @@
 def _check_drain(record: Record, attempt: Attempt, runs: list[Run]) -> list[Breach]:
     breaches = []
     for run in runs:
-        left = record.departures.get(run.target)
-        if left is None or run.began <= left + DRAIN + SLACK:
+        departed_at = record.departures.get(run.target)
+        if (
+            departed_at is None
+            or run.began <= departed_at + DRAIN_SECONDS + TIMING_SLACK
+        ):
             continue
-        if not record.is_calm(attempt.entry, left - CONTACT, run.began):
+        if not record.is_undisturbed(
+            attempt.entry, departed_at - STABILIZATION_SECONDS, run.began
+        ):
             continue
-        if attempt.sent < left + DRAIN:
+        if attempt.sent < departed_at + DRAIN_SECONDS:
             continue
         breaches.append(Breach("drain", f"{attempt.id} went to {run.target}"))
     return breaches
 
 
 def _check_gone(record: Record, attempt: Attempt, runs: list[Run]) -> list[Breach]:
-    if not attempt.left:
+    if not attempt.disconnected:
         return []
-    limit = attempt.ended + GONE + SLACK
-    if not record.is_calm(attempt.entry, attempt.ended - CONTACT, limit):
+    limit = attempt.ended + CANCEL_SECONDS + TIMING_SLACK
+    if not record.is_undisturbed(
+        attempt.entry, attempt.ended - STABILIZATION_SECONDS, limit
+    ):
         return []
     breaches = []
     for run in runs:
-        if not record.is_target_calm(run.target, attempt.ended - CONTACT, limit):
+        if not record.is_target_undisturbed(
+            run.target, attempt.ended - STABILIZATION_SECONDS, limit
+        ):
             continue
         if run.ended is None or run.ended > limit:
             breaches.append(Breach("gone", f"{attempt.id} still at {run.target}"))
@@ -191,23 +231,27 @@
 def _check_handover(record: Record, attempt: Attempt, runs: list[Run]) -> list[Breach]:
     if attempt.kind is Kind.LOOKUP:
         return []
-    for before, after in itertools.pairwise(runs):
-        limit = after.began + HANDOVER + SLACK
-        if before.ended is not None and before.ended <= limit:
+    for earlier, later_run in itertools.pairwise(runs):
+        limit = later_run.began + HANDOVER_SECONDS + TIMING_SLACK
+        if earlier.ended is not None and earlier.ended <= limit:
             continue
-        if _was_given_up(after, limit):
+        if _was_abandoned(later_run, limit):
             continue
-        if not record.is_calm(attempt.entry, after.began - CONTACT, limit):
+        if not record.is_undisturbed(
+            attempt.entry, later_run.began - STABILIZATION_SECONDS, limit
+        ):
             continue
-        if not record.is_target_calm(before.target, after.began - CONTACT, limit):
+        if not record.is_target_undisturbed(
+            earlier.target, later_run.began - STABILIZATION_SECONDS, limit
+        ):
             continue
-        places = f"{before.target} and {after.target}"
+        places = f"{earlier.target} and {later_run.target}"
         return [Breach("handover", f"{attempt.id} runs at {places}")]
     return []
 
 
-def _was_given_up(run: Run, limit: float) -> bool:
-    """Tell whether a run ended by a time, and not because it was whole."""
+def _was_abandoned(run: Run, limit: float) -> bool:
+    """Return whether a run ended by a time without being completed."""
     return not run.whole and run.ended is not None and run.ended <= limit
 
 
@@ -216,36 +260,42 @@
     for stop in record.stops:
         name = f"entry {stop.entry}"
         if stop.took is None:
-            if record.is_calm(stop.entry, stop.at - CONTACT, stop.at - 0.01):
+            if record.is_undisturbed(
+                stop.entry, stop.at - STABILIZATION_SECONDS, stop.at - 0.01
+            ):
                 breaches.append(Breach("stop", f"{name} did not end in its grace time"))
             continue
         for attempt in record.attempts:
             if (attempt.entry, attempt.incarnation) != (stop.entry, stop.incarnation):
                 continue
-            if _was_cut_by(record, attempt, stop.at, stop.at + stop.took):
+            if _was_cut_by_stop(record, attempt, stop.at, stop.at + stop.took):
                 breaches.append(Breach("stop", f"{attempt.id} was cut by {name}"))
     return breaches
 
 
-def _was_cut_by(record: Record, attempt: Attempt, asked: float, ended: float) -> bool:
-    if attempt.status or attempt.left or attempt.kind in STREAMS:
+def _was_cut_by_stop(
+    record: Record, attempt: Attempt, asked: float, ended: float
+) -> bool:
+    if attempt.status or attempt.disconnected or attempt.kind in STREAMS:
         return False
-    if not asked <= attempt.ended <= ended + SLACK:
+    if not asked <= attempt.ended <= ended + TIMING_SLACK:
         return False
     runs = [run for run in record.runs if run.request == attempt.id]
     for run in runs:
-        if not record.is_target_calm(run.target, asked - CONTACT, ended):
+        if not record.is_target_undisturbed(
+            run.target, asked - STABILIZATION_SECONDS, ended
+        ):
             return False
     stopped = [one for one in record.disturbances if one.name == "stop"]
-    calm = all(
+    undisturbed = all(
         one in stopped
         or one.entry not in (None, attempt.entry)
         or bool(one.target)
-        or (one.end is not None and one.end < asked - CONTACT)
+        or (one.end is not None and one.end < asked - STABILIZATION_SECONDS)
         or one.start > ended
         for one in record.disturbances
     )
-    return calm and bool(runs)
+    return undisturbed and bool(runs)
 
 
 def _check_budget(record: Record) -> list[Breach]:
@@ -256,20 +306,22 @@
         )
         kinds = STREAMS if service == "engines" else (Kind.ORDER, Kind.LOOKUP)
         sent = sorted(one.sent for one in record.attempts if one.kind in kinds)
-        worst = _find_worst_window(arrivals, sent)
-        if worst > 0:
-            breaches.append(Breach("budget", f"{service}: {worst:.1f} too many"))
+        largest_excess = _find_largest_excess(arrivals, sent)
+        if largest_excess > 0:
+            breaches.append(
+                Breach("budget", f"{service}: {largest_excess:.1f} too many")
+            )
     return breaches
 
 
-def _find_worst_window(arrivals: list[tuple[float, str]], sent: list[float]) -> float:
-    seen: set[str] = set()
+def _find_largest_excess(arrivals: list[tuple[float, str]], sent: list[float]) -> float:
+    known_requests: set[str] = set()
     repeats = []
     for at, request in arrivals:
-        if request in seen:
+        if request in known_requests:
             repeats.append(at)
-        seen.add(request)
-    worst = 0.0
+        known_requests.add(request)
+    largest_excess = 0.0
     for end in repeats:
         start = end - RETRY_WINDOW
         count = sum(start < at <= end for at in repeats)
@@ -277,33 +329,35 @@
         for shift in (0.0, RETRY_WINDOW / 2, RETRY_WINDOW):
             windows.append(sum(start - shift < at <= end - shift for at in sent))
         bound = RETRY_RATIO * max(windows) + RETRY_EXTRA
-        worst = max(worst, count - bound)
-    return worst
+        largest_excess = max(largest_excess, count - bound)
+    return largest_excess
 
 
 def _check_rates(record: Record) -> list[Breach]:
     entries = {attempt.id: attempt.entry for attempt in record.attempts}
     breaches = []
     for span in record.rates:
-        told = _list_told(record, span.target, span.start, entries)
-        reached = [
+        first_answers = _find_first_answers(record, span.target, span.start, entries)
+        target_arrivals = [
             (at, entries[request])
-            for at, target, request in record.reached
+            for at, target, request in record.target_arrivals
             if target == span.target and request in entries
         ]
-        for end, _ in reached:
-            if end < span.start + CONTACT or end > (span.end or end):
+        for end, _ in target_arrivals:
+            if end < span.start + STABILIZATION_SECONDS or end > (span.end or end):
                 continue
-            if not record.is_target_calm(span.target, end - CONTACT, end):
+            if not record.is_target_undisturbed(
+                span.target, end - STABILIZATION_SECONDS, end
+            ):
                 continue
             count = 0
-            for at, entry in reached:
-                counts = end - RATE_WINDOW < at <= end and entry in told
-                if counts and told[entry] <= end - TOLD:
-                    count += record.is_entry_calm(entry, span.start, end)
+            for at, entry in target_arrivals:
+                counts = end - RATE_WINDOW < at <= end and entry in first_answers
+                if counts and first_answers[entry] <= end - RATE_START_DELAY:
+                    count += record.is_entry_undisturbed(entry, span.start, end)
             if count > RATE_RATIO * RATE_WINDOW * span.rate + RATE_EXTRA:
-                what = f"{span.target} got {count} at {span.rate} a second"
-                breaches.append(Breach("rate", what))
+                description = f"{span.target} got {count} at {span.rate} a second"
+                breaches.append(Breach("rate", description))
                 break
     return breaches
 
@@ -312,16 +366,16 @@
     attempts = {attempt.id: attempt for attempt in record.attempts}
     entries = {attempt.id: attempt.entry for attempt in record.attempts}
     breaches = []
-    for target, since in record.leavers.items():
-        told = _list_told(record, target, since, entries)
-        for at, name, request in record.reached:
+    for target, since in record.leaving_since.items():
+        first_answers = _find_first_answers(record, target, since, entries)
+        for at, name, request in record.target_arrivals:
             attempt = attempts.get(request)
-            if name != target or attempt is None or attempt.entry not in told:
+            if name != target or attempt is None or attempt.entry not in first_answers:
                 continue
-            heard = told[attempt.entry]
-            if attempt.sent <= heard + DRAIN + SLACK:
+            informed_at = first_answers[attempt.entry]
+            if attempt.sent <= informed_at + DRAIN_SECONDS + TIMING_SLACK:
                 continue
-            if record.is_entry_calm(attempt.entry, heard, at):
+            if record.is_entry_undisturbed(attempt.entry, informed_at, at):
                 breaches.append(Breach("leaver", f"{request} went to {target}"))
     return breaches
 
@@ -331,18 +385,20 @@
     breaches = []
     for asked, target, request, pause in record.pauses:
         entry = entries.get(request)
-        begins, ends = asked + PAUSE_BEGINS, asked + pause
-        if entry is None or not record.is_entry_calm(entry, asked - SLACK, ends):
+        begins, ends = asked + PAUSE_START_DELAY, asked + pause
+        if entry is None or not record.is_entry_undisturbed(
+            entry, asked - TIMING_SLACK, ends
+        ):
             continue
-        if not record.is_target_calm(target, asked - SLACK, ends):
+        if not record.is_target_undisturbed(target, asked - TIMING_SLACK, ends):
             continue
         count = 0
-        for at, name, other in record.reached:
-            if name == target and begins < at < ends - SLACK:
+        for at, name, other in record.target_arrivals:
+            if name == target and begins < at < ends - TIMING_SLACK:
                 count += entries.get(other) == entry
-        if count > MOST_IN_A_PAUSE:
-            what = f"{target} got {count} of entry {entry} in {pause} s"
-            breaches.append(Breach("pause", what))
+        if count > MAX_IN_PAUSE:
+            description = f"{target} got {count} of entry {entry} in {pause} s"
+            breaches.append(Breach("pause", description))
     return breaches
 
 
@@ -356,15 +412,17 @@
     breaches = []
     for path, runs in sent.items():
         crashes = [run.ended for run in runs if run.crashed and run.ended is not None]
-        if len(crashes) < MOST_CRASHES:
+        if len(crashes) < CRASHES_BEFORE_REFUSAL:
             continue
-        known = sorted(crashes)[MOST_CRASHES - 1] + CONTACT
+        known = sorted(crashes)[CRASHES_BEFORE_REFUSAL - 1] + STABILIZATION_SECONDS
         late = 0
         for run in runs:
             attempt = attempts[run.request]
-            if run.began > known + SLACK:
-                late += record.is_entry_calm(attempt.entry, known - CONTACT, run.began)
-        if late > MOST_RETRIES:
+            if run.began > known + TIMING_SLACK:
+                late += record.is_entry_undisturbed(
+                    attempt.entry, known - STABILIZATION_SECONDS, run.began
+                )
+        if late > MAX_LATE_RUNS:
             breaches.append(Breach("crashes", f"{path} reached targets {late} times"))
     return breaches
 
@@ -375,27 +433,38 @@
     return [Breach("blamed", f"{attempt.id} is refused for what crashed beside it")]
 
 
-def _list_told(
+def _find_first_answers(
     record: Record, target: str, since: float, entries: dict[str, int]
 ) -> dict[int, float]:
-    """Return when each entry first got an answer of a target begun after a time."""
-    told: dict[int, float] = {}
+    """Return when each entry first received a complete answer of a target.
+
+    Args:
+        record: Record of a run.
+        target: Name of the target.
+        since: Time from which runs count, by their begin.
+        entries: Number of the entry of each request, by id of the request.
+
+    Returns:
+        Time of the first answer, by number of the entry; entries without one are
+        left out.
+    """
+    first_answers: dict[int, float] = {}
     for run in record.runs:
         if run.target != target or run.ended is None or run.request not in entries:
             continue
         if run.began >= since and run.whole:
             entry = entries[run.request]
-            told[entry] = min(told.get(entry, run.ended), run.ended)
-    return told
+            first_answers[entry] = min(first_answers.get(entry, run.ended), run.ended)
+    return first_answers
 
 
 def _check_recovery(record: Record) -> list[Breach]:
     newest = record.versions[-1]
     late = []
     for one in record.attempts:
-        if one.is_crashing or one.left:
+        if one.is_crashing or one.disconnected:
             continue
-        if one.sent >= record.calm_from and _is_allowed(one, newest):
+        if one.sent >= record.final_phase_start and _is_allowed(one, newest):
             late.append(one)
     served = [one for one in late if one.status == 200 and one.whole]
     if late and len(served) * 4 < len(late) * 3:
--- a/tests/faults/sites.py
+++ b/tests/faults/sites.py
@@ -1,4 +1,4 @@
-"""One run of the soak: entries as processes, stand-ins and proxies around them."""
+"""Site of one run of the soak: entry processes with stand-ins and proxies."""
 
 import asyncio
 import os
@@ -12,20 +12,20 @@
 import aiohttp
 
 from figstep.standins.proxy import Delay, Direction, Lose, LoseAnswers, Stall, TcpProxy
-from tests.faults.callers import Door, Traffic
+from tests.faults.callers import EntryEndpoint, Traffic
 from tests.faults.plans import (
-    AskPause,
-    Configure,
+    AllEntriesKilled,
+    ConfigurationChange,
+    CrashingRequests,
+    EntryFault,
     Fault,
-    KillAll,
-    NameRate,
-    SayLeaving,
-    SendCrashing,
+    LeavingSignal,
+    LinkFault,
+    PauseSignal,
+    RateSignal,
     Step,
-    StrikeEntry,
-    StrikeLink,
-    StrikeStore,
-    StrikeTarget,
+    StoreFault,
+    TargetFault,
 )
 from tests.faults.promises import RETRY_EXTRA, RETRY_RATIO, RETRY_WINDOW
 from tests.faults.records import Kind, NamedRate, Record, Stop, Version, read_clock
@@ -33,33 +33,39 @@
 from tests.platform.standins import FakeStore, build_configuration, find_free_port
 from tests.processes import ROOT
 
-GRACE = 4.0
-"""Seconds that an entry has for a graceful end."""
+GRACE_SECONDS = 4.0
+"""Grace time of a stop in seconds, after which an entry is killed."""
 
-RESTART_SECONDS = 0.3
-"""How soon an entry that ended is started again."""
+RESTART_DELAY = 0.3
+"""Time between the end of an entry and its next start, in seconds."""
 
-READY_SECONDS = 20.0
-"""Longest that a start may take, also while the store is away."""
+READY_TIMEOUT_SECONDS = 20.0
+"""Time limit of the start of an entry, also while the store is unavailable."""
 
-READY_PERIOD = 0.5
-"""How often callers learn which entries are ready."""
+READY_POLL_INTERVAL = 0.5
+"""Pause between two readiness checks of all entries for the callers, in seconds."""
 
-SERVES_AFTER_NOTICE = 2.5
-"""Seconds that a target serves after it has said that it leaves."""
+SERVE_AFTER_NOTICE_SECONDS = 2.5
+"""Time for which a target still serves after its departure is in the store, in
+seconds."""
 
-CALM_SECONDS = 4.0
-"""Seconds after the last fault within which all has to work again."""
+RECOVERY_SECONDS = 4.0
+"""Time after the last fault within which all must work again, in seconds."""
 
-WATCH_PERIOD = 0.05
-STOOD_STILL = 0.2
-"""Seconds by which a timer of WATCH_PERIOD is late where this process stood still:
-its targets, callers, links and store all did, and entries took them for silent."""
+LOOP_CHECK_INTERVAL = 0.05
+"""Interval of the timer that detects stalls of the event loop, in seconds."""
 
-FINAL_SECONDS = 2.0
-"""Seconds of traffic after that."""
+LOOP_STALL_THRESHOLD = 0.2
+"""Delay of a timer of LOOP_CHECK_INTERVAL that is recorded as a stall, in seconds.
 
-SETTINGS = """
+The targets, callers, links and the store run on this loop, so that entries take them
+for silent during a stall.
+"""
+
+FINAL_TRAFFIC_SECONDS = 2.0
+"""Time of traffic after RECOVERY_SECONDS for the recovery check, in seconds."""
+
+SETTINGS_TEMPLATE = """
 node = "entry-{number}"
 ip = "{ip}"
 zone = "muc-a"
@@ -83,26 +89,26 @@
 
 @dataclass(slots=True)
 class EntryHost:
-    """One entry instance: its process, its settings and the proxies around it.
+    """Entry instance with its process, its settings and the proxies around it.
 
     Attributes:
-        number: Its number, from 0.
-        ip: Its own loopback address.
-        ready: Where it tells whether callers may come, as "ip:port".
-        door: Where callers reach it.
-        settings: Its settings file.
-        store: Proxy between it and the store.
-        front: Proxy between callers and it.
-        log: Where its lines go.
-        process: Its process, or None while there is none.
-        stopping: Whether it was made to end and is not back yet.
-        starting: Whether it is not ready since its start.
+        number: Number of the entry, from 0.
+        ip: Loopback address of the entry.
+        ready: Address of the readiness check, as "ip:port".
+        endpoint: Address and readiness as callers know them.
+        settings: Path of the settings file.
+        store: Proxy between the entry and the store.
+        front: Proxy between callers and the entry.
+        log: Path of the log file.
+        process: Current or last process; None before the first start.
+        stopping: Whether the entry was stopped or killed and is not ready again.
+        starting: Whether the entry has not been ready since its start.
     """
 
     number: int
     ip: str
     ready: str
-    door: Door
+    endpoint: EntryEndpoint
     settings: Path
     store: TcpProxy
     front: TcpProxy
@@ -112,7 +118,7 @@
     starting: bool = True
 
     async def start(self) -> None:
-        """Start the process; its log is kept over restarts."""
+        """Start the process and append its output to the log."""
         with self.log.open("ab") as lines:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -128,13 +134,16 @@
             )
 
     def send_signal(self, number: int) -> None:
-        """Signal the process if it still runs."""
+        """Send a signal to the process if it still runs."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
 
 
 class Site:
-    """Everything of one run; a seed decides the traffic, a plan the faults."""
+    """Entries, targets, store and callers of one run.
+
+    The seed determines the traffic and the plan determines the faults.
+    """
 
     def __init__(self, seed: int, folder: Path, entries: int, engines: int) -> None:
         self.record = Record()
@@ -142,68 +151,74 @@
         self._methods = random.Random(f"{seed} methods")
         self._traffic: Traffic | None = None
         self._folder = folder
-        self._engines = engines
+        self._engine_count = engines
         self._store = FakeStore()
-        self._fleet: dict[str, SoakTarget] = {}
+        self._targets_by_address: dict[str, SoakTarget] = {}
         self._targets: list[SoakTarget] = []
         self._hosts: list[EntryHost] = []
-        self._entries = entries
-        self._ended = asyncio.Event()
+        self._entry_count = entries
+        self._stop_traffic = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._names = 0
+        self._name_count = 0
         self._paths: dict[str, str] = {}
         self._dropped_paths: list[str] = []
         self._keys = ["key-1", "key-2"]
         self._dropped_keys: list[str] = []
 
-    async def play(self, steps: list[Step], seconds: float) -> None:
-        """Play a plan, then a calm end; the record tells what was seen."""
+    async def run_plan(self, steps: list[Step], seconds: float) -> None:
+        """Run a plan, then a final phase without faults; fill the record.
+
+        Args:
+            steps: Faults with their times, sorted by time.
+            seconds: Length of the part of the run with faults.
+        """
         try:
             await self._start()
             self._traffic = self._build_traffic()
-            calling = asyncio.create_task(self._traffic.run(self._ended))
-            watching = [
-                asyncio.create_task(self._watch_doors()),
-                asyncio.create_task(watch_itself(self.record)),
+            traffic_task = asyncio.create_task(self._traffic.run(self._stop_traffic))
+            watch_tasks = [
+                asyncio.create_task(self._watch_readiness()),
+                asyncio.create_task(record_loop_stalls(self.record)),
             ]
-            await self._play_steps(steps, seconds)
+            await self._run_steps(steps, seconds)
             await asyncio.gather(*self._tasks)
-            self.record.calm_from = read_clock() + CALM_SECONDS
-            await asyncio.sleep(CALM_SECONDS + FINAL_SECONDS)
-            self._ended.set()
-            await calling
-            for task in watching:
+            self.record.final_phase_start = read_clock() + RECOVERY_SECONDS
+            await asyncio.sleep(RECOVERY_SECONDS + FINAL_TRAFFIC_SECONDS)
+            self._stop_traffic.set()
+            await traffic_task
+            for task in watch_tasks:
                 task.cancel()
         finally:
-            await self._end()
+            await self._shut_down()
 
-    async def _play_steps(self, steps: list[Step], seconds: float) -> None:
+    async def _run_steps(self, steps: list[Step], seconds: float) -> None:
         start = read_clock()
         for step in steps:
             await asyncio.sleep(max(0.0, start + step.at - read_clock()))
-            self._begin(self._strike(step.fault))
+            self._start_task(self._apply_fault(step.fault))
         await asyncio.sleep(max(0.0, start + seconds - read_clock()))
 
-    def _begin(self, work: Awaitable[None]) -> None:
+    def _start_task(self, work: Awaitable[None]) -> None:
         self._tasks.add(asyncio.ensure_future(work))
 
     async def _start(self) -> None:
         await self._store.start()
         await self._configure()
-        for _ in range(self._engines):
+        for _ in range(self._engine_count):
             await self._add_target("engines")
         for _ in range(2):
             await self._add_target("bookings")
         ports = [find_free_port() for _ in range(3)]
-        for number in range(self._entries):
+        for number in range(self._entry_count):
             self._hosts.append(await self._build_host(number, ports))
         for host in self._hosts:
             await host.start()
         for host in self._hosts:
-            await self._await_ready(host, again=False)
+            await self._wait_until_ready(host, launch=False)
 
     async def _build_host(self, number: int, ports: list[int]) -> EntryHost:
-        # One process id names one network, so that runs side by side don't meet.
+        # The network follows from the process id, so that parallel runs use different
+        # addresses.
         network = os.getpid() % 250 + 1
         ip = f"127.{network}.{ports[0] % 250}.{number + 1}"
         host, _, port = self._store.address.rpartition(":")
@@ -216,7 +231,7 @@
             number,
             ip,
             f"{ip}:{ports[1]}",
-            Door(number, front.address),
+            EntryEndpoint(number, front.address),
             path,
             store,
             front,
@@ -229,7 +244,7 @@
     def _write_settings(
         self, host: EntryHost, ports: list[int], seeds: list[str]
     ) -> None:
-        text = SETTINGS.format(
+        text = SETTINGS_TEMPLATE.format(
             number=host.number,
             ip=host.ip,
             first="true",
@@ -238,7 +253,7 @@
             front=ports[0],
             ready=ports[1],
             store=host.store.address,
-            grace=GRACE,
+            grace=GRACE_SECONDS,
             ratio=RETRY_RATIO,
             extra=RETRY_EXTRA,
             window=RETRY_WINDOW,
@@ -249,13 +264,13 @@
         return Traffic(
             self.record,
             self._rng,
-            [host.door for host in self._hosts],
+            [host.endpoint for host in self._hosts],
             lambda: [*self._paths, *self._dropped_paths, "/never/"],
             lambda: [*self._keys, *self._dropped_keys],
             self._methods,
         )
 
-    async def _ask_ready(self, host: EntryHost) -> bool:
+    async def _query_ready(self, host: EntryHost) -> bool:
         url = f"http://{host.ready}/figstep/readyz"
         timeout = aiohttp.ClientTimeout(total=0.5)
         try:
@@ -267,20 +282,20 @@
         except (aiohttp.ClientError, OSError, TimeoutError):
             return False
 
-    async def _watch_doors(self) -> None:
+    async def _watch_readiness(self) -> None:
         while True:
             for host in self._hosts:
-                host.door.ready = await self._ask_ready(host)
-            await asyncio.sleep(READY_PERIOD)
+                host.endpoint.ready = await self._query_ready(host)
+            await asyncio.sleep(READY_POLL_INTERVAL)
 
     async def _add_target(self, service: str) -> None:
-        self._names += 1
+        self._name_count += 1
         target = SoakTarget(
-            f"i-{service}-{self._names}",
+            f"i-{service}-{self._name_count}",
             service,
             self.record,
             random.Random(self._rng.random()),
-            self._fleet,
+            self._targets_by_address,
             self._crash,
         )
         await target.start(self._store)
@@ -318,40 +333,45 @@
             Version(number, read_clock(), paths, frozenset(self._keys))
         )
 
-    async def _strike(self, fault: Fault) -> None:
+    async def _apply_fault(self, fault: Fault) -> None:
         match fault:
-            case StrikeEntry(how=how, entry=number, seconds=seconds):
-                await self._strike_entry(how, self._hosts[number], seconds)
-            case KillAll():
+            case EntryFault(action=action, entry=number, seconds=seconds):
+                await self._apply_entry_fault(action, self._hosts[number], seconds)
+            case AllEntriesKilled():
                 await asyncio.gather(
-                    *(self._strike_entry("kill", host, 0.0) for host in self._hosts)
+                    *(
+                        self._apply_entry_fault("kill", host, 0.0)
+                        for host in self._hosts
+                    )
                 )
-            case StrikeLink():
-                await self._strike_link(fault)
-            case StrikeStore(how=how, seconds=seconds):
-                await self._strike_store(how, seconds)
-            case StrikeTarget():
-                await self._strike_target(fault)
-            case NameRate():
-                await self._name_rate(fault)
-            case SayLeaving():
-                await self._say_leaving(fault)
-            case AskPause():
+            case LinkFault():
+                await self._apply_link_fault(fault)
+            case StoreFault(action=action, seconds=seconds):
+                await self._apply_store_fault(action, seconds)
+            case TargetFault():
+                await self._apply_target_fault(fault)
+            case RateSignal():
+                await self._announce_rate(fault)
+            case LeavingSignal():
+                await self._announce_leaving(fault)
+            case PauseSignal():
                 target = self._targets[fault.number % len(self._targets)]
                 target.pauses.append(fault.pause)
                 await asyncio.sleep(fault.seconds)
                 target.pauses.remove(fault.pause)
-            case SendCrashing():
+            case CrashingRequests():
                 await self._send_crashing(fault)
-            case Configure(how=how):
-                self._change_configuration(how)
+            case ConfigurationChange(action=action):
+                self._change_configuration(action)
                 await self._configure()
 
-    async def _strike_entry(self, how: str, host: EntryHost, seconds: float) -> None:
-        span = self.record.begin(how, host.number)
-        match how:
+    async def _apply_entry_fault(
+        self, action: str, host: EntryHost, seconds: float
+    ) -> None:
+        span = self.record.begin_disturbance(action, host.number)
+        match action:
             case "kill" if host.stopping:
-                # Whoever stops it, or starts it again, sees to the rest.
+                # The task that stops or restarts the entry handles the end.
                 host.send_signal(signal.SIGKILL)
             case "stop" if host.stopping:
                 host.send_signal(signal.SIGTERM)
@@ -369,7 +389,7 @@
                 text = host.settings.read_text()
                 host.settings.write_text(text + f"# {read_clock()}\n")
                 if not host.starting:
-                    # Before it has its handlers a signal would end it.
+                    # SIGHUP ends a process that has not installed its handlers yet.
                     host.send_signal(signal.SIGHUP)
         span.end = read_clock()
 
@@ -377,11 +397,11 @@
         assert host.process is not None
         host.stopping = True
         asked = read_clock()
-        incarnation = host.door.incarnation
+        incarnation = host.endpoint.incarnation
         host.send_signal(signal.SIGTERM)
         took: float | None = None
         try:
-            async with asyncio.timeout(GRACE):
+            async with asyncio.timeout(GRACE_SECONDS):
                 await host.process.wait()
             took = read_clock() - asked
         except TimeoutError:
@@ -392,66 +412,75 @@
     async def _restart(self, host: EntryHost) -> None:
         assert host.process is not None
         await host.process.wait()
-        await asyncio.sleep(RESTART_SECONDS)
+        await asyncio.sleep(RESTART_DELAY)
         text = host.settings.read_text()
         host.settings.write_text(text.replace("bootstrap = true", "bootstrap = false"))
-        await self._await_ready(host, again=True)
+        await self._wait_until_ready(host, launch=True)
 
-    async def _await_ready(self, host: EntryHost, again: bool) -> None:
+    async def _wait_until_ready(self, host: EntryHost, launch: bool) -> None:
         host.starting = True
-        async with asyncio.timeout(READY_SECONDS):
-            if again:
-                host.door.incarnation += 1
+        async with asyncio.timeout(READY_TIMEOUT_SECONDS):
+            if launch:
+                host.endpoint.incarnation += 1
                 await host.start()
-            while not await self._ask_ready(host):
+            while not await self._query_ready(host):
                 if host.process is not None and host.process.returncode is not None:
-                    host.door.incarnation += 1
+                    host.endpoint.incarnation += 1
                     await host.start()
                 await asyncio.sleep(0.1)
         host.starting = False
         host.stopping = False
 
-    async def _strike_link(self, fault: StrikeLink) -> None:
-        if fault.where == "target":
+    async def _apply_link_fault(self, fault: LinkFault) -> None:
+        if fault.link == "target":
             target = self._targets[fault.number % len(self._targets)]
-            proxy, span = target.proxy, self.record.begin(fault.how, None, target.name)
+            proxy, span = (
+                target.proxy,
+                self.record.begin_disturbance(fault.action, None, target.name),
+            )
         else:
             host = self._hosts[fault.number % len(self._hosts)]
-            proxy = host.store if fault.where == "store" else host.front
-            span = self.record.begin(f"{fault.where} {fault.how}", host.number)
+            proxy = host.store if fault.link == "store" else host.front
+            span = self.record.begin_disturbance(
+                f"{fault.link} {fault.action}", host.number
+            )
         if proxy is not None:
-            await _harm(proxy, fault.how, fault.seconds)
+            await _disturb_proxy(proxy, fault.action, fault.seconds)
         span.end = read_clock()
 
-    async def _strike_store(self, how: str, seconds: float) -> None:
-        span = self.record.begin(f"store {how}")
-        if how == "away":
-            self._store.away = True
+    async def _apply_store_fault(self, action: str, seconds: float) -> None:
+        span = self.record.begin_disturbance(f"store {action}")
+        if action == "away":
+            self._store.unavailable = True
             await asyncio.sleep(seconds)
-            self._store.away = False
+            self._store.unavailable = False
         else:
             for topic in ("keyed.op", "keyed.servers"):
-                self._store.forget(topic)
+                self._store.delete_all(topic)
         span.end = read_clock()
 
-    async def _strike_target(self, fault: StrikeTarget) -> None:
-        target = self._choose_staying(fault.number)
-        span = self.record.begin(fault.how, None, target.name)
-        match fault.how:
+    async def _apply_target_fault(self, fault: TargetFault) -> None:
+        target = self._choose_remaining(fault.number)
+        span = self.record.begin_disturbance(fault.action, None, target.name)
+        match fault.action:
             case "crash" | "leave" | "drain":
-                await self._replace(target, fault.how)
+                await self._replace(target, fault.action)
                 return
             case "grey":
-                target.grey = 0.5
+                target.failure_rate = 0.5
             case "mute":
-                target.mute = True
+                target.unresponsive = True
             case "full":
-                target.full = True
+                target.rejects_calls = True
         await asyncio.sleep(fault.seconds)
-        target.grey, target.mute, target.full = 0.0, False, False
+        target.failure_rate, target.unresponsive, target.rejects_calls = (
+            0.0,
+            False,
+            False,
+        )
         span.end = read_clock()
 
-    async def _name_rate(self, fault: NameRate) -> None:
+    async def _announce_rate(self, fault: RateSignal) -> None:
         target = self._targets[fault.number % len(self._targets)]
         span = NamedRate(target.name, fault.rate, read_clock())
         self.record.rates.append(span)
@@ -460,10 +489,10 @@
         target.rates.remove(fault.rate)
         span.end = read_clock()
 
-    async def _send_crashing(self, fault: SendCrashing) -> None:
+    async def _send_crashing(self, fault: CrashingRequests) -> None:
         assert self._traffic is not None
-        self._names += 1
-        name = str(self._names)
+        self._name_count += 1
+        name = str(self._name_count)
         kind = Kind.CHECK if fault.stream else Kind.LOOKUP
         until = read_clock() + fault.seconds
         while read_clock() < until:
@@ -471,64 +500,64 @@
             await asyncio.sleep(fault.pause)
 
     def _crash(self, target: SoakTarget) -> None:
-        self.record.begin("crash", None, target.name)
+        self.record.begin_disturbance("crash", None, target.name)
         if target.name in self.record.departures:
-            self._begin(target.kill())
+            self._start_task(target.kill())
             return
-        # Before the task runs another request may crash it as well.
+        # A second request may crash the target before the task below runs.
         self.record.departures[target.name] = float("inf")
-        self._begin(self._replace(target, "crash"))
+        self._start_task(self._replace(target, "crash"))
 
-    def _choose_staying(self, number: int) -> SoakTarget:
-        left = self.record.departures | self.record.leavers
-        staying = [one for one in self._targets if one.name not in left]
-        return staying[number % len(staying)]
+    def _choose_remaining(self, number: int) -> SoakTarget:
+        departing = self.record.departures | self.record.leaving_since
+        remaining = [one for one in self._targets if one.name not in departing]
+        return remaining[number % len(remaining)]
 
-    async def _say_leaving(self, fault: SayLeaving) -> None:
-        target = self._choose_staying(fault.number)
-        self.record.leavers[target.name] = read_clock()
+    async def _announce_leaving(self, fault: LeavingSignal) -> None:
+        target = self._choose_remaining(fault.number)
+        self.record.leaving_since[target.name] = read_clock()
         await self._add_target(target.service)
         await asyncio.sleep(fault.seconds)
         if target.name in self.record.departures:
-            # It has crashed meanwhile.
+            # The target has crashed in the meantime.
             return
-        self.record.begin("drain", None, target.name)
+        self.record.begin_disturbance("drain", None, target.name)
         await self._replace(target, "drain")
 
-    async def _replace(self, target: SoakTarget, how: str) -> None:
+    async def _replace(self, target: SoakTarget, action: str) -> None:
         self.record.departures[target.name] = float("inf")
-        if target.name not in self.record.leavers:
+        if target.name not in self.record.leaving_since:
             await self._add_target(target.service)
-        if how == "crash":
+        if action == "crash":
             await target.kill()
             await asyncio.sleep(1.0)
             await self._store.put("keyed.servers", target.name, b"")
-        elif how == "drain":
+        elif action == "drain":
             await target.register(self._store, "draining")
         else:
             await self._store.put("keyed.servers", target.name, b"")
         self.record.departures[target.name] = read_clock()
-        if how != "crash":
-            await asyncio.sleep(SERVES_AFTER_NOTICE)
+        if action != "crash":
+            await asyncio.sleep(SERVE_AFTER_NOTICE_SECONDS)
             await target.kill()
         self._targets.remove(target)
 
-    def _change_configuration(self, how: str) -> None:
-        match how:
+    def _change_configuration(self, action: str) -> None:
+        match action:
             case "add_route":
-                self._names += 1
-                self._paths[f"/late-{self._names}/"] = "safe"
+                self._name_count += 1
+                self._paths[f"/late-{self._name_count}/"] = "safe"
             case "drop_route" if self._paths:
                 path = next(iter(self._paths))
                 del self._paths[path]
                 self._dropped_paths.append(path)
             case "add_key":
-                self._names += 1
-                self._keys.append(f"late-key-{self._names}")
+                self._name_count += 1
+                self._keys.append(f"late-key-{self._name_count}")
             case "drop_key" if len(self._keys) > 1:
                 self._dropped_keys.append(self._keys.pop(1))
 
-    async def _end(self) -> None:
+    async def _shut_down(self) -> None:
         for host in self._hosts:
             host.send_signal(signal.SIGCONT)
             host.send_signal(signal.SIGKILL)
@@ -536,23 +565,23 @@
                 await host.process.wait()
             await host.store.stop()
             await host.front.stop()
-        for target in list(self._fleet.values()):
+        for target in list(self._targets_by_address.values()):
             await target.kill()
         await self._store.stop()
 
 
-async def watch_itself(record: Record) -> None:
-    """Note each time at which this process stood still."""
+async def record_loop_stalls(record: Record) -> None:
+    """Record each span in which the event loop was blocked, until cancelled."""
     while True:
-        due = read_clock() + WATCH_PERIOD
-        await asyncio.sleep(WATCH_PERIOD)
-        woken = read_clock()
-        if woken - due > STOOD_STILL:
-            record.still.append((due, woken))
+        due = read_clock() + LOOP_CHECK_INTERVAL
+        await asyncio.sleep(LOOP_CHECK_INTERVAL)
+        woke_at = read_clock()
+        if woke_at - due > LOOP_STALL_THRESHOLD:
+            record.loop_stalls.append((due, woke_at))
 
 
-async def _harm(proxy: TcpProxy, how: str, seconds: float) -> None:
-    match how:
+async def _disturb_proxy(proxy: TcpProxy, action: str, seconds: float) -> None:
+    match action:
         case "cut":
             proxy.cut()
             return
@@ -572,6 +601,6 @@
             proxy.set_fault(Lose(Direction.TO_CLIENT))
     await asyncio.sleep(seconds)
     if isinstance(proxy.fault, Lose):
-        # No network passes later bytes of a connection on after it lost some.
+        # A network does not deliver later bytes of a connection after losing some.
         proxy.cut()
-    proxy.lift()
+    proxy.clear_fault()
--- a/tests/faults/targets.py
+++ b/tests/faults/targets.py
@@ -1,4 +1,4 @@
-"""Targets of the soak: they sign, count and remember what they ran."""
+"""Targets of the fault soak, which sign their answers and record what they ran."""
 
 import asyncio
 import random
@@ -14,48 +14,58 @@
 from tests.platform.standins import FakeStore, build_registration, start_app
 
 FORGED = "forged"
-"""Value of the headers that callers may not set."""
+"""Value with which callers forge headers that only the system may set."""
 
-ONLY_SYSTEM = ("Hold", "Pin-Ms", "Kv-Backup", "Kv-From", "Tenant")
+SYSTEM_ONLY_HEADERS = ("Hold", "Pin-Ms", "Kv-Backup", "Kv-From", "Tenant")
+"""Headers that only the system may set on requests to targets."""
 
-CRASH_SECONDS = 0.05
-"""From when a target begins to run a request that crashes it until it has."""
+CRASH_DELAY = 0.05
+"""Time from the begin of a run that crashes its target to the crash, in seconds."""
 
-EVENT_SECONDS = 0.02
-CALL_SECONDS = 0.03
+EVENT_INTERVAL = 0.02
+"""Time before each event of a stream, in seconds."""
+
+MIN_CALL_SECONDS = 0.03
+"""Shortest duration of a call; the longest is twice as long."""
 
 _generations = count(1)
 
 
 @dataclass(slots=True)
 class SoakTarget:
-    """One target behind a proxy of its own.
+    """Target behind a proxy of its own.
 
     Attributes:
-        name: Its id.
-        service: Its service.
-        record: Where it notes what it ran.
-        rng: Draws which calls fail while it is grey.
-        fleet: All targets by the address that they registered.
-        grey: Part of its calls that fail.
-        mute: Whether it runs calls and never answers.
-        full: Whether it turns calls away as not run.
-        rates: Rates that it names now; its answers tell the lowest.
-        pauses: Pauses that it asks for now as it turns calls away.
-        copies: Generations that it holds copies of, by request.
-        running: Runs that are open, by request.
-        crash: Ends it at once, with all that it runs.
+        name: Id of the target.
+        service: Name of the service.
+        record: Record to which arrivals and runs are added.
+        rng: Source of the durations of calls and of the choice of calls that fail.
+        targets_by_address: All targets, by their registered addresses.
+        crash: Called with this target when a request crashes it; ends the target
+            with all its runs.
+        failure_rate: Share of the calls that are answered with status 500.
+        unresponsive: Whether the target runs requests without answering.
+        rejects_calls: Whether the target rejects requests as not run. Requests that
+            resume from a copy are accepted.
+        rates: Rate limits of the active signals; answers name the lowest.
+        pauses: Values of Retry-After of the active signals, in seconds. While there
+            are any, requests are rejected with the longest; requests that resume
+            from a copy are accepted.
+        copies: Generation of which the target holds a copy, by request.
+        running: Open run, by request.
+        proxy: Proxy before the target; None before the start.
+        runner: HTTP server of the target; None before the start.
     """
 
     name: str
     service: str
     record: Record
     rng: random.Random
-    fleet: dict[str, "SoakTarget"]
+    targets_by_address: dict[str, "SoakTarget"]
     crash: Callable[["SoakTarget"], None]
-    grey: float = 0.0
-    mute: bool = False
-    full: bool = False
+    failure_rate: float = 0.0
+    unresponsive: bool = False
+    rejects_calls: bool = False
     rates: list[float] = field(default_factory=list)
     pauses: list[float] = field(default_factory=list)
     copies: dict[str, str] = field(default_factory=dict)
@@ -65,12 +75,12 @@
 
     @property
     def address(self) -> str:
-        """Address that it registers."""
+        """Address of the proxy, which the target registers."""
         assert self.proxy is not None
         return self.proxy.address
 
     async def start(self, store: FakeStore) -> None:
-        """Listen and register."""
+        """Start the server and its proxy, and register the target."""
         app = web.Application()
         app.router.add_post("/figstep/kv-move", self._copy_run)
         app.router.add_get("/figstep/report", self._report)
@@ -80,16 +90,16 @@
         host, _, port = address.rpartition(":")
         self.proxy = TcpProxy(host, int(port))
         await self.proxy.start()
-        self.fleet[self.address] = self
+        self.targets_by_address[self.address] = self
         await self.register(store)
 
     async def register(self, store: FakeStore, state: str = "ready") -> None:
-        """Write the registration."""
+        """Write the registration with a state, such as "draining", into the store."""
         entry = build_registration(self.service, self.address, state)
         await store.put("keyed.servers", self.name, entry)
 
     async def kill(self) -> None:
-        """End with all connections."""
+        """Close all connections and end all runs."""
         if self.proxy is not None:
             await self.proxy.stop()
         if self.runner is not None:
@@ -98,51 +108,53 @@
             run.ended = run.ended or read_clock()
 
     async def _answer(self, request: web.Request) -> web.StreamResponse:
-        number = request.headers.get("Request-Id", "")
+        request_id = request.headers.get("Request-Id", "")
         if request.headers.get("Expect-Instance") != self.name:
             return web.Response(status=421)
         body = await request.read()
-        self.record.arrivals.append((read_clock(), self.service, number))
-        self.record.reached.append((read_clock(), self.name, number))
+        self.record.arrivals.append((read_clock(), self.service, request_id))
+        self.record.target_arrivals.append((read_clock(), self.name, request_id))
         copy = None
         if "Kv-From" in request.headers:
-            copy = self.copies.pop(number, None)
+            copy = self.copies.pop(request_id, None)
             if copy is None:
-                return self._refuse(number)
+                return self._refuse(request_id)
         if self.pauses and copy is None:
             pause = max(self.pauses)
-            self.record.pauses.append((read_clock(), self.name, number, pause))
-            return self._refuse(number, pause)
-        if self.full and copy is None:
-            return self._refuse(number)
-        run = self._begin(request, copy)
+            self.record.pauses.append((read_clock(), self.name, request_id, pause))
+            return self._refuse(request_id, pause)
+        if self.rejects_calls and copy is None:
+            return self._refuse(request_id)
+        run = self._begin_run(request, copy)
         try:
             if CRASHING in request.path:
-                await asyncio.sleep(CRASH_SECONDS)
+                await asyncio.sleep(CRASH_DELAY)
                 run.crashed = True
                 self.crash(self)
-            if self.mute or run.crashed:
+            if self.unresponsive or run.crashed:
                 await asyncio.sleep(60)
             if "Token-Count" in request.headers:
                 return await self._stream(request, run)
             return await self._call(request, run, body)
         finally:
             run.ended = read_clock()
-            if self.running.get(number) is run:
-                del self.running[number]
+            if self.running.get(request_id) is run:
+                del self.running[request_id]
 
-    def _refuse(self, number: str, pause: float = 0.1) -> web.Response:
-        headers = {"Request-Id": number, "Not-Executed": "1"}
+    def _refuse(self, request_id: str, pause: float = 0.1) -> web.Response:
+        headers = {"Request-Id": request_id, "Not-Executed": "1"}
         headers["Retry-After"] = str(pause)
-        headers.update(self._speak())
+        headers.update(self._build_signal_headers())
         return web.Response(status=503, headers=headers)
 
-    def _begin(self, request: web.Request, copy: str | None) -> Run:
+    def _begin_run(self, request: web.Request, copy: str | None) -> Run:
         headers = request.headers
-        number = headers.get("Request-Id", "")
-        forged = tuple(name for name in ONLY_SYSTEM if headers.get(name) == FORGED)
+        request_id = headers.get("Request-Id", "")
+        forged = tuple(
+            name for name in SYSTEM_ONLY_HEADERS if headers.get(name) == FORGED
+        )
         run = Run(
-            number,
+            request_id,
             self.name,
             copy or f"g{next(_generations)}",
             read_clock(),
@@ -150,38 +162,44 @@
             forged=forged,
         )
         self.record.runs.append(run)
-        self.running[number] = run
+        self.running[request_id] = run
         return run
 
-    def _sign(self, number: str) -> dict[str, str]:
+    def _build_answer_headers(self, request_id: str) -> dict[str, str]:
         stamp = f"stamp-{self.name}"
-        return {"Request-Id": number, "Server-Stamp": stamp, **self._speak()}
-
-    def _speak(self) -> dict[str, str]:
-        words = {"Server-Limit": str(min(self.rates))} if self.rates else {}
-        if self.name in self.record.leavers:
-            words["Server-Leaving"] = "1"
-        return words
+        return {
+            "Request-Id": request_id,
+            "Server-Stamp": stamp,
+            **self._build_signal_headers(),
+        }
+
+    def _build_signal_headers(self) -> dict[str, str]:
+        signal_headers = {"Server-Limit": str(min(self.rates))} if self.rates else {}
+        if self.name in self.record.leaving_since:
+            signal_headers["Server-Leaving"] = "1"
+        return signal_headers
 
     async def _call(self, request: web.Request, run: Run, body: bytes) -> web.Response:
-        await asyncio.sleep(CALL_SECONDS * (1 + self.rng.random()))
+        await asyncio.sleep(MIN_CALL_SECONDS * (1 + self.rng.random()))
         run.whole = True
-        if self.rng.random() < self.grey:
+        if self.rng.random() < self.failure_rate:
             run.status = 500
         run.body = f"{run.request} at {self.name} of {len(body)}".encode()
         return web.Response(
-            status=run.status, body=run.body, headers=self._sign(run.request)
+            status=run.status,
+            body=run.body,
+            headers=self._build_answer_headers(run.request),
         )
 
     async def _stream(self, request: web.Request, run: Run) -> web.StreamResponse:
-        response = web.StreamResponse(headers=self._sign(run.request))
+        response = web.StreamResponse(headers=self._build_answer_headers(run.request))
         response.content_type = "text/event-stream"
         await response.prepare(request)
-        holder = self.fleet.get(request.headers.get("Kv-Backup", ""))
+        holder = self.targets_by_address.get(request.headers.get("Kv-Backup", ""))
         kind = Kind(request.path.split("/")[1])
         first = int(request.headers.get("Last-Event-Id", "0")) + 1
         for index in range(first, EVENTS[kind] + 1):
-            await asyncio.sleep(EVENT_SECONDS)
+            await asyncio.sleep(EVENT_INTERVAL)
             if holder is not None:
                 holder.copies[run.request] = run.generation
             data = f"id: {index}\ndata: {run.generation} {run.request}\n\n"
@@ -195,7 +213,7 @@
     async def _copy_run(self, request: web.Request) -> web.Response:
         order = orjson.loads(await request.read())
         run = self.running.get(order["id"])
-        holder = self.fleet.get(order["target"])
+        holder = self.targets_by_address.get(order["target"])
         if run is None:
             return web.Response(status=404)
         if holder is None:
@@ -208,6 +226,6 @@
         return web.Response()
 
     async def _report(self, request: web.Request) -> web.Response:
-        leaving = self.name in self.record.departures | self.record.leavers
+        leaving = self.name in self.record.departures | self.record.leaving_since
         state = "draining" if leaving else "ready"
         return web.Response(body=orjson.dumps({"state": state}))
--- a/tests/faults/test_plans.py
+++ b/tests/faults/test_plans.py
@@ -1,4 +1,4 @@
-"""Plans are the same for the same seed and stay within their time."""
+"""Tests that plans are reproducible and within the time for faults."""
 
 from tests.faults.plans import ALL_EXTRAS, draw_plan
 
@@ -8,17 +8,17 @@
     assert draw_plan(7, 3, 10.0) != draw_plan(8, 3, 10.0)
 
 
-def test_a_plan_without_words_is_part_of_the_one_with_them() -> None:
-    """Guards against seeds that showed a fault and play otherwise later."""
+def test_an_extra_leaves_the_base_plan_unchanged() -> None:
+    """Guards against recorded seeds that give another plan when an extra is added."""
     for seed in range(50):
-        silent = draw_plan(seed, 3, 10.0, extras=())
+        base = draw_plan(seed, 3, 10.0, extras=())
         for extra in ALL_EXTRAS:
-            spoken = draw_plan(seed, 3, 10.0, extras=(extra,))
-            assert [step for step in spoken if step in silent] == silent
-            assert len(spoken) > len(silent)
+            extended = draw_plan(seed, 3, 10.0, extras=(extra,))
+            assert [step for step in extended if step in base] == base
+            assert len(extended) > len(base)
 
 
-def test_steps_come_in_order_and_in_time() -> None:
+def test_steps_are_sorted_and_within_the_fault_phase() -> None:
     for seed in range(50):
         times = [step.at for step in draw_plan(seed, 3, 10.0)]
         assert times == sorted(times)
--- a/tests/faults/test_promises.py
+++ b/tests/faults/test_promises.py
@@ -1,4 +1,4 @@
-"""Each promise's check finds a record that breaks it, and lets a good one pass."""
+"""Tests that each check finds a record with a breach and passes a correct one."""
 
 import pytest
 
@@ -20,7 +20,7 @@
 
 
 def build_record(kind: Kind = Kind.ORDER) -> tuple[Record, Attempt, Run]:
-    """Return a record of one request that was served well."""
+    """Return a record of one correctly served request, with its attempt and run."""
     run = Run("r1", "i-1", "g1", START, START + 0.1, True, customer="gurdwara")
     run.body = b"answer"
     attempt = Attempt("r1", kind, 0, 0, f"/{kind.value}/", "key-1", START)
@@ -28,7 +28,7 @@
     attempt.stamp, attempt.body = "stamp-i-1", b"answer"
     if kind in (Kind.PLAN, Kind.CHECK):
         attempt.body = list_events(EVENTS[kind])
-    record = Record(runs=[run], attempts=[attempt], calm_from=1e9)
+    record = Record(runs=[run], attempts=[attempt], final_phase_start=1e9)
     record.versions.append(Version(1, 0.0, PATHS, frozenset({"key-1"})))
     return record, attempt, run
 
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("kind", list(Kind))
-def test_a_request_served_well_breaks_nothing(kind: Kind) -> None:
+def test_a_correctly_served_request_breaks_no_promise(kind: Kind) -> None:
     assert check_promises(build_record(kind)[0]) == []
 
 
@@ -100,7 +100,7 @@
     assert list_promises(record) == {"headers"}
 
 
-def test_a_dropped_key_that_works_on_is_found() -> None:
+def test_a_dropped_key_that_still_works_is_found() -> None:
     record, _, _ = build_record()
     record.versions.append(Version(2, START - 5, PATHS, frozenset()))
     assert list_promises(record) == {"configuration"}
@@ -112,7 +112,7 @@
     assert check_promises(record) == []
 
 
-def test_an_entry_out_of_touch_may_keep_an_old_version() -> None:
+def test_a_disturbed_entry_may_keep_an_old_version() -> None:
     record, _, _ = build_record()
     record.versions.append(Version(2, START - 5, PATHS, frozenset()))
     record.disturbances.append(Disturbance("freeze", 0, "", START - 6, START - 1))
@@ -134,7 +134,7 @@
 
 def test_work_for_a_caller_that_left_is_found() -> None:
     record, attempt, run = build_record()
-    attempt.left, attempt.whole, attempt.status = True, False, 0
+    attempt.disconnected, attempt.whole, attempt.status = True, False, 0
     run.ended = attempt.ended + 3
     assert list_promises(record) == {"gone"}
 
@@ -150,10 +150,13 @@
     ("lasted", "whole", "found"),
     [(0.7, False, set()), (0.7, True, {"handover"}), (0.9, False, {"handover"})],
 )
-def test_a_run_that_is_given_up_as_it_begins_is_no_second_one(
+def test_a_run_that_is_abandoned_as_it_begins_is_not_counted(
     lasted: float, whole: bool, found: set[str]
 ) -> None:
-    """Guards against entries blamed for requests that reach a target late."""
+    """Guards against reports of runs that a target begins after they were abandoned.
+
+    A request may reach its target late, when the entry has abandoned it already.
+    """
     record, _, run = build_record(Kind.PLAN)
     run.ended = START + 3
     later = Run("r1", "i-2", "g1", START, START + lasted, whole, customer="gurdwara")
@@ -161,12 +164,12 @@
     assert list_promises(record) == found
 
 
-def test_a_standstill_of_the_soak_excuses_nothing() -> None:
-    """Guards against faults of entries that hide behind a busy machine."""
+def test_a_loop_stall_excuses_no_breach() -> None:
+    """Guards against faults of entries that go unreported on a busy machine."""
     record, _, run = build_record(Kind.PLAN)
     run.ended = START + 3
     record.runs.append(Run("r1", "i-2", "g1", START, START + 3, customer="gurdwara"))
-    record.still.append((START - 1, START - 0.5))
+    record.loop_stalls.append((START - 1, START - 0.5))
     assert list_promises(record) == {"handover"}
 
 
@@ -187,10 +190,16 @@
 
 
 def build_limited_record(requests: int) -> Record:
-    """Return a record of a target that names a rate of 1 and gets requests."""
+    """Return a record of a target that names a rate of 1 per second.
+
+    Args:
+        requests: Number of requests that the target gets, 0.1 s apart.
+    """
     record, _, _ = build_record()
     record.rates.append(NamedRate("i-1", 1.0, START - 1, START + 20))
-    record.reached += [(START + 4 + i / 10, "i-1", "r1") for i in range(requests)]
+    record.target_arrivals += [
+        (START + 4 + i / 10, "i-1", "r1") for i in range(requests)
+    ]
     return record
 
 
@@ -206,27 +215,31 @@
 
 
 def build_leaving_record(sent: float) -> Record:
-    """Return a record of a target that says that it leaves, and a later request."""
+    """Return a record of a target that announces that it leaves, and a request to it.
+
+    Args:
+        sent: Seconds from START to the request; the announcement is 1 s before START.
+    """
     record, _, _ = build_record()
-    record.leavers["i-1"] = START - 1
+    record.leaving_since["i-1"] = START - 1
     late = Attempt("r2", Kind.LOOKUP, 0, 0, "/lookup/", "key-1", START + sent)
     record.attempts.append(late)
-    record.reached.append((START + sent, "i-1", "r2"))
+    record.target_arrivals.append((START + sent, "i-1", "r2"))
     return record
 
 
-def test_work_for_a_target_that_said_that_it_leaves_is_found() -> None:
+def test_work_for_a_target_that_announced_leaving_is_found() -> None:
     assert list_promises(build_leaving_record(1.9)) == set()
     assert list_promises(build_leaving_record(3.0)) == {"leaver"}
 
 
-def test_a_store_that_is_away_excuses_no_work_for_a_leaver() -> None:
+def test_an_unavailable_store_excuses_no_work_for_a_leaving_target() -> None:
     record = build_leaving_record(3.0)
     record.disturbances.append(Disturbance("store away", None, "", START, START + 9))
     assert list_promises(record) == {"leaver"}
 
 
-def test_an_entry_that_was_killed_has_forgotten_a_leaver() -> None:
+def test_a_killed_entry_may_send_to_a_leaving_target() -> None:
     record = build_leaving_record(3.0)
     record.disturbances.append(Disturbance("kill", 0, "", START + 1, START + 2))
     assert list_promises(record) == set()
@@ -235,28 +248,33 @@
 def test_requests_in_a_pause_are_found() -> None:
     record, _, _ = build_record()
     record.pauses.append((START, "i-1", "r1", 3.0))
-    record.reached += [(START + 1 + i / 10, "i-1", "r1") for i in range(2)]
+    record.target_arrivals += [(START + 1 + i / 10, "i-1", "r1") for i in range(2)]
     assert list_promises(record) == set()
-    record.reached.append((START + 2, "i-1", "r1"))
+    record.target_arrivals.append((START + 2, "i-1", "r1"))
     assert list_promises(record) == {"pause"}
 
 
 def test_a_path_without_a_route_need_not_be_served_in_the_end() -> None:
     record, attempt, _ = build_record()
     record.runs.clear()
-    attempt.status, attempt.path, record.calm_from = 404, "/never/", START - 1
+    attempt.status, attempt.path, record.final_phase_start = 404, "/never/", START - 1
     assert check_promises(record) == []
 
 
 def test_callers_that_are_not_served_in_the_end_are_found() -> None:
     record, attempt, _ = build_record()
     record.runs.clear()
-    attempt.status, record.calm_from = 503, START - 1
+    attempt.status, record.final_phase_start = 503, START - 1
     assert check_promises(record) == [Breach("recovery", "0 of 1 served at the end")]
 
 
-def build_crashes(retries: int, entry: int = 0) -> Record:
-    """Return a record of a read that crashed three targets and is sent again."""
+def build_crashing_record(retries: int, entry: int = 0) -> Record:
+    """Return a record of a read that crashed three targets and is sent again.
+
+    Args:
+        retries: Number of further runs, 1 s apart from 6 s after START.
+        entry: Number of the entry of all requests.
+    """
     record, _, _run = build_record()
     times = [START, START + 0.1, START + 1.0]
     times += [START + 6.0 + number for number in range(retries)]
@@ -272,13 +290,13 @@
     return record
 
 
-def test_a_request_that_goes_on_crashing_targets_is_found() -> None:
-    assert "crashes" not in list_promises(build_crashes(3))
-    assert "crashes" in list_promises(build_crashes(4))
+def test_a_request_that_keeps_crashing_targets_is_found() -> None:
+    assert "crashes" not in list_promises(build_crashing_record(3))
+    assert "crashes" in list_promises(build_crashing_record(4))
 
 
 def test_retries_of_an_entry_that_was_stopped_are_not_counted() -> None:
-    record = build_crashes(4)
+    record = build_crashing_record(4)
     record.disturbances.append(Disturbance("freeze", 0, "", START, START + 2.0))
     assert "crashes" not in list_promises(record)
 
--- a/tests/faults/test_sites.py
+++ b/tests/faults/test_sites.py
@@ -1,20 +1,24 @@
-"""The soak tells its own standstills apart from faults of entries."""
+"""Tests that the soak reports stalls of its own event loop."""
 
 import asyncio
 import time
 
 from tests.faults.records import Record
-from tests.faults.sites import STOOD_STILL, WATCH_PERIOD, watch_itself
+from tests.faults.sites import (
+    LOOP_CHECK_INTERVAL,
+    LOOP_STALL_THRESHOLD,
+    record_loop_stalls,
+)
 
 
-async def test_a_process_that_stood_still_is_noted() -> None:
-    """Guards against failures whose report hides that the soak stood still."""
+async def test_a_blocked_event_loop_is_recorded() -> None:
+    """Guards against reports of failures that omit a stall of the soak itself."""
     record = Record()
-    watching = asyncio.create_task(watch_itself(record))
-    await asyncio.sleep(2 * WATCH_PERIOD)
-    assert not record.still
-    time.sleep(2 * STOOD_STILL)  # noqa: ASYNC251
-    await asyncio.sleep(2 * WATCH_PERIOD)
-    watching.cancel()
-    [(start, end)] = record.still
-    assert end - start > STOOD_STILL
+    recorder = asyncio.create_task(record_loop_stalls(record))
+    await asyncio.sleep(2 * LOOP_CHECK_INTERVAL)
+    assert not record.loop_stalls
+    time.sleep(2 * LOOP_STALL_THRESHOLD)  # noqa: ASYNC251
+    await asyncio.sleep(2 * LOOP_CHECK_INTERVAL)
+    recorder.cancel()
+    [(start, end)] = record.loop_stalls
+    assert end - start > LOOP_STALL_THRESHOLD
--- a/tests/integration/conftest.py
+++ b/tests/integration/conftest.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios; each step runs on the scenario's own loop."""
+"""Step definitions; each step runs on the event loop of its scenario."""
 
 import asyncio
 from collections.abc import Coroutine, Iterator
@@ -19,7 +19,14 @@
 
 
 class World:
-    """A scenario: its loop, its fleet and the caller that it is told of."""
+    """State of one scenario.
+
+    Attributes:
+        fleet: Fleet of entries and stand-ins.
+        caller: Caller that the steps refer to as "it".
+        others: Further callers of the scenario.
+        engine: Name of the engine that runs the caller's request; "" if not known.
+    """
 
     def __init__(self, runner: asyncio.Runner, folder: Path) -> None:
         self._runner = runner
@@ -29,15 +36,15 @@
         self.engine = ""
 
     def run(self, work: Coroutine[Any, Any, Any]) -> Any:
-        """Run to the end."""
+        """Run a coroutine to its end; return its result."""
         return self._runner.run(work)
 
     def call(self, **kwargs: Any) -> Caller:
-        """Return a new caller with a tag of its own."""
+        """Return a new caller with a unique tag."""
         return self.fleet.call(f"request-{len(self.fleet.callers) + 1}", **kwargs)
 
     def find_engine(self) -> str:
-        """Return the engine that runs the caller's request."""
+        """Return the name of the engine that runs the caller's request."""
         if not self.engine:
             self.engine = self.run(self.fleet.find_engine(self.caller.history.tag))
         return self.engine
@@ -65,7 +72,7 @@
 
 
 async def start(caller: Caller, url: str) -> None:
-    caller.ask(url)
+    caller.start_generation(url)
 
 
 @when(parsers.parse("a caller asks for {tokens:d} tokens in one piece through {entry}"))
@@ -76,7 +83,7 @@
 
 @when(parsers.parse("it has seen {count:d} tokens"))
 def see(world: World, count: int) -> None:
-    world.run(world.caller.wait_seen(count))
+    world.run(world.caller.wait_for_events(count))
 
 
 @when("its engine runs it")
@@ -108,7 +115,7 @@
             link.set_fault(Lose(Direction.TO_CLIENT))
             before = link.accepted
             world.run(wait_for(lambda: link.accepted > before, "a new connection"))
-            link.lift()
+            link.clear_fault()
         case "drip":
             link.set_fault(Drip(64, 0.001))
 
@@ -146,7 +153,7 @@
 
 
 @when("both entries know that it leaves")
-def know_leaving(world: World) -> None:
+def wait_until_known_leaving(world: World) -> None:
     async def is_known() -> bool:
         for entry in world.fleet.entries.values():
             status = await world.fleet.read(entry.url + "/status")
@@ -168,7 +175,7 @@
         urls = [entry.url for entry in world.fleet.entries.values()]
         for number in range(count):
             caller = world.call(tokens=tokens)
-            caller.ask(urls[number % len(urls)])
+            caller.start_generation(urls[number % len(urls)])
             world.others.append(caller)
         await asyncio.gather(*(caller.finish() for caller in world.others))
 
@@ -183,11 +190,11 @@
         caller = world.call(tokens=tokens)
         world.run(start(caller, world.fleet.entries[entry].url))
         world.others.append(caller)
-        world.run(caller.wait_seen(1))
+        world.run(caller.wait_for_events(1))
 
 
 @when(parsers.parse("a caller sends a request that crashes engines through {entry}"))
-def send_deadly(world: World, entry: str) -> None:
+def send_crashing_request(world: World, entry: str) -> None:
     world.caller = world.call()
     world.caller.body["standin_crash_at"] = 1
     world.run(start(world.caller, world.fleet.entries[entry].url))
@@ -203,7 +210,7 @@
     for name in world.fleet.entries:
         caller = world.call(tokens=3)
         caller_url = world.fleet.entries[name].url
-        world.run(caller.stream_whole(caller_url))
+        world.run(caller.stream_to_end(caller_url))
         assert caller.last.ended
 
 
@@ -218,7 +225,7 @@
 
 
 @then(parsers.parse("its answer is whole with {tokens:d} tokens"))
-def is_whole(world: World, tokens: int) -> None:
+def assert_whole_answer(world: World, tokens: int) -> None:
     world.run(world.caller.finish())
     assert world.caller.last.ended, world.caller.history
     assert len(world.caller.history.events) == tokens
@@ -264,7 +271,7 @@
 
 @then(parsers.parse("at most {count:d} engines ran it"))
 def count_crashes(world: World, count: int) -> None:
-    history = world.run(world.fleet.collect())
+    history = world.run(world.fleet.collect_history())
     tag = world.caller.history.tag
     ran = [item for item in history.generations if item.tag == tag]
     assert len(ran) <= count
@@ -277,7 +284,7 @@
     async def is_quarantined() -> bool:
         again = Caller(world.caller.history.tag)
         again.body = world.caller.body
-        await again.stream_whole(world.fleet.entries[entry].url)
+        await again.stream_to_end(world.fleet.entries[entry].url)
         return again.last.problem == "request_quarantined"
 
     world.run(wait_for(is_quarantined, "the request is quarantined"))
@@ -291,7 +298,7 @@
             again = Caller(caller.history.tag, stream=False)
             again.body = {**caller.body, "stream": False}
             world.fleet.callers.append(again)
-            await again.stream_whole(world.fleet.entries["entry-1"].url)
+            await again.stream_to_end(world.fleet.entries["entry-1"].url)
             assert again.last.status == 200, again.document
 
     world.run(run())
@@ -299,4 +306,4 @@
 
 @then("every promise held")
 def check(world: World) -> None:
-    assert check_history(world.run(world.fleet.collect())) == []
+    assert check_history(world.run(world.fleet.collect_history())) == []
--- a/tests/integration/test_configuration.py
+++ b/tests/integration/test_configuration.py
@@ -1,4 +1,4 @@
-"""Publishing under races and failures of the log."""
+"""Tests of publishing during races and failures of the log."""
 
 import asyncio
 from copy import deepcopy
@@ -26,7 +26,7 @@
 
 
 async def add_customer(world: World, name: str) -> int | FigstepError:
-    """Publish one more customer, whose key is its name."""
+    """Publish the document with one more customer, whose key is its name."""
     document = deepcopy(world.fleet.document)
     document["customers"].append({"name": name, "key_hash": hash_key(name)})
     try:
@@ -35,8 +35,8 @@
         return error
 
 
-async def ask_as(url: str, key: str) -> int:
-    """Return the status that a customer gets from one entry."""
+async def request_as(url: str, key: str) -> int:
+    """Return the HTTP status of a customer's completion request to one entry."""
     body = {"model": MODEL, "prompt": "menu", "standin_length": 1}
     headers = {"Authorization": f"Bearer {key}"}
     async with (
@@ -50,7 +50,7 @@
     for name, entry in world.fleet.entries.items():
 
         async def is_served(url: str = entry.url) -> bool:
-            return await ask_as(url, key) == 200
+            return await request_as(url, key) == 200
 
         await wait_for(is_served, f"{name} serves {key}")
 
@@ -72,7 +72,7 @@
 
 
 @then("one edit is accepted and the other is refused naming the winner")
-def judge_race(results: dict[str, Any]) -> None:
+def check_race_outcome(results: dict[str, Any]) -> None:
     winner, loser = sorted(
         results, key=lambda name: isinstance(results[name], Exception)
     )
@@ -88,7 +88,7 @@
             world.run(wait_served(world, name))
     for name, result in results.items():
         for entry in world.fleet.entries.values():
-            known = world.run(ask_as(entry.url, name)) == 200
+            known = world.run(request_as(entry.url, name)) == 200
             assert known is isinstance(result, int)
 
 
@@ -107,7 +107,7 @@
     async def run() -> Any:
         log = world.fleet.log
         edit = asyncio.create_task(add_customer(world, name))
-        # Entries append snapshots and claims of their own meanwhile.
+        # Meanwhile the entries append their own snapshots and claims.
         await wait_for(lambda: holds_edit(log, name), "the append took effect")
         log.available = False
         await asyncio.sleep(OUTAGE_SECONDS)
@@ -119,7 +119,7 @@
 
 def holds_edit(log: LogService, author: str) -> bool:
     for record in log.list_records(CONFIGURATION):
-        # A snapshot names the author of the document as well.
+        # A snapshot also names the author of its document.
         if record["author"] == author and record["kind"] != SNAPSHOT:
             return True
     return False
@@ -140,7 +140,7 @@
     records = world.run(read_records(world.fleet.log_client))
     edits = []
     for record in records:
-        # An entry may have appended a snapshot, which names the author as well.
+        # An entry may have appended a snapshot, which also names the author.
         if record.data["author"] == "alpha" and record.data["kind"] != SNAPSHOT:
             edits.append(record)
     assert len(edits) == 1
@@ -152,7 +152,7 @@
 
 
 @when("the log has forgotten the first edit")
-def forget(world: World) -> None:
+def expire_first_edit(world: World) -> None:
     log = world.fleet.log
     log.faults = replace(log.faults, keep_ms=KEEP_MS)
 
--- a/tests/integration/test_orders.py
+++ b/tests/integration/test_orders.py
@@ -1,4 +1,4 @@
-"""Non-idempotent orders under failures of entries, links and the log."""
+"""Tests of non-idempotent orders while entries, links and the log fail."""
 
 import asyncio
 from dataclasses import replace
@@ -16,7 +16,7 @@
 
 
 async def order(world: World, name: str, entry: str) -> Caller:
-    """Send an order without waiting; the same caller sends it again."""
+    """Send an order without waiting; an order sent again uses the same caller."""
     caller = world.caller
     if caller.history.tag != name:
         caller = world.caller = world.fleet.call(name)
@@ -81,13 +81,13 @@
 )
 def order_while_stalled(world: World, name: str, entry: str) -> None:
     order_and_wait(world, name, entry)
-    world.fleet.log_proxy.lift()
+    world.fleet.log_proxy.clear_fault()
 
 
 @when(parsers.parse("{entry} freezes as soon as its claim is in the log"))
 def freeze_owner(world: World, entry: str) -> None:
-    # The log runs in this process, so the entry is stopped before the answer
-    # to its append can leave.
+    # The log runs in this process, so the entry is frozen before the log sends the
+    # answer to its append.
     running = world.fleet.entries[entry]
     world.fleet.log.on_append["claim"] = lambda request: running.freeze()
 
@@ -97,7 +97,7 @@
     async def run() -> None:
         waits = world.fleet.log.on_append
         await wait_for(lambda: "claim" not in waits, "the claim is in the log")
-        await asyncio.sleep(1.0)  # the other entry meets the claim meanwhile
+        await asyncio.sleep(1.0)  # the other entry reads the claim meanwhile
         world.fleet.entries[entry].thaw()
 
     world.run(run())
@@ -146,13 +146,13 @@
 
 
 @then("its caller is told that it did not run and when to come back")
-def told_not_run(world: World) -> None:
+def check_not_run(world: World) -> None:
     assert world.caller.last.ran is Ran.NO, world.caller.last
     assert int(world.caller.retry_after or 0) > 0
 
 
 @then("its caller is told that it may have run")
-def told_unknown(world: World) -> None:
+def check_may_have_run(world: World) -> None:
     last = world.caller.last
     assert last.problem and last.ran in (Ran.UNKNOWN, Ran.YES), last
 
--- a/tests/integration/test_replacement.py
+++ b/tests/integration/test_replacement.py
@@ -1,4 +1,4 @@
-"""Entries that are replaced under load."""
+"""Tests of the replacement of entries under load."""
 
 import asyncio
 import signal
@@ -6,13 +6,13 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from figstep.standins.balancer import Balancer
-from tests.fleet import BOUND
+from tests.fleet import TIMEOUT_SECONDS
 from tests.integration.conftest import GAP, World
 
 scenarios("replacement.feature")
 
 LONG, SHORT = 200, 2
-NOTICE_SECONDS = 2.0  # ten polls of the balancer
+NOTICE_SECONDS = 2.0  # ten poll intervals of the balancer
 
 
 @given(parsers.parse("{entries:d} entries that give notice, and {engines:d} engines"))
@@ -30,17 +30,19 @@
     return balancer
 
 
-async def keep_asking(world: World, url: str, tokens: int, stop: asyncio.Event) -> None:
+async def send_repeatedly(
+    world: World, url: str, tokens: int, stop: asyncio.Event
+) -> None:
     while not stop.is_set():
         caller = world.call(tokens=tokens)
-        await caller.stream_whole(url)
+        await caller.stream_to_end(url)
 
 
 async def end_entry(world: World, name: str) -> int:
     process = world.fleet.entries.pop(name).process
     world.fleet.instances.instances[name]["state"] = "leaving"
     process.send_signal(signal.SIGTERM)
-    return await asyncio.wait_for(process.wait(), BOUND)
+    return await asyncio.wait_for(process.wait(), TIMEOUT_SECONDS)
 
 
 @when(
@@ -53,7 +55,7 @@
         tasks = []
         for number in range(count):
             tokens = LONG if number % 2 else SHORT
-            work = keep_asking(world, balancer.url, tokens, stop)
+            work = send_repeatedly(world, balancer.url, tokens, stop)
             tasks.append(asyncio.create_task(work))
         exits = []
         for old in list(world.fleet.entries):
@@ -91,6 +93,6 @@
         ]:
             await asyncio.sleep(0.02)
         process.send_signal(signal.SIGTERM)
-        await asyncio.wait_for(process.wait(), BOUND)
+        await asyncio.wait_for(process.wait(), TIMEOUT_SECONDS)
 
     world.run(run())
--- a/tests/net/test_border_fuzz.py
+++ b/tests/net/test_border_fuzz.py
@@ -1,4 +1,7 @@
-"""Fuzz of the callers' border: no input ends in a 500 or harms the next caller."""
+"""Fuzz tests of the callers' interface.
+
+No input may cause a 500 or harm the request of the next caller.
+"""
 
 import asyncio
 import json
@@ -15,7 +18,8 @@
 from figstep.demo import KEY, MODEL, run_deployment
 from tests.net.test_callers import GOOD, LIMITS, PATH, open_raw
 
-# The loop rests between two examples; an idle connection would be cut then.
+# The loop does not run between two examples; with a short limit an idle connection
+# would be closed then.
 FUZZ_LIMITS = LIMITS.model_copy(update={"idle_seconds": 3_600})
 FUZZ = settings(derandomize=True, max_examples=100, deadline=None, database=None)
 METHODS = ["GET", "POST", "PUT", "DELETE", "PATCH", "OPTIONS", "HEAD"]
@@ -64,8 +68,8 @@
 
 
 @dataclass(slots=True)
-class Fuzzed:
-    """An entry on a loop of its own, and the faults that the loop reported."""
+class FuzzedEntry:
+    """An entry on an event loop of its own, and the errors that the loop reported."""
 
     runner: asyncio.Runner
     session: aiohttp.ClientSession
@@ -82,28 +86,28 @@
 
 
 @pytest.fixture(scope="module")
-def fuzzed() -> Iterator[Fuzzed]:
+def fuzzed() -> Iterator[FuzzedEntry]:
     stack = AsyncExitStack()
 
-    async def start() -> Fuzzed:
+    async def start() -> FuzzedEntry:
         deployment = await stack.enter_async_context(
             run_deployment(1, FUZZ_LIMITS, gaps=(0.0,))
         )
         session = await stack.enter_async_context(aiohttp.ClientSession())
         url = deployment.entries[0].callers.address
-        made = Fuzzed(runner, session, url)
+        entry = FuzzedEntry(runner, session, url)
         asyncio.get_running_loop().set_exception_handler(
-            lambda _, context: made.faults.append(context)
+            lambda _, context: entry.faults.append(context)
         )
-        return made
+        return entry
 
     with asyncio.Runner() as runner:
-        made = runner.run(start())
-        yield made
+        entry = runner.run(start())
+        yield entry
         runner.run(stack.aclose())
 
 
-async def send_raw(fuzzed: Fuzzed, sent: bytes) -> None:
+async def send_raw(fuzzed: FuzzedEntry, sent: bytes) -> None:
     reader, writer = await open_raw(fuzzed.url)
     writer.write(sent)
     if writer.can_write_eof():
@@ -118,7 +122,7 @@
 
 
 async def send_request(
-    fuzzed: Fuzzed, method: str, path: str, headers: dict[str, str], body: bytes
+    fuzzed: FuzzedEntry, method: str, path: str, headers: dict[str, str], body: bytes
 ) -> None:
     async with fuzzed.session.request(
         method,
@@ -148,7 +152,7 @@
         ),
     )
 )
-def test_random_bytes(fuzzed: Fuzzed, sent: bytes) -> None:
+def test_random_bytes(fuzzed: FuzzedEntry, sent: bytes) -> None:
     fuzzed.runner.run(send_raw(fuzzed, sent))
 
 
@@ -160,7 +164,7 @@
     body=bodies,
 )
 def test_random_requests(
-    fuzzed: Fuzzed,
+    fuzzed: FuzzedEntry,
     method: str,
     path: str,
     headers: dict[str, str],
@@ -171,5 +175,5 @@
 
 @FUZZ
 @given(body=bodies, path=st.sampled_from(PATHS[:2]))
-def test_random_bodies(fuzzed: Fuzzed, body: bytes, path: str) -> None:
+def test_random_bodies(fuzzed: FuzzedEntry, body: bytes, path: str) -> None:
     fuzzed.runner.run(send_request(fuzzed, "POST", path, {}, body))
--- a/tests/net/test_hellos.py
+++ b/tests/net/test_hellos.py
@@ -1,4 +1,4 @@
-"""Tests of the messages between gateways."""
+"""Tests of the codec of messages and record copies between gateways."""
 
 from dataclasses import replace
 
@@ -12,7 +12,7 @@
 from figstep.gateway.refusals import Refusal
 from figstep.gateway.targets import Incarnation
 from figstep.net.hellos import (
-    MOST_COPY_BYTES,
+    MAX_COPY_BYTES,
     Hello,
     RecordCopy,
     decode_copy,
@@ -47,7 +47,7 @@
 )
 
 
-def test_a_message_comes_back_as_it_was() -> None:
+def test_messages_round_trip() -> None:
     records = (("i-1", b"\x00beat"), ("i-2", b""))
     members = (Member("10.0.0.2:7200", "muc-b"),)
     sent = Hello(OWN, 5, 6, members, records)
@@ -71,8 +71,8 @@
     assert hello.content.rates == OWN.rates
 
 
-def test_a_message_that_was_passed_on_names_its_writer() -> None:
-    """Guards against records asked of an entry that does not have them."""
+def test_a_forwarded_message_keeps_the_address_of_its_author() -> None:
+    """Guards against records requested from an entry that does not have them."""
     data = encode_hello(Hello(replace(OWN, address="10.0.0.9:7200")))
     assert decode_hello(data, "10.0.0.1:7200").content.address == "10.0.0.9:7200"
 
@@ -83,13 +83,13 @@
         decode_hello(data, "10.0.0.1:7200")
 
 
-def test_records_come_back_as_they_were() -> None:
+def test_record_copies_round_trip() -> None:
     copy = RecordCopy(b"{}", 9, (("i-1", b"\x00\xff"),))
     assert decode_copy(encode_copy(copy)) == copy
 
 
 def test_a_copy_of_a_large_configuration_is_small() -> None:
-    """Guards against copies that hold a slow link for half a second each."""
+    """Guards against copies that occupy a slow link for half a second each."""
     routes = b",".join(
         b'{"name":"r%d","host":"h%d.example","prefix":"/p%d/","type":"safe"}'
         % (number, number, number)
@@ -100,9 +100,9 @@
     assert decode_copy(encode_copy(copy)) == copy
 
 
-def test_a_copy_that_grows_too_large_is_refused() -> None:
-    """Guards against a peer whose few bytes fill the memory of an entry."""
-    data = encode_copy(RecordCopy(b"x" * MOST_COPY_BYTES, 1))
-    assert len(data) < MOST_COPY_BYTES / 4
+def test_a_copy_that_decompresses_to_too_much_is_rejected() -> None:
+    """Guards against a small message that fills the memory of an entry."""
+    data = encode_copy(RecordCopy(b"x" * MAX_COPY_BYTES, 1))
+    assert len(data) < MAX_COPY_BYTES / 4
     with pytest.raises(PeerMessageError):
         decode_copy(data)
--- a/tests/platform/places.py
+++ b/tests/platform/places.py
@@ -1,4 +1,4 @@
-"""A store, targets and entries on the platform's stand-ins."""
+"""Helpers that start a fake store, fake targets and entries for a test."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -18,7 +18,7 @@
 
 
 class Place:
-    """A store, targets, and an entry before them."""
+    """A fake store, fake targets, and entries that serve callers."""
 
     def __init__(self) -> None:
         self.store = FakeStore()
@@ -79,21 +79,23 @@
         await place.store.stop()
 
 
-async def ask_order(place: Place, entry: Entry, number: str) -> int:
+async def call_order_route(place: Place, entry: Entry, number: str) -> int:
     headers = place.headers(number)
-    async with place.session.post(place.url("/order/a", entry), headers=headers) as got:
-        return got.status
+    async with place.session.post(
+        place.url("/order/a", entry), headers=headers
+    ) as response:
+        return response.status
 
 
 async def add_fleet(place: Place, entries: int, targets: int) -> None:
-    """Add plain targets, and entries that know each other."""
+    """Add targets of the plain service, and entries that know each other."""
     for number in range(1, targets + 1):
         await place.add_target(f"i-b{number}", "bookings")
     await start_fleet(place, entries, targets)
 
 
 async def start_fleet(place: Place, entries: int, targets: int) -> None:
-    """Start entries that know each other and the targets."""
+    """Start entries and wait until they know each other and all targets."""
     seeds: list[object] = []
     for number in range(entries):
         entry = await place.add_entry(node=f"entry-{number}", seeds=tuple(seeds))
@@ -104,23 +106,27 @@
             await asyncio.sleep(0.01)
 
 
-async def call_for(
-    place: Place, entry: Entry, name: str, seconds: float, each: int
+async def send_calls(
+    place: Place, entry: Entry, name: str, seconds: float, rate: int
 ) -> list[int]:
-    """Send calls to an entry, so many a second; returns their statuses."""
+    """Send ``rate`` calls a second to an entry and return their statuses."""
     calls = []
-    for number in range(round(seconds * each)):
-        calls.append(asyncio.create_task(ask_order(place, entry, f"{name}-{number}")))
-        await asyncio.sleep(1 / each)
+    for number in range(round(seconds * rate)):
+        calls.append(
+            asyncio.create_task(call_order_route(place, entry, f"{name}-{number}"))
+        )
+        await asyncio.sleep(1 / rate)
     return await asyncio.gather(*calls)
 
 
-async def call_all_for(
-    place: Place, name: str, seconds: float, each: int = 10
+async def send_calls_to_all(
+    place: Place, name: str, seconds: float, rate: int = 10
 ) -> list[int]:
-    """Send calls to all entries, so many a second to each; returns their statuses."""
-    work = [
-        call_for(place, entry, f"{name}-{number}", seconds, each)
+    """Send ``rate`` calls a second to each entry and return all their statuses."""
+    coroutines = [
+        send_calls(place, entry, f"{name}-{number}", seconds, rate)
         for number, entry in enumerate(place.entries)
     ]
-    return [status for statuses in await asyncio.gather(*work) for status in statuses]
+    return [
+        status for statuses in await asyncio.gather(*coroutines) for status in statuses
+    ]
--- a/tests/platform/test_answers.py
+++ b/tests/platform/test_answers.py
@@ -1,4 +1,4 @@
-"""Tests of what targets say of themselves in answers and reports."""
+"""Tests of the headers and reports in which targets describe their state."""
 
 from types import SimpleNamespace
 
@@ -7,11 +7,11 @@
 
 from figstep.gateway.events import EngineReported
 from figstep.platform.answers import (
-    TargetWords,
-    parse_pause,
+    TargetSignals,
     parse_rate,
     parse_report,
-    read_words,
+    parse_retry_after,
+    read_target_signals,
 )
 
 
@@ -24,7 +24,7 @@
         (b'{"state":"draining"}', True, None, False),
     ],
 )
-def test_a_report_tells_whether_the_engine_leaves_and_how_full_it_is(
+def test_a_report_contains_leaving_state_and_memory(
     body: bytes, leaving: bool, memory: int | None, ending: bool
 ) -> None:
     report = parse_report("e-1", body)
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize(
     "body", [b"", b"[]", b'{"leaves_ms":"soon"}', b'{"kv_used":[]}']
 )
-def test_a_report_that_is_none_is_refused(body: bytes) -> None:
+def test_an_invalid_report_is_refused(body: bytes) -> None:
     with pytest.raises(ValueError, match=r".+"):
         parse_report("e-1", body)
 
@@ -47,8 +47,8 @@
 
 
 @pytest.mark.parametrize("text", ["", "soon", "-1", "nan", "inf"])
-def test_a_rate_that_is_none_is_refused(text: str) -> None:
-    """Guards against a header that stops all requests or lifts every limit."""
+def test_an_invalid_rate_is_refused(text: str) -> None:
+    """Guards against an invalid rate that stops all requests or removes the limit."""
     with pytest.raises(ValueError, match=r".+"):
         parse_rate(text)
 
@@ -56,32 +56,32 @@
 @pytest.mark.parametrize(
     ("text", "pause"), [("2", 2_000), ("0.25", 250), ("0", 0), ("120", 120_000)]
 )
-def test_a_pause_is_told_in_seconds(text: str, pause: int) -> None:
-    assert parse_pause(text) == pause
+def test_retry_after_is_in_seconds(text: str, pause: int) -> None:
+    assert parse_retry_after(text) == pause
 
 
 @pytest.mark.parametrize("text", ["", "nan", "inf", "-3", "Thu, 03 Dec 2026"])
-def test_a_pause_that_is_none_is_refused(text: str) -> None:
-    """Guards against an answer that is lost for the header of its refusal."""
+def test_an_invalid_retry_after_is_refused(text: str) -> None:
+    """Guards against an answer that is lost because its Retry-After is invalid."""
     with pytest.raises(ValueError, match=r".+"):
-        parse_pause(text)
+        parse_retry_after(text)
 
 
 @pytest.mark.parametrize(
-    ("status", "headers", "words"),
+    ("status", "headers", "signals"),
     [
-        (200, {"server-limit": "1.9"}, TargetWords(rate=1.9)),
-        (503, {"Server-Limit": "0", "Server-Leaving": "1"}, TargetWords(True, 0.0)),
-        (500, {"Server-Stamp": "s"}, TargetWords(ends_rate=True)),
-        (200, {"Server-Leaving": "1"}, TargetWords(leaving=True)),
-        (200, {}, TargetWords()),
-        (200, {"Server-Limit": "few", "Server-Stamp": "s"}, TargetWords()),
-        (421, {"Server-Limit": "1", "Server-Leaving": "1"}, TargetWords()),
+        (200, {"server-limit": "1.9"}, TargetSignals(rate=1.9)),
+        (503, {"Server-Limit": "0", "Server-Leaving": "1"}, TargetSignals(True, 0.0)),
+        (500, {"Server-Stamp": "s"}, TargetSignals(ends_rate=True)),
+        (200, {"Server-Leaving": "1"}, TargetSignals(leaving=True)),
+        (200, {}, TargetSignals()),
+        (200, {"Server-Limit": "few", "Server-Stamp": "s"}, TargetSignals()),
+        (421, {"Server-Limit": "1", "Server-Leaving": "1"}, TargetSignals()),
     ],
 )
-def test_an_answer_speaks_of_the_target_that_gave_it(
-    status: int, headers: dict[str, str], words: TargetWords
+def test_target_signals_of_an_answer(
+    status: int, headers: dict[str, str], signals: TargetSignals
 ) -> None:
-    """Guards against words that are missed, misread, or those of another target."""
+    """Guards against headers that are missed, misread, or applied to another target."""
     response = SimpleNamespace(status=status, headers=CIMultiDict(headers))
-    assert read_words(response) == words  # type: ignore[arg-type]
+    assert read_target_signals(response) == signals  # type: ignore[arg-type]
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Tests of the store's records as the gateway's types."""
+"""Tests of the parsers of the store's records."""
 
 import orjson
 import pytest
@@ -13,7 +13,7 @@
 )
 from tests.platform.standins import ROUTE_HOST, build_configuration
 
-BEAT = {
+REGISTRATION = {
     "service": "engines",
     "addr": "10.0.0.1:80",
     "zone": "muc-a",
@@ -60,7 +60,7 @@
 
 
 def test_registration_names_its_incarnation() -> None:
-    info = parse_registration("i-1", orjson.dumps(BEAT))
+    info = parse_registration("i-1", orjson.dumps(REGISTRATION))
     assert info is not None
     assert (info.target, info.born, info.warmup) == ("i-1", 1_700_000_000_000, 1_500)
     assert not info.draining
@@ -72,18 +72,20 @@
         b"",
         b"\xff\xfe",
         b"[]",
-        orjson.dumps({**BEAT, "state": "resting"}),
-        orjson.dumps({**BEAT, "slots": "many"}),
-        orjson.dumps({**BEAT, "addr": "somewhere"}),
-        orjson.dumps({name: BEAT[name] for name in BEAT if name != "service"}),
+        orjson.dumps({**REGISTRATION, "state": "resting"}),
+        orjson.dumps({**REGISTRATION, "slots": "many"}),
+        orjson.dumps({**REGISTRATION, "addr": "somewhere"}),
+        orjson.dumps(
+            {name: REGISTRATION[name] for name in REGISTRATION if name != "service"}
+        ),
     ],
 )
-def test_entries_of_other_writers_name_no_target(value: bytes) -> None:
+def test_foreign_registrations_are_ignored(value: bytes) -> None:
     assert parse_registration("i-1", value) is None
 
 
-def test_homes_and_warmups_are_read() -> None:
-    """Guards against regions and warm-up rates that are read and not kept."""
+def test_allowed_regions_and_warmups_are_read() -> None:
+    """Guards against allowed regions and warm-up rates that are parsed but dropped."""
     document = orjson.loads(build_configuration())
     document["routes"][0]["regions_allowed"] = ["bayern", "eire"]
     document["tenants"][0]["regions_allowed"] = ["eire"]
@@ -100,8 +102,8 @@
     assert (service.warmup, service.warmup_rate) == (1_500, 25.0)
 
 
-def test_no_homes_mean_any_region() -> None:
-    """Guards against an empty list of regions that shuts a route for all."""
+def test_an_empty_region_list_allows_any_region() -> None:
+    """Guards against an empty list of regions that closes a route to all callers."""
     document = orjson.loads(build_configuration())
     document["routes"][0]["regions_allowed"] = []
     table = parse_configuration(orjson.dumps(document))
@@ -121,13 +123,15 @@
         ("evacuate/a/b", "a/b"),
     ],
 )
-def test_only_its_key_names_an_evacuation(key: str, domain: str | None) -> None:
-    """Guards against other keys that shut a failure domain."""
+def test_only_evacuation_keys_name_a_failure_domain(
+    key: str, domain: str | None
+) -> None:
+    """Guards against other keys that evacuate a failure domain."""
     assert parse_evacuation(key) == domain
 
 
 @given(st.text(max_size=80))
 def test_any_key_can_be_read(key: str) -> None:
-    """Guards against a key that ends the reading of the operator's records."""
+    """Guards against a key that stops the parsing of the operator's records."""
     domain = parse_evacuation(key)
     assert domain is None or key == f"evacuate/{domain}"
--- a/tests/platform/test_entry.py
+++ b/tests/platform/test_entry.py
@@ -1,4 +1,4 @@
-"""The whole path on the platform's stand-ins, with faults."""
+"""End-to-end tests of an entry with a fake store and fake targets, with faults."""
 
 import asyncio
 import os
@@ -13,7 +13,7 @@
 
 from figstep.core.clock import Millis
 from figstep.platform.entry import Entry, choose_drain_time, serve_until_signal
-from tests.platform.places import Place, ask_order, open_place
+from tests.platform.places import Place, call_order_route, open_place
 from tests.platform.standins import (
     KEY,
     FakeStore,
@@ -53,13 +53,13 @@
         assert await response.read() == b"answer"
         assert response.headers["Server-Stamp"] == "stamp-i-b1"
     target = place.targets["i-b1"]
-    seen = target.seen[0]
+    received = target.received_headers[0]
     assert target.bodies == [b"flour"]
-    assert seen["Tenant"] == "gurdwara"
-    assert seen["X-Kitchen"] == "langar"
-    assert int(seen["Deadline-Ms"]) <= 4_000
-    assert "Credential" not in seen
-    assert "Hold" not in seen
+    assert received["Tenant"] == "gurdwara"
+    assert received["X-Kitchen"] == "langar"
+    assert int(received["Deadline-Ms"]) <= 4_000
+    assert "Credential" not in received
+    assert "Hold" not in received
 
 
 async def test_a_stream_goes_through_byte_for_byte(place: Place) -> None:
@@ -69,15 +69,15 @@
         assert await response.read() == list_events(20)
 
 
-async def test_a_stream_outlives_its_engine(place: Place) -> None:
-    """The caller would lose its plan in mid-answer.
+async def test_a_stream_survives_the_loss_of_its_engine(place: Place) -> None:
+    """Guards against a caller that loses its plan in the middle of the answer.
 
-    The engine's registration is dropped and the engine dies a little later.
-    The run goes on at the engine that holds its backup, inside the same
-    answer, with the first engine's signature.
+    The engine's registration is deleted and the engine ends a little later. The run
+    resumes on the engine that holds its backup, inside the same answer, with the
+    first engine's signature.
     """
     for target in place.targets.values():
-        target.events, target.pause = 60, 0.02
+        target.events, target.event_interval = 60, 0.02
     headers = place.headers("r-1", **PLAN)
     async with place.session.post(place.url("/plan/a"), headers=headers) as response:
         start = await response.content.readuntil(b"id: 9\n")
@@ -87,14 +87,14 @@
         await asyncio.sleep(0.3)
         await place.targets[first].kill()
         assert start + await rest == list_events(60)
-    assert place.targets[first].gone == ["r-1"]
+    assert place.targets[first].aborted == ["r-1"]
 
 
-async def test_a_broken_stream_never_looks_whole(place: Place) -> None:
+async def test_a_broken_stream_never_looks_complete(place: Place) -> None:
     for name in ("i-e2", "i-e3"):
         await place.store.put("keyed.servers", name, b"")
     await asyncio.sleep(0.1)
-    place.targets["i-e1"].pause = 0.05
+    place.targets["i-e1"].event_interval = 0.05
     headers = place.headers("r-1", **PLAN)
     async with place.session.post(place.url("/plan/a"), headers=headers) as response:
         await response.content.readuntil(b"id: 5\n")
@@ -104,52 +104,52 @@
         await killing
 
 
-async def test_a_caller_that_leaves_frees_its_engine(place: Place) -> None:
+async def test_a_disconnected_caller_frees_its_engine(place: Place) -> None:
     for target in place.targets.values():
-        target.events, target.pause = 500, 0.02
+        target.events, target.event_interval = 500, 0.02
     headers = place.headers("r-1", **PLAN)
     response = await place.session.post(place.url("/plan/a"), headers=headers)
     await response.content.readuntil(b"id: 3\n")
     response.close()
     async with asyncio.timeout(0.5):
-        while not any(target.gone for target in place.targets.values()):
+        while not any(target.aborted for target in place.targets.values()):
             await asyncio.sleep(0.01)
 
 
-async def break_off(request: web.Request) -> web.StreamResponse:
-    """Run a request, and break its connection before the answer."""
+async def break_connection(request: web.Request) -> web.StreamResponse:
+    """Run a request and abort its connection before the answer."""
     assert request.transport is not None
     request.transport.abort()
     return web.Response()
 
 
-async def test_an_order_is_sent_once_and_its_doubt_is_told(place: Place) -> None:
-    """A doubled flour order lands two pallets.
+async def test_an_order_is_sent_once_and_reported_as_uncertain(place: Place) -> None:
+    """Guards against a non-idempotent order that runs twice.
 
     The service runs the order and its connection breaks before the answer.
     """
     target = place.targets["i-b1"]
-    target.handler = break_off
+    target.handler = break_connection
     async with place.session.post(
         place.url("/order/a"), headers=place.headers("r-1")
     ) as response:
         assert response.status == 502
         assert "Not-Executed" not in response.headers
-    assert len(target.seen) == 1
+    assert len(target.received_headers) == 1
 
 
 @pytest.mark.parametrize("method", ["GET", "PUT", "DELETE"])
 async def test_an_order_by_any_method_is_sent_once(place: Place, method: str) -> None:
-    """Guards against an HTTP client that sends some methods again by itself."""
+    """Guards against an HTTP client that repeats some methods by itself."""
     target = place.targets["i-b1"]
-    target.handler = break_off
+    target.handler = break_connection
     url, headers = place.url("/order/a"), place.headers("r-1")
     async with place.session.request(method, url, headers=headers) as response:
         assert response.status == 502
-    assert len(target.seen) == 1
+    assert len(target.received_headers) == 1
 
 
-async def test_another_requests_answer_is_not_handed_on(place: Place) -> None:
+async def test_another_requests_answer_is_not_forwarded(place: Place) -> None:
     async def answer_other(request: web.Request) -> web.StreamResponse:
         return web.Response(body=b"other", headers={"Request-Id": "r-0"})
 
@@ -161,7 +161,7 @@
         assert b"other" not in await response.read()
 
 
-async def test_refusals_tell_when_to_come_back(place: Place) -> None:
+async def test_refusals_have_a_retry_after(place: Place) -> None:
     async def refuse(request: web.Request) -> web.StreamResponse:
         return web.Response(status=503, headers={"Not-Executed": "1"})
 
@@ -177,16 +177,16 @@
     ("path", "key", "status"),
     [("/nowhere/a", KEY, 404), ("/order/a", "unknown", 401)],
 )
-async def test_what_is_not_allowed_reaches_no_target(
+async def test_unauthorized_requests_reach_no_target(
     place: Place, path: str, key: str, status: int
 ) -> None:
     headers = place.headers("r-1", Credential=key)
     async with place.session.post(place.url(path), headers=headers) as response:
         assert response.status == status
-    assert place.targets["i-b1"].seen == []
+    assert place.targets["i-b1"].received_headers == []
 
 
-async def test_a_key_that_is_taken_away_stops_working(place: Place) -> None:
+async def test_a_revoked_key_stops_working(place: Place) -> None:
     tenants = [{"name": "gurdwara", "api_keys": ["key-2"]}]
     await place.store.put("keyed.op", "config", build_configuration(2, tenants=tenants))
     await asyncio.sleep(0.2)
@@ -196,35 +196,47 @@
         assert response.status == 401
 
 
-async def add_dark_entry(place: Place, well: Entry) -> tuple[FakeStore, Entry]:
-    """Add an entry that the store turns away; a peer is all that it hears."""
-    dark = FakeStore()
-    await dark.start()
-    dark.away = True
-    entry = Entry(build_settings(dark.address, "entry-2", seeds=(well.settings.peers,)))
+async def add_entry_without_store(
+    place: Place, healthy_entry: Entry
+) -> tuple[FakeStore, Entry]:
+    """Add an entry whose store answers 503 to all calls.
+
+    The entry receives records from its only peer, ``healthy_entry``.
+
+    Returns:
+        The store of the entry, which the test has to stop, and the entry.
+    """
+    rejecting_store = FakeStore()
+    await rejecting_store.start()
+    rejecting_store.unavailable = True
+    entry = Entry(
+        build_settings(
+            rejecting_store.address, "entry-2", seeds=(healthy_entry.settings.peers,)
+        )
+    )
     await entry.start()
     place.entries.append(entry)
     await place.wait_ready(entry, 1)
-    return dark, entry
+    return rejecting_store, entry
 
 
-async def test_an_entry_that_the_store_turns_away_learns_from_a_peer() -> None:
-    """A key that was taken away would work on at this entry for good.
+async def test_an_entry_that_the_store_rejects_reads_from_a_peer() -> None:
+    """Guards against a revoked key that this entry would accept forever.
 
-    The store answers one entry 503 for all calls, and serves the other. The
+    The store answers 503 to all calls of one entry and serves the other. The
     operator's configuration reaches the first through the second.
     """
     async with open_place() as place:
         await place.add_target("i-b1", "bookings")
-        well = await place.add_entry(node="entry-1")
-        await place.wait_ready(well, 1)
-        dark, entry = await add_dark_entry(place, well)
+        healthy_entry = await place.add_entry(node="entry-1")
+        await place.wait_ready(healthy_entry, 1)
+        rejecting_store, entry = await add_entry_without_store(place, healthy_entry)
         assert entry.is_ready()
         async with place.session.post(
             place.url("/order/a", entry), headers=place.headers("r-1")
         ) as response:
             assert response.status == 200
-        await dark.stop()
+        await rejecting_store.stop()
 
 
 async def wait_evacuated(entry: Entry, *domains: str) -> None:
@@ -235,53 +247,53 @@
 
 @pytest.mark.parametrize("value", [b"{}", b"\xff\x00 no document"])
 async def test_an_evacuated_domain_gets_no_call(place: Place, value: bytes) -> None:
-    """Guards against an operator's record that nobody acts on."""
+    """Guards against an evacuation record that has no effect."""
     entry = place.entries[0]
     domain = next(iter(entry.gateway.known.targets.targets.values()))
     key = f"evacuate/{domain.info.failure_domain}"
     await place.store.put("keyed.op", key, value)
     await wait_evacuated(entry, domain.info.failure_domain)
-    assert await ask_order(place, entry, "r-1") == 503
-    assert place.targets["i-b1"].seen == []
+    assert await call_order_route(place, entry, "r-1") == 503
+    assert place.targets["i-b1"].received_headers == []
     await place.store.put("keyed.op", key, b"")
     await wait_evacuated(entry)
-    assert await ask_order(place, entry, "r-2") == 200
+    assert await call_order_route(place, entry, "r-2") == 200
 
 
-async def test_a_store_that_forgot_its_history_still_tells_of_evacuations() -> None:
-    """Guards against evacuations begun and ended in records that are gone."""
+async def test_evacuations_are_read_after_records_were_deleted() -> None:
+    """Guards against evacuations that began or ended in records deleted since."""
     async with open_place() as place:
         await place.add_target("i-b1", "bookings")
         await place.store.put("keyed.op", "evacuate/muc-b", b"{}")
         entry = await place.add_entry()
         await place.wait_ready(entry, 1)
         await wait_evacuated(entry, "muc-b")
-        place.store.away = True
+        place.store.unavailable = True
         await place.store.put("keyed.op", "config", build_configuration(2))
         await asyncio.sleep(0.1)
         await place.store.put("keyed.op", "evacuate/muc-b", b"")
         await place.store.put("keyed.op", "evacuate/muc-a", b"{}")
-        place.store.forget("keyed.op")
-        place.store.away = False
+        place.store.delete_all("keyed.op")
+        place.store.unavailable = False
         await wait_evacuated(entry, "muc-a")
 
 
-async def test_an_entry_without_the_store_learns_of_an_evacuation_from_a_peer() -> None:
-    """Guards against one entry of several that sends on to an evacuated domain."""
+async def test_an_entry_without_the_store_receives_an_evacuation_from_a_peer() -> None:
+    """Guards against an entry that keeps sending requests to an evacuated domain."""
     async with open_place() as place:
         await place.add_target("i-b1", "bookings")
-        well = await place.add_entry(node="entry-1")
-        await place.wait_ready(well, 1)
-        dark, entry = await add_dark_entry(place, well)
+        healthy_entry = await place.add_entry(node="entry-1")
+        await place.wait_ready(healthy_entry, 1)
+        rejecting_store, entry = await add_entry_without_store(place, healthy_entry)
         await place.store.put("keyed.op", "evacuate/muc-a", b"{}")
         await wait_evacuated(entry, "muc-a")
-        assert await ask_order(place, entry, "r-1") == 503
-        await dark.stop()
+        assert await call_order_route(place, entry, "r-1") == 503
+        await rejecting_store.stop()
 
 
 async def test_without_a_configuration_an_entry_is_not_ready() -> None:
     async with open_place() as place:
-        place.store.away = True
+        place.store.unavailable = True
         entry = await place.add_entry()
         readiness = entry.settings.readiness
         url = f"http://{readiness.host}:{readiness.port}/figstep/readyz"
@@ -291,7 +303,7 @@
             place.url("/order/a"), headers=place.headers("r-1")
         ) as response:
             assert response.status == 503
-        place.store.away = False
+        place.store.unavailable = False
         async with asyncio.timeout(3):
             while not entry.is_ready():
                 await asyncio.sleep(0.02)
@@ -299,7 +311,7 @@
             assert response.status == 200
 
 
-async def test_a_graceful_end_cuts_off_no_call(place: Place) -> None:
+async def test_a_graceful_shutdown_cuts_off_no_call(place: Place) -> None:
     async def answer_slowly(request: web.Request) -> web.StreamResponse:
         await asyncio.sleep(0.4)
         headers = {"Request-Id": request.headers["Request-Id"], "Server-Stamp": "s"}
@@ -317,7 +329,7 @@
     await draining
 
 
-async def test_new_settings_hold_at_once(place: Place) -> None:
+async def test_new_settings_apply_at_once(place: Place) -> None:
     entry = place.entries[0]
     entry.apply_settings(replace(entry.settings, retry_allowance=7.0))
     assert entry.gateway.known.budget.allowance == 7.0
@@ -327,17 +339,17 @@
     ("grace", "drain"), [(8_000, 7_040), (4_000, 3_400), (1_000, 400), (500, 0)]
 )
 def test_a_short_grace_time_leaves_enough_to_stop(grace: int, drain: int) -> None:
-    """Guards against a process that is killed as it closes what was open."""
+    """Guards against a process that is killed while it closes open connections."""
     assert choose_drain_time(Millis(grace)) == drain
 
 
-async def test_an_entry_stops_in_time_with_answers_open(
+async def test_an_entry_stops_within_its_grace_time_with_open_answers(
     tmp_path: Path, unused_tcp_port_factory: Callable[[], int]
 ) -> None:
-    """The platform kills a process that is still there after its grace time.
+    """Guards against a process that the platform kills at the end of its grace time.
 
-    A caller's answer is still open as the entry gives up on it. Its listener
-    would wait for that answer for a second, and the kill comes before.
+    A caller's answer is still open at the end of the drain. The listener would wait
+    another second for it, and the process would be killed before.
     """
     ports = [unused_tcp_port_factory() for _ in range(3)]
     async with open_place() as place:
--- a/tests/platform/test_limits.py
+++ b/tests/platform/test_limits.py
@@ -1,26 +1,32 @@
-"""Targets that name a rate, before entries that share their work."""
+"""Tests of targets whose answers name a rate, with several entries."""
 
 import asyncio
 
-from tests.platform.places import add_fleet, call_all_for, open_place
+from tests.platform.places import add_fleet, open_place, send_calls_to_all
 
 ENTRIES = 4
 TARGETS = 3
-LIMITED = "i-b1"
+LIMITED_TARGET = "i-b1"
 RATE = 1.0
+"""Rate that the target names, in requests a second."""
 
-BEFORE = 4
+CALLS_BEFORE_LIMIT = 4
 """Calls a second to each entry before a target names its rate. They count in the
-first window, and more of them would fill it before any entry can know."""
+first window, and more would fill it before any entry can know of the rate."""
 
 WINDOW_SECONDS = 4.0
-CONTACT_SECONDS = 3.0
-MOST_IN_A_WINDOW = 1.5 * RATE * WINDOW_SECONDS + 5
-"""What a target that names a rate bears, from CONTACT_SECONDS after it did so."""
+"""Length in seconds of the window over which requests are counted."""
+
+PROPAGATION_SECONDS = 3.0
+"""Time in seconds after which all entries have to keep to a named rate."""
+
+MAX_IN_WINDOW = 1.5 * RATE * WINDOW_SECONDS + 5
+"""Largest number of requests that a target with a rate may get in a window, from
+PROPAGATION_SECONDS after it named the rate."""
 
 
 def count_busiest(arrivals: list[float], since: float) -> int:
-    """Return the most arrivals of a window that ends after a time."""
+    """Return the most arrivals in any window that ends at ``since`` or later."""
     counts = [0]
     for end in arrivals:
         if end >= since:
@@ -29,29 +35,31 @@
 
 
 async def test_a_target_in_need_gets_no_more_than_the_rate_that_it_names() -> None:
-    """Guards against entries that go on as if a target had named no rate."""
+    """Guards against entries that ignore the rate that a target named."""
     async with open_place() as place:
         await add_fleet(place, ENTRIES, TARGETS)
-        await call_all_for(place, "before", 1.0, BEFORE)
-        target = place.targets[LIMITED]
-        target.says = {"Server-Limit": str(RATE)}
+        await send_calls_to_all(place, "before", 1.0, CALLS_BEFORE_LIMIT)
+        target = place.targets[LIMITED_TARGET]
+        target.extra_headers = {"Server-Limit": str(RATE)}
         named_at = asyncio.get_running_loop().time()
-        statuses = await call_all_for(place, "after", 8.0)
-        busiest = count_busiest(target.arrivals, named_at + CONTACT_SECONDS)
-    assert busiest <= MOST_IN_A_WINDOW
+        statuses = await send_calls_to_all(place, "after", 8.0)
+        busiest = count_busiest(target.arrivals, named_at + PROPAGATION_SECONDS)
+    assert busiest <= MAX_IN_WINDOW
     assert set(statuses) == {200}
 
 
-async def test_a_report_without_a_rate_does_not_end_the_need() -> None:
-    """Guards against answers to the entry's own questions that name no rate."""
+async def test_a_report_without_a_rate_does_not_end_the_limit() -> None:
+    """Guards against reports without a rate that end the limit of a target."""
     async with open_place() as place:
         target = await place.add_target("i-e1", "engines")
         entry = await place.add_entry()
         await place.wait_ready(entry, 1)
-        target.says = {"Server-Limit": "1.5"}
+        target.extra_headers = {"Server-Limit": "1.5"}
         headers = place.headers("r-1", Model="m", Token_Count="30,20")
-        async with place.session.post(place.url("/plan/a"), headers=headers) as got:
-            await got.read()
+        async with place.session.post(
+            place.url("/plan/a"), headers=headers
+        ) as response:
+            await response.read()
         known = entry.gateway.known.targets.targets["i-e1"]
         assert known.limit is not None
         assert known.limit.rate == 1.5
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of the store's client, against the stand-in."""
+"""Tests of the client of the store, with a fake store."""
 
 import asyncio
 
@@ -49,13 +49,13 @@
     await fake.stop()
 
 
-async def test_deleted_records_and_outages_are_told_apart() -> None:
+async def test_deleted_records_and_outages_raise_different_errors() -> None:
     fake, store = await open_store()
     await fake.put(TOPIC, "k", b"value")
     fake.delete_before(TOPIC, 1)
     with pytest.raises(LogTruncatedError):
         await store.read_records(TOPIC, 0)
-    fake.away = True
+    fake.unavailable = True
     with pytest.raises(LogUnavailableError):
         await store.read_records(TOPIC, 1)
     await fake.stop()
@@ -70,50 +70,50 @@
     assert decode_records(raw) == [KeyedRecord("k", None)]
 
 
-async def test_a_follower_reads_anew_what_was_deleted_under_it() -> None:
-    """A target that left in the gap would get work for good.
+async def test_a_follower_rereads_a_topic_whose_records_were_deleted() -> None:
+    """Guards against a departed target that would get requests forever.
 
-    The store deletes its history while the follower can't read. The record
-    that told of the departure is gone with it.
+    The store deletes its records while the follower cannot read, and with them the
+    record of the departure.
     """
     fake, store = await open_store()
     await fake.put(TOPIC, "k1", b"value")
     await fake.put(TOPIC, "k2", b"value")
     snapshots: list[set[str]] = []
-    told: list[str] = []
+    reports: list[str] = []
     sink = TopicSink(
         lambda records, end: snapshots.append({record.key for record in records}),
         lambda records, end: None,
-        told.append,
-        lambda: told.append("regained"),
+        reports.append,
+        lambda: reports.append("regained"),
     )
     follower = TopicFollower(store, TOPIC, sink)
     await follower.start()
     await asyncio.sleep(0.1)
-    fake.away = True
+    fake.unavailable = True
     await fake.put(TOPIC, "k3", b"value")
     await asyncio.sleep(0.1)
     await fake.put(TOPIC, "k1", b"")
     fake.delete_before(TOPIC, 4)
-    fake.away = False
+    fake.unavailable = False
     async with asyncio.timeout(3):
         while len(snapshots) < 2:
             await asyncio.sleep(0.02)
     assert snapshots == [{"k1", "k2"}, {"k2", "k3"}]
-    assert told[-1] == "regained"
+    assert reports[-1] == "regained"
     await follower.stop()
     await store.close()
     await fake.stop()
 
 
-async def test_a_follower_that_is_not_wanted_says_that_it_misses_nothing() -> None:
-    """An entry would go on asking engines for their state, which is dear.
+async def test_a_follower_that_stops_reading_reports_the_store_regained() -> None:
+    """Guards against an entry that keeps querying engines, which is costly.
 
-    The store turns the entry away, and others read and tell it. It stops
-    reading, and must not take the store for lost until it reads again.
+    The store rejects the entry, and other entries read and relay the records. The
+    entry stops reading, and must not consider the store lost until it reads again.
     """
     fake, store = await open_store()
-    told: list[str] = []
+    reports: list[str] = []
     wanted = True
     follower = TopicFollower(
         store,
@@ -121,47 +121,47 @@
         TopicSink(
             lambda records, end: None,
             lambda records, end: None,
-            lambda reason: told.append("lost"),
-            lambda: told.append("regained"),
+            lambda reason: reports.append("lost"),
+            lambda: reports.append("regained"),
         ),
         lambda: wanted,
     )
     await follower.start()
     await asyncio.sleep(0.1)
-    fake.away = True
+    fake.unavailable = True
     await fake.put(TOPIC, "k", b"value")
     async with asyncio.timeout(3):
-        while told != ["lost"]:
+        while reports != ["lost"]:
             await asyncio.sleep(0.01)
         wanted = False
-        while told != ["lost", "regained"]:
+        while reports != ["lost", "regained"]:
             await asyncio.sleep(0.01)
     await follower.stop()
     await store.close()
     await fake.stop()
 
 
-async def test_a_follower_outlives_an_error_of_its_sink() -> None:
-    """Callers would be served by an old configuration for good.
+async def test_a_follower_survives_an_error_of_its_sink() -> None:
+    """Guards against an entry that would keep its old configuration forever.
 
-    What takes the records in fails at one of them. The follower reads the
-    topic anew, and later records are taken in.
+    The sink fails at one record. The follower reads the whole topic again, and later
+    records are applied.
     """
     fake, store = await open_store()
-    taken: list[int] = []
+    applied_ends: list[int] = []
 
-    def take(records: object, end: int) -> None:
-        if not taken:
-            taken.append(-1)
-            raise RuntimeError("a record that nobody thought of")
-        taken.append(end)
+    def apply(records: object, end: int) -> None:
+        if not applied_ends:
+            applied_ends.append(-1)
+            raise RuntimeError("unexpected record")
+        applied_ends.append(end)
 
-    sink = TopicSink(take, take, lambda reason: None, lambda: None)
+    sink = TopicSink(apply, apply, lambda reason: None, lambda: None)
     follower = TopicFollower(store, TOPIC, sink)
     await follower.start()
     await fake.put(TOPIC, "k", b"value")
     async with asyncio.timeout(3):
-        while taken[-1:] != [1]:
+        while applied_ends[-1:] != [1]:
             await asyncio.sleep(0.01)
     await follower.stop()
     await store.close()
--- a/tests/standins/test_engine_model.py
+++ b/tests/standins/test_engine_model.py
@@ -1,4 +1,4 @@
-"""The model of one engine: memory, preemption, prefixes, late reports."""
+"""Tests of the engine model: memory, preemption, prefixes and delayed reports."""
 
 import random
 
@@ -21,10 +21,10 @@
 
 
 def test_memory_filling_mid_decode_preempts_the_lowest_then_the_latest() -> None:
-    """Three sequences fit at first and outgrow the memory together.
+    """Three sequences fit at first and later exceed the memory together.
 
-    The engine pushes off the one of lowest priority, then the latest; its
-    caller sees a stall, and its indexes go on where they stopped.
+    The engine preempts the sequence of lowest priority and then the latest one.
+    Their streams stall, and their indexes continue where they stopped.
     """
     engine = EngineModel(EngineProfile(memory_tokens=120))
     engine.start(Sequence("low", 50, prompt_tokens=10, priority=-1), 0)
@@ -41,14 +41,14 @@
 
 
 def test_batch_memory_and_speed_set_the_step() -> None:
-    def time_of(speed: float, others: int) -> float:
+    def measure_end(speed: float, others: int) -> float:
         engine = EngineModel(EngineProfile(speed=speed))
         for number in range(others + 1):
             engine.start(Sequence(str(number), 100, prompt_tokens=200), 0)
         return collect(engine, 60_000)["0"][-1].at
 
-    assert time_of(1, 20) > 1.3 * time_of(1, 0)
-    assert time_of(1, 5) == 4 * time_of(4, 5)
+    assert measure_end(1, 20) > 1.3 * measure_end(1, 0)
+    assert measure_end(1, 5) == 4 * measure_end(4, 5)
 
 
 def test_cached_prefix_saves_prefill_until_it_is_evicted() -> None:
@@ -70,7 +70,7 @@
     assert engine.read_cache_events(1_500) == []
 
 
-def test_report_is_late() -> None:
+def test_load_report_is_delayed() -> None:
     engine = EngineModel(EngineProfile(report_lag=1_000))
     engine.read_load(0)
     engine.start(Sequence("a", 1_000), 500)
@@ -100,7 +100,7 @@
 
 @given(st.integers(0, 2**32))
 @settings(max_examples=50, derandomize=True, deadline=None)
-def test_every_sequence_ends_whole_and_memory_is_given_back(seed: int) -> None:
+def test_every_sequence_is_completed_and_memory_is_freed(seed: int) -> None:
     rng = random.Random(seed)
     engine = EngineModel(EngineProfile(memory_tokens=600, max_running=8))
     lengths = {}
--- a/tests/standins/test_proxy.py
+++ b/tests/standins/test_proxy.py
@@ -1,4 +1,4 @@
-"""Each fault of the proxy, as both ends see it."""
+"""Tests of the faults of the proxy, as observed by the client and the target."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -20,12 +20,12 @@
 )
 from tests.processes import run_figstep
 
-LONG = 30
-SHORT = 0.2
+TIMEOUT_SECONDS = 30
+SHORT_WAIT_SECONDS = 0.2
 
 
-class Echo:
-    """Answers each line with itself and keeps what it got."""
+class EchoServer:
+    """Echo server that records the received lines."""
 
     def __init__(self) -> None:
         self.lines: list[bytes] = []
@@ -43,8 +43,8 @@
 
 
 @asynccontextmanager
-async def run_echo() -> AsyncIterator[tuple[TcpProxy, Echo]]:
-    echo = Echo()
+async def run_echo() -> AsyncIterator[tuple[TcpProxy, EchoServer]]:
+    echo = EchoServer()
     server = await asyncio.start_server(echo.serve, "127.0.0.1", 0)
     proxy = TcpProxy(*server.sockets[0].getsockname())
     await proxy.start()
@@ -68,8 +68,15 @@
         host, port = proxy.address.split(":")
         return cls(*await asyncio.open_connection(host, int(port)))
 
-    async def ask(self, line: bytes, wait: float = LONG) -> bytes | None:
-        """Return the answer, b"" for a closed connection, None for silence."""
+    async def send_line(
+        self, line: bytes, wait: float = TIMEOUT_SECONDS
+    ) -> bytes | None:
+        """Send a line and return the answer.
+
+        Returns:
+            The answer, b"" if the connection is closed, or None if nothing is
+            received for ``wait`` seconds.
+        """
         self.writer.write(line)
         try:
             return await asyncio.wait_for(self.reader.readline(), wait)
@@ -82,28 +89,31 @@
 async def test_passes_bytes_where_no_fault_is_set() -> None:
     async with run_echo() as (proxy, echo):
         client = await Client.connect(proxy)
-        assert await client.ask(b"one\n") == b"one\n"
+        assert await client.send_line(b"one\n") == b"one\n"
         client.writer.close()
-        await asyncio.wait_for(echo.closed.wait(), LONG)
+        await asyncio.wait_for(echo.closed.wait(), TIMEOUT_SECONDS)
 
 
-@pytest.mark.parametrize("fault", [Delay(SHORT), Drip(1, 0.01)])
+@pytest.mark.parametrize("fault", [Delay(SHORT_WAIT_SECONDS), Drip(1, 0.01)])
 async def test_slow_faults_lose_nothing(fault: Delay | Drip) -> None:
     async with run_echo() as (proxy, _):
         client = await Client.connect(proxy)
         proxy.set_fault(fault)
-        assert await client.ask(b"slow\n") == b"slow\n"
+        assert await client.send_line(b"slow\n") == b"slow\n"
 
 
 async def test_stall_holds_bytes_until_lifted() -> None:
     async with run_echo() as (proxy, echo):
         client = await Client.connect(proxy)
-        assert await client.ask(b"one\n") == b"one\n"
+        assert await client.send_line(b"one\n") == b"one\n"
         proxy.set_fault(Stall())
-        assert await client.ask(b"two\n", SHORT) is None
+        assert await client.send_line(b"two\n", SHORT_WAIT_SECONDS) is None
         assert echo.lines == [b"one\n"]
-        proxy.lift()
-        assert await asyncio.wait_for(client.reader.readline(), LONG) == b"two\n"
+        proxy.clear_fault()
+        assert (
+            await asyncio.wait_for(client.reader.readline(), TIMEOUT_SECONDS)
+            == b"two\n"
+        )
 
 
 @pytest.mark.parametrize("fault", ["freeze", "half_open"])
@@ -112,28 +122,28 @@
 ) -> None:
     async with run_echo() as (proxy, echo):
         old = await Client.connect(proxy)
-        assert await old.ask(b"one\n") == b"one\n"
+        assert await old.send_line(b"one\n") == b"one\n"
         assert getattr(proxy, fault)() == 1
-        proxy.lift()
-        assert await old.ask(b"two\n", SHORT) is None
+        proxy.clear_fault()
+        assert await old.send_line(b"two\n", SHORT_WAIT_SECONDS) is None
         new = await Client.connect(proxy)
-        assert await new.ask(b"three\n") == b"three\n"
+        assert await new.send_line(b"three\n") == b"three\n"
         assert b"two\n" not in echo.lines
         assert echo.closed.is_set() is (fault == "half_open")
 
 
-async def test_cut_resets_and_refuse_turns_new_ones_away() -> None:
+async def test_cut_resets_and_refuse_rejects_new_connections() -> None:
     async with run_echo() as (proxy, _):
         client = await Client.connect(proxy)
-        assert await client.ask(b"one\n") == b"one\n"
+        assert await client.send_line(b"one\n") == b"one\n"
         await proxy.refuse()
         with pytest.raises(ConnectionRefusedError):
             await Client.connect(proxy)
-        assert await client.ask(b"two\n") == b"two\n"
+        assert await client.send_line(b"two\n") == b"two\n"
         assert proxy.cut() == 1
-        assert await client.ask(b"three\n") == b""
+        assert await client.send_line(b"three\n") == b""
         await proxy.accept_again()
-        assert await (await Client.connect(proxy)).ask(b"four\n") == b"four\n"
+        assert await (await Client.connect(proxy)).send_line(b"four\n") == b"four\n"
 
 
 @pytest.mark.parametrize(
@@ -144,31 +154,31 @@
     async with run_echo() as (proxy, echo):
         client = await Client.connect(proxy)
         proxy.set_fault(Lose(direction))
-        assert await client.ask(b"lost\n", SHORT) is None
+        assert await client.send_line(b"lost\n", SHORT_WAIT_SECONDS) is None
         assert echo.lines == taken
 
 
-async def test_lost_answer_leaves_the_effect() -> None:
+async def test_request_with_a_lost_answer_takes_effect() -> None:
     async with run_echo() as (proxy, echo):
         proxy.set_fault(LoseAnswers(1, prefix=b"append"))
         client = await Client.connect(proxy)
-        assert await client.ask(b"read\n") == b"read\n"
-        assert await client.ask(b"append\n") == b""
+        assert await client.send_line(b"read\n") == b"read\n"
+        assert await client.send_line(b"append\n") == b""
         assert echo.lines == [b"read\n", b"append\n"]
-        assert await (await Client.connect(proxy)).ask(b"append\n") == b"append\n"
+        assert await (await Client.connect(proxy)).send_line(b"append\n") == b"append\n"
 
 
-async def test_cut_after_so_many_bytes() -> None:
+async def test_connection_is_closed_after_the_given_bytes() -> None:
     async with run_echo() as (proxy, _):
         proxy.set_fault(CutAfter(6))
         client = await Client.connect(proxy)
-        assert await client.ask(b"one\n") == b"one\n"
-        assert await client.ask(b"two\n") == b"tw"
-        assert await (await Client.connect(proxy)).ask(b"three\n") == b"three\n"
+        assert await client.send_line(b"one\n") == b"one\n"
+        assert await client.send_line(b"two\n") == b"tw"
+        assert await (await Client.connect(proxy)).send_line(b"three\n") == b"three\n"
 
 
-class Datagrams(asyncio.DatagramProtocol):
-    """Queues what comes; a server sends it back."""
+class DatagramQueue(asyncio.DatagramProtocol):
+    """Queues received datagrams and, with ``echo``, sends them back."""
 
     def __init__(self, echo: bool) -> None:
         self.echo = echo
@@ -196,30 +206,30 @@
 async def test_datagrams(fault: Delay | None, answered: bool, taken: bool) -> None:
     loop = asyncio.get_running_loop()
     listener, server = await loop.create_datagram_endpoint(
-        lambda: Datagrams(True), local_addr=("127.0.0.1", 0)
+        lambda: DatagramQueue(True), local_addr=("127.0.0.1", 0)
     )
     proxy = UdpProxy(*listener.get_extra_info("sockname"))
     await proxy.start()
     host, port = proxy.address.split(":")
     sender, client = await loop.create_datagram_endpoint(
-        lambda: Datagrams(False), remote_addr=(host, int(port))
+        lambda: DatagramQueue(False), remote_addr=(host, int(port))
     )
     proxy.fault = fault
     sender.sendto(b"hello")
     ends = [(server.received, taken), (client.received, answered)]
     for queue, expected in ends:
         if expected:
-            assert await asyncio.wait_for(queue.get(), LONG) == b"hello"
+            assert await asyncio.wait_for(queue.get(), TIMEOUT_SECONDS) == b"hello"
             continue
         with pytest.raises(TimeoutError):
-            await asyncio.wait_for(queue.get(), SHORT)
+            await asyncio.wait_for(queue.get(), SHORT_WAIT_SECONDS)
     for transport in (listener, sender):
         transport.close()
     await proxy.stop()
 
 
 async def test_runs_as_a_process_under_http_control() -> None:
-    echo = Echo()
+    echo = EchoServer()
     server = await asyncio.start_server(echo.serve, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
     async with (
@@ -228,11 +238,11 @@
     ):
         address = running.url.removeprefix("http://").split(":")
         client = Client(*await asyncio.open_connection(*address))
-        assert await client.ask(b"one\n") == b"one\n"
+        assert await client.send_line(b"one\n") == b"one\n"
         fault = {"kind": "lose", "direction": "to_target"}
         await control.put("/standin/fault", json=fault)
-        assert await client.ask(b"two\n", SHORT) is None
+        assert await client.send_line(b"two\n", SHORT_WAIT_SECONDS) is None
         await control.delete("/standin/fault")
         await control.post("/standin/strike/cut")
-        assert await client.ask(b"three\n") == b""
+        assert await client.send_line(b"three\n") == b""
     server.close()
--- a/tests/test_inventory.py
+++ b/tests/test_inventory.py
@@ -1,4 +1,4 @@
-"""The border of the inventory document."""
+"""Tests of the validation of the inventory document."""
 
 from copy import deepcopy
 from pathlib import Path
@@ -59,13 +59,13 @@
         parse_inventory(document)
 
 
-def test_documents_of_the_first_validation_version_hold_on() -> None:
-    """Guards against a log that an upgraded program can't read any more."""
+def test_documents_of_the_first_validation_version_stay_valid() -> None:
+    """Guards against an upgraded program that cannot read existing logs."""
     document = load_yaml(EXAMPLES / "bavaria.yaml")
     assert parse_version(document, 1) == parse_inventory(document)
     with pytest.raises(InventoryError, match="version 2 or later"):
         parse_version({**document, "evacuated": []}, 1)
 
 
-def test_unknown_validation_version_is_not_judged() -> None:
+def test_unknown_validation_version_is_not_validated() -> None:
     assert parse_version({"members": "of a later version"}, 99) is None
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON object a line, with the request's names and no secret."""
+"""Tests of the logs: one JSON object per line, with ids but without secrets."""
 
 import io
 import json
@@ -11,7 +11,7 @@
 import orjson
 
 from figstep.demo import KEY, MODEL, run_deployment
-from figstep.logs import MOST_LINES, BoundedLinesHandler, JsonLinesHandler
+from figstep.logs import MAX_LINES_PER_SECOND, BoundedLinesHandler, JsonLinesHandler
 from tests.net.test_callers import open_raw
 
 SECRET = "unleavened-secret-words"
@@ -44,7 +44,7 @@
 
 
 async def send_all(url: str) -> None:
-    """Send good and bad requests that hold the secret and the key."""
+    """Send valid and invalid requests that contain the secret and the key."""
     headers = {"Authorization": f"Bearer {KEY}", "X-Deadline-Ms": "300"}
     bodies: list[Any] = [
         {"model": MODEL, "prompt": SECRET, "stream": True},
@@ -103,20 +103,21 @@
     handler = BoundedLinesHandler(writer, "INFO", lambda: now[0])
     log = logbook.Logger("bounded")
     with handler.applicationbound():
-        for _ in range(MOST_LINES + 7):
+        for _ in range(MAX_LINES_PER_SECOND + 7):
             log.info("refused")
         now[0] = 11.0
         log.info("later")
     lines = read_pipe(reader)
-    assert len(lines) == MOST_LINES + 1
+    assert len(lines) == MAX_LINES_PER_SECOND + 1
     assert lines[-1]["lines_left_out"] == 7
 
 
-def test_a_reader_that_stops_reading_holds_up_nobody() -> None:
-    """Every caller would wait for whoever reads the logs.
+def test_a_blocked_log_reader_does_not_block_the_process() -> None:
+    """Guards against callers that wait for the process that reads the logs.
 
-    The reader stops, the pipe fills up, and the next line would wait for it.
-    Lines are left out instead, no line is torn, and the count comes later.
+    When the reader stops, the pipe fills up and the next write would block. Lines
+    must be dropped instead, no line may be cut off, and the next line that is
+    written carries the number of dropped lines.
     """
     reader, writer = os.pipe()
     now = [10.0]
@@ -125,7 +126,7 @@
     with handler.applicationbound():
         for _ in range(300):
             log.info("x" * 1_000)
-        assert handler.left_out > 0
+        assert handler.dropped_lines > 0
         assert read_lines_until_torn(reader) > 0
         now[0] = 11.0
         log.info("later")
--- a/tests/tools/test_compare_days.py
+++ b/tests/tools/test_compare_days.py
@@ -4,23 +4,26 @@
 
 import pytest
 
-from tools.compare_days import Pair, Play, find_difference
+from tools.compare_days import DayRun, Pair, compute_difference
 
-PLAY = Play(Path("site.toml"), "scale-1", None)
+DAY_RUN = DayRun(Path("site.toml"), "scale-1", None)
 
 
-def test_the_error_is_that_of_paired_days() -> None:
-    """Guards against errors of days that differ more than the two ways do."""
+def test_the_error_is_computed_over_pairs() -> None:
+    """Guards against an error computed over days instead of over pairs.
+
+    Scores differ more between days than between the two checkouts.
+    """
     pairs = [
-        Pair(PLAY, 0.2, 0.3, ()),
-        Pair(PLAY, 0.8, 0.9, ()),
-        Pair(PLAY, 0.5, 0.6, ()),
+        Pair(DAY_RUN, 0.2, 0.3, ()),
+        Pair(DAY_RUN, 0.8, 0.9, ()),
+        Pair(DAY_RUN, 0.5, 0.6, ()),
     ]
-    found = find_difference(pairs)
+    found = compute_difference(pairs)
     assert (found.pairs, found.mean) == (3, pytest.approx(0.1))
     assert found.error == pytest.approx(0.0, abs=1e-9)
 
 
 def test_one_pair_has_no_error() -> None:
-    """Guards against a single pair that looks certain."""
-    assert find_difference([Pair(PLAY, 0.2, 0.3, ())]).error is None
+    """Guards against an error of 0 for a single pair, which would look certain."""
+    assert compute_difference([Pair(DAY_RUN, 0.2, 0.3, ())]).error is None
--- a/tools/compare_days.py
+++ b/tools/compare_days.py
@@ -1,9 +1,10 @@
-"""Plays the same days on two checkouts and prints what differs between them.
+"""Runs the same bench days on two checkouts and prints the difference in score.
 
     python -m tools.compare_days --bench BENCH --before DIR --after DIR \
         --site SITE --day scale-1 --day trouble-1 --seed 5 --seed 6
 
-Each pair is the same site, day and seed. Without a seed, a day's own is played.
+Both runs of a pair have the same site, day and seed. Without ``--seed``, the seed
+of the day itself is used.
 """
 
 import asyncio
@@ -21,13 +22,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Play:
-    """One day of one site.
+class DayRun:
+    """One day of one site, as it is run on both checkouts.
 
     Attributes:
-        site: Path of its site file.
+        site: Path of the site file.
         day: Name of the day, or path of a day file.
-        seed: Seed in place of the day's own; None for that one.
+        seed: Seed that replaces the day's own seed, or None to keep that one.
     """
 
     site: Path
@@ -37,9 +38,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Pair:
-    """What a day was worth on both checkouts, and the rules that it broke there."""
+    """Scores of a day on both checkouts.
 
-    play: Play
+    Attributes:
+        day_run: Site, day and seed.
+        before: Score on the first checkout.
+        after: Score on the second checkout.
+        broken: Rules that were broken on either checkout.
+    """
+
+    day_run: DayRun
     before: float
     after: float
     broken: tuple[str, ...]
@@ -47,12 +55,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """Mean difference of some pairs.
+    """Mean difference in score of some pairs.
 
     Attributes:
-        pairs: How many there are.
-        mean: Mean of after less before.
-        error: Its standard error; None of fewer than two pairs.
+        pairs: Number of pairs.
+        mean: Mean of ``after`` minus ``before``.
+        error: Standard error of the mean; None for fewer than two pairs.
     """
 
     pairs: int
@@ -60,8 +68,12 @@
     error: float | None
 
 
-def find_difference(pairs: Iterable[Pair]) -> Difference:
-    """Return the mean difference of pairs and its standard error."""
+def compute_difference(pairs: Iterable[Pair]) -> Difference:
+    """Return the mean difference in score of pairs and its standard error.
+
+    Raises:
+        StatisticsError: If there is no pair.
+    """
     differences = [pair.after - pair.before for pair in pairs]
     error = None
     if len(differences) > 1:
@@ -69,90 +81,104 @@
     return Difference(len(differences), mean(differences), error)
 
 
-async def play_day(
-    bench: Path, checkout: Path, play: Play, why: str
+async def run_day(
+    bench: Path, checkout: Path, day_run: DayRun, why: str
 ) -> dict[str, object]:
-    """Play a day on a checkout; returns the bench's report.
+    """Run a day on a checkout and return the report of the bench.
 
     Raises:
-        RuntimeError: If the bench left no report.
+        RuntimeError: If the bench wrote no report.
     """
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / "report.json"
-        words = [str(bench), "run", str(play.site), play.day, "--report", str(report)]
-        words += ["--why", why]
-        if play.seed is not None:
-            words += ["--seed", str(play.seed)]
+        arguments = [
+            str(bench),
+            "run",
+            str(day_run.site),
+            day_run.day,
+            "--report",
+            str(report),
+        ]
+        arguments += ["--why", why]
+        if day_run.seed is not None:
+            arguments += ["--seed", str(day_run.seed)]
         process = await asyncio.create_subprocess_exec(
-            *words,
+            *arguments,
             cwd=checkout,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
         )
         output, _ = await process.communicate()
         if not report.exists():
-            told = output.decode(errors="replace")[-300:]
-            raise RuntimeError(f"{play.day} of {play.site.stem}: no report: {told}")
+            text = output.decode(errors="replace")[-300:]
+            raise RuntimeError(
+                f"{day_run.day} of {day_run.site.stem}: no report: {text}"
+            )
         found: dict[str, object] = orjson.loads(report.read_bytes())
         return found
 
 
-async def play_pair(
-    bench: Path, before: Path, after: Path, play: Play, why: str
+async def run_pair(
+    bench: Path, before: Path, after: Path, day_run: DayRun, why: str
 ) -> Pair:
-    """Play a day on both checkouts, one beside the other."""
+    """Run a day on both checkouts at the same time."""
     reports = await asyncio.gather(
-        play_day(bench, before, play, why), play_day(bench, after, play, why)
+        run_day(bench, before, day_run, why), run_day(bench, after, day_run, why)
     )
-    worths = [float(str(report["G"])) for report in reports]
+    scores = [float(str(report["G"])) for report in reports]
     broken = []
     for report in reports:
         rules = report.get("breaks")
         broken += sorted(rules) if isinstance(rules, dict) else []
-    return Pair(play, worths[0], worths[1], tuple(broken))
+    return Pair(day_run, scores[0], scores[1], tuple(broken))
 
 
-async def play_pairs(
-    bench: Path, before: Path, after: Path, plays: list[Play], why: str, jobs: int
+async def run_pairs(
+    bench: Path, before: Path, after: Path, day_runs: list[DayRun], why: str, jobs: int
 ) -> list[Pair]:
-    """Play all days, some pairs at a time; prints each pair as it is played."""
+    """Run all days, ``jobs`` pairs at a time; prints each pair when it is done."""
     free = asyncio.Semaphore(jobs)
 
-    async def play_next(play: Play) -> Pair:
+    async def run_next(day_run: DayRun) -> Pair:
         async with free:
-            pair = await play_pair(bench, before, after, play, why)
-        told = f"{play.site.stem:24} {Path(play.day).stem:20} {play.seed or '':>8} "
-        print(f"{told}{pair.before:7.3f} {pair.after:7.3f}", *pair.broken, flush=True)
+            pair = await run_pair(bench, before, after, day_run, why)
+        text = (
+            f"{day_run.site.stem:24} {Path(day_run.day).stem:20}"
+            f" {day_run.seed or '':>8} "
+        )
+        print(f"{text}{pair.before:7.3f} {pair.after:7.3f}", *pair.broken, flush=True)
         return pair
 
-    return list(await asyncio.gather(*(play_next(play) for play in plays)))
+    return list(await asyncio.gather(*(run_next(day_run) for day_run in day_runs)))
 
 
 def print_differences(pairs: list[Pair]) -> None:
-    """Print the mean difference of each deployment, and of all."""
-    sites = sorted({pair.play.site.stem for pair in pairs})
-    groups = [(site, [p for p in pairs if p.play.site.stem == site]) for site in sites]
+    """Print the mean difference of each site, and of all sites."""
+    sites = sorted({pair.day_run.site.stem for pair in pairs})
+    groups = [
+        (site, [p for p in pairs if p.day_run.site.stem == site]) for site in sites
+    ]
     for name, group in [*groups, ("all", pairs)]:
-        found = find_difference(group)
+        found = compute_difference(group)
         error = "" if found.error is None else f" ({found.error:.3f})"
         print(f"{name:24} {found.mean:+.3f}{error} of {found.pairs} pairs")
 
 
 def main(
     bench: Annotated[Path, typer.Option(help="The bench's program.")],
-    before: Annotated[Path, typer.Option(help="Checkout with the way that stands.")],
-    after: Annotated[Path, typer.Option(help="Checkout with the other way.")],
+    before: Annotated[Path, typer.Option(help="Checkout with the current code.")],
+    after: Annotated[Path, typer.Option(help="Checkout with the modified code.")],
     site: Annotated[list[Path], typer.Option(help="Site file; may be repeated.")],
     day: Annotated[list[str], typer.Option(help="Day; may be repeated.")],
     seed: Annotated[list[int] | None, typer.Option(help="May be repeated.")] = None,
     why: Annotated[str, typer.Option(help="Reason for the journal.")] = "pair",
     jobs: Annotated[int, typer.Option(help="Pairs at a time.")] = 1,
 ) -> None:
-    """Play days on two checkouts and print the mean difference of their worth."""
+    """Run days on two checkouts and print the mean difference in score."""
     seeds: list[int | None] = [*seed] if seed else [None]
-    plays = [Play(*each) for each in itertools.product(site, day, seeds)]
-    work = play_pairs(
-        bench.resolve(), before.resolve(), after.resolve(), plays, why, jobs
+    day_runs = [DayRun(*each) for each in itertools.product(site, day, seeds)]
+    work = run_pairs(
+        bench.resolve(), before.resolve(), after.resolve(), day_runs, why, jobs
     )
     print_differences(asyncio.run(work))
 
