--- a/figstep/gateway/budgets.py
+++ b/figstep/gateway/budgets.py
@@ -3,7 +3,8 @@
 In any window a service may get repeats up to a ratio of its requests plus an
 allowance, summed over all entries. Entries report their use to each other, so that
 one that has many streams on a leaving engine may use what the others don't need. An
-entry that does not receive the reports of some others keeps to an equal share.
+entry that does not receive the reports of some others keeps to the ratio of its own
+requests plus an equal share of the allowance.
 """
 
 from collections import deque
@@ -12,38 +13,46 @@
 from figstep.core.clock import Millis
 
 SHARED_FRACTION = 0.6
-"""Fraction of the fleet's bound that is used while all entries report to each other.
+"""Fraction of the fleet's bound for repeats that are not urgent.
 
-A message takes up to 0.1 s; the rest of the bound covers the repeats that all entries
-start meanwhile.
+It applies while all entries report to each other, and `URGENT_RESERVE_FRACTION` is then
+taken off as well. A message takes up to 0.1 s; the rest of the bound covers the repeats
+that all entries start meanwhile.
 """
 
 URGENT_FRACTION = 0.8
-"""Fraction of the fleet's bound that is used for streams whose engine leaves.
+"""Fraction of the fleet's bound for streams whose engine leaves, stalls or was lost.
 
-A stream that is denied a repeat would be lost. The rest of the bound covers what all
-entries start within the time of one message.
+It applies while all entries report to each other. A stream that is denied a repeat
+would be lost. The rest of the bound covers the repeats that all entries start within
+the time of one message.
 """
 
 ISOLATED_FRACTION = 0.7
 """Fraction of an entry's own share that is used while reports of others are missing.
 
-Windows slide, and a target counts a repeat some milliseconds after it was sent.
+It also applies to an entry that knows no others. Windows slide, and a target counts a
+repeat some milliseconds after it was sent: a repeat that has left the window here may
+still be in the target's.
 """
 
 UNKNOWN_ENTRIES = 4
-"""Entries that may exist without having reported: new or restarting ones."""
+"""Number of entries that may exist without having reported: new or restarting ones.
+
+The allowance is divided among them too while reports of other entries are missing.
+"""
 
 URGENT_RESERVE_FRACTION = 0.3
-"""Fraction of the bound that is reserved for streams whose engine leaves.
+"""Fraction of the bound reserved for streams whose engine leaves, stalls or was lost.
 
-One of these is worth tens of short requests that could be retried instead.
+Losing one such stream costs as much as losing tens of short requests, which could be
+repeated with the reserve instead.
 """
 
 
 @dataclass(slots=True)
 class ServiceUse:
-    """Requests and repeats sent to one service.
+    """This entry's requests and repeats at one service within the window.
 
     Attributes:
         requests: Monotonic times of requests in milliseconds, oldest first.
@@ -94,11 +103,13 @@
 
     Attributes:
         ratio: Repeats per request.
-        allowance: Repeats of the whole fleet beyond the ratio, per window.
+        allowance: Repeats of the whole fleet beyond the ratio, per service and window.
         window: Length of the sliding window in milliseconds.
-        started: When this entry started; until a window has passed, repeats of its
-            earlier process may still count.
-        first_start: Whether no earlier process of this entry can have sent anything.
+        started: Monotonic time in milliseconds at which this entry started. For one
+            window from then, repeats of its earlier process may still count, and its
+            share of the allowance is 0 while reports of other entries are missing.
+        first_start: Whether no earlier process of this entry can have sent anything;
+            the share is then not set to 0.
         uses: Requests and repeats sent, by service.
     """
 
@@ -122,11 +133,14 @@
     ) -> bool:
         """Return whether one more repeat keeps the fleet within its bound.
 
+        Nothing is reserved: `record_repeat` counts a repeat.
+
         Args:
             service: Service that the repeat goes to.
             fleet: Requests and repeats of the other entries for this service.
             now: Monotonic time in milliseconds.
-            urgent: Whether the repeat may use the reserve for urgent streams.
+            urgent: Whether the repeat is for a stream that would be lost without it; it
+                may use the reserve.
         """
         use = self._trim(service, now)
         usable_fraction = 1.0 if urgent else 1.0 - URGENT_RESERVE_FRACTION
@@ -152,7 +166,10 @@
         return len(self._trim(service, now).repeats)
 
     def report(self, now: Millis) -> tuple[UseReport, ...]:
-        """Return the requests and repeats sent to each service within the window."""
+        """Return this entry's requests and repeats within the window, by service.
+
+        Services without any are left out.
+        """
         reports = []
         for service in list(self.uses):
             use = self._trim(service, now)
--- a/figstep/gateway/departures.py
+++ b/figstep/gateway/departures.py
@@ -2,9 +2,9 @@
 
 The case handled here is a fleet that cannot read the store while targets leave: their
 registrations stay as they were, and only the targets themselves know. What a target has
-announced to any entry holds for all entries, and permanently: earlier registrations are
-read again and again, from the store as it comes back and from copies that other entries
-hold.
+announced to any entry holds for all entries, and for `LEAVING_RETENTION`: earlier
+registrations are read again and again, from the store as it comes back and from copies
+that other entries hold.
 """
 
 from collections.abc import Iterable
@@ -17,7 +17,10 @@
 
 
 def handle_leaving(state: State, incarnation: Incarnation, now: Millis) -> list[Effect]:
-    """Handle a target's announcement to this entry that it leaves."""
+    """Handle a target's announcement to this entry that it leaves.
+
+    Other entries are informed at once if the target was not known to leave.
+    """
     state.departures[incarnation] = Departure(now, own=True)
     target = state.targets.find(incarnation.target)
     if target is None or target.info.incarnation != incarnation:
@@ -32,7 +35,14 @@
 def apply_leaving_reports(
     state: State, leaving: Iterable[Incarnation], source: str, now: Millis
 ) -> list[Effect]:
-    """Apply another entry's report of targets that leave."""
+    """Apply another entry's report of targets that leave.
+
+    Args:
+        state: The gateway's state.
+        leaving: Incarnations that have announced that they leave.
+        source: Name of the entry that reports them, for the log.
+        now: Monotonic time in milliseconds.
+    """
     effects: list[Effect] = []
     for incarnation in leaving:
         state.departures.setdefault(incarnation, Departure(now, own=False))
@@ -62,7 +72,7 @@
 
 
 def remove_expired(state: State, now: Millis) -> None:
-    """Remove announcements of which no earlier registration can be read any more."""
+    """Remove announcements that are older than `LEAVING_RETENTION`."""
     for incarnation, departure in list(state.departures.items()):
         if now - departure.at >= LEAVING_RETENTION:
             del state.departures[incarnation]
--- a/figstep/gateway/news.py
+++ b/figstep/gateway/news.py
@@ -1,9 +1,10 @@
 """Content and timing of an entry's messages to its failure domain in a large fleet.
 
-What limits the design is the size of the fleet: each entry receives the messages of all
-others in its failure domain, so the size and frequency of messages determine the cost
-of control traffic. All loads are sent every two seconds, and in between the loads that
-differ from these. A lost message is made good by the next one.
+Each entry receives the messages of all others in its failure domain, so the size and
+frequency of messages determine the cost of control traffic. All loads are sent every
+two seconds in a full message; the partial messages in between hold the loads that
+differ from it. The next message makes up for a lost partial one, the next full message
+for a lost full one.
 """
 
 from collections.abc import Hashable
@@ -14,19 +15,21 @@
 from figstep.gateway.peers import select_changed
 
 FULL_REPORT_INTERVAL = Millis(2_000)
-"""Time, in milliseconds, between two messages with all loads. It bounds how long the
-growth of runs, and the content of a lost message, stay unknown to other entries."""
+"""Time, in milliseconds, between two messages with all loads. Small growth of runs, and
+the loads in a lost full message, stay unknown to other entries for about that long."""
 
 
 @dataclass(slots=True)
 class LoadUpdates:
-    """What was last sent to the other entries, to select what they must learn next.
+    """Content of the last messages, from which the next one is derived.
 
     Attributes:
-        full_report_at: When all loads were last sent; None for never.
-        full_report: The loads that were sent then, by target.
-        last: Loads as the other entries know them now, by target.
-        urgent_fields: Urgent fields of the last message.
+        full_report_at: Monotonic time in milliseconds of the last full message; None
+            for never.
+        full_report: Loads in the last full message, by target.
+        last: Loads that the messages so far describe, by target.
+        urgent_fields: Fields of the last message whose change cannot wait, as listed
+            in `_read_urgent_fields`.
     """
 
     full_report_at: Millis | None = None
@@ -35,13 +38,22 @@
     urgent_fields: Hashable = None
 
     def has_urgent_changes(self, own: PeerHeard) -> bool:
-        """Return whether a change cannot wait for the next full message."""
+        """Return whether a change since the last message cannot wait.
+
+        Such a change is one of an urgent field, or of a load as `select_changed` counts
+        it.
+        """
         if self.urgent_fields != _read_urgent_fields(own):
             return True
         return bool(select_changed(self.last, own.loads))
 
     def select(self, own: PeerHeard, now: Millis) -> PeerHeard:
-        """Return the message to send now, and record it as sent."""
+        """Return the message to send now, and record it as sent.
+
+        It is full once `FULL_REPORT_INTERVAL` has passed since the last full message.
+        Otherwise it is partial: it holds the loads that differ from the full message,
+        and only suspicions that are younger than the interval.
+        """
         self.urgent_fields = _read_urgent_fields(own)
         if (
             self.full_report_at is None
@@ -62,7 +74,10 @@
 
 
 def strip_ages(own: PeerHeard) -> PeerHeard:
-    """Return a message with all ages set to zero, as a new age alone is no change."""
+    """Return a message with the ages of rates, suspicions and clearances set to zero.
+
+    A new age alone is no change that has to be sent.
+    """
     if not (own.rates or own.suspicions or own.clearances):
         return own
     ageless = Millis(0)
@@ -75,10 +90,11 @@
 
 
 def _read_urgent_fields(own: PeerHeard) -> Hashable:
-    """Return the fields of a message that cannot wait, apart from its loads.
+    """Return the fields of a message whose changes cannot wait, apart from its loads.
 
     Of the requests and repeats of each service, only the repeats are urgent: requests
     raise the retry budget, so that a late report of them is safe; repeats use it up.
+    Ages are left out, as they change all the time.
     """
     return (
         own.closing,
--- a/figstep/gateway/recovery.py
+++ b/figstep/gateway/recovery.py
@@ -18,10 +18,11 @@
 from figstep.gateway.targets import Target
 
 MAX_SENDS = 4
-"""Most targets that one request reaches, refusals included.
+"""Maximum number of attempts that reach a target before a request is refused.
 
-Under overload each further target would refuse as well, at the cost of the caller's
-time.
+It limits requests that the last target did not run. Refused attempts and standbys
+count, attempts without a connection don't. Under overload each further target would
+refuse as well, at the cost of the caller's time.
 """
 
 NOT_RUN = frozenset({Loss.UNREACHED, Loss.REFUSED, Loss.MISDIRECTED})
@@ -65,7 +66,8 @@
         # Until peers know, they also try this target, or copy runs to it.
         effects.append(Announce())
     if not was_current and request.current is not None:
-        # The run continues where it was; its copy was used up or never arrived.
+        # The standby was lost. The current attempt continues, but its running backup
+        # was used up or never arrived.
         request.current.backup_unusable = True
         return effects
     if request.standby is not None:
@@ -90,7 +92,7 @@
             target.record_failure()
             crashes.record_answer(state, target, attempt.opened)
         case Loss.MISDIRECTED:
-            # Another target has its address: this one has ended for good.
+            # Another target has the address, so the intended target has ended.
             target_effects = crashes.record_end(state, target, now)
             state.targets.record_departure(target.name, now)
             return target_effects
@@ -105,7 +107,7 @@
     state: State, target: Target, down: bool, now: Millis
 ) -> list[Effect]:
     target.record_loss(now, False)
-    # It may restart under its old registration, and be cold then.
+    # The target may restart before a new registration of it is read, and be cold.
     warmups.assume_cold(state, target, target.backoff_until)
     return crashes.record_end(state, target, now) if down else []
 
@@ -170,8 +172,11 @@
 def _try_elsewhere(
     state: State, request: Request, event: AttemptLost, now: Millis
 ) -> list[Effect]:
-    """Send a request that did not run to another target, within the retry budget."""
-    # A target without a connection cost only the caller's time, so it doesn't count.
+    """Place a request anew that its target did not run, or refuse it.
+
+    A repeat is taken from the retry budget only if the lost attempt had a connection.
+    """
+    # A failed connection reached no target, so it doesn't count.
     if (
         request.attempts_sent - request.unreached >= MAX_SENDS
         or now >= request.deadline
@@ -184,7 +189,7 @@
 
 
 def _may_run_again(request: Request) -> bool:
-    # Runs count against the route's attempts; refusals don't.
+    # Lost attempts that may have run count against the route's limit; others don't.
     return request.lost_runs < request.route.attempts
 
 
@@ -193,7 +198,8 @@
 ) -> list[Effect]:
     """Run an idempotent request again, if budget, deadline and free capacity permit.
 
-    Returns no effects if it can't be run again.
+    Returns no effects if they don't. A request that is refused because it crashes
+    targets is ended instead.
     """
     if now >= request.deadline:
         return []
@@ -208,10 +214,10 @@
 
 
 def abandon_silent_attempts(state: State, now: Millis) -> list[Effect]:
-    """Abandon attempts of idempotent requests whose target is silent for too long.
+    """Abandon attempts of idempotent requests that got no answer for too long.
 
     An attempt is kept if it is the last that the route allows, if its stream has begun,
-    or if the retry budget has no repeat left.
+    or if the retry budget has no repeat left. Standby attempts are not checked.
     """
     effects: list[Effect] = []
     for attempt in list(state.attempts.values()):
@@ -232,12 +238,13 @@
 
 
 def choose_silence_timeout(request: Request) -> Millis:
-    """Return how long an attempt may be silent before another is made, in milliseconds.
+    """Return how many milliseconds after its opening a silent attempt is abandoned.
 
-    Half of the time to the deadline leaves the second attempt as long as the first, and
-    a target's usual answer takes a small part of it. A stream gets all of that half
-    while its prompt is read slowly: reading it on another engine would be late as well,
-    and lose what was read. Other requests wait for three objectives at most.
+    It is half of the request's time limit, from its arrival to its deadline: this
+    leaves the second attempt as long as the first, and a target's usual answer takes a
+    small part of it. A stream gets all of that half, as its prompt may be read slowly:
+    reading it on another engine would be late as well, and lose what was read. Other
+    requests get three objectives at most.
     """
     total = request.deadline - request.arrived
     if request.route.kind is RouteKind.STREAM:
