--- a/figstep/gateway/effects.py
+++ b/figstep/gateway/effects.py
@@ -31,11 +31,11 @@
         attempt: Number of the attempt, unique in this process.
         target: Target to send the request to.
         customer: Name of the request's customer, or "".
-        deadline: Monotonic time at which the target may stop work.
+        deadline: Monotonic time in milliseconds at which the target may stop work.
         priority: Urgency for the engine; 0 is the most urgent. None for plain services.
-        backup: Target that gets a running backup, or "".
+        backup: Target that is to keep a running backup of the run, or "".
         source: Copy of the run to resume from, or None.
-        after: Id of the last event that is not needed again, or None.
+        after: Id of the last event that the caller has received; None if it has none.
         stream: Whether the answer is a stream of events.
     """
 
@@ -103,19 +103,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Announce:
-    """Report to the other entries at once what this one knows and has open."""
+    """Send this entry's state and open work to its local entries at once.
+
+    They are all other entries in a small fleet, and those of the entry's own failure
+    domain in a large one.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class AnnounceTarget:
-    """Report to other failure domains at once what this one has open at a target."""
+    """Send other failure domains this one's open work at a target, at once.
+
+    Attributes:
+        target: Target whose load, summed over the entries of this failure domain, is
+            sent.
+    """
 
     target: str
 
 
 @dataclass(frozen=True, slots=True)
 class BeginStream:
-    """Start the caller's answer with the headers that an attempt received."""
+    """Start the caller's answer with the headers that an attempt received.
+
+    Attributes:
+        number: Number of the request.
+        attempt: Number of the attempt.
+    """
 
     number: int
     attempt: int
@@ -145,7 +159,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Send the caller the whole answer that an attempt received."""
+    """Send the caller the complete answer that an attempt received.
+
+    Attributes:
+        number: Number of the request.
+        attempt: Number of the attempt.
+    """
 
     number: int
     attempt: int
--- a/figstep/gateway/places.py
+++ b/figstep/gateway/places.py
@@ -5,7 +5,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evacuations:
-    """Failure domains whose targets get no more work.
+    """Failure domains whose targets get no new work, as of one store position.
 
     Attributes:
         domains: Names of the evacuated failure domains.
--- a/figstep/gateway/prompts.py
+++ b/figstep/gateway/prompts.py
@@ -6,14 +6,14 @@
 """Expected tokens of an answer whose caller gives neither hint nor maximum."""
 
 MIN_RESERVED_GROWTH = 128
-"""Least tokens of growth that are reserved for a run.
+"""Minimum tokens of growth that are reserved for a run.
 
-Half of all runs exceed their hint, and a run that has done so gives no indication of
-its end.
+Half of all runs exceed their hint, and for a run that has done so nothing indicates
+when it will end.
 """
 
 MAX_RESERVED_GROWTH = 320
-"""Most tokens of growth that are reserved for a run: about two seconds of generation.
+"""Maximum tokens of growth reserved for a run: about two seconds of generation.
 
 Later growth uses memory that other runs have freed by then.
 """
@@ -26,7 +26,7 @@
     Attributes:
         model: Model that is requested.
         tokens: Tokens of the prompt.
-        max_output: Most tokens that may be generated; 0 if the caller gives no maximum.
+        max_output: Maximum number of tokens to generate; 0 if the caller gives none.
         hint: The caller's estimate of the output, in tokens; None if not given.
         parts: Ids and token counts of the parts of the prompt, in order.
     """
@@ -39,7 +39,7 @@
 
     @property
     def expected_output(self) -> int:
-        """Expected tokens of the answer."""
+        """Expected tokens of the answer: the hint or the default, up to the maximum."""
         if self.hint is None:
             return min(self.max_output or DEFAULT_OUTPUT_TOKENS, DEFAULT_OUTPUT_TOKENS)
         return max(1, min(self.hint, self.max_output or self.hint))
@@ -48,7 +48,7 @@
         """Return the tokens of memory that the run needs within the next seconds.
 
         Args:
-            generated: Tokens that it has generated so far.
+            generated: Tokens that the run has generated so far.
         """
         growth = self.expected_output - generated
         growth = max(MIN_RESERVED_GROWTH, min(MAX_RESERVED_GROWTH, growth))
--- a/figstep/gateway/refusals.py
+++ b/figstep/gateway/refusals.py
@@ -1,4 +1,4 @@
-"""Requests that were refused for lack of capacity, so that retries are recognized."""
+"""Table of recently refused generations, by which their retries are recognized."""
 
 from dataclasses import dataclass, field
 
@@ -7,26 +7,28 @@
 REFUSAL_RETENTION = Millis(15_000)
 """Milliseconds for which a refusal is remembered.
 
-Callers retry within a third of the time to their deadline.
+It exceeds the longest Retry-After of a refusal for lack of capacity: a third of the
+time to the deadline and 8 s at most, and up to a quarter more at random.
 """
 
 REFUSAL_ANNOUNCE_DURATION = Millis(2_000)
-"""Milliseconds for which peers are told of a refusal.
+"""Milliseconds for which a refusal is included in messages to peers.
 
-They are told at least twice, as a datagram may be lost.
+Entries send a message at least once a second, so that most refusals are sent twice or
+more often, as a datagram may be lost.
 """
 
 MAX_ANNOUNCED_REFUSALS = 16
-"""Most refusals in one message to peers."""
+"""Maximum number of refusals in one message to peers; the newest are sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A request that was refused.
+    """A refused request, as described to peers.
 
     Attributes:
         digest: Digest of the request; a retry has the same.
-        age: Milliseconds since the caller first sent the request.
+        age: Milliseconds since the request first arrived at any entry.
     """
 
     digest: str
@@ -47,7 +49,14 @@
     _known: dict[str, _KnownRefusal] = field(default_factory=dict)
 
     def record_own(self, digest: str, first_arrived: Millis, now: Millis) -> None:
-        """Record a request that this entry refuses."""
+        """Record a request that this entry refuses.
+
+        Args:
+            digest: Digest of the request.
+            first_arrived: Monotonic time in milliseconds at which the request first
+                arrived at any entry.
+            now: Monotonic time in milliseconds.
+        """
         self._known[digest] = _KnownRefusal(first_arrived, now, True)
 
     def record_announced(self, refusal: Refusal, now: Millis) -> None:
@@ -56,16 +65,21 @@
         self._known.setdefault(refusal.digest, known)
 
     def pop_first_arrival(self, digest: str) -> Millis | None:
-        """Remove a refused request and return when its caller first sent it.
+        """Remove a refused request and return when it first arrived at any entry.
 
-        Returns None for a request that is not known as refused. The record is removed
-        because callers may send the same request anew later.
+        The time is monotonic, in milliseconds; None for a request that is not known as
+        refused. The record is removed so that only the next arrival counts as a retry:
+        callers may send the same request again later.
         """
         known = self._known.pop(digest, None)
         return None if known is None else known.first_arrived
 
     def list_announced(self, now: Millis) -> tuple[Refusal, ...]:
-        """Return the refusals that peers are told, the newest last."""
+        """Return this entry's own recent refusals for the next message to peers.
+
+        They are in the order in which they were recorded; refusals that peers announced
+        are not passed on.
+        """
         announced = []
         for digest, known in self._known.items():
             if known.own and now - known.refused_at < REFUSAL_ANNOUNCE_DURATION:
--- a/figstep/gateway/routes.py
+++ b/figstep/gateway/routes.py
@@ -8,11 +8,11 @@
 
 
 class RouteKind(Enum):
-    """Whether a route's requests may be repeated."""
+    """Whether a route's answers are streams, and how often its requests may run."""
 
     SAFE = "safe"  # may run more than once
-    UNSAFE = "unsafe"  # runs at most once per attempt of a caller
-    STREAM = "stream"  # a series of events; runs at most once unless resumable
+    UNSAFE = "unsafe"  # not sent again once a target may have run it
+    STREAM = "stream"  # a series of events; may run anew only if resumable
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,16 +23,20 @@
         name: Name of the route.
         host: Host that it belongs to, in lower case.
         prefix: Start of the paths that it matches; begins and ends with a slash.
-        kind: Whether its requests may be repeated.
+        kind: Whether its answers are streams, and how often its requests may run.
         shares: Names of services and their weights.
-        attempts: Most targets that may run one request.
-        timeout: Longest time in milliseconds that a caller may be kept waiting.
+        attempts: Maximum number of attempts of an idempotent request that may have run;
+            attempts that are known not to have run don't count.
+        timeout: Time limit in milliseconds from a request's arrival to the end of its
+            answer; a caller may set a shorter one.
         objective: Intended time in milliseconds to the answer, or to the first event
             of a stream.
-        longest_pause: Longest pause in milliseconds between events of a stream on time.
+        longest_pause: Longest pause in milliseconds between deliveries with which a
+            stream is still on time.
         priority: Urgency of its requests; 0 is the most urgent.
         public: Whether callers without a key may use it.
-        resumable: Whether a stream may continue as a new run on another engine.
+        resumable: Whether a stream may continue as a new run, without a copy, on
+            another engine.
         allowed_regions: Regions that its requests may be sent to; None for any.
     """
 
@@ -71,12 +75,14 @@
     """Common properties of all engines of a service.
 
     Attributes:
-        slots: Requests that one engine batches.
+        slots: Maximum number of requests that one engine batches.
         memory: Cache memory of one engine, in tokens.
-        backups: Whether an engine keeps running copies of other engines' runs.
-        moves: Whether an engine copies a run to another engine on order.
+        backups: Whether an engine can keep running backups: copies of other engines'
+            runs that grow with them.
+        moves: Whether an engine copies a run to another engine on order; the run
+            itself continues where it is.
         event_tokens: Tokens in one event of a stream.
-        copy_retention: Least time in milliseconds that a copy made on order is kept.
+        copy_retention: Minimum time in milliseconds that a copy made on order is kept.
     """
 
     slots: int
@@ -93,7 +99,8 @@
 
     Attributes:
         name: Name of the service.
-        connections: Connections that one target accepts from all callers.
+        connections: Configured number of connections that one target accepts; the
+            gateway does not enforce it.
         engine: Common properties of its engines; None for a plain service.
         warmup: Milliseconds that a target is cold after its start.
         warmup_rate: Requests a second that a cold target can handle; 0 for no limit.
@@ -108,11 +115,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Limits on a caller's connections and requests.
+    """Limits on callers' connections and requests, as configured.
+
+    The gateway enforces only `body_bytes`; the listeners have limits of their own.
 
     Attributes:
-        header_bytes: Largest size of all headers.
-        body_bytes: Largest size of a body.
+        header_bytes: Maximum size of all headers, in bytes.
+        body_bytes: Maximum size of a body, in bytes.
         header_timeout: Milliseconds that a request's headers may take.
         idle_timeout: Milliseconds that a connection may stay without a request.
     """
@@ -125,10 +134,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """Customer that a key belongs to.
+    """Customer that an API key belongs to.
 
     Attributes:
-        name: Name of the customer, which targets are told.
+        name: Name of the customer, which is sent to targets.
         priority: Urgency that replaces the route's; None if the route's applies.
         allowed_regions: Regions that the customer's requests may be sent to; None for
             any.
@@ -145,9 +154,10 @@
 
     Attributes:
         version: Version number; a higher one replaces a lower one.
-        routes: Routes by host, the longest prefix first.
+        routes: Routes by host in lower case, the longest prefix first; `find_route`
+            relies on the order.
         services: Services by name.
-        customers: Customers by key; None if callers need no key.
+        customers: Customers by API key; None if callers need no key.
         limits: Limits on what callers may send.
     """
 
