--- a/figstep/gateway/admission.py
+++ b/figstep/gateway/admission.py
@@ -1,8 +1,8 @@
 """Decides which requests wait for capacity and when refused callers retry.
 
-These rules are meant for a pool that stays full: more callers arrive than engines
+These rules are meant for a pool that stays full: requests arrive faster than engines
 finish runs. Each position in the queue then has a predictable wait, and a caller that
-can't be served within it is better off learning so at once.
+can't be served within its limit is better refused at once.
 """
 
 from figstep.core.clock import Millis
@@ -24,15 +24,17 @@
 """
 
 MIN_QUEUE_LIMIT = 2
-"""Requests that may always wait at an entry, however few it has started recently.
+"""Minimum of the limit on a service's requests that wait at an entry.
 
-A new engine brings capacity for many requests at once.
+It holds however few requests the entry has started recently: a new engine brings
+capacity for many requests at once. Less urgent requests don't count.
 """
 
 RETURNED_WAIT_OBJECTIVE_FRACTION = 0.25
-"""Wait always granted to a request, as a fraction of its objective, from this arrival.
+"""Minimum wait from the arrival at this entry, as a fraction of the objective.
 
-It matters for a request that was refused before and has used up its wait.
+It matters for a request that was refused before and has used up its wait. The bound of
+`WAIT_DEADLINE_FRACTION` holds as well.
 """
 
 START_RATE_WINDOW = Millis(4_000)
@@ -54,16 +56,19 @@
 """
 
 RETRY_AFTER_DIVISOR = 3
-"""Divisor of the time to the deadline that gives the upper bound of Retry-After."""
+"""Divisor of the time to the deadline that gives the upper bound of Retry-After.
+
+`MIN_RETRY_AFTER` holds even so, and a random part is added to the result.
+"""
 
 
 def find_wait_limit(state: State, request: Request, now: Millis) -> Millis:
-    """Return the time until which a request may wait for capacity."""
+    """Return the monotonic time in milliseconds until which a request may wait."""
     objective = request.route.objective
     share = WAIT_OBJECTIVE_FRACTION
     if _is_overloaded(state, request.service, now):
-        # Capacity goes to requests that can still meet their objective; late ones would
-        # wait in vain.
+        # Capacity goes to requests that can still meet their objective; late ones
+        # would get none.
         share = placement.LATE_OBJECTIVE_FRACTION
     wait = max(
         request.first_arrived + round(objective * share),
@@ -79,7 +84,12 @@
 
 
 def can_wait(state: State, request: Request, now: Millis) -> bool:
-    """Return whether a request without a target may expect capacity within its wait."""
+    """Return whether a request without a target is expected to get one in its wait.
+
+    Fewer requests must wait ahead of it than started within a time as long as its
+    remaining wait, or than `MIN_QUEUE_LIMIT`. A target must also allow one more request
+    before the end of that wait.
+    """
     limit = find_wait_limit(state, request, now)
     if now >= limit or not placement.can_send_before(state, request, now, limit):
         return False
@@ -97,7 +107,7 @@
 
 
 def record_start(state: State, request: Request, now: Millis) -> None:
-    """Record the start of a request."""
+    """Record the start of a request, as a measure of the service's capacity."""
     starts = state.start_times.setdefault(request.service, [])
     starts[:] = [at for at in starts if now - at < START_RATE_WINDOW]
     starts.append(now)
@@ -110,9 +120,10 @@
 def choose_retry_after(state: State, request: Request, now: Millis) -> Millis:
     """Return the Retry-After of a refused request in milliseconds.
 
-    Returns are scheduled one after another, behind the queued requests, and no faster
-    than capacity is expected, so that a caller that keeps to its time isn't refused
-    again. A random part keeps callers of different entries apart.
+    Returns of callers are scheduled one after another, behind the queued requests, and
+    no faster than capacity is expected, so that a caller that keeps to its time isn't
+    refused again. A random part of up to a quarter keeps callers of different entries
+    apart. The return is recorded, and the service marked as overloaded.
     """
     started = _count_starts(state, request.service, now, START_RATE_WINDOW)
     interval = START_RATE_WINDOW // max(1, started)
--- a/figstep/gateway/attempts.py
+++ b/figstep/gateway/attempts.py
@@ -18,21 +18,21 @@
 BASE_PRIORITY = 4
 """Engine priority of a run of the most urgent route, from 0 to 9; 0 is the most urgent.
 
-Runs that resume on another engine get a more urgent one, less urgent routes a less
-urgent one.
+The priority of a request, which is larger the less urgent it is, is added. Runs that
+resume from a copy get `RESUMED_PRIORITY` instead.
 """
 
 RESUMED_PRIORITY = 1
-"""Engine priority of a run that resumes from a copy: its caller waits in mid-answer."""
+"""Engine priority of a run that resumes from a copy; its answer has already begun."""
 
 LOWEST_PRIORITY = 9
-"""Least urgent engine priority."""
+"""Least urgent engine priority, and the upper bound of a run's priority."""
 
 
 def start_attempt(
     state: State, request: Request, target: Target, now: Millis
 ) -> list[Effect]:
-    """Send a request to a target as a run from its start."""
+    """Send a request to a target that runs it from the start, not from a copy."""
     choice_fields: dict[str, str | int | float | None] = {}
     if request.spec.prompt is not None:
         # The fields describe the engine as it was when it was chosen.
@@ -50,10 +50,10 @@
 
 
 def _is_remote_in_large_fleet(state: State, target: Target) -> bool:
-    """Return whether peers must learn at once of an attempt at a target.
+    """Return whether other failure domains must learn at once of a prompt at a target.
 
     In a large fleet, failure domains with few engines of their own use those of others.
-    Told a moment later, all of them would choose the same engine meanwhile.
+    If they learned of a prompt a moment later, all would choose the same engine.
     """
     if not state.is_large:
         return False
@@ -63,9 +63,10 @@
 def start_standby(
     state: State, request: Request, copy: RunCopy, now: Millis
 ) -> list[Effect]:
-    """Resume a run from its copy, beside the attempt that runs it now.
+    """Open a standby attempt that resumes a run from its copy.
 
-    Returns no effects if the copy's holder is unknown.
+    The current attempt, if any, stays open. Returns no effects if the copy's holder is
+    unknown.
     """
     target = state.targets.find(copy.holder)
     if target is None:
@@ -81,7 +82,7 @@
 
 
 def end_attempt(state: State, attempt: Attempt) -> None:
-    """Remove an attempt, and its load from its targets."""
+    """Remove an attempt and its load, at its target and at its backup's holder."""
     if state.attempts.pop(attempt.number, None) is None:
         return
     request = state.requests.get(attempt.request)
@@ -101,7 +102,10 @@
 def reserve_copy(
     state: State, request: Request, source: Target, holder: Target
 ) -> None:
-    """Count a copy on order in its holder's memory and on the links of both engines."""
+    """Count a copy on order in its holder's memory and on the links of both engines.
+
+    On the links, only tokens count that an earlier copy at the same holder lacks.
+    """
     copied = request.copied_tokens if request.copy_destination is holder else 0
     release_copy(request)
     memory = placement.estimate_memory(state, request)
@@ -116,7 +120,7 @@
 
 
 def end_copying(request: Request) -> None:
-    """Stop counting a copy on its links: it is complete, or will never be."""
+    """Stop counting a copy on the links: it is complete, failed or not wanted."""
     if request.copy_source is not None and request.copy_destination is not None:
         request.copy_source.outgoing -= request.copying_tokens
         request.copy_destination.incoming -= request.copying_tokens
@@ -126,7 +130,10 @@
 
 
 def release_copy(request: Request) -> None:
-    """Stop counting a copy on order: it failed, was used, or is dropped."""
+    """Stop counting a copy on order on the links and in its holder's memory.
+
+    The copy failed, was used, is dropped, or is replaced by a newer one.
+    """
     end_copying(request)
     if request.copy_destination is not None:
         request.copy_destination.memory -= request.copy_memory
@@ -136,7 +143,10 @@
 
 
 def record_prompt_read(attempt: Attempt, now: Millis) -> None:
-    """Record that an attempt's first event arrived: its prompt has been read."""
+    """Record that an attempt's first event arrived: its prompt has been read.
+
+    The target's read rate is updated from the time that this took.
+    """
     if not attempt.reading:
         return
     elapsed = now - attempt.opened
@@ -156,7 +166,10 @@
 
 
 def close_attempt(state: State, attempt: Attempt | None, now: Millis) -> list[Effect]:
-    """End an attempt whose answer is no longer wanted."""
+    """End an attempt whose answer is no longer wanted, and close its connection.
+
+    Does nothing for None or an attempt that is no longer open.
+    """
     if attempt is None or attempt.number not in state.attempts:
         return []
     end_attempt(state, attempt)
@@ -168,7 +181,7 @@
 
 
 def close_request(state: State, request: Request, now: Millis) -> list[Effect]:
-    """Remove a request and end everything that still runs for it."""
+    """Remove a request, close its attempts and drop its copy."""
     effects = close_attempt(state, request.current, now)
     effects += close_attempt(state, request.standby, now)
     state.requests.pop(request.spec.number, None)
@@ -178,8 +191,8 @@
         request.queued = False
     copy = request.copy
     if copy is not None and copy.owner != copy.holder:
-        # A copy made on order would hold its memory for seconds; a running backup ends
-        # with its run.
+        # A copy made on order would hold memory for seconds; a running backup ends with
+        # its run.
         effects.append(DropCopy(copy))
     return effects
 
@@ -189,12 +202,12 @@
 ) -> Target | None:
     pool = placement.find_engine_pool(state, request.service)
     if pool is None or not pool.backups or request.route.idempotent:
-        # A stream that may restart on another engine needs no copy.
+        # A request that may run again on another engine needs no copy.
         return None
     if pool.moves:
-        # Copies on order protect a run as well, and only while there is free memory. A
-        # running backup takes memory from the first token on: prompts wait for it, and
-        # other runs are preempted.
+        # Copies made on order protect a run as well, and are made only while there is
+        # free memory. A running backup takes memory from the first token on: prompts
+        # wait for memory, and other runs are preempted.
         return None
     if request.route.kind is not RouteKind.STREAM:
         return None
--- a/figstep/gateway/copies.py
+++ b/figstep/gateway/copies.py
@@ -15,24 +15,24 @@
 from figstep.gateway.targets import Standing, Target
 
 SWITCH_WAIT_TIMEOUT = Millis(800)
-"""Milliseconds after the notice for which a switch waits for its holder.
+"""Maximum time after the notice, in milliseconds, for which a switch is delayed.
 
-The holder is to have read all its prompts first: while it reads one, the run's events
-take three times as long, and the switch costs two of them. The notice then leaves
-0.7 s for a switch that fails.
+It is delayed while the holder has prompts to read, as the run's events take three times
+as long meanwhile and the switch costs the time of two, or while a running backup may
+still be missing. The notice then leaves 0.7 s in case the switch fails.
 """
 
 BACKUP_ARRIVAL_DELAY = Millis(400)
-"""Milliseconds after a run's first event in which its running backup may be missing.
+"""Milliseconds after an attempt's first event in which its backup may be missing.
 
 A backup that is tried too early becomes unusable, and a whole copy has to be made in
 its place.
 """
 
 REFRESH_AGE_FRACTION = 0.6
-"""Fraction of a copy's retention after which a copy on order is refreshed.
+"""Fraction of its retention after which a copy made on order is refreshed.
 
-If the refresh fails, a second one still comes before the copy is dropped.
+If the refresh fails, another can still be made before the holder drops the copy.
 """
 
 MIN_REMAINING_TOKENS = 250
@@ -52,7 +52,7 @@
 """
 
 LAST_COPY_ORDER_DELAY = Millis(900)
-"""Milliseconds after the notice until which an ordered copy still arrives in time.
+"""Milliseconds after the notice until which an ordered copy still completes.
 
 A copy takes up to half a second, and engines end 1.5 s after their notice at the
 earliest.
@@ -60,12 +60,14 @@
 
 
 def handle_copy_made(state: State, event: RunCopied, now: Millis) -> list[Effect]:
-    """Record a complete copy, and switch to it if the run's engine leaves."""
+    """Record a complete copy, and switch to it if the run's engine leaves.
+
+    The copy is dropped if the run has ended or has resumed on another engine.
+    """
     copy = RunCopy(event.holder, event.source, event.handle)
     request = state.requests.get(event.number)
     current = None if request is None else request.current
     if request is None or current is None or current.target.name != event.source:
-        # The run has ended or has resumed on another engine meanwhile.
         return [DropCopy(copy)]
     request.copied_tokens = request.copy_memory
     attempts.end_copying(request)
@@ -84,7 +86,10 @@
 
 
 def handle_copy_failed(state: State, event: RunNotCopied, now: Millis) -> list[Effect]:
-    """Record that a holder could not take a copy, and try another engine."""
+    """Record that a holder could not take a copy.
+
+    Another engine is tried if the run's engine leaves.
+    """
     request = state.requests.get(event.number)
     if request is None:
         return []
@@ -103,7 +108,7 @@
 
 
 def migrate_streams(state: State, now: Millis) -> list[Effect]:
-    """Move streams away from engines that leave, the longest remaining ones first."""
+    """Migrate streams whose engine leaves, the longest remaining ones first."""
     affected = []
     for request in state.requests.values():
         current = request.current
@@ -123,7 +128,7 @@
 
 
 def count_remaining_tokens(state: State, request: Request) -> int:
-    """Return how many tokens a run is expected to generate still; 0 without a prompt.
+    """Return how many more tokens a run is expected to generate; 0 without a prompt.
 
     The number is negative for a run that has exceeded its expected length.
     """
@@ -136,7 +141,7 @@
 
 
 def migrate_request(state: State, request: Request, now: Millis) -> list[Effect]:
-    """Move a run off an engine that leaves: refresh or order its copy, or switch to it.
+    """Migrate a run whose engine leaves: refresh or order its copy, or switch to it.
 
     Returns no effects if there is nothing to do now.
     """
@@ -148,7 +153,7 @@
     if current.target.standing is Standing.READY or not request.stream_begun:
         return []
     if request.route.resumable:
-        # Short streams end before their engine does; the others restart elsewhere.
+        # A resumable stream ends before its engine does, or restarts on another one.
         return []
     discard_unusable_copy(state, request)
     if request.copy is not None:
@@ -164,9 +169,9 @@
 def _should_refresh_copy(request: Request, current: Attempt, now: Millis) -> bool:
     """Return whether a copy is refreshed before the run resumes from it.
 
-    Tokens that the copy lacks have to be read at its holder while the other engine
-    continues, and are then generated again: the caller sees a pause of both. A refresh
-    is tried once in a notice.
+    The holder has to read the tokens that the copy lacks, and to generate again those
+    that the run's engine generates meanwhile: the caller sees a pause for both. Only
+    copies made on order are refreshed, once in a notice.
     """
     copy = request.copy
     left_at = current.target.left_at
@@ -180,14 +185,14 @@
 
 
 def _has_refresh_timed_out(request: Request, now: Millis) -> bool:
-    """Return whether a refresh takes too long: the run resumes from an older copy."""
+    """Return whether a refresh takes so long that the older copy is used instead."""
     if request.copy is None:
         return False
     return now - request.copy_ordered_at >= REFRESH_TIMEOUT
 
 
 def _should_delay_switch(state: State, request: Request, now: Millis) -> bool:
-    """Return whether a switch is cheaper a little later in the notice."""
+    """Return whether a switch is delayed, up to `SWITCH_WAIT_TIMEOUT`."""
     current = request.current
     copy = request.copy
     if current is None or copy is None or current.target.left_at is None:
@@ -209,8 +214,8 @@
     """Return whether an engine ends before one more copy of a run could be made.
 
     A copy is used up once its holder is asked to resume from it. A busy holder may take
-    longer to start than `streams.MAX_OVERLAP`; abandoning it when no other copy can be
-    made would lose the stream with its engine.
+    longer to start than `streams.MAX_OVERLAP`; abandoning the holder when no other copy
+    can be made would lose the stream with its engine.
     """
     if source.left_at is None:
         return False
@@ -227,9 +232,10 @@
 
 
 def switch_to_copy(state: State, request: Request, now: Millis) -> list[Effect]:
-    """Open the run's copy beside its present engine, within the retry budget.
+    """Resume a run from its copy, beside its current attempt, within the retry budget.
 
-    Does nothing if the holder's rate or pause permits no request now.
+    Does nothing without a copy, or if the holder's rate or pause permits no request
+    now. A repeat that the budget denies is counted and logged.
     """
     copy = request.copy
     if copy is None:
@@ -284,10 +290,11 @@
 def order_proactive_copies(state: State, now: Millis) -> list[Effect]:
     """Order copies of long runs whose engine stays, while there is free memory.
 
-    In a notice all runs of an engine are copied at once: copies queue on its link, and
-    the last of six or seven are not made before it ends. A run without a proactive copy
-    is also lost with an engine that leaves without notice. One run of each engine is
-    copied at a time, so that no copy of a notice has to wait.
+    After a notice all runs of an engine are copied at once: copies queue on its link,
+    and the last of six or seven are not made before the engine ends. A run without a
+    proactive copy is also lost with an engine that leaves without notice. One run of
+    each engine is copied at a time, so that copies ordered after a notice need not wait
+    for proactive ones.
     """
     effects: list[Effect] = []
     copy_sources = _list_copy_sources(state)
@@ -312,10 +319,10 @@
 def drop_copies_for_memory(state: State, now: Millis) -> list[Effect]:
     """Drop proactive copies at engines that are expected to run out of memory.
 
-    An engine that runs out of memory preempts a run, whose caller sees a pause of the
-    half second in which its prompt is read again. A dropped copy costs something only
-    if its run's engine leaves before the next one is made. One copy per holder is
-    dropped at a time, as other entries drop theirs as well.
+    An engine that runs out of memory preempts a run, whose caller sees a pause of half
+    a second while its prompt is read again. A dropped copy costs something only if its
+    run's engine leaves before another copy is made. One copy per holder is dropped in a
+    call, as other entries drop theirs as well.
     """
     effects: list[Effect] = []
     relieved_holders: set[str] = set()
@@ -404,7 +411,7 @@
 ) -> list[Effect]:
     holder = None
     if request.copy is not None:
-        # The holder already has the rest of the run: only new tokens are copied.
+        # Only tokens that the holder's copy lacks are transferred.
         holder = state.targets.find(request.copy.holder)
     elif not state.queue:
         # A queued prompt matters more than a copy that may not be needed.
@@ -425,7 +432,7 @@
     """Return whether a link that a proactive copy would use carries another copy.
 
     Links carry copies one after another. When a new engine joins, all entries have
-    runs to copy to it; if another engine's notice came then, its runs would queue
-    behind those for longer than the notice lasts, and be lost.
+    runs to copy to it. If another engine gave notice then, its runs would queue behind
+    those copies for longer than the notice lasts, and be lost.
     """
     return bool(source.outgoing_load or holder.incoming_load)
--- a/figstep/gateway/placement.py
+++ b/figstep/gateway/placement.py
@@ -12,7 +12,8 @@
 MAX_MEMORY_FRACTION = 0.95
 """Largest fraction of an engine's memory that expected work may fill.
 
-Lengths are known at the median only; the rest takes answers that exceed their hint.
+Half of all answers exceed their hint; the rest of the memory is for these. The bound
+doesn't hold for an engine without open attempts and unclaimed memory.
 """
 
 LATE_MAX_MEMORY_FRACTION = 0.7
@@ -25,48 +26,49 @@
 LATE_OBJECTIVE_FRACTION = 0.5
 """Fraction of its objective after which a waiting request counts as late.
 
-Reading its prompt takes most of the remaining time.
+Reading the prompt takes most of the remaining time.
 """
 
 BACKUP_MAX_MEMORY_FRACTION = 0.7
-"""Largest fraction of an engine's memory that may be filled with a running backup.
+"""Largest fraction of an engine's memory in use, with a new running backup.
 
 Under load, a prompt that finds no memory costs more than a run that is lost only if
 its engine leaves.
 """
 
 PROACTIVE_MAX_MEMORY_FRACTION = 0.6
-"""Largest fraction of an engine's memory that may be filled with a proactive copy.
+"""Largest fraction of an engine's memory in use, with a new proactive copy.
 
 A proactive copy is ordered while the run's engine stays. Most runs can still be
-copied within the notice, and prompts need memory for everything that one engine held
-when it leaves.
+copied within the notice, and when an engine leaves, the others need free memory for
+all that it held.
 """
 
 COPY_RETRY_DELAY = Millis(1_000)
-"""Milliseconds before an engine without memory for a run's copy is asked again.
+"""Milliseconds before an engine that had no memory for a run's copy is tried again.
 
 It applies while the run's engine stays.
 """
 
 NOTICE_COPY_RETRY_DELAY = Millis(250)
-"""Milliseconds before an engine is asked again once the run's engine leaves.
+"""Milliseconds before an engine is tried again once the run's engine leaves.
 
 It is shorter than `COPY_RETRY_DELAY`: runs at the other engines end several times a
 second, and a notice lasts 1.5 s.
 """
 
 MIGRATION_MAX_MEMORY_FRACTION = 1.1
-"""Largest fraction of an engine's memory filled with a run whose engine leaves.
+"""Largest fraction of an engine's memory in use, with a run whose engine leaves.
 
 Without a copy the run is lost. Expected memory includes two seconds of growth, so an
 engine at 1.0 still has some free memory.
 """
 
 FAILURE_COST = 8.0
-"""Cost of a target that fails everything, in open calls per slot of that target.
+"""Cost of failures at a plain service's target, in open calls per slot.
 
-It is scaled by the failed fraction above `TOLERATED_FAILURE_FRACTION`.
+It is multiplied by the failed fraction above `TOLERATED_FAILURE_FRACTION`: a target
+that fails everything costs 6.
 """
 
 TOLERATED_FAILURE_FRACTION = 0.25
@@ -78,7 +80,7 @@
 REMOTE_CALL_COST = 0.5
 """Cost of a plain service's target in another failure domain, in open calls.
 
-Traffic between failure domains has a price; half a call never outweighs real load.
+Traffic between failure domains has a price, which never outweighs one more open call.
 """
 
 REMOTE_COPY_COST = 0.15
@@ -102,9 +104,10 @@
 """
 
 COPY_QUEUE_COST = 3.0
-"""Cost of copies under way to a holder, for each fraction of its memory in transfer.
+"""Cost of copies under way to a holder, per fraction of its memory in transfer.
 
-Links carry copies one after another, and a notice leaves time for only a few.
+It is twice as much for a holder in another failure domain. Links carry copies one after
+another, and a notice leaves time for only a few.
 """
 
 SLOW_HOLDER_COST = 0.2
@@ -119,7 +122,8 @@
 FULL_MEMORY_COST_MS = 400.0
 """Cost of an engine whose memory is full, in milliseconds of prompt reading.
 
-It will preempt runs, which pause for about as long as a prompt takes to read.
+It is multiplied by the fraction of memory in use. A full engine will preempt runs,
+which pause for about as long as a prompt takes to read.
 """
 
 OUTPUT_TOKEN_COST_MS = 0.2
@@ -129,7 +133,10 @@
 """
 
 FAILURE_COST_MS = 2_000.0
-"""Cost of an engine that fails everything, in milliseconds of prompt reading."""
+"""Cost of an engine's failures, in milliseconds of prompt reading.
+
+It is multiplied by the failed fraction above `TOLERATED_FAILURE_FRACTION`.
+"""
 
 REMOTE_COST_MS = 20.0
 """Cost of an engine in another failure domain, in milliseconds of prompt reading."""
@@ -142,12 +149,15 @@
 """
 
 MAX_DESCRIBED_ENGINES = 8
-"""Most engines named in the log line of a refusal; a large fleet has dozens."""
+"""Maximum number of engines named in the log line of a refusal.
+
+A large fleet has dozens.
+"""
 
 TIE_BREAK_SPREAD_MS = 20.0
-"""Range of the random cost added to an engine, in milliseconds.
+"""Upper bound of the random cost added to an engine, in milliseconds.
 
-It keeps entries from all choosing the same engine between two messages.
+The random cost keeps entries from all choosing the same engine between two messages.
 """
 
 
@@ -159,10 +169,11 @@
 
 
 def choose_call_target(state: State, request: Request, now: Millis) -> Target | None:
-    """Return the least loaded target of a plain service, or None if there is none.
+    """Return the target of a plain service with the least cost; None if none is left.
 
-    Ties are broken at random, so that entries with the same view of the loads don't all
-    pick the same target.
+    The cost is the load per slot, plus parts for failures and for another failure
+    domain. A small random part keeps entries with the same view of the loads from all
+    picking the same target.
     """
     best = None
     best_cost = 0.0
@@ -178,10 +189,11 @@
 
 
 def choose_engine(state: State, request: Request, now: Millis) -> Target | None:
-    """Return the engine that is expected to begin a request's answer first.
+    """Return the engine with the least cost, mostly the time until the prompt is read.
 
-    Returns None if no engine has free memory, or none would begin within the objective:
-    sending the prompt anyway would only delay those that are being read already.
+    Returns None if no engine has a free slot and free memory, and would read the prompt
+    by the deadline. Engines that are reading other prompts also have to read it within
+    the objective: sending the prompt anyway would only delay those.
     """
     prompt = request.spec.prompt
     output = 0 if prompt is None else prompt.expected_output
@@ -207,8 +219,8 @@
 
     SLOTS = "slots"  # all batch slots are in use
     MEMORY = "memory"  # expected work fills its memory
-    READING = "reading"  # queued prompts would make it late
-    DEADLINE = "deadline"  # no event before the deadline
+    READING = "reading"  # queued prompts would make the prompt late
+    DEADLINE = "deadline"  # the prompt would be read after the deadline
 
 
 @dataclass(frozen=True, slots=True)
@@ -216,8 +228,8 @@
     """Predicted effect of sending a prompt to an engine.
 
     Attributes:
-        filled: Fraction of the engine's memory that would be in use.
-        reading: Milliseconds until the prompt is read.
+        filled: Fraction of the engine's memory that would be in use; may exceed 1.
+        reading: Milliseconds from now until the prompt is read.
         obstacle: Why the prompt can't be sent there; None if it can.
     """
 
@@ -272,7 +284,7 @@
 def describe_choice(
     state: State, request: Request, target: Target, now: Millis
 ) -> dict[str, str | int | float | None]:
-    """Return the log fields on which an engine was chosen."""
+    """Return log fields with the figures on which the choice of an engine rests."""
     fit = _fit_engine(state, request, target, now)
     return {
         "expected_ms": round(fit.reading),
@@ -284,7 +296,10 @@
 
 
 def is_late(request: Request, now: Millis) -> bool:
-    """Return whether a request that has not started will miss its objective."""
+    """Return whether a request that has not started is expected to miss its objective.
+
+    The time counts from the first arrival of the request at any entry.
+    """
     return (
         now - request.first_arrived > LATE_OBJECTIVE_FRACTION * request.route.objective
     )
@@ -298,14 +313,17 @@
     max_fraction: float,
     proactive: bool = False,
 ) -> Target | None:
-    """Return the engine that a run is copied to, or None if none has free memory.
+    """Return the engine that a run is copied to, or None if none accepts the copy.
+
+    Engines are left out that recently failed to take one, are avoided after losses, may
+    be sent no request now, or would be filled above `max_fraction`.
 
     Args:
         state: The gateway's state.
         request: Request whose run is copied.
         source: Name of the target that runs it.
         now: Monotonic time in milliseconds.
-        max_fraction: Largest fraction of an engine's memory that may be filled with it.
+        max_fraction: Largest fraction of an engine's memory in use, with the copy.
         proactive: Whether the run's engine stays, as far as is known.
     """
     memory = find_engine_memory(state, request.service)
@@ -340,7 +358,9 @@
 
 
 def was_refused_copy(request: Request, name: str, now: Millis, proactive: bool) -> bool:
-    """Return whether an engine recently had no memory for a copy of a run.
+    """Return whether an engine is not to be tried again yet for a copy of a run.
+
+    It recently failed to take one, or one was dropped there for lack of memory.
 
     Args:
         request: Request whose run is copied.
@@ -354,7 +374,10 @@
 
 
 def estimate_memory(state: State, request: Request) -> int:
-    """Return the tokens of memory that a request needs at an engine within seconds."""
+    """Return the tokens of memory that a request needs within the next seconds.
+
+    Returns 0 for a request to a plain service.
+    """
     prompt = request.spec.prompt
     if prompt is None:
         return 0
@@ -364,7 +387,10 @@
 
 
 def find_engine_pool(state: State, service: str) -> EnginePool | None:
-    """Return the common properties of a service's engines; None for a plain service."""
+    """Return the common properties of a service's engines.
+
+    Returns None for a plain or unknown service, and without a configuration in force.
+    """
     found = None if state.table is None else state.table.services.get(service)
     return None if found is None else found.engine
 
@@ -389,8 +415,8 @@
 def can_send_before(state: State, request: Request, now: Millis, until: Millis) -> bool:
     """Return whether an untried target can be sent one more request by ``until``.
 
-    A target that names a rate or asks for a pause may be known to accept none
-    earlier.
+    A rate or pause that a target asked for may rule that out. ``until`` is a monotonic
+    time in milliseconds.
     """
     for target in eligibility.list_eligible(state, request):
         if target.name in request.tried_targets:
--- a/figstep/gateway/requests.py
+++ b/figstep/gateway/requests.py
@@ -117,13 +117,13 @@
 
 
 def _find_first_arrival(state: State, digest: str, now: Millis) -> Millis:
-    # A caller counts its wait from its first try, whichever entry refused it.
+    # A caller's wait begins with its first arrival, whichever entry refused it.
     refused = state.refused.pop_first_arrival(digest)
     return now if refused is None else refused
 
 
 def _must_finish_here(route: Route) -> bool:
-    # A stream that can't resume on another engine is cut when the process ends.
+    # A stream that can't restart on another engine is cut when the process ends.
     return route.kind is RouteKind.STREAM and not route.resumable
 
 
@@ -199,7 +199,10 @@
 
 
 def finish_answer(state: State, event: AnswerArrived, now: Millis) -> list[Effect]:
-    """Pass a target's whole answer to the caller unchanged."""
+    """Pass a target's complete answer to the caller unchanged.
+
+    An answer to an attempt that is no longer open is ignored.
+    """
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
         return []
@@ -216,12 +219,11 @@
 def deliver_answer(
     state: State, request: Request, attempt: int, status: int, now: Millis
 ) -> list[Effect]:
-    """Deliver the whole answer that an attempt received, and end the request.
+    """Deliver the complete answer that an attempt received, and end the request.
 
-    A stream that has begun is cut instead.
+    A stream that has begun can't be replaced by another answer: it is cut.
     """
     if request.stream_begun:
-        # A stream that has begun can't be replaced by another answer.
         return break_stream(state, request, "answered_in_mid_stream", now)
     effects = attempts.close_request(state, request, now)
     duration = now - request.arrived
@@ -239,8 +241,9 @@
 ) -> list[Effect]:
     """End a request with a problem answer of this entry.
 
-    "Not run" is reported only if no target can have begun to run the request. A
-    stream that has begun is cut instead.
+    "Not run", with a Retry-After, is reported only if no target can have begun to run
+    the request. Otherwise the status is 502, or 504 after the deadline. A stream that
+    has begun is cut instead.
     """
     effects = attempts.close_request(state, request, now)
     if request.stream_begun:
@@ -288,7 +291,7 @@
 def break_stream(
     state: State, request: Request, reason: str, now: Millis
 ) -> list[Effect]:
-    """Cut the caller's connection: the stream can't go on and must not look whole."""
+    """Cut the caller's connection: an incomplete stream must not look complete."""
     effects = attempts.close_request(state, request, now)
     return [
         *effects,
@@ -311,7 +314,7 @@
 
 
 def expire_requests(state: State, now: Millis) -> list[Effect]:
-    """End the requests whose deadline has passed."""
+    """End the requests whose deadline has passed; any that was sent may have run."""
     effects: list[Effect] = []
     for request in list(state.requests.values()):
         if now < request.deadline:
--- a/figstep/gateway/state.py
+++ b/figstep/gateway/state.py
@@ -14,7 +14,7 @@
 from figstep.gateway.targets import Incarnation, Target, TargetTable
 
 LEAVING_ANNOUNCE_DURATION = Millis(10_000)
-"""Milliseconds for which peers are told that a target has announced that it leaves."""
+"""Milliseconds for which a target's announcement that it leaves is sent to peers."""
 
 LEAVING_RETENTION = Millis(600_000)
 """Milliseconds for which a target's announcement that it leaves is remembered.
@@ -26,16 +26,17 @@
 FULL_MESH_MAX_ENTRIES = 16
 """Largest number of entries in which every entry sends its loads to every other.
 
-Messages grow with the square of the fleet. In a larger fleet, entries report to those
-of their own failure domain, and sums go to the other failure domains.
+The number of messages grows with the square of the number of entries. In a larger
+fleet, entries report to those of their own failure domain, and sums go to the other
+failure domains.
 """
 
 
 RATE_ANNOUNCE_DURATION = Millis(3_000)
-"""Milliseconds for which peers are told the rate that a target's answer named.
+"""Milliseconds for which the rate that a target's answer named is sent to peers.
 
-It is sent several times, as a datagram may be lost. Each further answer of the target
-restarts the duration.
+The rate is sent several times, as a datagram may be lost. Each further answer of the
+target restarts the duration.
 """
 
 
@@ -44,8 +45,9 @@
     """A target's announcement that it leaves.
 
     Attributes:
-        at: Monotonic time at which this entry learned of it.
-        own: Whether the target told this entry itself.
+        at: Monotonic time in milliseconds at which this entry received it, last from
+            the target or first from another entry.
+        own: Whether the target announced it to this entry itself.
     """
 
     at: Millis
@@ -56,21 +58,24 @@
 class Attempt:
     """One connection to a target for a request.
 
+    All times are monotonic, in milliseconds.
+
     Attributes:
         number: Number of the attempt, unique in this process.
         request: Number of its request.
         target: Target that it was sent to.
-        opened: Monotonic time at which it was sent.
-        memory: Tokens of memory that it is expected to need at its target.
-        reading: Prompt tokens that its target has still to read for it.
+        opened: When it was sent.
+        memory: Tokens of memory that it is expected to need at its target, and again
+            at its backup's holder.
+        reading: Prompt tokens that its target has still to read for it; 0 once its
+            first event has arrived.
         reading_ahead: Prompt tokens of other attempts that its target had to read
             when it was sent.
         holder: Target of its running backup, or None.
         backup_unusable: Whether that backup was used up or refused.
         source: Copy that it resumes from, or None for a run from the start.
-        answered: Whether its headers have arrived.
-        first_delivery_at: Monotonic time at which its first event went to the caller,
-            or None.
+        answered: Whether the headers of its stream have arrived.
+        first_delivery_at: When its first event went to the caller, or None.
     """
 
     number: int
@@ -111,13 +116,15 @@
         copy_destination: Target that holds a copy on order or is to hold it, or None.
         copy_memory: Tokens of memory that this copy takes there.
         copy_source: Target that is being copied from, or None.
-        copying_tokens: Tokens that are being copied.
+        copying_tokens: Tokens that are being copied; less than the whole run if its
+            holder already has a copy.
         copied_tokens: Tokens that its copy on order had when it was made.
         stream_begun: Whether the caller's stream has begun.
-        delivered: Id of the last event delivered to the caller.
-        delivered_at: When that event was delivered.
+        delivered: Id of the last event delivered to the caller, now or in an earlier
+            attempt of the caller; 0 for none.
+        delivered_at: When the last event was delivered by this entry.
         pieces: Number of events delivered to the caller.
-        time_to_first_event: Time from its arrival to its first event.
+        time_to_first_event: Time from its arrival to the first delivery.
         longest_pause: Longest time between two deliveries.
         smoothed_pause: Smoothed time between two deliveries.
         attempts_sent: Number of attempts so far.
@@ -125,8 +132,10 @@
         lost_runs: Number of lost attempts that may have run.
         may_have_run: Whether a target may have begun to run it.
         tried_targets: Names of the targets that it was sent to.
-        lost_domains: Failure domains of targets that were lost while they had it.
-        copy_refused_at: When targets could not hold a copy of its run, by name.
+        lost_domains: Failure domains of targets that lost an attempt which may have
+            run, other than by a failure that the target itself answered.
+        copy_refused_at: When targets last failed to take a copy of its run, or it was
+            dropped there for lack of memory, by target.
         queued: Whether it waits for free capacity.
         retry_denied: Whether the retry budget has denied it a repeat.
         allowed_regions: Regions whose targets it may be sent to; None for any.
@@ -174,11 +183,14 @@
 class Peer:
     """Another entry, as described by its messages.
 
+    All times are monotonic, in milliseconds.
+
     Attributes:
-        last_received_at: Monotonic time of its last message.
+        last_received_at: When its last message arrived.
         loads: Its open work, by target.
         full_loads: Its open work as last sent in full, by target.
-        changed_targets: Targets whose loads it has sent as changed since then.
+        changed_targets: Targets whose loads its last message sent as changed since the
+            last full one; empty if the last message was full.
         uses: Requests and repeats that it recently sent to each service.
         address: Address at which it listens for peers, as "ip:port".
         configuration: Version of its configuration in force; -1 for none.
@@ -190,7 +202,8 @@
         answered: Whether the store answers it, as far as it reads the store.
         far: Whether it belongs to another failure domain.
         reading: Whether it reads the store's records as they are written.
-        leaving: Targets that told it, or its failure domain, that they leave.
+        leaving: Targets that announced to it, or to its failure domain, that they
+            leave.
         rates: Rates that targets have named in answers to it.
     """
 
@@ -216,7 +229,8 @@
     """Open work of all entries of another failure domain.
 
     Attributes:
-        last_received_at: Monotonic time of the last message with these loads.
+        last_received_at: Monotonic time in milliseconds of the last message with these
+            loads.
         loads: Sums of their open work, by target.
     """
 
@@ -228,11 +242,13 @@
 class State:
     """State of one gateway.
 
+    All times are monotonic, in milliseconds.
+
     Attributes:
         node: Name of this entry instance.
         failure_domain: Failure domain of this entry.
         rng: The only source of randomness.
-        budget: Repeats that this entry may still make.
+        budget: Retry budget, with this entry's use of it.
         table: Configuration in force, or None before the first.
         targets: Targets that have registered.
         evacuations: Failure domains that get no more work.
@@ -240,27 +256,31 @@
         requests: Requests without a final answer, by number.
         attempts: Open attempts, by number.
         queue: Numbers of requests that wait for free capacity, in order of arrival.
-        start_times: Monotonic times of recent starts of requests, by service.
-        refused_at: When a caller was last refused for lack of capacity, by service.
-        scheduled_returns: When refused callers were told to retry, by service.
-        refused: Requests that were refused for lack of capacity, by digest.
+        start_times: Times of recent starts of requests, by service.
+        refused_at: When a request was last refused with a Retry-After from its queue
+            position, by service.
+        scheduled_returns: Times at which refused callers may retry by their
+            Retry-After, by service.
+        refused: Generations that this entry or a peer recently refused, by digest.
         peers: Other entries, by name; in a large fleet those of this failure domain.
         remote_peers: Entries of other failure domains that recently sent a message.
         remote_loads: Loads of other failure domains' entries, by failure domain.
         entries: Number of entries in the fleet, this one included.
-        silent_peers: Peers that fell silent without announcing their end, and when.
+        silent_peers: Peers whose messages stopped although they announced no shutdown,
+            and when this entry removed each.
         crashes: Crashes of targets, and the requests that ran there.
         next_attempt: Number of the next attempt.
         position: Offset up to which the registrations were read; -1 for none.
-        behind_since: Since when a peer has known newer records, or None.
+        behind_since: Since when a peer has known newer records than this entry; None if
+            none does.
         read_failed: Whether the store does not answer this entry.
         store_unreachable: Whether no record of the store reaches this entry, from the
             store or from peers that read it.
         store_lost_at: When the store last became unreachable.
         store_regained_at: When the store last became reachable again.
-        closes_at: When the process ends, or None.
-        streams_checked_at: When its streams were last checked for stalls.
-        departures: Targets that have announced that they leave.
+        closes_at: When the process ends; None unless it shuts down.
+        streams_checked_at: When streams were last checked for stalls.
+        departures: Announcements of targets that they leave, by incarnation.
     """
 
     node: str
@@ -301,7 +321,7 @@
         return self.entries > FULL_MESH_MAX_ENTRIES
 
     def list_leaving(self, now: Millis) -> list[Incarnation]:
-        """Return the targets that recently told this entry that they leave."""
+        """Return the targets that recently announced to this entry that they leave."""
         return [
             incarnation
             for incarnation, departure in self.departures.items()
--- a/figstep/gateway/streams.py
+++ b/figstep/gateway/streams.py
@@ -19,48 +19,50 @@
 STALL_TIMEOUT = Millis(400)
 """Silence in milliseconds after which any stream switches to its copy.
 
-A stream that is on time may switch earlier, so that it stays so. The engine need not
-have been found dead. Engines with a full batch pause up to 200 ms between events;
-callers abandon a stream after two seconds.
+A stream that is on time may switch earlier, to remain on time. The engine may still be
+considered running. Engines with a full batch pause up to 200 ms between events; callers
+abandon a stream after two seconds.
 """
 
 STALL_PAUSE_FRACTION = 0.6
-"""Fraction of a route's longest pause after which a stream on time switches.
+"""Fraction of a route's longest pause after which a stream that is on time switches.
 
-The remaining time is for the switch.
+The remaining time is for the switch. `STALL_SMOOTHED_PAUSES` may require more silence.
 """
 
 STALL_SMOOTHED_PAUSES = 2.5
-"""Least silence, in smoothed pauses, at which a stream switches to stay on time.
+"""Minimum silence, in smoothed pauses, at which a stream switches to remain on time.
 
-A slow engine is not a stalled one.
+It keeps streams of a slow engine from switching as if it had stalled. `STALL_TIMEOUT`
+holds even so.
 """
 
 PAUSE_SMOOTHING = 0.2
 """Weight of the newest pause in a stream's smoothed pause, from 0 to 1."""
 
 LATE_TICK_INTERVAL = Millis(150)
-"""Milliseconds between two checks from which this entry itself was stalled.
+"""Milliseconds between two checks from which this entry itself counts as stalled.
 
-Events that arrived meanwhile are read first. Otherwise all its streams would switch
-at once, for events that wait in its sockets.
+No stream then switches at that check, so that events which arrived meanwhile are read
+first. Otherwise all streams would switch at once, for events that wait in the sockets.
 """
 
 MEMORY_UPDATE_EVENTS = 8
-"""Events after which a run's expected memory is updated.
+"""Number of events after which a run's expected memory is updated.
 
-Peers are told of any change of loads, so an update per event would cost a message each.
+A change of loads is sent to peers, so an update per event would cost a message each.
 """
 
 MAX_OVERLAP = Millis(300)
 """Longest time in milliseconds that a run is open at two engines during a switch.
 
-Both generate meanwhile; afterwards the one that has not delivered is closed.
+Both generate meanwhile. Afterwards the current attempt is closed if the standby was
+accepted or no other copy can be made before the engine ends, else the standby.
 """
 
 
 def handle_stream_opened(state: State, event: StreamOpened) -> list[Effect]:
-    """Record that a target accepted a stream."""
+    """Record that the headers of an attempt's stream arrived."""
     attempt = state.attempts.get(event.attempt)
     if attempt is not None:
         attempt.answered = True
@@ -70,8 +72,8 @@
 def deliver_pieces(state: State, event: PiecesArrived, now: Millis) -> list[Effect]:
     """Deliver events to the caller, each once and in order.
 
-    The first events of a standby attempt complete the switch to it. A gap between
-    events breaks the stream.
+    The first events of a standby attempt complete the switch to it. A gap between the
+    ids of events breaks the stream.
     """
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
@@ -85,7 +87,7 @@
     last = request.delivered
     for piece in event.pieces:
         if piece.index <= last and request.pieces + request.delivered:
-            # The resumed run repeats events that the other engine had sent meanwhile.
+            # A resumed run repeats events that the other engine has sent meanwhile.
             continue
         if request.stream_begun and piece.index != last + 1:
             return effects + _break_out_of_order(state, request, piece.index, now)
@@ -148,8 +150,8 @@
     effects = attempts.close_attempt(state, previous, now)
     request.current = standby
     request.standby = None
-    # The recorded copy belongs to the run that has ended: left in place it would hide
-    # the backup of the one that continues.
+    # The recorded copy belongs to the previous attempt. If it stayed, the backup of the
+    # attempt that continues would not be recorded.
     request.copy = None
     standby.target.record_success(now)
     crashes.record_answer(state, standby.target, standby.opened)
@@ -187,7 +189,7 @@
 
 
 def finish_stream(state: State, event: StreamEnded, now: Millis) -> list[Effect]:
-    """End the caller's stream as complete, as its target has done."""
+    """End the caller's stream as complete, after its target has done so."""
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
         return []
@@ -211,7 +213,10 @@
 
 
 def check_streams(state: State, now: Millis) -> list[Effect]:
-    """Switch stalled streams to their copies, and end overlaps that last too long."""
+    """Switch stalled streams to their copies, and end overlaps that last too long.
+
+    No stream is switched if this entry itself was stalled since the last check.
+    """
     effects: list[Effect] = []
     entry_stalled = now - state.streams_checked_at >= LATE_TICK_INTERVAL
     state.streams_checked_at = now
@@ -246,8 +251,8 @@
     if now - standby.opened < MAX_OVERLAP or request.current is None:
         return []
     if standby.answered or copies.is_too_late_to_copy(request.current.target, now):
-        # The standby was accepted and will deliver, or no other copy could be made in
-        # time: the run must not continue at both engines.
+        # The standby was accepted and will deliver, or no other copy could be made
+        # before the engine ends: the run must not continue at both engines.
         return attempts.close_attempt(state, request.current, now)
     request.current.backup_unusable = True
     return attempts.close_attempt(state, standby, now)
