--- a/figstep/gateway/admission.py
+++ b/figstep/gateway/admission.py
@@ -12,8 +12,9 @@
 WAIT_OBJECTIVE_FRACTION = 1.5
 """Longest wait for capacity, as a fraction of the request's objective.
 
-A late answer is still of use to its caller, who would not be served earlier by
-retrying.
+It counts from the first arrival at any entry; `placement.LATE_OBJECTIVE_FRACTION`
+replaces it while the service is overloaded. A late answer is still of use to its
+caller, who would not be served earlier by retrying.
 """
 
 WAIT_DEADLINE_FRACTION = 0.4
--- a/figstep/gateway/attempts.py
+++ b/figstep/gateway/attempts.py
@@ -18,7 +18,7 @@
 BASE_PRIORITY = 4
 """Engine priority of a run of the most urgent route, from 0 to 9; 0 is the most urgent.
 
-The priority of a request, which is larger the less urgent it is, is added. Runs that
+The request's own priority is added, which is larger for less urgent ones. Runs that
 resume from a copy get `RESUMED_PRIORITY` instead.
 """
 
--- a/figstep/gateway/copies.py
+++ b/figstep/gateway/copies.py
@@ -18,15 +18,15 @@
 """Maximum time after the notice, in milliseconds, for which a switch is delayed.
 
 It is delayed while the holder has prompts to read, as the run's events take three times
-as long meanwhile and the switch costs the time of two, or while a running backup may
-still be missing. The notice then leaves 0.7 s in case the switch fails.
+as long meanwhile and the switch costs the time of two events, or while a running backup
+may still be missing. The notice then leaves 0.7 s in case the switch fails.
 """
 
 BACKUP_ARRIVAL_DELAY = Millis(400)
 """Milliseconds after an attempt's first event in which its backup may be missing.
 
-A backup that is tried too early becomes unusable, and a whole copy has to be made in
-its place.
+A backup that is tried too early becomes unusable, and a complete copy has to be made
+in its place.
 """
 
 REFRESH_AGE_FRACTION = 0.6
--- a/figstep/gateway/departures.py
+++ b/figstep/gateway/departures.py
@@ -1,10 +1,10 @@
 """Targets that have announced that they leave.
 
 The case handled here is a fleet that cannot read the store while targets leave: their
-registrations stay as they were, and only the targets themselves know. What a target has
-announced to any entry holds for all entries, and for `LEAVING_RETENTION`: earlier
-registrations are read again and again, from the store as it comes back and from copies
-that other entries hold.
+registrations stay as they were, and only the targets know that they leave. What a
+target has announced to any entry holds for all entries, and for `LEAVING_RETENTION`:
+earlier registrations are read again and again, from the store once it is back and from
+copies that other entries hold.
 """
 
 from collections.abc import Iterable
--- a/figstep/gateway/placement.py
+++ b/figstep/gateway/placement.py
@@ -13,7 +13,7 @@
 """Largest fraction of an engine's memory that expected work may fill.
 
 Half of all answers exceed their hint; the rest of the memory is for these. The bound
-doesn't hold for an engine without open attempts and unclaimed memory.
+doesn't hold for an engine that has neither open attempts nor unclaimed memory in use.
 """
 
 LATE_MAX_MEMORY_FRACTION = 0.7
@@ -30,14 +30,14 @@
 """
 
 BACKUP_MAX_MEMORY_FRACTION = 0.7
-"""Largest fraction of an engine's memory in use, with a new running backup.
+"""Largest fraction of an engine's memory expected in use, with a new running backup.
 
 Under load, a prompt that finds no memory costs more than a run that is lost only if
 its engine leaves.
 """
 
 PROACTIVE_MAX_MEMORY_FRACTION = 0.6
-"""Largest fraction of an engine's memory in use, with a new proactive copy.
+"""Largest fraction of an engine's memory expected in use, with a new proactive copy.
 
 A proactive copy is ordered while the run's engine stays. Most runs can still be
 copied within the notice, and when an engine leaves, the others need free memory for
@@ -58,7 +58,7 @@
 """
 
 MIGRATION_MAX_MEMORY_FRACTION = 1.1
-"""Largest fraction of an engine's memory in use, with a run whose engine leaves.
+"""Largest fraction of memory expected in use, with a copy of a run whose engine leaves.
 
 Without a copy the run is lost. Expected memory includes two seconds of growth, so an
 engine at 1.0 still has some free memory.
@@ -100,7 +100,8 @@
 LOCAL_PROACTIVE_COPY_COST = 0.6
 """Cost of a proactive copy's holder in the run's own domain, in fractions of memory.
 
-A failure domain that is lost as a whole takes its runs and the copies held there.
+A failure domain that is lost as a whole takes its runs and the copies held there with
+it.
 """
 
 COPY_QUEUE_COST = 3.0
@@ -323,7 +324,7 @@
         request: Request whose run is copied.
         source: Name of the target that runs it.
         now: Monotonic time in milliseconds.
-        max_fraction: Largest fraction of an engine's memory in use, with the copy.
+        max_fraction: Largest fraction of memory expected in use, with the copy.
         proactive: Whether the run's engine stays, as far as is known.
     """
     memory = find_engine_memory(state, request.service)
--- a/figstep/gateway/requests.py
+++ b/figstep/gateway/requests.py
@@ -150,12 +150,16 @@
 
 
 def start_queued(state: State, now: Millis) -> list[Effect]:
-    """Start queued requests that now fit, the most urgent and oldest first.
+    """Start queued requests that now fit.
+
+    The most urgent are considered first, among these the ones that can still meet their
+    objective, and then the oldest.
 
     At most one request of a service starts in a call, so that other entries learn of
     it before they start theirs: when an engine joins, all entries have requests that
     waited for it, and together they would fill it at once. Requests that have waited
-    for too long, or have no eligible target left, are refused.
+    for too long are refused, and so are those whose targets are all evacuated or
+    outside their allowed regions.
     """
     if not state.queue:
         return []
--- a/figstep/gateway/state.py
+++ b/figstep/gateway/state.py
@@ -271,8 +271,8 @@
         crashes: Crashes of targets, and the requests that ran there.
         next_attempt: Number of the next attempt.
         position: Offset up to which the registrations were read; -1 for none.
-        behind_since: Since when a peer has known newer records than this entry; None if
-            none does.
+        behind_since: Since when a peer has known newer records than this entry, or when
+            this entry last fetched them from a peer; None if no peer knows newer ones.
         read_failed: Whether the store does not answer this entry.
         store_unreachable: Whether no record of the store reaches this entry, from the
             store or from peers that read it.
