--- a/figstep/gateway/crashes.py
+++ b/figstep/gateway/crashes.py
@@ -3,8 +3,8 @@
 The case handled here is a request that crashes every target that runs it and is sent
 again and again, to any entry, among harmless requests. A lost attempt alone proves no
 crash: targets also fail, reset connections and send garbled answers while they keep
-running. What was lost at a target is therefore kept until the target answers or is
-found to have ended.
+running. Requests lost at a target are therefore recorded, and become suspects only if
+the target is found to have ended before it answers a later request.
 """
 
 from collections.abc import Iterable
@@ -17,17 +17,17 @@
 from figstep.gateway.targets import Registration, Standing, Target
 
 LOST_RETENTION = Millis(6_000)
-"""How long, in milliseconds, lost attempts at a target are kept for its end to be
-found. Its registration lapses after three heartbeats, and it is back after some
-seconds."""
+"""How long, in milliseconds, after a loss the end of its target makes the lost request
+a suspect. The end may show only when the target's registration lapses, after three
+heartbeats, or when the target is back, after some seconds."""
 
 MIN_RESTART_TIME = Millis(1_000)
 """Shortest time, in milliseconds, in which a target restarts. A target that answers
-sooner after nothing listened at its address has not restarted: it had rejected
-connections."""
+sooner than this after a connection was refused has not restarted: it only refused
+connections for a moment."""
 
 PROBE_INTERVAL = Millis(200)
-"""Least time, in milliseconds, between two probes of a target."""
+"""Shortest time, in milliseconds, between two probes of a target."""
 
 SETTLING_RETRY_AFTER = Millis(400)
 """Retry delay, in milliseconds, of a request that is refused while other entries may
@@ -38,7 +38,7 @@
 refused for minutes."""
 
 _CRASH_LOSSES = frozenset({Loss.BROKEN, Loss.GARBLED})
-"""Losses that the end of a target may cause, and that arrive as it ends."""
+"""Losses that may be the immediate result of the end of a target."""
 
 
 def record_lost(
@@ -46,8 +46,9 @@
 ) -> list[Effect]:
     """Record that an attempt which may have run ended without an answer.
 
-    A request crashes its target as it begins to run; one whose answer had begun was
-    only present. A target that leaves ends everything that is still there.
+    A request crashes its target as it begins to run, so one whose stream has begun is
+    not recorded. Losses at a target that leaves are not recorded either, as it ends all
+    attempts that are still open there.
     """
     target = attempt.target
     if request.stream_begun or target.standing is not Standing.READY:
@@ -60,7 +61,11 @@
 
 
 def probe_target(target: Target, loss: Loss, now: Millis) -> list[Effect]:
-    """Return a probe that finds whether a target ended as it broke a connection."""
+    """Return a probe of whether a target ended, after a loss that suggests it.
+
+    Returns nothing if the end is known or no lost request is recorded at the target, or
+    within ``PROBE_INTERVAL`` of the last probe.
+    """
     if loss not in _CRASH_LOSSES or not target.lost or target.ended_at is not None:
         return []
     if now - target.probed_at < PROBE_INTERVAL:
@@ -70,12 +75,14 @@
 
 
 def record_answer(state: State, target: Target, asked: Millis) -> None:
-    """Record that a target answered a request, so it was running when asked.
+    """Record that a target answered, so it was running when the request was sent.
+
+    An end recorded less than ``MIN_RESTART_TIME`` before that is discarded as wrong.
 
     Args:
         state: The gateway's state.
         target: The target.
-        asked: When the answered request was sent.
+        asked: When the answered request was sent, as a monotonic time in milliseconds.
     """
     if target.lost:
         for digest, lost_at in list(target.lost.items()):
@@ -90,7 +97,10 @@
 
 
 def record_end(state: State, target: Target, now: Millis) -> list[Effect]:
-    """Record that an incarnation of a target has ended; suspect what was lost there."""
+    """Record that an incarnation of a target ended; suspect requests lost there.
+
+    A target that is leaving is ignored.
+    """
     if target.standing is not Standing.READY or target.ended_at is not None:
         return []
     target.ended_at = now
@@ -99,10 +109,10 @@
 
 
 def record_departure(state: State, target: Target, now: Millis) -> list[Effect]:
-    """Record that a target's registration is gone.
+    """Suspect the requests lost at a target whose registration is gone.
 
-    A target whose registration goes without an announcement may keep serving for some
-    time, so its open attempts may still be answered.
+    The target is not recorded as ended: it may keep serving for some time, so its open
+    attempts may still be answered. A target that is leaving is ignored.
     """
     if target.standing is not Standing.READY:
         return []
@@ -110,7 +120,7 @@
 
 
 def record_successor(state: State, info: Registration, now: Millis) -> list[Effect]:
-    """Record that a target starts whose id or address another one had before."""
+    """Record the end of earlier incarnations with the id or address of a new one."""
     effects: list[Effect] = []
     for target in state.targets.targets.values():
         known = target.info
@@ -143,7 +153,7 @@
 
 
 def clear_request(state: State, request: Request, now: Millis) -> list[Effect]:
-    """Clear a request that has run to an answer, or into a stream."""
+    """Drop the suspicions of a request that was answered or whose stream has begun."""
     if not state.crashes.clear(request.spec.digest, now, now):
         return []
     fields: dict[str, str | int | float | None] = {
@@ -154,7 +164,7 @@
 
 
 def choose_retry_after(state: State, digest: str, now: Millis) -> Millis:
-    """Return the retry delay of a request that is refused for its crashes."""
+    """Return the retry delay, in milliseconds, of a request refused for its crashes."""
     if state.crashes.is_settled(digest, now):
         return REFUSED_RETRY_AFTER
     return SETTLING_RETRY_AFTER
@@ -184,10 +194,10 @@
 
 
 def _has_answered_since(state: State, suspicion: Suspicion, now: Millis) -> bool:
-    """Return whether a target that is said to have crashed has answered since.
+    """Return whether a target answered this entry after the crash of a suspicion.
 
-    A crash that is at least MIN_RESTART_TIME old is not checked: later answers may come
-    from a target that has restarted under the same id.
+    It is False for a crash that is at least ``MIN_RESTART_TIME`` old: later answers may
+    come from a target that has restarted under the same id.
     """
     if suspicion.age >= MIN_RESTART_TIME:
         return False
--- a/figstep/gateway/events.py
+++ b/figstep/gateway/events.py
@@ -15,20 +15,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedRequest:
-    """One attempt of a caller, with the fields that decisions depend on.
+    """A caller's request, with the fields that decisions depend on.
 
     Attributes:
         number: Number of the request, unique in this process.
-        id: The caller's own id of this attempt.
+        id: Id that the caller gave the request; "" if it gave none.
         method: HTTP method.
-        host: Host that the request names.
+        host: Value of the Host header.
         path: Path of the request, without its query.
-        key: Key of the customer, or None.
-        max_wait: How long the caller waits, in milliseconds, or None if it did not say.
-        prompt: What the generation needs; None for other calls.
+        key: API key that the caller sent, or None.
+        max_wait: How long the caller waits, in milliseconds; None if it names no limit.
+        prompt: Description of the prompt; None if the request is not a generation.
         after: Id of the last event that a returning caller received, or None.
-        digest: Hash of path, body and caller; equal when the request is sent again.
-        body_bytes: Size of the body.
+        digest: Hash of key, method, path with query, and body; equal when the request
+            is sent again.
+        body_bytes: Size of the body, in bytes.
     """
 
     number: int
@@ -45,11 +46,11 @@
 
 
 class Loss(Enum):
-    """How an attempt was lost, as far as its edge can tell."""
+    """How an attempt was lost, as far as this entry can tell."""
 
     UNREACHED = "unreached"  # no connection was made: no byte was sent
     REFUSED = "refused"  # the target states that it did not run the request
-    MISDIRECTED = "misdirected"  # another target has the address: "not run"
+    MISDIRECTED = "misdirected"  # not run: another target has the address
     BROKEN = "broken"  # the connection broke after bytes went out
     GARBLED = "garbled"  # the received bytes are no answer to this request
     FAILED = "failed"  # the target answered with a failure of its own
@@ -86,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamPiece:
-    """One event of a stream, as it was received.
+    """One event of a target's stream, as received.
 
     Attributes:
         index: Id of the event; ids grow by one.
@@ -99,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PiecesArrived:
-    """Events of a stream that were read at once."""
+    """Events of an attempt's stream arrived in one read."""
 
     attempt: int
     pieces: list[StreamPiece]
@@ -107,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEnded:
-    """The target ended its stream as complete.
+    """A target ended its stream, and the answer was complete.
 
     Attributes:
         attempt: Number of the attempt.
@@ -120,7 +121,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerArrived:
-    """A target gave a complete answer; the edge holds it until it is delivered.
+    """A target gave a complete answer that reports no failure of its own.
+
+    The target port holds the answer while this event is handled.
 
     Attributes:
         attempt: Number of the attempt.
@@ -138,11 +141,13 @@
     Attributes:
         attempt: Number of the attempt.
         loss: How it was lost.
-        retry_after: Delay that the target asks for before the next request, or None.
+        retry_after: Delay in milliseconds that the target asks for before the next
+            request; None if it names none.
         detail: Text for the log.
-        status: HTTP status of the complete answer that reports the failure and can be
-            passed on to the caller; None if there is none.
-        down: Whether nothing listens at the target's address.
+        status: HTTP status of a complete answer that reports a failure and may be
+            forwarded to the caller; None if there is no such answer.
+        down: Whether the target's address refused the connection, as nothing listens
+            there.
     """
 
     attempt: int
@@ -168,7 +173,7 @@
         number: Number of the request that the run belongs to.
         source: Target that made the copy.
         holder: Target that holds the copy.
-        handle: Name of the copy at the source.
+        handle: Name that the source gave the copy.
     """
 
     number: int
@@ -200,7 +205,7 @@
 
     Attributes:
         target: Id of the engine.
-        leaving: Whether it reports that it accepts no new work.
+        leaving: Whether it reports that it accepts no new work, or when it ends.
         memory: Tokens of its memory that were in use half a second ago and cannot be
             freed on demand; None if it does not report them.
         ending: Whether it also reports when it ends.
@@ -214,10 +219,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetLeaving:
-    """A target's answer stated that the target leaves.
+    """A target's answer stated that the target accepts no new requests.
 
     Attributes:
-        incarnation: Incarnation of the target that the request was sent to.
+        incarnation: Incarnation of that target.
     """
 
     incarnation: Incarnation
@@ -225,13 +230,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RateNamed:
-    """A target's answer named the rate that it accepts, or named none any more.
+    """A target's answer named the rate that it accepts, or ended the limit.
 
     Attributes:
         target: Id of the target.
         rate: Requests per second that it accepts from all entries together; None if it
             accepts any rate.
-        asked: When the answered request was sent.
+        asked: When the answered request was sent, as a monotonic time in milliseconds.
     """
 
     target: str
@@ -268,8 +273,8 @@
     """All registrations were read at once; a target that is not listed is gone.
 
     Attributes:
-        registrations: The registrations.
-        position: Offset in the store up to which they were read.
+        registrations: All registrations.
+        position: Offset in the store up to which they were read; -1 for none.
     """
 
     registrations: tuple[Registration, ...]
@@ -292,25 +297,26 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreLost:
-    """The store stopped answering: registrations may lapse unnoticed."""
+    """The store stopped answering this entry: registrations may lapse unnoticed."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreRegained:
-    """The store answers again; targets renew lapsed registrations by themselves."""
+    """The store answers again, or this entry no longer reads it itself."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerLoad:
-    """What another entry has open at one target.
+    """What one entry, or all entries of a failure domain, have open at one target.
 
     Attributes:
         target: Id of the target.
-        calls: Open attempts.
-        memory: Tokens of engine memory that they are expected to use.
-        reading: Prompt tokens of theirs that the target has still to read (prefill).
+        calls: Number of open attempts.
+        memory: Tokens of engine memory that runs and copies are expected to use.
+        reading: Prompt tokens that the target has still to read (prefill).
         read_rate: Prompt tokens that the target reads per millisecond, as the entry
-            measured it; None without a measurement.
+            measured it, or the mean of the failure domain's measurements; None without
+            a measurement.
         incoming: Tokens of runs that are being copied to the target.
         outgoing: Tokens of runs that are being copied from the target.
     """
@@ -333,8 +339,8 @@
         rate: Requests per second that it accepts from all entries together; None if it
             accepts any rate.
         age: Time since that answer, in milliseconds.
-        turn: How often the rate had passed to other entries because no answer of the
-            target came.
+        turn: How often the right to use the rate had passed to other entries because
+            no entry had an answer of the target.
     """
 
     incarnation: Incarnation
@@ -349,13 +355,14 @@
 
     Attributes:
         node: Name of the peer.
-        loads: What the peer has open, by target; all of it unless `partial` is set.
+        loads: What the peer has open, one item for each target.
         uses: What it recently sent to each service.
         suspicions: Requests that were at targets which crashed.
         clearances: Suspected requests that recently ran to an answer.
         closing: Whether the peer is shutting down.
-        address: Where it listens for peers, as "ip:port".
-        configuration: Version of the configuration that it has in force; -1 for none.
+        address: Where it listens for peers, as "ip:port"; "" in a message that this
+            entry has yet to send.
+        configuration: Version of the configuration in force at the peer; -1 for none.
         position: Offset up to which it has read the registrations; -1 for nothing.
         failure_domain: Failure domain of the peer.
         entries: Number of entries that it knows, itself included.
@@ -363,16 +370,17 @@
             to another failure domain.
         receives_records: Whether records of the store reach it, directly or through
             other entries.
-        answered: Whether the store answers it, as far as it reads the store.
-        reading: Whether it reads the store's records as they are written.
+        answered: False if its own reads of the store fail.
+        reading: Whether it reads new records from the store itself.
         leaving: Targets that recently announced to it that they leave, or of which
             other entries reported that.
-        partial: Whether the loads are only those that differ from its last full
-            message.
+        partial: Whether `loads` holds only changed loads, or that of one target.
+            Within a failure domain, changes are relative to the last full message.
         refused: Requests that it recently refused for lack of free capacity.
         evacuations: Failure domains that it knows as evacuated.
-        unreached: Targets that it recently could not connect to.
-        rates: Rates that targets recently named in answers to it.
+        unreached: Ids of targets that it recently could not connect to.
+        rates: Rates that targets recently named in answers to it, or to any entry of
+            its failure domain if `far` is set.
     """
 
     node: str
@@ -410,7 +418,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticked:
-    """Time has passed: timeouts and limits of waiting are checked."""
+    """Time has passed: timeouts are checked."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -418,9 +426,9 @@
     """The settings were read again and may have changed.
 
     Attributes:
-        retry_ratio: Repeats allowed for each request.
-        retry_allowance: Repeats of the whole fleet allowed within a window in addition
-            to the ratio.
+        retry_ratio: Repeats that the fleet may send a service per request to it.
+        retry_allowance: Repeats that the fleet may send a service within a window in
+            addition to the ratio.
         retry_window: Length of that window, in milliseconds.
         regions: Region of each failure domain.
     """
@@ -433,7 +441,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownRequested:
-    """The process was asked to end by `until`; open requests continue until then."""
+    """The process was asked to end.
+
+    Attributes:
+        until: Monotonic time, in milliseconds, until which open requests may continue.
+    """
 
     until: Millis
 
--- a/figstep/gateway/limits.py
+++ b/figstep/gateway/limits.py
@@ -1,14 +1,14 @@
 """Rates and pauses that targets ask for in their answers.
 
-A pause holds for the entry whose request was rejected; a rate holds for all entries
+A pause applies to the entry that got the answer; a rate applies to all entries
 together.
 
 The case handled here is an overloaded target that serves a fleet of entries. It names
-its rate only to the entries that it answers, and each of them knows no more than its
-own requests: entries that kept to the rate one by one would send it many times over.
-Entries therefore report to each other what a target has named, and split it. A rate may
-be lower than one request per second for each entry, so whole requests are split over
-some seconds.
+its rate only to the entries that it answers, and an entry knows only its own requests:
+if each entry kept to the rate by itself, together they would send many times the rate.
+Entries therefore report named rates to each other and split them. A rate may be lower
+than one request per second for each entry, so the requests that it allows within some
+seconds are split into whole requests of each entry.
 """
 
 from figstep.core.clock import Millis
@@ -20,26 +20,28 @@
 
 RATE_SPLIT_WINDOW = Millis(4_100)
 """Time, in milliseconds, over which a rate is split into whole requests. It exceeds
-four seconds, as requests sent four seconds apart may arrive a little closer."""
+four seconds, as requests sent four seconds apart may arrive a little closer together.
+"""
 
 MAX_RATE_SPLIT_WINDOW = Millis(10_000)
-"""Window, in milliseconds, for the lowest rates. At a rate of zero, too, one request is
-allowed in it, as only an answer shows that a target accepts more again."""
+"""Longest window, in milliseconds, used for the lowest rates. One request is allowed in
+it even at a rate of zero, as only an answer shows that a target accepts more again."""
 
 TURN_DURATION = Millis(10_000)
-"""Time, in milliseconds, without any answer of a target after which its rate passes to
-other entries. Those that had it may have no callers, and no entry would learn that the
-target accepts more again."""
+"""Time, in milliseconds, without any answer of a target after which the right to use
+its rate passes to other entries. The entries that had it may have no callers, and then
+no entry would learn that the target accepts more again."""
 
 
 def handle_rate(state: State, event: RateNamed, now: Millis) -> list[Effect]:
-    """Handle the rate that a target's answer named, or that it named none."""
+    """Handle a target's answer that named a rate or ended the limit."""
     target = state.targets.find(event.target)
     if target is None:
         return []
     limit = target.limit
     if event.rate is None and (limit is None or event.asked < limit.stated_at):
-        # The answered request was sent before the target began to name a rate.
+        # No rate is known, or the request was sent before the newest answer that
+        # stated one.
         return []
     if limit is None:
         limit = target.limit = RateLimit()
@@ -51,7 +53,7 @@
 def apply_rate_reports(
     state: State, reports: tuple[RateReport, ...], source: str, now: Millis
 ) -> list[Effect]:
-    """Apply the rates that targets have named to another entry."""
+    """Apply another entry's reports of rates, where they are newer than known ones."""
     effects: list[Effect] = []
     for report in reports:
         target = state.targets.find(report.incarnation.target)
@@ -89,9 +91,9 @@
         limit.sends.clear()
         limit.opens_at = now
         if _estimate_request_rate(state, target, now) > rate:
-            # Requests from before the target named the rate have used up the first
-            # window. The entries must not all begin at once when it ends, as they
-            # would then send in step in every later window.
+            # Requests sent before the target named the rate have used up the first
+            # window. The delay is random: if all entries began at once, they would
+            # send at the same moments in every later window.
             delay = RATE_SPLIT_WINDOW * (0.5 + state.rng.random())
             limit.opens_at = Millis(round(now + delay))
     message = "target takes any rate" if rate is None else "target names a rate"
@@ -100,7 +102,7 @@
 
 
 def _estimate_request_rate(state: State, target: Target, now: Millis) -> float:
-    """Return the requests per second that a target got, if all targets got alike."""
+    """Return a target's requests per second, assumed equal for all ready targets."""
     service = target.info.service
     fleet = peers.sum_uses(state, service)
     requests = state.budget.count_requests(service, now) + fleet.requests
@@ -109,22 +111,32 @@
 
 
 def record_pause(target: Target, pause: Millis, now: Millis) -> None:
-    """Record that a target rejected a request of this entry and asked for a pause."""
+    """Record that a target asked this entry for a pause.
+
+    Args:
+        target: The target.
+        pause: Length of the pause, in milliseconds.
+        now: Monotonic time, in milliseconds.
+    """
     target.paused_until = Millis(max(target.paused_until, now + pause))
 
 
 def is_limited(target: Target) -> bool:
-    """Return whether a target currently names a rate."""
+    """Return whether a rate of a target is in force."""
     return target.limit is not None and target.limit.rate is not None
 
 
 def may_send(state: State, target: Target, now: Millis) -> bool:
-    """Return whether a target may be sent one more request now."""
+    """Return whether a target's rate and pause permit a request of this entry now."""
     return find_send_time(state, target, now) <= now
 
 
 def find_send_time(state: State, target: Target, now: Millis) -> Millis:
-    """Return the earliest time at which this entry may send a target a request."""
+    """Return the earliest time at which this entry may send a target a request.
+
+    The time is monotonic, in milliseconds. An entry without a share of the target's
+    rate gets the time at which the rate next passes to other entries.
+    """
     send_time = _find_rate_send_time(state, target, now)
     return Millis(max(send_time, target.paused_until))
 
@@ -148,7 +160,7 @@
 
 
 def record_send(target: Target, now: Millis) -> None:
-    """Count a request that is sent to a target."""
+    """Record a request that is sent to a target with a rate."""
     limit = target.limit
     if limit is None or limit.rate is None:
         return
@@ -161,7 +173,7 @@
 
 
 def split_rate(rate: float) -> tuple[Millis, int]:
-    """Return a window and the whole requests that a rate allows within it."""
+    """Return a window, in milliseconds, and the whole requests allowed within it."""
     if rate * RATE_SPLIT_WINDOW >= 1_000:
         return RATE_SPLIT_WINDOW, int(rate * RATE_SPLIT_WINDOW / 1_000)
     if rate * MAX_RATE_SPLIT_WINDOW <= 1_000:
--- a/figstep/gateway/peers.py
+++ b/figstep/gateway/peers.py
@@ -11,17 +11,18 @@
 from figstep.gateway.state import DomainLoads, Peer, Request, State
 
 PEER_TIMEOUT = Millis(3_000)
-"""Silence, in milliseconds, after which a peer's loads no longer count. Peers send a
-message at least once a second, and one in a hundred datagrams is lost."""
+"""Time, in milliseconds, without a message after which a peer's loads no longer count.
+Peers send a message at least once a second. One in a hundred datagrams is lost, so a
+single lost message must not make a peer count as silent."""
 
 MISSING_PEER_DURATION = Millis(20_000)
-"""How long, in milliseconds, a peer that fell silent is assumed to be running behind a
-network partition and spending from the fleet's retry budget. It is two windows of that
-budget."""
+"""How long, in milliseconds, a peer whose messages stopped is assumed to still run
+behind a network partition and to use the fleet's retry budget. It is twice the default
+window of that budget."""
 
 REMOTE_LOADS_TIMEOUT = Millis(4_000)
 """How long, in milliseconds, the load sums of another failure domain count without a
-new message. They are sent in full every two seconds, and some messages are lost."""
+new message. All of them are sent every two seconds, and some messages are lost."""
 
 MEMORY_REPORT_STEP = 1_000
 """Growth of the runs at an engine, in tokens, that is reported to other entries before
@@ -54,8 +55,8 @@
         rates=event.rates,
     )
     if event.far and event.failure_domain == state.failure_domain:
-        # The peer did not yet know that it is in this entry's failure domain when
-        # it sent these sums; its own loads come with its next message.
+        # The peer sent these sums before it knew that this entry is in its failure
+        # domain; its own loads come with its next message.
         return
     if event.far:
         state.remote_peers[event.node] = peer
@@ -77,8 +78,8 @@
 def _apply_loads(state: State, peer: Peer, event: PeerHeard) -> None:
     """Apply the loads of an entry of this failure domain.
 
-    A partial message holds the loads that differ from those of the last full message; a
-    load that is again as it was then is no longer sent.
+    A partial message holds the loads that differ from those of the last full message.
+    A target that is missing from it has the load of that full message again.
     """
     known = state.peers.get(event.node)
     before = {} if known is None else known.loads
@@ -116,7 +117,7 @@
 def _replace_loads(
     state: State, before: Iterable[PeerLoad], loads: Iterable[PeerLoad]
 ) -> None:
-    """Count some loads in place of those that the same peer reported before.
+    """Subtract earlier loads of a peer from the targets' sums and add newer ones.
 
     Summing up the loads of all peers for each message would cost several times as much.
     """
@@ -127,7 +128,11 @@
 
 
 def expire_peers(state: State, now: Millis) -> None:
-    """Remove peers whose messages stopped, and loads that are too old."""
+    """Remove peers whose messages stopped, with their loads.
+
+    Peers of this failure domain, or of a small fleet, count as silent from then on, for
+    ``MISSING_PEER_DURATION``.
+    """
     for name in _list_expired(state.peers, now):
         _replace_loads(state, state.peers.pop(name).loads.values(), ())
         state.silent_peers[name] = now
@@ -182,7 +187,7 @@
 
 
 def list_loads(state: State) -> tuple[PeerLoad, ...]:
-    """Return what this entry has open, by target."""
+    """Return this entry's loads, one for each target with any load or read rate."""
     loads = []
     for target in state.targets.targets.values():
         if not (target.calls or target.memory or target.own_read_rate):
@@ -202,7 +207,7 @@
 
 
 def sum_uses(state: State, service: str) -> FleetUse:
-    """Return what the other entries sent to a service."""
+    """Return the other entries' recent use of a service, and how complete it is."""
     requests = repeats = 0
     for peer in state.peers.values():
         for use in peer.uses:
@@ -215,7 +220,15 @@
 
 
 def spend_repeat(state: State, service: str, now: Millis, urgent: bool = False) -> bool:
-    """Take one repeat from the fleet's retry budget; return False if none is left."""
+    """Record a repeat if the fleet's retry budget permits one; return whether it does.
+
+    Args:
+        state: The gateway's state.
+        service: Name of the service that gets the repeat.
+        now: Monotonic time, in milliseconds.
+        urgent: Whether the repeat may use the part of the budget that is reserved for
+            streams whose engine leaves or failed.
+    """
     if not state.budget.can_repeat(service, sum_uses(state, service), now, urgent):
         return False
     state.budget.record_repeat(service, now)
@@ -223,7 +236,7 @@
 
 
 def record_denied(state: State, request: Request, now: Millis) -> list[Effect]:
-    """Return the count of a denied repeat, and a log line for a request's first."""
+    """Count a denied repeat; log only the first one of each request."""
     counted: list[Effect] = [Count("repeats_denied", (request.route.name,))]
     if request.retry_denied:
         return counted
@@ -245,7 +258,10 @@
 
 
 def describe_entry(state: State, now: Millis) -> PeerHeard:
-    """Return the message in which this entry describes itself to the others."""
+    """Return the message in which this entry describes itself to the others.
+
+    It holds all loads. Its address is empty; the peer port sets it on sending.
+    """
     return PeerHeard(
         state.node,
         list_loads(state),
@@ -269,7 +285,10 @@
 
 
 def describe_domain(state: State, now: Millis) -> PeerHeard:
-    """Return a message with the summed loads of this failure domain's entries."""
+    """Return a message with the summed loads of this failure domain's entries.
+
+    It is meant for other failure domains.
+    """
     reported = [*list_loads(state)]
     for peer in state.peers.values():
         reported += peer.loads.values()
@@ -277,7 +296,10 @@
 
 
 def describe_domain_at(state: State, target: str, now: Millis) -> PeerHeard:
-    """Return a partial message with this failure domain's summed load at one target."""
+    """Return a message with this failure domain's summed load at one target.
+
+    Only the loads are partial; all other fields are complete.
+    """
     reported = [load for load in list_loads(state) if load.target == target]
     for peer in state.peers.values():
         load = peer.loads.get(target)
@@ -307,7 +329,7 @@
 
 
 def _list_domain_rates(state: State, now: Millis) -> tuple[RateReport, ...]:
-    """Return the newest rates that targets named to any entry of this domain."""
+    """Return each target's newest rate named to any entry of this failure domain."""
     newest = {report.incarnation: report for report in state.list_rates(now)}
     for peer in state.peers.values():
         for reported in peer.rates:
@@ -323,14 +345,16 @@
 def select_changed(
     reported: Mapping[str, PeerLoad], loads: Iterable[PeerLoad]
 ) -> tuple[PeerLoad, ...]:
-    """Return the loads that others must learn of before the next full message.
+    """Return the loads whose change is reported before the next full message.
 
-    Runs grow with every event. What matters to the placement of prompts is prompts that
-    arrived, were read or ended, and growth that adds up.
+    Runs grow with every event, which alone is not reported. The placement of prompts
+    depends on attempts that start or end, prompts that were read, copies in progress,
+    and growth of at least ``MEMORY_REPORT_STEP``. A load that is missing from ``loads``
+    is returned as zero.
 
     Args:
         reported: Loads as they were last reported, by target.
-        loads: Loads as they are now.
+        loads: Present loads.
     """
     changed = []
     remaining = dict(reported)
@@ -352,7 +376,10 @@
 
 
 def is_domain_representative(state: State, now: Millis) -> bool:
-    """Return whether this entry reports its domain's loads to other domains."""
+    """Return whether this entry reports its domain's loads to other domains.
+
+    That is the entry with the lowest name of those that recently sent a message.
+    """
     return not any(name < state.node for name in sources.list_live_peers(state, now))
 
 
--- a/figstep/gateway/reports.py
+++ b/figstep/gateway/reports.py
@@ -8,24 +8,25 @@
 from figstep.gateway.targets import Target
 
 QUERY_INTERVAL = Millis(400)
-"""Least time, in milliseconds, between two queries of an engine. The reported state is
-half a second old, and an engine is gone 1.5 s after its notice."""
+"""Shortest time, in milliseconds, between two queries of an engine. The reported state
+is half a second old, and an engine is gone 1.5 s after its notice."""
 
 UNCLAIMED_TIMEOUT = Millis(1_200)
-"""How long, in milliseconds, a report counts: three queries, two of which may stay
-unanswered."""
+"""How long, in milliseconds, a report of unclaimed memory counts. It is the time of
+three queries, two of which may stay unanswered."""
 
 RESTART_QUERY_MARGIN = Millis(1_000)
-"""How much longer than copies are kept, in milliseconds, a process queries engines
-after a restart. A copy ordered just before the kill is kept from when it arrives."""
+"""Time, in milliseconds, that a restarted process queries engines beyond the retention
+of copies. The retention of a copy that was ordered just before the earlier process was
+killed starts only when the copy arrives."""
 
 
 def query_engines(state: State, now: Millis) -> list[Effect]:
     """Query engines for their state where no other source reports it.
 
-    Without the store an engine's notice reaches no entry, and its streams are lost with
-    it; only the engine itself knows that it leaves. After a restart no entry knows
-    which copies the killed processes left: prompts sent on the assumption that an
+    Without the store, only an engine itself knows that it leaves; its notice reaches no
+    entry, and its streams would be lost with it. After a restart, this entry does not
+    know which copies the killed processes left: prompts sent on the assumption that an
     engine is empty waited there for four seconds.
     """
     effects: list[Effect] = []
@@ -48,8 +49,8 @@
 
 
 def _record_query(target: Target, now: Millis) -> None:
-    # A report is as old as the time between two queries: it is compared with the
-    # memory claimed at the previous query, or now if that was long ago.
+    # A report describes the engine at about the time of the previous query. It is
+    # compared with the memory claimed then, or now if that query was long ago.
     recent = now - target.queried_at < UNCLAIMED_TIMEOUT
     claimed = target.claimed_memory
     target.claimed_baseline = target.claimed_at_query if recent else claimed
@@ -60,10 +61,11 @@
 def _is_querier(
     state: State, target: Target, live_entries: list[str], now: Millis
 ) -> bool:
-    """Return whether this entry queries an engine on whether it leaves.
+    """Return whether this entry queries an engine on whether the engine leaves.
 
-    In a large fleet one entry queries for its whole failure domain: if every entry did,
-    the number of queries would grow with the square of the fleet.
+    In a small fleet each entry with a run there does. In a large fleet one entry, drawn
+    by hash, queries for its whole failure domain: if every entry did, the number of
+    queries would grow with the square of the fleet.
     """
     if not target.load:
         return False
@@ -96,7 +98,7 @@
         return False
     if state.is_large:
         # Queries of all entries to all engines would grow with the square of the
-        # fleet, and there a few engines of dozens hold such copies.
+        # fleet, where only a few engines of dozens hold copies of killed processes.
         return False
     return now - state.budget.started < pool.copy_retention + RESTART_QUERY_MARGIN
 
@@ -112,8 +114,8 @@
     if not event.leaving:
         return []
     if not event.ending and sources.is_store_unread(state, now):
-        # A drained engine keeps serving until the store has recorded that it
-        # leaves, and without the store no replacement for it can be known.
+        # The engine is only drained: it keeps serving until the store has recorded
+        # that it leaves. Without the store no replacement for it can be known.
         return []
     return departures.handle_leaving(state, target.info.incarnation, now)
 
--- a/figstep/gateway/sources.py
+++ b/figstep/gateway/sources.py
@@ -8,17 +8,17 @@
 from figstep.gateway.state import Peer, State
 
 MIN_READERS = 3
-"""Entries of a large fleet that read the store, split over its failure domains. There
-are three, as any two of them may fail in the same moment."""
+"""Number of entries of a large fleet that read the store, split over its failure
+domains. There are three, as any two of them may fail at the same moment."""
 
 MAX_UNHEALTHY_READERS = 6
-"""Entries of the fleet that try to read the store without getting its records, from
-which on no others try. Where the store rejects a third of the entries, one of this many
+"""Number of entries of a large fleet that try to read the store without getting its
+records, at which no others try. If the store rejects a third of the entries, one of six
 gets through."""
 
 READER_TIMEOUT = Millis(1_500)
-"""Silence of a reader, in milliseconds, after which another entry reads in its
-place."""
+"""Time, in milliseconds, without a message of a reader after which another entry reads
+the store in its place."""
 
 RELAY_DELAY = Millis(150)
 """How long, in milliseconds, an entry that does not read the store waits for a record
@@ -30,11 +30,14 @@
 milliseconds of each other; a store that rejects this entry may never send it."""
 
 MAX_CONCURRENT_FETCHES = 2
-"""Entries that fetch records from one peer at the same time."""
+"""Number of entries that may at first fetch records from one peer at the same time."""
 
 
 def list_live_peers(state: State, now: Millis) -> dict[str, Peer]:
-    """Return the entries of this failure domain that recently sent a message."""
+    """Return the peers that sent a message within ``READER_TIMEOUT``, by name.
+
+    In a large fleet these are entries of this failure domain only.
+    """
     live = {}
     for name, peer in state.peers.items():
         if now - peer.last_received_at < READER_TIMEOUT:
@@ -43,10 +46,10 @@
 
 
 def reads_store(state: State, now: Millis) -> bool:
-    """Return whether this entry reads the store's records as they are written.
+    """Return whether this entry reads new records from the store itself.
 
-    Calls to the store are expensive in a large fleet: there a few entries read the
-    records and relay them to the others. An entry that began to read and fails keeps
+    Calls to the store are expensive in a large fleet: there the entries with the lowest
+    names read the records and relay them to the others. An entry whose reads fail keeps
     trying, so that it learns when the store is back.
     """
     if not state.is_large or state.read_failed:
@@ -58,16 +61,16 @@
         if peer.receives_records:
             healthy += 1
         else:
-            # The peer also tries to read, or is about to. If this entry waited for
-            # the peer to report that, all entries would begin to read in vain when
-            # the store is lost.
+            # The peer also tries to read, or is about to. If only peers that
+            # report reading were counted, all entries would begin to read, without
+            # any result, when the store is lost.
             unhealthy += 1
     max_unhealthy = _share_readers(state, MAX_UNHEALTHY_READERS)
     return healthy < _share_readers(state, MIN_READERS) and unhealthy < max_unhealthy
 
 
 def _share_readers(state: State, readers: int) -> int:
-    """Return how many of the fleet's readers each failure domain has."""
+    """Return each failure domain's share of some readers, rounded up."""
     domains = 1 + len(state.remote_loads)
     return -(-readers // domains)
 
@@ -91,7 +94,7 @@
 
 def _has_live_reader(state: State, now: Millis) -> bool:
     # Readers that fail together must not rely on each other's reports that records
-    # reach them: only a reader that the store answers has any.
+    # reach them: only a reader whose own reads succeed counts.
     for peer in [*state.peers.values(), *state.remote_peers.values()]:
         if now - peer.last_received_at >= READER_TIMEOUT:
             continue
@@ -101,12 +104,16 @@
 
 
 def is_store_unread(state: State, now: Millis) -> bool:
-    """Return whether the store answers no entry that this one has contact with."""
+    """Return whether the store answers neither this entry nor any known reader."""
     return state.store_unreachable and not _has_live_reader(state, now)
 
 
 def find_healthy_since(state: State, event: PeerHeard, now: Millis) -> Millis | None:
-    """Return since when the store has answered a peer that reads it, or None."""
+    """Return since when a peer has reported that it reads the store successfully.
+
+    Returns:
+        A monotonic time in milliseconds; None if the peer does not report that now.
+    """
     if not (event.reading and event.answered and event.receives_records):
         return None
     known = (state.remote_peers if event.far else state.peers).get(event.node)
@@ -116,7 +123,7 @@
 
 
 def was_store_available(state: State) -> bool:
-    """Return whether a peer read the store throughout this entry's outage."""
+    """Return whether a peer has read the store since before this entry's outage."""
     for peer in [*state.peers.values(), *state.remote_peers.values()]:
         if peer.healthy_since is not None and peer.healthy_since < state.store_lost_at:
             return True
@@ -124,7 +131,11 @@
 
 
 def catch_up(state: State, now: Millis) -> list[Effect]:
-    """Fetch from a peer the records that the store has not sent to this entry."""
+    """Fetch from a peer newer records that this entry has not received.
+
+    It waits for ``CATCH_UP_DELAY`` if it reads the store itself, for ``RELAY_DELAY`` if
+    not, and until ``_may_fetch`` permits it.
+    """
     known = [*state.peers.values(), *state.remote_peers.values()]
     ahead = [peer for peer in known if _is_ahead(state, peer)]
     if not ahead:
@@ -166,8 +177,16 @@
 def _may_fetch(state: State, ahead: list[Peer], waited: Millis) -> bool:
     """Return whether this entry may now fetch records that only some peers have.
 
-    If a whole failure domain fetched from the few peers that have them at once, all
-    would get them late over a slow link. Each entry that has them serves the next ones.
+    If a whole failure domain fetched at once from the few peers that have them, all
+    entries would get them late over a slow link. The entries that are behind are
+    ordered by a hash; the number that may fetch doubles every ``CATCH_UP_DELAY`` and
+    grows with the number of peers that have the records.
+
+    Args:
+        state: The gateway's state.
+        ahead: Peers that have the records.
+        waited: Time in milliseconds for which this entry has been behind, or since its
+            last fetch.
     """
     newest = max((peer.configuration, peer.position) for peer in ahead)
     behind = [name for name, peer in state.peers.items() if not _is_ahead(state, peer)]
--- a/figstep/gateway/targets.py
+++ b/figstep/gateway/targets.py
@@ -25,15 +25,15 @@
     """A target's description of itself.
 
     Attributes:
-        target: Id of the target; for most targets it identifies one incarnation.
+        target: Id of the target; some targets keep their id when they restart.
         service: Service that the target belongs to.
         address: Where it listens, as "ip:port".
         failure_domain: Failure domain of the target.
-        slots: Requests that it runs at once.
+        slots: Number of requests that it runs at once.
         draining: Whether it accepts no new work.
         warmup: How much longer it is slow, in milliseconds; 0 if it does not warm up.
-        born: Start of the target, as a Unix time in milliseconds; distinguishes
-            incarnations of one id.
+        born: Start of the incarnation, as a Unix time in milliseconds; 0 if the
+            registration does not state it.
     """
 
     target: str
@@ -87,23 +87,23 @@
 INITIAL_TARGET_BACKOFF = Millis(500)
 """How long, in milliseconds, a target is avoided after two losses in a row. The time
 doubles with each further loss, as a target that is down needs seconds to return and one
-with a passing fault does not."""
+with a passing fault does not. A loss without a connection counts as two."""
 
 MAX_TARGET_BACKOFF = Millis(4_000)
 """Longest time, in milliseconds, that a target is avoided before it is tried again."""
 
 
 MIN_UNREACHABLE_TARGETS = 2
-"""Unreachable targets of one failure domain from which on the whole failure domain is
-considered unreachable for their service."""
+"""Number of unreachable targets of a service in one failure domain at which the whole
+failure domain is considered unreachable for that service."""
 
 UNREACHED_DURATION = Millis(1_000)
-"""How long, in milliseconds, a failed connection counts against a target. Requests
-after that find out whether it is back."""
+"""How long, in milliseconds, a failed connection marks a target as unreached. After
+that, requests may try the target again, which shows whether it is back."""
 
 MIN_UNREACHED_REPORTS = 2
-"""Other entries that have to report a target unreached, within the duration above,
-before this entry presumes that it is down."""
+"""Number of other entries that have to report a target unreached, all within
+``UNREACHED_DURATION``, before this entry presumes that it is down."""
 
 
 class Standing(Enum):
@@ -118,15 +118,19 @@
 class RateLimit:
     """A rate that a target has named in its answers.
 
+    All times are monotonic, in milliseconds.
+
     Attributes:
         rate: Requests per second that it accepts from all entries together; None if its
-            last answer named none.
-        opens_at: Time from which on it may be sent requests within the rate.
+            last known answer ended the limit.
+        opens_at: Earliest time at which this entry sends it requests within the rate.
         stated_at: When an answer to any entry last stated the rate.
-        received_at: When this entry last received an answer that stated it.
-        turn: How often the rate passed to other entries because no answer of the target
-            came; part of the key that selects the entries that may use it.
-        sends: Times of the requests that this entry sent since, oldest first.
+        received_at: When this entry itself last received an answer that stated it.
+        turn: How often the right to use the rate passed to other entries because no
+            entry had an answer of the target for ``TURN_DURATION``. It is part of the
+            key that selects the entries that may use the rate.
+        sends: Times at which this entry recently sent it requests while a rate was in
+            force, oldest first.
     """
 
     rate: float | None = None
@@ -141,56 +145,59 @@
 class Target:
     """A target and what this entry knows of it.
 
+    All times are monotonic, in milliseconds. Memory is counted in tokens.
+
     Attributes:
         info: Newest registration of the target.
         standing: Whether it gets work.
-        left_at: When it was found to be leaving, or None.
+        left_at: When it was found to be leaving; None while it is not.
         calls: Open attempts of this entry at the target, streams included.
         memory: Tokens of its memory that runs and copies of this entry are expected to
             use.
-        reading: Prompt tokens of this entry that it has still to read.
+        reading: Prompt tokens that it has still to read for this entry.
         incoming: Tokens of runs that are being copied to it on this entry's orders.
         outgoing: Tokens of runs that are being copied from it on this entry's orders.
         peer_calls: Open attempts of all other entries.
         peer_memory: Tokens of its memory that runs and copies of all other entries are
             expected to use.
-        peer_reading: Prompt tokens of all other entries that it has still to read.
+        peer_reading: Prompt tokens that it has still to read for all other entries.
         peer_incoming: Tokens of runs that are being copied to it on other entries'
             orders.
         peer_outgoing: Tokens of runs that are being copied from it on other entries'
             orders.
         own_read_rate: Prompt tokens that it reads per millisecond, smoothed, as
             measured by this entry; None without a measurement.
-        peer_rate_sum: Sum of the read rates that other entries measured.
-        peer_rate_count: Number of entries and failure domains in that sum.
+        peer_rate_sum: Sum of the read rates that peers report. Another failure domain
+            of a large fleet reports the mean of its entries.
+        peer_rate_count: Number of reports in ``peer_rate_sum``.
         failures: Smoothed share of its attempts that failed, from 0 to 1.
         queried_at: When this entry last queried its state.
-        querier_drawn_at: When the entry that queries it for the whole failure domain
-            was last selected.
-        reported_at: When it last reported the memory in use.
-        claimed_at_query: Tokens of its memory that known runs and copies claimed at the
-            last query.
-        claimed_baseline: Claimed tokens that its next report is compared with.
+        querier_drawn_at: When this entry last computed which entry queries it for the
+            whole failure domain.
+        reported_at: When it last reported its memory in use.
+        claimed_at_query: ``claimed_memory`` at the last query of its state.
+        claimed_baseline: ``claimed_memory`` at the time that its next report describes;
+            what the report exceeds it by is unclaimed.
         unclaimed: Tokens of its memory in use that no known run or copy claims.
         consecutive_losses: Attempts in a row that were lost without an answer; a loss
             without a connection counts as two.
-        backoff_until: When it is tried again after losses.
-        warm_at: When it will have warmed up.
+        backoff_until: Until when it is avoided after losses.
+        warm_at: When it will have warmed up, or has.
         cold_sends: Times at which this entry recently sent it requests while it was
             cold.
         evacuated: Whether its failure domain is evacuated, so that it gets no new work.
         unreached_at: When this entry last failed to connect to it.
         presumed_down_at: When this entry last failed to connect to it, or enough other
             entries reported that they did.
-        answered_at: When it last answered.
+        answered_at: When it last gave an answer that reports no failure of its own.
         unreached_reports: When other entries last reported that they could not connect
             to it, by entry.
-        limit: Rate that it has named in its answers; None if it never named one.
+        limit: Rate that it has named to this or another entry; None if none is known.
         paused_until: End of the pause that it asked this entry for.
         announced_leaving: Whether it has announced to this entry that it leaves.
         lost: Digests of requests whose attempts there ended without an answer, and
-            when. An answer to a later request removes them.
-        ended_at: When its incarnation was found to have ended, or None.
+            when. An answer to a request sent after that time removes the entry.
+        ended_at: When its incarnation was found to have ended; None if it was not.
         probed_at: When this entry last probed whether it listens at its address.
     """
 
@@ -245,9 +252,11 @@
 
     @property
     def appears_unreachable(self) -> bool:
-        """Whether this entry's last try to reach the target failed.
+        """Whether the target has ended or does not answer this entry.
 
-        A missing registration of such a target is then more than a lapse in the store.
+        It does not answer if this entry failed to connect to it after its last answer.
+        If its registration is also missing, the target is treated as departed at once,
+        without the wait for lapsed registrations to come back.
         """
         return self.ended_at is not None or self.unreached_at > self.answered_at
 
@@ -258,7 +267,7 @@
 
     @property
     def reading_load(self) -> int:
-        """Prompt tokens of all entries that the target has still to read."""
+        """Prompt tokens that the target has still to read for all entries."""
         return self.reading + self.peer_reading
 
     @property
@@ -273,7 +282,10 @@
 
     @property
     def read_rate(self) -> float:
-        """Prompt tokens read per millisecond: mean of the entries' measurements."""
+        """Mean of the known read rates, in prompt tokens per millisecond.
+
+        It is ``DEFAULT_READ_RATE`` if no read rate was measured.
+        """
         total, count = self.peer_rate_sum, self.peer_rate_count
         if self.own_read_rate is not None:
             total += self.own_read_rate
@@ -281,7 +293,15 @@
         return total / count if count else DEFAULT_READ_RATE
 
     def predict_read_time(self, tokens: int, now: Millis) -> float:
-        """Return the milliseconds until the target has read a prompt of some tokens."""
+        """Return the expected time until the target has read a new prompt.
+
+        Args:
+            tokens: Length of the prompt.
+            now: Monotonic time, in milliseconds.
+
+        Returns:
+            The time in milliseconds, including that of the prompts ahead of it.
+        """
         rate = self.read_rate
         if now < self.warm_at:
             rate *= COLD_READ_RATE_FACTOR
@@ -291,8 +311,8 @@
         """Update the measured read rate from the time that some prompts took.
 
         Args:
-            tokens: Tokens of a prompt and of those ahead of it.
-            elapsed: Milliseconds in which they were read.
+            tokens: Tokens of a prompt and of the prompts read before it.
+            elapsed: Milliseconds in which they were read; ignored if not positive.
         """
         if elapsed <= 0:
             return
@@ -301,7 +321,7 @@
         self.own_read_rate = known + READ_RATE_SMOOTHING * (observed - known)
 
     def record_success(self, now: Millis) -> None:
-        """Record an answer of the target."""
+        """Record an answer that reports no failure, and end the target's backoff."""
         self.answered_at = now
         self.failures *= 1.0 - FAILURE_SMOOTHING
         self.consecutive_losses = 0
@@ -313,12 +333,12 @@
         self.consecutive_losses = 0
 
     def record_loss(self, now: Millis, reached: bool) -> None:
-        """Record an attempt that ended without an answer.
+        """Record an attempt or a probe that ended without an answer.
 
         Args:
             now: Monotonic time, in milliseconds.
-            reached: Whether there was a connection; without one the target is avoided
-                from the first loss on.
+            reached: Whether there was a connection. A loss without one counts as two,
+                so the target is avoided from the first such loss on.
         """
         self.failures += FAILURE_SMOOTHING * (1.0 - self.failures)
         self.consecutive_losses += 1 if reached else 2
@@ -330,7 +350,10 @@
             self.backoff_until = Millis(now + min(pause, MAX_TARGET_BACKOFF))
 
     def is_unreached(self, now: Millis) -> bool:
-        """Return whether this entry recently failed to connect to the target."""
+        """Return whether this entry recently failed to connect to the target.
+
+        An answer since then resets it.
+        """
         if now - self.unreached_at >= UNREACHED_DURATION:
             return False
         return self.answered_at < self.unreached_at
@@ -339,7 +362,8 @@
         """Record that another entry could not connect to the target.
 
         A single report is not enough, as its sender may be cut off itself. A report is
-        ignored if the target has answered this entry recently, as it is then not down.
+        ignored if the target has answered this entry within ``UNREACHED_DURATION``, as
+        the target is then not down.
         """
         if now - self.answered_at < UNREACHED_DURATION:
             return
@@ -349,8 +373,8 @@
             sum(1 for at in report_times if now - at < UNREACHED_DURATION)
             >= MIN_UNREACHED_REPORTS
         ):
-            # `unreached_at` is left alone: reports of other entries are not passed
-            # on, or entries would keep each other's reports alive for ever.
+            # `unreached_at` is not set: this entry would announce it, and entries
+            # would keep each other's reports alive forever.
             self.presumed_down_at = now
             self.backoff_until = Millis(
                 max(self.backoff_until, now + INITIAL_TARGET_BACKOFF)
@@ -358,7 +382,7 @@
 
     @property
     def claimed_memory(self) -> int:
-        """Tokens that runs and copies of all entries are expected to use."""
+        """Memory tokens that runs and copies of all entries are expected to use."""
         return self.memory + self.peer_memory
 
     @property
@@ -369,13 +393,16 @@
 
 @dataclass(slots=True)
 class TargetTable:
-    """All targets by id.
+    """The known targets, and registrations that recently went missing.
+
+    All times are monotonic, in milliseconds.
 
     Attributes:
-        targets: The targets that may still be in use.
+        targets: Targets that have registered, by id; departed ones are kept until
+            ``remove_departed`` removes them.
         departures: Times of recent departures, by service.
-        pending_departures: Targets whose registration is missing but may only have
-            lapsed, and until when it may come back.
+        pending_departures: Ids of targets whose registration is missing but may only
+            have lapsed, and until when it may come back.
     """
 
     targets: dict[str, Target] = field(default_factory=dict)
@@ -383,7 +410,7 @@
     pending_departures: dict[str, Millis] = field(default_factory=dict)
 
     def find(self, name: str) -> Target | None:
-        """Return a target by its id, or None."""
+        """Return the target with an id, or None if it is unknown."""
         return self.targets.get(name)
 
     def list_ready(self, service: str) -> list[Target]:
@@ -395,7 +422,10 @@
         return found
 
     def has_evacuated(self, service: str) -> bool:
-        """Return whether a service has targets that would work but are evacuated."""
+        """Return whether a service has targets in evacuated failure domains.
+
+        Targets that leave do not count.
+        """
         for target in self.targets.values():
             if target.info.service != service or not target.evacuated:
                 continue
@@ -406,8 +436,10 @@
     def find_unreachable_domains(self, service: str, now: Millis) -> set[str]:
         """Return the failure domains of a service that look unreachable as a whole.
 
-        Where all targets of a failure domain go down together, trying them one after
-        another would use up the caller's time, or all attempts that it has.
+        These have at least ``MIN_UNREACHABLE_TARGETS`` targets that were presumed down
+        within ``UNREACHED_DURATION``, and no target that answered this entry since. If
+        all targets of a failure domain go down together, trying them one after another
+        would use up a request's time or attempts.
         """
         unreached: dict[str, list[Millis]] = {}
         for target in self.targets.values():
@@ -434,8 +466,7 @@
     def record_registration(self, info: Registration, now: Millis) -> Target:
         """Record a registration and return its target.
 
-        A target that restarts under its old id keeps nothing of the earlier
-        incarnation, so everything known of that is dropped.
+        What is known of an earlier incarnation with the same id is dropped.
         """
         self.pending_departures.pop(info.target, None)
         target = self.targets.get(info.target)
@@ -444,22 +475,23 @@
             self.targets[info.target] = target
         target.info = info
         if info.warmup:
-            # A target that keeps running may become cold again at any moment.
+            # Also set for a known target: it may become cold again while it runs.
             target.warm_at = Millis(now + info.warmup)
         if info.draining:
             self._mark_leaving(target, now)
         elif target.standing is Standing.LEAVING:
-            # Its registration had lapsed, as it may during an outage of the store.
+            # Its registration had lapsed, as in an outage of the store.
             target.standing = Standing.READY
             target.left_at = None
         return target
 
     def is_mass_departure(self, name: str, now: Millis) -> bool:
-        """Count a departure and return whether there are too many for real departures.
+        """Record a departure and return whether registrations appear to have lapsed.
 
-        An outage of the store that this entry did not notice lets all registrations
-        lapse; dropping their targets would leave callers without any target for
-        seconds.
+        That is so if at least ``MIN_MASS_DEPARTURES`` targets of the service, and more
+        than half of its targets, departed within ``MASS_DEPARTURE_WINDOW``. An outage
+        of the store that this entry did not notice lets all registrations lapse;
+        dropping their targets would leave callers without any target for seconds.
         """
         target = self.targets.get(name)
         if target is None:
@@ -472,7 +504,14 @@
         return len(recent) >= MIN_MASS_DEPARTURES and len(recent) * 2 > before
 
     def defer_departure(self, name: str, until: Millis) -> None:
-        """Keep a target whose registration may only have lapsed, until some time."""
+        """Keep a target whose registration may only have lapsed.
+
+        A departure that is already pending keeps its deadline.
+
+        Args:
+            name: Id of the target.
+            until: Monotonic time, in milliseconds, at which it counts as departed.
+        """
         if name in self.targets:
             self.pending_departures.setdefault(name, until)
 
@@ -486,7 +525,7 @@
         return lapsed
 
     def record_departure(self, name: str, now: Millis) -> Target | None:
-        """Record that a registration is gone; return its target, or None if unknown."""
+        """Mark a target as leaving and return it, or None if it is unknown."""
         target = self.targets.get(name)
         if target is not None:
             self._mark_leaving(target, now)
@@ -507,7 +546,10 @@
 
 
 def is_new_incarnation(known: Registration, info: Registration) -> bool:
-    """Return whether a target has restarted since an earlier registration."""
+    """Return whether a target has restarted since an earlier registration.
+
+    If one of the two does not state its start, another address or service shows it.
+    """
     if info.born and known.born:
         return info.born != known.born
     return info.address != known.address or info.service != known.service
