--- a/figstep/gateway/application.py
+++ b/figstep/gateway/application.py
@@ -38,12 +38,12 @@
 _log = logbook.Logger("figstep.gateway")
 
 BUSY_TICK_SECONDS = 0.03
-"""Time between two checks of waits while requests are open. It is a sixth of the
-longest pause that a stream may have, as a stream that stalls has to resume within the
-rest."""
+"""Time between two checks of timeouts while requests are open, in seconds. It is a
+sixth of the default longest pause of a stream, as a stream that stalls has to resume
+within the rest of the pause."""
 
 IDLE_TICK_SECONDS = 0.5
-"""Time between two checks of waits while no request is open."""
+"""Time between two checks of timeouts while no request is open, in seconds."""
 
 _INTERNAL = Problem(
     500,
@@ -54,7 +54,9 @@
 
 
 class Gateway(Service):
-    """A gateway; its ports are set before it starts.
+    """Runs the reducer on events and performs the effects that it returns.
+
+    The ports have to be set before the service starts.
 
     Attributes:
         known: State of the gateway; changed by its reducer only.
@@ -79,7 +81,8 @@
     def dispatch(self, event: Event) -> None:
         """Reduce an event and perform its effects.
 
-        Events that effects cause are queued, so that none is reduced inside another.
+        An event that is dispatched while another one is handled is queued until all
+        effects of that one are performed.
         """
         self._events.append(event)
         if self._reducing:
@@ -96,8 +99,8 @@
             for effect in reduce(self.known, event, self._clock.now()):
                 self._perform(effect)
         except Exception:
-            # An event that fails unexpectedly must not end the timer or a reader
-            # of the store: all other callers depend on them.
+            # An event that fails unexpectedly must not end the task that dispatched
+            # it. All callers depend on tasks such as the timer or the store's reader.
             kind = type(event).__name__
             _log.exception("event failed", extra={"event": kind})
             self.measures.count("failed_events", (kind,))
@@ -111,7 +114,8 @@
             case OpenAttempt():
                 self.targets.open_attempt(effect)
                 if effect.priority is not None:
-                    # Until the other entries know, they choose the same engine.
+                    # Until the other entries know of the attempt, they choose the
+                    # same engine.
                     self.peers.announce()
             case CloseAttempt(attempt=attempt):
                 self.targets.close_attempt(attempt)
@@ -127,7 +131,7 @@
                 self.callers.refuse(number, problem)
             case CopyRun():
                 self.targets.copy_run(effect)
-                # Until the other entries know, they copy over the same links.
+                # Until the other entries know of the copy, they use the same links.
                 self.peers.announce()
             case DropCopy(copy=copy):
                 self.targets.drop_copy(copy)
--- a/figstep/gateway/edges.py
+++ b/figstep/gateway/edges.py
@@ -1,4 +1,4 @@
-"""Ports through which the gateway uses its edges, and the answers that pass them."""
+"""Abstract interfaces between the gateway and its adapters for network traffic."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -17,18 +17,22 @@
 
 @dataclass(frozen=True, slots=True)
 class WholeAnswer:
-    """Complete answer of a target."""
+    """Complete answer of a target, as it is sent to the caller."""
 
     head: AnswerHead
     body: bytes
 
 
 class TargetPort(ABC):
-    """Port to the targets; their answers come back as events."""
+    """Port to the targets.
+
+    Results are dispatched as events. The content of answers is kept by the port, and
+    is read with ``find_head`` and ``find_answer``.
+    """
 
     @abstractmethod
     def open_attempt(self, effect: OpenAttempt) -> None:
-        """Send a request to a target."""
+        """Open a connection to a target and send a request."""
 
     @abstractmethod
     def close_attempt(self, attempt: int) -> None:
@@ -40,7 +44,7 @@
 
     @abstractmethod
     def drop_copy(self, copy: RunCopy) -> None:
-        """Free a copy."""
+        """Free a copy of a run."""
 
     @abstractmethod
     def read_report(self, target: str) -> None:
@@ -52,15 +56,22 @@
 
     @abstractmethod
     def find_head(self, attempt: int) -> AnswerHead:
-        """Return the status and headers of an open attempt's answer."""
+        """Return the status and headers of an open attempt's stream."""
 
     @abstractmethod
     def find_answer(self, attempt: int) -> WholeAnswer:
-        """Return the complete answer of an attempt while its event is handled."""
+        """Return the complete answer of an attempt.
+
+        It is available only while the event is handled that reports the answer.
+        """
 
 
 class CallerPort(ABC):
-    """Port to the callers; their requests come in as events."""
+    """Port to the callers, whose requests are dispatched as events.
+
+    Calls name a request by the number in its ``RequestArrived`` event, and are ignored
+    if the request is no longer open.
+    """
 
     @abstractmethod
     def begin_stream(self, number: int, head: AnswerHead) -> None:
@@ -84,7 +95,7 @@
 
     @abstractmethod
     def refuse(self, number: int, problem: Problem) -> None:
-        """Send a caller an answer of the gateway's own."""
+        """Send a caller an error answer that the gateway made itself."""
 
 
 class PeerPort(ABC):
@@ -92,7 +103,11 @@
 
     @abstractmethod
     def fetch_records(self, address: str) -> None:
-        """Request from a peer the records that it has read from the store."""
+        """Request from a peer the records that it has read from the store.
+
+        Args:
+            address: Address of the peer, as "ip:port".
+        """
 
     @abstractmethod
     def announce(self) -> None:
@@ -100,4 +115,4 @@
 
     @abstractmethod
     def announce_target(self, target: str) -> None:
-        """Report to other failure domains what this one has open at a target."""
+        """Send other failure domains this failure domain's load at one target."""
--- a/figstep/gateway/eligibility.py
+++ b/figstep/gateway/eligibility.py
@@ -10,7 +10,8 @@
 ) -> frozenset[str] | None:
     """Return the regions that a request is bound to; None for any region.
 
-    Where both its route and its customer are bound to regions, both bounds hold.
+    If both its route and its customer are bound to regions, it may be sent only to
+    regions that both allow.
     """
     if customer is None or customer.allowed_regions is None:
         return route.allowed_regions
@@ -22,7 +23,7 @@
 def update_allowed_regions(table: RoutingTable, request: Request) -> None:
     """Bind a waiting or running request to the regions of a newer configuration.
 
-    A request whose route or key has been dropped keeps its earlier regions.
+    A request whose route or key is no longer configured keeps its earlier regions.
     """
     spec = request.spec
     route = table.find_route(spec.host, spec.path)
@@ -37,7 +38,7 @@
 
 
 def is_eligible(state: State, request: Request, target: Target) -> bool:
-    """Return whether anything of a request may be sent to a target now."""
+    """Return whether a request, or a copy of its run, may be sent to a target now."""
     return target.accepts_work and _is_in_allowed_region(state, request, target)
 
 
@@ -50,7 +51,12 @@
 
 
 def explain_no_target(state: State, request: Request) -> str:
-    """Return the reason of a refusal where no target is eligible."""
+    """Return the reason code for a request that cannot be placed on any target.
+
+    Returns:
+        "no_home" if all ready targets are in regions that are not allowed, "evacuated"
+        if the only targets are in evacuated failure domains, or else "no_room".
+    """
     if list_eligible(state, request):
         return "no_room"
     if state.targets.list_ready(request.service):
--- a/figstep/gateway/evacuations.py
+++ b/figstep/gateway/evacuations.py
@@ -1,8 +1,8 @@
 """Start and end of the evacuation of failure domains.
 
-Runs and calls that are at targets of an evacuated failure domain end there: targets and
-entries are both running, and the other engines have to accept all new work anyway.
-Nothing else is sent there.
+Runs and calls that are open at targets of an evacuated failure domain finish there: its
+targets and entries keep running, and the other engines already have to accept all new
+work. Nothing else is sent to the failure domain.
 """
 
 from figstep.core.clock import Millis
@@ -15,12 +15,12 @@
 def apply_evacuations(
     state: State, received: Evacuations, source: str, now: Millis
 ) -> list[Effect]:
-    """Apply a newer set of evacuated failure domains.
+    """Apply a set of evacuated failure domains if it is newer than the known one.
 
     Args:
         state: The gateway's state.
         received: The evacuated failure domains.
-        source: Sender of that set, for the log.
+        source: "store" or the name of the peer that sent the set, for the log.
         now: Monotonic time, in milliseconds.
     """
     known = state.evacuations
@@ -34,7 +34,7 @@
         target.evacuated = domain in received.domains
         if domain in ended:
             # Targets of the failure domain are mostly cold when they come back, and
-            # their own reports of that may arrive after the first requests.
+            # registrations that state it may arrive after the first requests.
             warmups.assume_cold(state, target, now)
     return [
         *_list_notes("failure domain evacuated", begun, received, source),
--- a/figstep/gateway/measures.py
+++ b/figstep/gateway/measures.py
@@ -24,7 +24,13 @@
         self._histograms: dict[str, Histogram] = {}
 
     def count(self, name: str, labels: tuple[str, ...] = ()) -> None:
-        """Add one to a counter."""
+        """Add one to a counter.
+
+        Args:
+            name: Name of the counter, without "figstep_".
+            labels: Values of its labels, in the order of ``_LABELS``; for a counter
+                that is not listed there, the name of the route or nothing.
+        """
         counter = self._counters.get(name)
         if counter is None:
             names = _LABELS.get(name, ("route",) if labels else ())
@@ -38,10 +44,10 @@
         (counter.labels(*labels) if labels else counter).inc()
 
     def observe(self, name: str, millis: int, label: str) -> None:
-        """Add a duration to a histogram of seconds.
+        """Add a duration to a histogram, which counts in seconds.
 
         Args:
-            name: Name of the histogram, without prefix and unit.
+            name: Name of the histogram, without "figstep_" and "_seconds".
             millis: The duration, in milliseconds.
             label: Name of the route.
         """
--- a/figstep/gateway/peers.py
+++ b/figstep/gateway/peers.py
@@ -378,7 +378,7 @@
 def is_domain_representative(state: State, now: Millis) -> bool:
     """Return whether this entry reports its domain's loads to other domains.
 
-    That is the entry with the lowest name of those that recently sent a message.
+    That is the entry with the lowest name among this one and the live peers.
     """
     return not any(name < state.node for name in sources.list_live_peers(state, now))
 
--- a/figstep/gateway/reducer.py
+++ b/figstep/gateway/reducer.py
@@ -49,20 +49,20 @@
 from figstep.gateway.targets import Registration, Standing, is_new_incarnation
 
 DEPARTED_RETENTION = Millis(30_000)
-"""How long, in milliseconds, a departed target is kept. A lapsed registration comes
-back within seconds, and a log line may still name the target."""
+"""How long, in milliseconds, a departed target without open attempts is kept. A lapsed
+registration comes back within seconds, and a log line may still name the target."""
 
 LAPSE_GRACE = Millis(2_300)
 """How long, in milliseconds, a registration may be missing after an outage of the store
-before its target is treated as departed. Running targets are back within two seconds of
-the store's return, and dropping them would leave callers without any target
-meanwhile."""
+before its target is treated as departed. Running targets register again within two
+seconds of the store's return, and dropping them would leave callers without any target
+until then."""
 
 MASS_LAPSE_GRACE = Millis(1_700)
 """How long, in milliseconds, registrations may be missing if most targets of a service
-depart at once without a known outage of the store. If the targets are really gone, work
-must stop going there two seconds after the store recorded it, less the time that the
-record took to arrive here."""
+depart at once without a known outage of the store. If the targets are really gone, no
+work may go there from two seconds after the store recorded their departure; the
+remaining 0.3 s allow for the delay of that record."""
 
 
 def reduce(state: State, event: Event, now: Millis) -> list[Effect]:
@@ -157,8 +157,8 @@
 def _apply_configuration(state: State, event: ConfigurationRead) -> list[Effect]:
     table = event.table
     if state.table is not None and table.version <= state.table.version:
-        # A read may return a version that a peer has sent before; going back to an
-        # older one would let a dropped route or key work again.
+        # A peer may already have sent this version or a newer one. An older version
+        # would let a dropped route or key work again.
         return []
     state.table = table
     for request in state.requests.values():
@@ -199,8 +199,8 @@
 def _handle_departure(state: State, event: TargetDeparted, now: Millis) -> list[Effect]:
     target = state.targets.find(event.target)
     if target is None or target.standing is not Standing.READY:
-        # The target is missing from each further list that a peer sends. Counted
-        # again, it would make the next departure look like a lapse of all
+        # A departed target is missing from each further list that a peer sends. If
+        # it were counted again, the next departure would look like a lapse of all
         # registrations, and prompts would go to an engine that leaves.
         return []
     if target.appears_unreachable:
@@ -232,7 +232,7 @@
 
 def _apply_target_list(state: State, event: TargetsListed, now: Millis) -> list[Effect]:
     if state.position >= 0 and event.position < state.position:
-        # A peer's copy that is older than what was read from the store meanwhile.
+        # The list is a peer's copy, older than what this entry has read since.
         return []
     state.position = event.position
     listed = {info.target for info in event.registrations}
--- a/figstep/gateway/shares.py
+++ b/figstep/gateway/shares.py
@@ -1,8 +1,8 @@
-"""Split of the requests that a target accepts into whole requests of each entry.
+"""Computation of the whole requests that one entry may send of a target's limit.
 
-Some targets accept only a few requests per second from a fleet of entries that all know
-the same target and do not coordinate before they send. Each entry computes its own
-share from the entries that it has contact with, so no message has to arrive first.
+Some targets accept only a few requests per second from all entries together. Each entry
+computes its own share from the entries that it knows, including those that recently
+fell silent, so no messages have to be exchanged before each request.
 """
 
 import zlib
@@ -11,21 +11,23 @@
 from figstep.gateway.state import State
 
 RESTART_SHARE_DELAY = Millis(1_500)
-"""How long, in milliseconds, a restarted process has no share. It has to receive
-messages of the other entries first, and what its earlier process sent still counts."""
+"""How long, in milliseconds, a restarted process has no share. It first has to receive
+messages of the other entries, and requests that its earlier process sent still count
+against the limit."""
 
 
 def share_requests(state: State, key: str, requests: float, now: Millis) -> int:
-    """Return how many of some requests this entry may send.
+    """Return how many of the fleet's requests this entry may send.
 
-    The requests are split over all entries of the fleet into whole requests. Where that
-    gives less than one request to each entry, entries are selected by a hash: all
-    entries compute the same selection, so no two take the same request.
+    The requests are split into whole requests of each entry. Those that do not divide
+    evenly go to entries selected by a hash. Entries that know the same entries compute
+    the same selection, so no two of them take the same request. A restarted process
+    gets 0 until ``RESTART_SHARE_DELAY`` has passed.
 
     Args:
         state: The gateway's state.
         key: Key of the hash; another key selects other entries.
-        requests: Requests of the whole fleet.
+        requests: Requests that the whole fleet may send within the caller's window.
         now: Monotonic time, in milliseconds.
     """
     budget = state.budget
@@ -45,9 +47,9 @@
 def _share_domain(state: State, key: str, part: float) -> int:
     """Return the whole requests of this failure domain.
 
-    A large fleet's entries in other failure domains send no messages to this entry.
-    What equal parts of the domains leave over is rounded up in some domains, and all
-    entries select the same ones.
+    In a large fleet, entries know the entries of their own failure domain only, and
+    assume that each domain gets an equal part. The part is rounded up in some domains
+    and down in others, which a hash selects, so that the sum is right.
 
     Args:
         state: The gateway's state.
@@ -60,5 +62,5 @@
 
 
 def hash_rank(name: str, key: str) -> tuple[int, str]:
-    """Return a sort key that orders names pseudorandomly, alike at all entries."""
+    """Return a sort key that gives names a pseudorandom order, equal at all entries."""
     return zlib.crc32(f"{name} {key}".encode()), name
--- a/figstep/gateway/sources.py
+++ b/figstep/gateway/sources.py
@@ -49,8 +49,8 @@
     """Return whether this entry reads new records from the store itself.
 
     Calls to the store are expensive in a large fleet: there the entries with the lowest
-    names read the records and relay them to the others. An entry whose reads fail keeps
-    trying, so that it learns when the store is back.
+    names in each failure domain read the records and relay them to the others. An entry
+    whose reads fail keeps trying, so that it learns when the store is back.
     """
     if not state.is_large or state.read_failed:
         return True
--- a/figstep/gateway/warmups.py
+++ b/figstep/gateway/warmups.py
@@ -1,9 +1,9 @@
-"""Limit on what all entries together send to a target that warms up.
+"""Limit on the requests that all entries together send to a target that warms up.
 
 The case handled here is a failure domain whose targets all come back cold while callers
-wait: each entry knows them as idle, and what all entries send within a moment crashes
-them. Each entry may send a whole number of requests per second, which it computes from
-the entries that it has contact with; no message has to arrive first.
+wait: each entry knows them as idle, and the requests that all entries send at once
+crash them. Each entry may send a whole number of requests per second, which it computes
+from the entries that it knows, without an exchange of messages.
 """
 
 from figstep.core.clock import Millis
@@ -14,11 +14,14 @@
 
 RATE_WINDOW = Millis(1_100)
 """Time, in milliseconds, in which a target gets one second's requests. It exceeds a
-second, as requests sent a second apart may arrive a little closer."""
+second, as requests sent a second apart may arrive a little closer together."""
 
 
 def may_send(state: State, target: Target, now: Millis) -> bool:
-    """Return whether one more request stays within a target's warm-up rate."""
+    """Return whether one more request stays within a target's warm-up rate.
+
+    It always does if the target is not cold or its service has no warm-up rate.
+    """
     if now >= target.warm_at:
         return True
     rate = _find_rate(state, target)
@@ -30,7 +33,7 @@
 
 
 def record_send(target: Target, now: Millis) -> None:
-    """Count a request that is sent to a target while it is cold."""
+    """Record a request that is sent to a target, if the target is cold."""
     if now >= target.warm_at:
         return
     _drop_old_sends(target, now)
@@ -38,7 +41,14 @@
 
 
 def assume_cold(state: State, target: Target, since: Millis) -> None:
-    """Treat a target as cold for its service's whole warm-up time from some time on."""
+    """Treat a target as cold for the whole warm-up time of its service.
+
+    Args:
+        state: The gateway's state.
+        target: The target.
+        since: Start of the warm-up, as a monotonic time in milliseconds. A later end
+            that is already known is kept.
+    """
     service = _find_service(state, target)
     if service is not None and service.warmup:
         target.warm_at = Millis(max(target.warm_at, since + service.warmup))
