--- a/figstep/platform/answers.py
+++ b/figstep/platform/answers.py
@@ -18,10 +18,11 @@
 
 
 class RefusedError(Exception):
-    """The target reported that it did not run the request.
+    """An answer proves that the request did not run.
 
     Attributes:
-        loss: Kind of the refusal.
+        loss: REFUSED if the target did not run the request, MISDIRECTED if another
+            target answered.
         retry_after: Time in milliseconds for which the target wants no requests; None
             if it named none.
     """
@@ -37,10 +38,10 @@
     """State of a target according to one of its answers.
 
     Attributes:
-        leaving: Whether the target leaves.
-        rate: Requests a second that the target accepts from all callers; None if it
-            names no rate.
-        ends_rate: Whether the answer ends a rate that the target named before.
+        leaving: Whether the target accepts no new requests.
+        rate: Requests a second that the target accepts from all entries together; None
+            if the answer names no valid rate.
+        ends_rate: Whether the answer ends any rate that the target named before.
     """
 
     leaving: bool = False
@@ -49,14 +50,18 @@
 
 
 def read_target_signals(response: aiohttp.ClientResponse) -> TargetSignals:
-    """Return what the headers of an answer report about its target."""
+    """Return what the headers of an answer report about its target.
+
+    A rate that is not a valid number is logged and ignored.
+    """
     if response.status == 421:
         # Another target has the address, and its headers describe that target.
         return TargetSignals()
     leaving = names.LEAVING in response.headers
     text = response.headers.get(names.RATE)
     if text is None:
-        # Only the answer to a request, which is signed, shows that the limit is over.
+        # Only a signed answer, as targets give to requests, ends a limit by naming no
+        # rate.
         return TargetSignals(leaving, None, names.SIGNATURE in response.headers)
     try:
         return TargetSignals(leaving, parse_rate(text))
@@ -66,15 +71,16 @@
 
 
 def check_answer(response: aiohttp.ClientResponse, request_id: str | None) -> None:
-    """Check that an answer belongs to a request and that the request may have run.
+    """Check that an answer belongs to a request and does not state "not run".
 
     Args:
         response: Answer of the target.
-        request_id: Id of the request; None if the caller gave none.
+        request_id: Id of the request; None, which skips the check of the id, if the
+            caller gave none.
 
     Raises:
         RefusedError: If the answer proves that the request did not run.
-        FrameError: If the answer belongs to another request.
+        FrameError: If the answer names another request or none.
     """
     if response.status == 421:
         raise RefusedError(Loss.MISDIRECTED, None)
@@ -86,10 +92,11 @@
 
 
 def read_retry_after(response: aiohttp.ClientResponse) -> Millis | None:
-    """Return for how long a target wants no requests, in milliseconds.
+    """Return for how long a target wants no requests.
 
     Returns:
-        The time in its Retry-After header; None if the header is missing or invalid.
+        The time in its Retry-After header, converted to milliseconds; None if the
+        header is missing or invalid.
     """
     text = response.headers.get(names.RETRY_AFTER)
     if text is None:
@@ -120,7 +127,7 @@
 
 
 def parse_retry_after(text: str) -> Millis:
-    """Return the time in a Retry-After header given in seconds, in milliseconds.
+    """Return the milliseconds of a Retry-After header, which is given in seconds.
 
     Raises:
         ValueError: If the text is not a finite number of at least zero.
@@ -139,7 +146,8 @@
     model_config = ConfigDict(extra="ignore")
 
     state: str = "ready"
-    leaves_ms: float | None = None  # set once the engine knows when it ends
+    # Set once the engine knows when it ends; only the presence of a value is used.
+    leaves_ms: float | None = None
     kv_used: int | None = None  # tokens in memory that cannot be evicted
 
 
@@ -147,7 +155,7 @@
     """Return the state that an engine reports.
 
     Args:
-        target: Name of the engine.
+        target: Id of the engine.
         body: Report as JSON.
 
     Raises:
--- a/figstep/platform/callers.py
+++ b/figstep/platform/callers.py
@@ -31,17 +31,16 @@
 """Timeout of reading a caller's body, in seconds."""
 
 MAX_BODY_BYTES = 8_388_608
-"""Largest body that is read at all, in bytes; the limit in the configuration is
-lower."""
+"""Largest body that the HTTP server reads, in bytes. The gateway then checks the body
+against the limit in the configuration, 4 MiB by default."""
 
 READINESS_STOP_TIMEOUT_SECONDS = 0.1
 """How long the readiness listener waits for open checks when it stops, in seconds; a
 check takes a millisecond."""
 
 MAX_UNREAD_BYTES = 262_144
-"""Largest number of bytes of a stream that may wait for a slow reader before the
-stream is cut: a few thousand such readers would otherwise fill the memory. No code of
-this module enforces it."""
+"""Maximum number of bytes of a stream that may wait for a slow reader; more would let a
+few thousand such readers fill the memory. No code of this module enforces it."""
 
 LISTEN_LIMITS = Limits(
     body_bytes=MAX_BODY_BYTES,
@@ -59,10 +58,10 @@
         method: HTTP method.
         path: Path with its query, as received.
         headers: Headers that are forwarded to targets.
-        body: The complete body.
-        head: Status and headers of a stream; None until it has begun.
-        answer: Complete answer of a target; None where there is none.
-        problem: Answer of the gateway's own; None where there is none.
+        body: Complete body of the request.
+        head: Status and headers of a stream; None until the stream has begun.
+        answer: Complete answer of a target; None if there is none.
+        problem: Error answer made by the gateway; None if there is none.
         finished: Whether a stream has ended as complete.
         broken: Whether a stream has to be cut off.
     """
@@ -93,21 +92,21 @@
 
     @property
     def ended(self) -> bool:
-        """Whether the answer is final and no more parts follow."""
+        """Whether no more parts of the answer follow; some may still be unsent."""
         has_answer = self.answer is not None or self.problem is not None
         return has_answer or self.finished or self.broken
 
     def add(self, data: bytes) -> None:
-        """Append bytes of a stream and wake the handler."""
+        """Append bytes of a stream and wake the HTTP handler."""
         self._pieces.append(data)
         self._changed.set()
 
     def wake_handler(self) -> None:
-        """Wake the handler of the request after a change of this exchange."""
+        """Wake the HTTP handler, which waits for changes of this exchange."""
         self._changed.set()
 
     def pop_data(self) -> bytes:
-        """Return and remove the bytes of the stream since the last call."""
+        """Return the bytes of the stream added since the last call, and remove them."""
         pieces, self._pieces = self._pieces, []
         return b"".join(pieces)
 
@@ -118,12 +117,12 @@
 
 
 class CallerEdge(Service, CallerPort):
-    """HTTP server for the platform's callers and its readiness checks.
+    """HTTP server for callers, readiness checks and metrics.
 
     Attributes:
-        ready: Whether readiness checks may succeed.
+        ready: Whether readiness checks may succeed; False while the entry drains.
         closing: Whether connections are closed after their current answer.
-        exchanges: Open requests, by number.
+        exchanges: Exchanges of open requests, by number.
     """
 
     def __init__(
@@ -191,8 +190,8 @@
     async def _prepare_response(
         self, request: web.Request, response: web.StreamResponse
     ) -> None:
-        # On a connection that stays open, the next request would be sent after the
-        # process has ended, and be lost.
+        # If the connection stayed open, the caller's next request on it could be sent
+        # as the process ends, and be lost.
         if self.closing:
             response.headers["Connection"] = "close"
             response.force_close()
@@ -256,48 +255,52 @@
         if exchange.finished:
             await response.write_eof()
             return response
-        # Without the last chunk the caller cannot take the answer for complete.
+        # The connection is closed without the terminating chunk, so that the caller
+        # cannot mistake the answer for a complete one.
         response.force_close()
         if request.transport is not None:
             request.transport.close()
         raise ConnectionError("the stream was cut off")
 
     def begin_stream(self, number: int, head: AnswerHead) -> None:
-        """Start a stream to a caller."""
+        """Start a stream to a caller; ignored if the request is not open."""
         exchange = self.exchanges.get(number)
         if exchange is not None:
             exchange.head = head
             exchange.wake_handler()
 
     def deliver(self, number: int, data: bytes) -> None:
-        """Send bytes of a stream to a caller."""
+        """Add bytes to a caller's stream; ignored if the request is not open."""
         exchange = self.exchanges.get(number)
         if exchange is not None:
             exchange.add(data)
 
     def finish_stream(self, number: int) -> None:
-        """End a stream as complete."""
+        """End a stream as complete; ignored if the request is not open."""
         exchange = self.exchanges.get(number)
         if exchange is not None:
             exchange.finished = True
             exchange.wake_handler()
 
     def break_stream(self, number: int) -> None:
-        """Cut a stream off so that it cannot look complete."""
+        """Cut a stream off so that it cannot look complete.
+
+        It is ignored if the request is not open.
+        """
         exchange = self.exchanges.get(number)
         if exchange is not None:
             exchange.broken = True
             exchange.wake_handler()
 
     def answer(self, number: int, answer: WholeAnswer) -> None:
-        """Send a caller a target's complete answer."""
+        """Send a target's complete answer; ignored if the request is not open."""
         exchange = self.exchanges.get(number)
         if exchange is not None:
             exchange.answer = answer
             exchange.wake_handler()
 
     def refuse(self, number: int, problem: Problem) -> None:
-        """Send a caller an answer of the gateway's own."""
+        """Send an error answer of the gateway; ignored if the request is not open."""
         exchange = self.exchanges.get(number)
         if exchange is not None:
             exchange.problem = problem
@@ -307,8 +310,8 @@
 def select_headers(request: web.Request) -> tuple[tuple[str, str], ...]:
     """Return the headers of a request that are forwarded to targets.
 
-    Headers of the connection, those that the Connection header lists, and those that
-    only this system may set are left out.
+    Headers of the connection, those that the Connection header lists (except Host), and
+    those that only this system may set are left out.
     """
     connection_options = {
         name.strip().lower()
@@ -357,7 +360,8 @@
     """Return the prompt that the headers of a generation describe.
 
     Returns:
-        The prompt; None if the request is not a generation.
+        The prompt; None if its token count is missing or invalid, as the request is
+        then not a generation.
     """
     size = headers.get(names.TOKEN_COUNT)
     if size is None:
@@ -401,8 +405,8 @@
     """Return the HTTP response that carries a problem."""
     headers = {"Content-Type": "application/problem+json"}
     if problem.retry_after is not None:
-        # The platform's callers accept fractions of a second, and most can retry in
-        # less than a second.
+        # The header is in seconds. The platform's callers accept fractions, and most
+        # can retry in less than a second.
         headers[names.RETRY_AFTER] = f"{problem.retry_after / 1000:.3f}"
     if problem.ran is Ran.NO and problem.status in (408, 429, 503):
         headers[names.NOT_RUN] = "1"
--- a/figstep/platform/documents.py
+++ b/figstep/platform/documents.py
@@ -19,7 +19,8 @@
 from figstep.gateway.targets import Registration
 
 EVACUATION_PREFIX = "evacuate/"
-"""Prefix of the keys that evacuate a failure domain; their values have no meaning."""
+"""Prefix of the keys of records that evacuate a failure domain; the rest of the key is
+the domain's name. Any value evacuates it, and the deletion of the record ends that."""
 
 
 class _Model(BaseModel):
@@ -35,14 +36,14 @@
     name: str
     host: str
     prefix: str
-    type: RouteKind  # determines which requests may be repeated
+    type: RouteKind
     service: str = ""
-    split: tuple[_Share, ...] = ()
+    split: tuple[_Share, ...] = ()  # if set, used instead of `service`
     attempts: int = 1
     timeout_ms: float
-    slo_ms: float = 1_000.0
-    gap_slo_ms: float = 180.0
-    priority: int = 0
+    slo_ms: float = 1_000.0  # time to the answer or the first event
+    gap_slo_ms: float = 180.0  # pause between two events of a stream
+    priority: int = 0  # 0 is the most urgent
     public: bool = False
     resumable: bool = False
     regions_allowed: tuple[str, ...] = ()  # empty: all regions are allowed
@@ -50,7 +51,7 @@
 
 class _Engine(_Model):
     slots: int = Field(default=64, gt=0)
-    kv_capacity: int = Field(default=1 << 30, gt=0)
+    kv_capacity: int = Field(default=1 << 30, gt=0)  # tokens
     backups: bool = False
     moves: bool = False
     stride: int = Field(default=1, gt=0)  # tokens in an event of a stream
@@ -62,7 +63,7 @@
     max_conns: int = 100
     engine: _Engine | None = None
     warmup_s: float = Field(default=0.0, ge=0)
-    warmup_per_s: float = Field(default=0.0, ge=0)  # rate of a cold target
+    warmup_per_s: float = Field(default=0.0, ge=0)  # rate of a cold target; 0: no limit
 
 
 class _Limits(_Model):
@@ -75,8 +76,8 @@
 class _Tenant(_Model):
     name: str
     api_keys: tuple[str, ...] = ()
-    priority: int | None = None
-    regions_allowed: tuple[str, ...] = ()
+    priority: int | None = None  # replaces the priority of routes
+    regions_allowed: tuple[str, ...] = ()  # empty: all regions are allowed
 
 
 class _Configuration(_Model):
@@ -84,7 +85,7 @@
     routes: tuple[_Route, ...] = ()
     services: tuple[_Service, ...] = ()
     limits: _Limits = _Limits()
-    tenants: tuple[_Tenant, ...] | None = None
+    tenants: tuple[_Tenant, ...] | None = None  # None: callers need no key
 
 
 class _RegistrationDocument(BaseModel):
@@ -187,20 +188,24 @@
 
 
 def parse_evacuation(key: str) -> str | None:
-    """Return the failure domain that a record's key evacuates; None for other keys."""
+    """Return the failure domain that a record with this key evacuates.
+
+    Returns:
+        The domain's name; None if the key is of another kind or names no domain.
+    """
     if not key.startswith(EVACUATION_PREFIX):
         return None
     return key.removeprefix(EVACUATION_PREFIX) or None
 
 
 def parse_registration(key: str, value: bytes) -> Registration | None:
-    """Return a target's registration, or None if the record does not describe a target.
+    """Return a target's registration, or None if the record is not a valid one.
 
-    Other programs may write records to the topic: one with an unknown state, missing
-    fields or invalid JSON is ignored.
+    Other programs may write records to the topic, so a record with an unknown state,
+    missing fields or invalid JSON is no error.
 
     Args:
-        key: Name of the target.
+        key: Key of the record, which is the id of the target.
         value: Registration as JSON.
     """
     try:
--- a/figstep/platform/engines.py
+++ b/figstep/platform/engines.py
@@ -110,7 +110,7 @@
     def open_attempt(self, effect: OpenAttempt) -> None:
         """Send a request to a target.
 
-        The result is dispatched as events. AttemptLost is dispatched where the caller
+        The results are dispatched as events. AttemptLost is dispatched if the caller
         or the target is already gone.
         """
         exchange = self._find_exchange(effect.number)
@@ -127,17 +127,20 @@
         asyncio.get_running_loop().call_soon(self._dispatch, event)
 
     def close_attempt(self, attempt: int) -> None:
-        """Close an attempt's connection."""
+        """Close an attempt's connection and stop reading its answer."""
         task = self._attempt_tasks.get(attempt)
         if task is not None:
             task.cancel()
 
     def find_head(self, attempt: int) -> AnswerHead:
-        """Return the status and headers of an open attempt's answer."""
+        """Return the status and headers of an open attempt's stream."""
         return self._heads[attempt]
 
     def find_answer(self, attempt: int) -> WholeAnswer:
-        """Return the complete answer of an attempt while its event is handled."""
+        """Return the complete answer of an attempt.
+
+        It is available only while the event is handled that reports the answer.
+        """
         return self._answers[attempt]
 
     async def _run_attempt(
@@ -161,7 +164,7 @@
             event = AttemptLost(number, Loss.BROKEN, detail=_describe_error(error))
         finally:
             self._attempt_tasks.pop(number, None)
-            # The event is dispatched below, before the loop calls this.
+            # The event loop calls this after the event is dispatched below.
             asyncio.get_running_loop().call_soon(self._discard_answer, number)
         self._dispatch(event)
 
@@ -191,12 +194,13 @@
     def _dispatch_target_signals(
         self, response: aiohttp.ClientResponse, target: Target, requested_at: Millis
     ) -> None:
-        """Dispatch what an answer reports of its target and this entry does not know.
+        """Dispatch what an answer newly reports about its target.
 
         Args:
             response: Answer of the target.
             target: Target that was sent the request.
-            requested_at: When the request was sent.
+            requested_at: When the request was sent, as a monotonic time in
+                milliseconds.
         """
         signals = answers.read_target_signals(response)
         if signals.leaving and not target.announced_leaving:
@@ -256,8 +260,8 @@
         self._answers[effect.attempt] = WholeAnswer(answers.read_head(response), body)
         if response.status < 500 and response.status not in (408, 429):
             return AnswerArrived(effect.attempt, response.status)
-        # A caller takes 408, 429 and 503 to mean that its request did not run. The
-        # target did not report this, so these statuses are not forwarded.
+        # Callers assume that a request with status 408, 429 or 503 did not run. The
+        # target did not state "not run", so these statuses are not forwarded.
         forwarded_status = (
             None if response.status in (408, 429, 503) else response.status
         )
@@ -278,13 +282,16 @@
         self._run_in_background(self._order_copy(effect))
 
     def drop_copy(self, copy: RunCopy) -> None:
-        """Free a copy of a run at the engine that holds it."""
+        """Free a copy of a run at the engine whose address identifies the copy.
+
+        A failure is only logged.
+        """
         self._run_in_background(self._free_copy(copy))
 
     def probe_target(self, target: str) -> None:
         """Probe whether a target still listens at its address.
 
-        TargetDown is dispatched if it does not.
+        TargetDown is dispatched if the address refuses the connection.
         """
         self._run_in_background(self._probe(target))
 
@@ -305,7 +312,10 @@
             self._dispatch(TargetDown(target.info.incarnation))
 
     def read_report(self, target: str) -> None:
-        """Query an engine for its state; its report is dispatched as an event."""
+        """Query an engine for its state.
+
+        The report is dispatched as EngineReported; a failure is only logged.
+        """
         self._run_in_background(self._read_report(target))
 
     async def _read_report(self, name: str) -> None:
@@ -391,7 +401,7 @@
             ):
                 return
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            # The engine frees the copy by itself after some seconds.
+            # The engine frees an unused copy by itself after some seconds.
             _log.info("copy not freed", extra={"error": _describe_error(error)})
 
 
--- a/figstep/platform/entry.py
+++ b/figstep/platform/entry.py
@@ -70,34 +70,32 @@
 _log = logbook.Logger("figstep.entry")
 
 DRAIN_FRACTION = 0.88
-"""Fraction of the grace time after which open answers are cut off. In the rest of it
-the cut reaches callers, before the process is killed."""
+"""Largest fraction of the grace time for which open answers may continue. The rest is
+needed to cut them off and let callers notice before the process is killed."""
 
 DRAIN_POLL_SECONDS = 0.05
 """Interval in seconds at which a draining entry checks for open answers."""
 
 LARGE_FLEET_READ_DELAY_SECONDS = 0.2
-"""Delay between two reads of the store in a large fleet, in seconds.
-
-Calls are costly there. An engine's notice is 1.5 s long, so the delay leaves enough
-of it, and another reader may relay the record earlier.
-"""
+"""Delay between two reads of the store in a large fleet, in seconds. Calls are costly
+there. An engine ends 1.5 s after its notice, so the delay leaves enough time, and
+another reader may relay the record earlier."""
 
 FIRST_START_READ_DELAY_SECONDS = 2.0
-"""Delay after an entry's first read of the store where the whole system starts for
-the first time, in seconds. All entries start at once and have to find each other, and
-no callers come yet."""
+"""Delay after an entry's first read of the store when the whole system starts for the
+first time, in seconds. All entries start at once and have to find each other, and there
+are no callers yet."""
 
 RESTART_READ_DELAY_SECONDS = 0.3
-"""Delay after the first read of the store by an entry that starts again, in seconds;
-the seeds answer it within this time."""
+"""Delay after the first read of the store by an entry that restarts, in seconds. The
+seeds answer the entry's first message within this time."""
 
 FIRST_READ_TIMEOUT = Millis(300)
-"""Longest time in milliseconds that a starting entry waits for the store's records
+"""Maximum time, in milliseconds, that a starting entry waits for the store's records
 before it accepts callers. The shortest deadline of a caller is half a second."""
 
 FIRST_READ_POLL_SECONDS = 0.005
-"""Interval in seconds at which a starting entry checks whether records were read."""
+"""Interval in seconds at which a starting entry checks whether it is ready."""
 
 STOP_TIMEOUT_SECONDS = 0.4
 """Timeout of stopping an entry's services, in seconds."""
@@ -107,12 +105,13 @@
 stop and the process to end."""
 
 MAX_RECENT_REGISTRATIONS = 6
-"""Most registrations in a message to peers: enough for an engine or two that change
-together. An entry that misses a registration requests all of them."""
+"""Maximum number of registrations in a message to peers, enough for one or two engines
+that change together. An entry that misses a registration fetches all of them from a
+peer."""
 
 RECENT_ANNOUNCE_DURATION = Millis(1_500)
-"""Time in milliseconds for which registrations just read are sent to peers. Each is
-sent twice at least, as a datagram may be lost."""
+"""Time, in milliseconds, after a read for which the registrations read last are sent to
+peers. Each is sent at least twice, as a datagram may be lost."""
 
 
 class Entry(Service, PeerPort, LinkHost):
@@ -210,14 +209,17 @@
         await self.add_runtime_dependency(self.callers)
 
     async def _wait_for_records(self) -> None:
-        # Callers wait in the listener's queue and are served a moment later. If they
-        # were accepted before the configuration is read, they would be refused.
+        # Callers wait in the listener's queue meanwhile. If they were accepted before
+        # the configuration is read, their requests would be refused.
         deadline = self._clock.now() + FIRST_READ_TIMEOUT
         while not self.is_ready() and self._clock.now() < deadline:
             await asyncio.sleep(FIRST_READ_POLL_SECONDS)
 
     async def on_shutdown(self) -> None:
-        """Close the store's client, which the followers use until they have stopped."""
+        """Cancel an open fetch of records and close the store's client.
+
+        The followers use the client until they have stopped.
+        """
         if self._fetch_task is not None:
             self._fetch_task.cancel()
         await self._store.close()
@@ -227,7 +229,7 @@
         return self.gateway.known.table is not None and self._registrations_read
 
     def find_exchange(self, number: int) -> CallerExchange | None:
-        """Return the exchange with a request's caller; None once it has ended."""
+        """Return the exchange of an open request; None if the request has ended."""
         return self.callers.exchanges.get(number)
 
     def _apply_operator_snapshot(
@@ -256,7 +258,7 @@
         before = known.evacuations.domains
         self.gateway.dispatch(EvacuationsRead(evacuations))
         if known.evacuations.domains != before and known.is_large:
-            # In a large fleet few entries read the store and relay its records.
+            # In a large fleet the few entries that read the store relay its records.
             self.link.announce_records()
 
     def _read_configuration(self, value: bytes) -> None:
@@ -317,19 +319,22 @@
         return LARGE_FLEET_READ_DELAY_SECONDS if self.gateway.known.is_large else 0.0
 
     def reads_store(self) -> bool:
-        """Return whether this entry reads new records from the store itself."""
+        """Return whether this entry reads new records from the store itself.
+
+        It is False if enough other entries of a large fleet read and relay them.
+        """
         return reads_store(self.gateway.known, self._clock.now())
 
     def describe_entry(self) -> PeerHeard:
-        """Return the message to the entries that exchange messages with all others."""
+        """Return the message to the entries that exchange all loads with this one."""
         return describe_entry(self.gateway.known, self._clock.now())
 
     def describe_domain(self) -> PeerHeard:
-        """Return the message to other failure domains."""
+        """Return the message with this failure domain's loads to the other domains."""
         return describe_domain(self.gateway.known, self._clock.now())
 
     def describe_domain_at(self, target: str) -> PeerHeard:
-        """Return the message to other failure domains about one target."""
+        """Return the message to other failure domains on the load at one target."""
         return describe_domain_at(self.gateway.known, target, self._clock.now())
 
     def is_domain_representative(self) -> bool:
@@ -337,16 +342,17 @@
         return is_domain_representative(self.gateway.known, self._clock.now())
 
     def update_entry_count(self, entries: int) -> None:
-        """Record how many entries are known, this one included."""
+        """Dispatch the number of known entries, this one included, if it changed."""
         if entries != self.gateway.known.entries:
             self.gateway.dispatch(EntriesCounted(entries))
 
     def list_recent_registrations(self) -> tuple[tuple[str, bytes], ...]:
-        """Return the registrations read last, as keys and values.
+        """Return the records of registrations read last, as keys and values.
 
-        The last one is the record before the position that the entry reports. The
-        list is empty in a small fleet, in an entry that does not read the store, and
-        once they were announced for RECENT_ANNOUNCE_DURATION.
+        The value of a deleted registration is empty. The last record is the one before
+        the position that the entry reports. There are none in a small fleet, in an
+        entry that does not read the store, and once ``RECENT_ANNOUNCE_DURATION`` has
+        passed since the last read.
         """
         known = self.gateway.known
         if not known.is_large or not self.reads_store():
@@ -360,8 +366,8 @@
     ) -> None:
         """Apply a peer's message, and the registrations that the peer read last.
 
-        The registrations are applied only where they close the gap to the peer's
-        position and this entry does not read the store itself.
+        The registrations are applied only if they close the gap between this entry's
+        position and the peer's, and this entry does not read the store itself.
         """
         missing = message.position - self.gateway.known.position
         if 0 < missing <= len(records) and not self.reads_store():
@@ -394,7 +400,7 @@
         self.link.announce()
 
     def announce_target(self, target: str) -> None:
-        """Report to other failure domains what this one has open at a target."""
+        """Send other failure domains this failure domain's load at one target."""
         self.link.announce_target(target)
 
     async def _fetch_records(self, address: str) -> None:
@@ -431,15 +437,15 @@
     async def drain(self) -> None:
         """Fail readiness checks and wait until open answers have ended.
 
-        Callers are still served, as the platform sends some for up to
-        READINESS_NOTICE, and each connection is closed after its answer. The wait ends
-        after the time that ``choose_drain_time`` returns, if not earlier.
+        New callers are still served, as the platform sends some for up to
+        ``READINESS_NOTICE``, and each connection is closed after its answer. The wait
+        ends at the latest after the time that ``choose_drain_time`` returns.
         """
         self.callers.ready = False
         self.callers.closing = True
         deadline = Millis(self._clock.now() + choose_drain_time(self.settings.grace))
         self.gateway.dispatch(ShutdownRequested(deadline))
-        # The platform sends callers here until two readiness checks have failed.
+        # The platform sends callers to this entry until two readiness checks failed.
         quiet_from = Millis(self._clock.now() + READINESS_NOTICE)
         while self._clock.now() < deadline:
             await asyncio.sleep(DRAIN_POLL_SECONDS)
@@ -456,7 +462,7 @@
     """Return how long open answers may continue after SIGTERM, in milliseconds.
 
     Args:
-        grace: Time from SIGTERM until the process is killed.
+        grace: Time from SIGTERM until the process is killed, in milliseconds.
     """
     return Millis(max(0, min(round(grace * DRAIN_FRACTION), grace - STOP_RESERVE)))
 
@@ -466,7 +472,7 @@
 
     Args:
         settings: Settings of the entry.
-        now: Time of the start.
+        now: Time of the start, as a monotonic time in milliseconds.
     """
     budget = RetryBudget(
         settings.retry_ratio,
@@ -488,8 +494,9 @@
 def choose_first_read_delay(settings: EntrySettings) -> float:
     """Return how long an entry waits after its first read of the store, in seconds.
 
-    Without the wait, each entry of a large fleet would read the registration of each
-    target one by one, although one reader can relay them.
+    Without the wait, each entry of a large fleet would read each target's registration
+    from the store, although one reader can relay them. An entry without seeds does not
+    wait.
     """
     if not settings.seeds:
         return 0.0
@@ -503,7 +510,7 @@
 async def serve_until_signal(path: Path, listener: socket.socket | None = None) -> None:
     """Serve callers until SIGTERM or SIGINT, then drain and stop.
 
-    SIGHUP reads the settings file again.
+    On SIGHUP, the settings file is read again.
 
     Args:
         path: Settings file.
@@ -532,8 +539,8 @@
         async with asyncio.timeout(STOP_TIMEOUT_SECONDS):
             await entry.stop()
     except TimeoutError:
-        # If the process waited for open requests, the platform would kill it and
-        # count it as one that does not end when asked.
+        # If the process waited longer, for open requests, the platform would kill it
+        # and count it as one that does not end when asked.
         _log.warning("services did not stop before the timeout")
 
 
@@ -548,5 +555,6 @@
     """
     install_bounded_logs("INFO")
     uvloop.run(serve_until_signal(read_path(), listener))
-    # The garbage collection at exit would use up the rest of the grace time.
+    # Garbage collection at exit would use up the rest of the grace time; frozen objects
+    # are exempt from it.
     gc.freeze()
--- a/figstep/platform/listeners.py
+++ b/figstep/platform/listeners.py
@@ -1,9 +1,9 @@
 """Listening socket for callers, opened before the program's libraries are loaded.
 
-Loading them takes a third of a second. A process that replaces a killed one would
-refuse connections for that long. With the socket open, connections wait in its queue
-and are served as soon as the program runs. For the same reason this module imports
-only modules of the standard library that load quickly.
+Loading the libraries takes a third of a second, in which a process that replaces a
+killed one would refuse connections. With the socket open, connections wait in its queue
+and are served as soon as the program runs. For the same reason this module imports only
+modules of the standard library that load quickly.
 """
 
 import os
@@ -14,7 +14,7 @@
 """Environment variable that holds the path of the settings file."""
 
 BACKLOG = 512
-"""Largest number of connections that wait to be accepted."""
+"""Maximum number of connections that wait to be accepted."""
 
 
 def open_caller_listener() -> socket.socket | None:
@@ -22,8 +22,8 @@
 
     Returns:
         The socket; None if the settings cannot be read, name no address, or the
-        address cannot be used. The validation of the whole file a moment later
-        reports what to correct.
+        address cannot be used. The program then reports the error when it loads the
+        settings or opens the listener itself.
     """
     try:
         with open(os.environ.get(PATH_VARIABLE, ""), "rb") as file:
--- a/figstep/platform/names.py
+++ b/figstep/platform/names.py
@@ -1,15 +1,15 @@
 """HTTP header names of the platform, and which of them are not forwarded."""
 
 REQUEST_ID = "Request-Id"
-DEADLINE = "Deadline-Ms"
+DEADLINE = "Deadline-Ms"  # remaining time that the caller waits
 CREDENTIAL = "Credential"
 CUSTOMER = "Tenant"
 SIGNATURE = "Server-Stamp"
 EXPECTED_TARGET = "Expect-Instance"
-NOT_RUN = "Not-Executed"
-RETRY_AFTER = "Retry-After"
+NOT_RUN = "Not-Executed"  # present if the request did not run
+RETRY_AFTER = "Retry-After"  # seconds, possibly with a fraction
 LEAVING = "Server-Leaving"  # the target accepts no new requests
-RATE = "Server-Limit"  # requests a second that the target accepts from all callers
+RATE = "Server-Limit"  # requests a second that the target accepts from all entries
 LAST_EVENT = "Last-Event-Id"
 MODEL = "Model"
 TOKEN_COUNT = "Token-Count"  # tokens of the prompt, and maximum tokens of the output
@@ -35,8 +35,8 @@
         "content-length",
     }
 )
-"""Headers that apply to a single connection, and the length, which is set again for
-each message. They are not forwarded; names are in lower case."""
+"""Names, in lower case, of headers that apply to a single connection, and of the
+length, which is set again for each message. They are not forwarded."""
 
 SYSTEM_HEADERS = frozenset(
     name.lower()
@@ -55,6 +55,6 @@
         "Kv-Fetch",
     )
 )
-"""Headers that only this system sets, in lower case. They are removed from callers'
-requests: a caller could otherwise pose as another customer or reach the memory of
-another run."""
+"""Names, in lower case, of headers that are not forwarded from callers' requests. The
+entry sets some of them itself; a caller could otherwise pose as another customer or
+reach the memory of another run."""
--- a/figstep/platform/settings.py
+++ b/figstep/platform/settings.py
@@ -19,36 +19,36 @@
 
 
 class _Listen(_Model):
-    front: str
-    ready: str
-    control: str = ""
+    front: str  # "ip:port" for callers
+    ready: str  # "ip:port" for readiness checks
+    control: str = ""  # not used
 
 
 class _Bounds(_Model):
-    grace_s: float = 8.0
-    retry_ratio: float = 0.2
+    grace_s: float = 8.0  # from SIGTERM until the process is killed
+    retry_ratio: float = 0.2  # repeats per request
     retry_window_s: float = 10.0
-    retry_extra: float = 50.0
+    retry_extra: float = 50.0  # repeats in a window beyond the ratio
 
 
 class _Limits(_Model):
-    memory_mb: int = 150
+    memory_mb: int = 150  # MiB
     max_fds: int = 1024
 
 
 class _Provider(_Model):
-    addr: str
+    addr: str  # "ip:port" of the platform's store
 
 
 class _Document(_Model):
     node: str
     ip: str
-    zone: str
+    zone: str  # failure domain of this instance
     region: str = ""
     zones: dict[str, str] = {}  # failure domain -> region
-    bootstrap: bool = False
-    port_range: tuple[int, int]
-    seeds: tuple[str, ...] = ()
+    bootstrap: bool = False  # the whole system starts for the first time
+    port_range: tuple[int, int]  # the first port is used for peers
+    seeds: tuple[str, ...] = ()  # control addresses of other entries, as "ip:port"
     listen: _Listen
     bounds: _Bounds = _Bounds()
     limits: _Limits = _Limits()
@@ -73,15 +73,16 @@
         callers: Address at which callers connect.
         readiness: Address at which the platform checks readiness.
         peers: Address at which other entries reach this one, by UDP and TCP.
-        seeds: Addresses at which other entries may be reached.
+        seeds: Addresses at which other entries may be reached by UDP and TCP.
         store: Address of the platform's store, as "ip:port".
         first_start: Whether the whole system starts for the first time.
         grace: Time from SIGTERM until the process is killed, in milliseconds.
-        retry_ratio: Repeats that the fleet may send per request.
-        retry_allowance: Repeats that the fleet may send beyond the ratio in a window.
+        retry_ratio: Repeats that the fleet may send a service per request to it.
+        retry_allowance: Repeats that the fleet may send a service in a window beyond
+            the ratio.
         retry_window: Length of that window in milliseconds.
         memory_bytes: Memory in bytes above which the process is killed.
-        descriptors: Largest number of open files and sockets.
+        descriptors: Maximum number of open files and sockets.
         regions: Region of each failure domain.
     """
 
@@ -111,7 +112,7 @@
     """Return the path of the settings file.
 
     Raises:
-        SettingsError: If the environment variable FIGSTEP_CONFIG is not set.
+        SettingsError: If the environment variable FIGSTEP_CONFIG is not set or empty.
     """
     path = os.environ.get(PATH_VARIABLE)
     if not path:
@@ -150,8 +151,8 @@
         lines = [f"{origin}: {line}" for line in describe_errors(error)]
         raise SettingsError("\n".join(lines)) from error
     peer_port = parsed.port_range[0]
-    # The file lists the control addresses of other entries as seeds. Their peer port
-    # is the first of the free range, which is the same on every machine.
+    # The file lists the control addresses of other entries as seeds. The peer port of
+    # each entry is the first of the port range, which is the same on every machine.
     seeds = tuple(Address(split_address(seed).host, peer_port) for seed in parsed.seeds)
     return EntrySettings(
         node=parsed.node,
--- a/figstep/platform/store.py
+++ b/figstep/platform/store.py
@@ -24,11 +24,9 @@
 CONFIGURATION_KEY = "config"
 
 LONG_POLL_SECONDS = 25.0
-"""How long a read waits for a new record, in seconds (long polling).
-
-The store allows 30 s. TCP keep-alive probes detect dead connections, so a longer
-wait costs nothing and saves calls.
-"""
+"""How long the store waits for a new record before it answers a read, in seconds (long
+polling). The store allows 30 s. TCP keep-alive probes detect dead connections, so a
+longer wait costs nothing and saves calls."""
 
 CALL_TIMEOUT_SECONDS = 2.0
 """Timeout of a call in seconds, beyond the time that the store waits for a record."""
@@ -42,7 +40,7 @@
 
 MAX_BACKOFF_SECONDS = 1.0
 """Longest backoff after failed reads, in seconds. A configuration has to be in force
-two seconds after the store has recovered."""
+within two seconds after the store has recovered."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +49,7 @@
 
     Attributes:
         key: Key of the record.
-        value: Value of the key; None where the record deletes the key.
+        value: Value of the key; None if the record deletes the key.
     """
 
     key: str
@@ -64,8 +62,8 @@
 
     Attributes:
         records: Newest record of each key that is not deleted.
-        end: Offset of the topic; all records that are not in the snapshot have this
-            offset or a later one.
+        end: Offset from which to read on; records that are not in the snapshot have
+            this offset or a later one.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -85,7 +83,10 @@
 
     @abstractmethod
     async def read_records(self, topic: str, start: int) -> list[KeyedRecord]:
-        """Return a topic's records from offset ``start`` on; wait if there is none.
+        """Return a topic's records from offset ``start`` on.
+
+        If there is none, wait for one. The list is empty if none is written within the
+        store's waiting time.
 
         Raises:
             LogTruncatedError: If records from ``start`` on were deleted.
@@ -172,8 +173,8 @@
 
 
 def _open_session() -> aiohttp.ClientSession:
-    # A connection on which an answer was lost delivers nothing more; the client
-    # closes it when a call on it times out.
+    # A connection on which an answer was lost delivers nothing more; aiohttp closes it
+    # when a call on it times out.
     connector = ResetAwareConnector(limit=8)
     return aiohttp.ClientSession(
         connector=connector, cookie_jar=aiohttp.DummyCookieJar()
@@ -183,8 +184,9 @@
 def decode_records(raw: bytes) -> list[KeyedRecord]:
     """Return the records in the answer to a read.
 
-    The answer begins with two offsets of 8 bytes. Each record follows as its length
-    in 4 bytes, big-endian, and its content.
+    The answer begins with two offsets of 8 bytes. Each record follows as its length in
+    4 bytes, big-endian, and its content: the length of the key in one byte, the key,
+    and the value. An empty value means that the record deletes the key.
     """
     records = []
     position = 16
@@ -208,9 +210,10 @@
     Attributes:
         apply_snapshot: Called with the newest record of each key, and the offset of
             the next record.
-        apply_records: Called with records in order, and the offset after the last.
+        apply_records: Called with new records in order, and the offset after the last.
         handle_store_lost: Called with the reason when the store stops answering.
-        handle_store_regained: Called when the store answers again.
+        handle_store_regained: Called when the store answers again, or when other
+            entries read the topic for this one.
     """
 
     apply_snapshot: Callable[[tuple[KeyedRecord, ...], int], None]
@@ -237,7 +240,8 @@
             store: Store that holds the topic.
             topic: Name of the topic.
             sink: Callbacks that receive the records.
-            should_read: Whether this entry is to read new records itself.
+            should_read: Returns whether this entry has to read new records itself. The
+                first snapshot is read in any case.
             choose_read_delay: Returns the delay in seconds after a read that
                 returned records.
             first_read_delay: Delay in seconds after the first read, in which an
@@ -258,15 +262,16 @@
     async def _follow(self) -> None:
         while not self.should_stop:
             if self._next_offset is not None and not self._should_read():
-                # Other entries read and relay the records to this one. If the store
-                # rejects this entry, reading again each second would only cost calls.
+                # Other entries read the records and relay them to this one. If the
+                # store rejects this entry, repeated reads would only cost calls.
                 self._report_store_regained()
                 await self.sleep(IDLE_POLL_SECONDS)
                 continue
             try:
                 await self._read_next()
             except LogTruncatedError as error:
-                # The deleted records cannot be read one by one any more.
+                # The deleted records cannot be read any more; a new snapshot replaces
+                # them.
                 _log.info(
                     "records deleted from the store",
                     extra={"topic": self._topic, "earliest": error.earliest},
@@ -300,16 +305,21 @@
         records = await self._store.read_records(self._topic, start)
         self._report_store_regained()
         if self._next_offset != start:
-            # A peer relayed later records while this read was waiting.
+            # A peer relayed records from `start` on while this read was waiting.
             return
         if records:
             self._next_offset += len(records)
             self._sink.apply_records(records, self._next_offset)
-            # Records come in bursts; a delay saves a call for each of them.
+            # Records come in bursts: after a delay, one call reads several.
             await self.sleep(self._choose_read_delay())
 
     def skip_to(self, position: int) -> None:
-        """Continue at an offset up to which a peer has relayed all records."""
+        """Skip records that a peer has relayed.
+
+        Args:
+            position: Offset of the next record to read; ignored if it is not later than
+                the present one.
+        """
         if self._next_offset is None or position > self._next_offset:
             self._next_offset = position
 
--- a/figstep/platform/watch.py
+++ b/figstep/platform/watch.py
@@ -12,7 +12,7 @@
 _log = logbook.Logger("figstep.entry")
 
 CHECK_INTERVAL_SECONDS = 2.0
-"""Interval between two checks of the settings file, in seconds; its bounds change
+"""Interval between two checks of the settings file, in seconds. The settings change
 rarely."""
 
 
@@ -46,7 +46,10 @@
         self._apply(settings)
 
     async def run(self) -> None:
-        """Check the file periodically; the platform may change it without a signal."""
+        """Check the file periodically until cancelled.
+
+        The platform may change it without a signal.
+        """
         while True:
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             if self._read_stamp() != self._last_stamp:
