--- a/figstep/gateway/crashes.py
+++ b/figstep/gateway/crashes.py
@@ -17,9 +17,10 @@
 from figstep.gateway.targets import Registration, Standing, Target
 
 LOST_RETENTION = Millis(6_000)
-"""How long, in milliseconds, after a loss the end of its target makes the lost request
-a suspect. The end may show only when the target's registration lapses, after three
-heartbeats, or when the target is back, after some seconds."""
+"""Maximum time, in milliseconds, from the loss of a request to the discovery that its
+target has ended, for the request to become a suspect. The end may show only when the
+target's registration lapses, after three heartbeats, or when the target is back, after
+some seconds."""
 
 MIN_RESTART_TIME = Millis(1_000)
 """Shortest time, in milliseconds, in which a target restarts. A target that answers
@@ -48,7 +49,8 @@
 
     A request crashes its target as it begins to run, so one whose stream has begun is
     not recorded. Losses at a target that leaves are not recorded either, as it ends all
-    attempts that are still open there.
+    attempts that are still open there. If the target is known to have ended, the
+    request becomes a suspect at once.
     """
     target = attempt.target
     if request.stream_begun or target.standing is not Standing.READY:
--- a/figstep/gateway/edges.py
+++ b/figstep/gateway/edges.py
@@ -111,7 +111,7 @@
 
     @abstractmethod
     def announce(self) -> None:
-        """Send this entry's loads to its peers at once."""
+        """Send the message that describes this entry to its peers at once."""
 
     @abstractmethod
     def announce_target(self, target: str) -> None:
--- a/figstep/gateway/events.py
+++ b/figstep/gateway/events.py
@@ -51,7 +51,7 @@
     UNREACHED = "unreached"  # no connection was made: no byte was sent
     REFUSED = "refused"  # the target states that it did not run the request
     MISDIRECTED = "misdirected"  # not run: another target has the address
-    BROKEN = "broken"  # the connection broke after bytes went out
+    BROKEN = "broken"  # an open connection broke; bytes may have been sent
     GARBLED = "garbled"  # the received bytes are no answer to this request
     FAILED = "failed"  # the target answered with a failure of its own
     SILENT = "silent"  # timed out: nothing arrived for too long
@@ -136,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptLost:
-    """An attempt ended without an answer.
+    """An attempt ended without an answer, or with a failure of the target.
 
     Attributes:
         attempt: Number of the attempt.
@@ -208,7 +208,7 @@
         leaving: Whether it reports that it accepts no new work, or when it ends.
         memory: Tokens of its memory that were in use half a second ago and cannot be
             freed on demand; None if it does not report them.
-        ending: Whether it also reports when it ends.
+        ending: Whether it also reports when it will end.
     """
 
     target: str
@@ -302,7 +302,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreRegained:
-    """The store answers again, or this entry no longer reads it itself."""
+    """The store answers again, or this entry no longer reads it itself.
+
+    Targets renew lapsed registrations by themselves.
+    """
 
 
 @dataclass(frozen=True, slots=True)
@@ -356,14 +359,14 @@
     Attributes:
         node: Name of the peer.
         loads: What the peer has open, one item for each target.
-        uses: What it recently sent to each service.
+        uses: Requests and repeats that it recently sent to each service.
         suspicions: Requests that were at targets which crashed.
         clearances: Suspected requests that recently ran to an answer.
         closing: Whether the peer is shutting down.
         address: Where it listens for peers, as "ip:port"; "" in a message that this
             entry has yet to send.
         configuration: Version of the configuration in force at the peer; -1 for none.
-        position: Offset up to which it has read the registrations; -1 for nothing.
+        position: Offset up to which it has read the registrations; -1 for none.
         failure_domain: Failure domain of the peer.
         entries: Number of entries that it knows, itself included.
         far: Whether the loads are the sums of all entries of its failure domain, sent
--- a/figstep/gateway/limits.py
+++ b/figstep/gateway/limits.py
@@ -20,8 +20,7 @@
 
 RATE_SPLIT_WINDOW = Millis(4_100)
 """Time, in milliseconds, over which a rate is split into whole requests. It exceeds
-four seconds, as requests sent four seconds apart may arrive a little closer together.
-"""
+four seconds, as requests sent four seconds apart may arrive closer together."""
 
 MAX_RATE_SPLIT_WINDOW = Millis(10_000)
 """Longest window, in milliseconds, used for the lowest rates. One request is allowed in
--- a/figstep/gateway/peers.py
+++ b/figstep/gateway/peers.py
@@ -131,7 +131,8 @@
     """Remove peers whose messages stopped, with their loads.
 
     Peers of this failure domain, or of a small fleet, count as silent from then on, for
-    ``MISSING_PEER_DURATION``.
+    ``MISSING_PEER_DURATION``. The sums of another failure domain are removed after
+    ``REMOTE_LOADS_TIMEOUT``.
     """
     for name in _list_expired(state.peers, now):
         _replace_loads(state, state.peers.pop(name).loads.values(), ())
@@ -349,8 +350,8 @@
 
     Runs grow with every event, which alone is not reported. The placement of prompts
     depends on attempts that start or end, prompts that were read, copies in progress,
-    and growth of at least ``MEMORY_REPORT_STEP``. A load that is missing from ``loads``
-    is returned as zero.
+    and growth of at least ``MEMORY_REPORT_STEP``. A reported load that is missing from
+    ``loads`` is returned as zero.
 
     Args:
         reported: Loads as they were last reported, by target.
--- a/figstep/gateway/shares.py
+++ b/figstep/gateway/shares.py
@@ -49,7 +49,7 @@
 
     In a large fleet, entries know the entries of their own failure domain only, and
     assume that each domain gets an equal part. The part is rounded up in some domains
-    and down in others, which a hash selects, so that the sum is right.
+    and down in others, which a hash selects, so that the sum is kept.
 
     Args:
         state: The gateway's state.
--- a/figstep/gateway/sources.py
+++ b/figstep/gateway/sources.py
@@ -133,8 +133,8 @@
 def catch_up(state: State, now: Millis) -> list[Effect]:
     """Fetch from a peer newer records that this entry has not received.
 
-    It waits for ``CATCH_UP_DELAY`` if it reads the store itself, for ``RELAY_DELAY`` if
-    not, and until ``_may_fetch`` permits it.
+    The entry waits ``CATCH_UP_DELAY`` before if it reads the store itself, otherwise
+    ``RELAY_DELAY``, and then until ``_may_fetch`` permits the fetch.
     """
     known = [*state.peers.values(), *state.remote_peers.values()]
     ahead = [peer for peer in known if _is_ahead(state, peer)]
--- a/figstep/gateway/targets.py
+++ b/figstep/gateway/targets.py
@@ -32,8 +32,8 @@
         slots: Number of requests that it runs at once.
         draining: Whether it accepts no new work.
         warmup: How much longer it is slow, in milliseconds; 0 if it does not warm up.
-        born: Start of the incarnation, as a Unix time in milliseconds; 0 if the
-            registration does not state it.
+        born: Start of the incarnation, as a Unix time in milliseconds; distinguishes
+            incarnations of one id. It is 0 if the registration does not state it.
     """
 
     target: str
@@ -182,7 +182,7 @@
         consecutive_losses: Attempts in a row that were lost without an answer; a loss
             without a connection counts as two.
         backoff_until: Until when it is avoided after losses.
-        warm_at: When it will have warmed up, or has.
+        warm_at: End of its warm-up; in the past if it is warm.
         cold_sends: Times at which this entry recently sent it requests while it was
             cold.
         evacuated: Whether its failure domain is evacuated, so that it gets no new work.
@@ -436,10 +436,10 @@
     def find_unreachable_domains(self, service: str, now: Millis) -> set[str]:
         """Return the failure domains of a service that look unreachable as a whole.
 
-        These have at least ``MIN_UNREACHABLE_TARGETS`` targets that were presumed down
-        within ``UNREACHED_DURATION``, and no target that answered this entry since. If
-        all targets of a failure domain go down together, trying them one after another
-        would use up a request's time or attempts.
+        In such a domain, at least ``MIN_UNREACHABLE_TARGETS`` targets were presumed
+        down within ``UNREACHED_DURATION``, and no target has answered this entry since
+        the first of these times. If all targets of a failure domain go down together,
+        trying them one after another would use up a request's time or attempts.
         """
         unreached: dict[str, list[Millis]] = {}
         for target in self.targets.values():
@@ -466,7 +466,8 @@
     def record_registration(self, info: Registration, now: Millis) -> Target:
         """Record a registration and return its target.
 
-        What is known of an earlier incarnation with the same id is dropped.
+        What is known of an earlier incarnation with the same id is dropped, as a target
+        that restarts keeps nothing of that.
         """
         self.pending_departures.pop(info.target, None)
         target = self.targets.get(info.target)
--- a/figstep/platform/callers.py
+++ b/figstep/platform/callers.py
@@ -39,8 +39,9 @@
 check takes a millisecond."""
 
 MAX_UNREAD_BYTES = 262_144
-"""Maximum number of bytes of a stream that may wait for a slow reader; more would let a
-few thousand such readers fill the memory. No code of this module enforces it."""
+"""Intended maximum number of bytes of a stream that wait for a slow reader. With more,
+a few thousand such readers would fill the memory. No code of this module enforces it.
+"""
 
 LISTEN_LIMITS = Limits(
     body_bytes=MAX_BODY_BYTES,
--- a/figstep/platform/documents.py
+++ b/figstep/platform/documents.py
@@ -107,8 +107,8 @@
         value: Configuration as JSON.
 
     Raises:
-        ValueError: If the configuration is not valid; the platform should accept only
-            valid ones.
+        ValueError: If the configuration is not valid. The platform is expected to
+            accept only valid ones.
     """
     parsed = _Configuration.model_validate(orjson.loads(value))
     services = {}
--- a/figstep/platform/entry.py
+++ b/figstep/platform/entry.py
@@ -396,7 +396,7 @@
             self._fetch_task = asyncio.get_running_loop().create_task(coroutine)
 
     def announce(self) -> None:
-        """Send this entry's loads to its peers at once."""
+        """Send the message that describes this entry to its peers at once."""
         self.link.announce()
 
     def announce_target(self, target: str) -> None:
@@ -419,8 +419,9 @@
     def apply_settings(self, settings: EntrySettings) -> None:
         """Apply settings that were read again.
 
-        Seeds, retry bounds and regions change at once. Addresses and names stay as
-        they were at the start of the process.
+        Seeds, retry bounds, regions and the grace time change at once. The addresses of
+        listeners and of the store, and the names of the instance and its failure
+        domain, stay as they were at the start of the process.
         """
         self.settings = settings
         self.link.set_seeds(settings.seed_addresses)
