--- a/figstep/platform/callers.py
+++ b/figstep/platform/callers.py
@@ -39,9 +39,9 @@
 check takes a millisecond."""
 
 MAX_UNREAD_BYTES = 262_144
-"""Intended maximum number of bytes of a stream that wait for a slow reader. With more,
-a few thousand such readers would fill the memory. No code of this module enforces it.
-"""
+"""Intended maximum number of bytes of a stream that wait for a slow reader before the
+stream is cut. Otherwise, a few thousand such readers would fill the memory. No code of
+this module enforces it."""
 
 LISTEN_LIMITS = Limits(
     body_bytes=MAX_BODY_BYTES,
