--- a/figstep/core/admission.py
+++ b/figstep/core/admission.py
@@ -18,7 +18,7 @@
 """Longest Retry-After of a rejected request before jitter, in milliseconds."""
 
 RETRY_AFTER_JITTER = 0.5
-"""Largest random addition to Retry-After, as a share of it."""
+"""Largest random addition to Retry-After, as a fraction of its value before jitter."""
 
 PRIORITY_STEP = 2 * BIN_COUNT
 """Distance between two request priorities in the priorities sent to engines.
@@ -36,12 +36,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Decision to queue the request, as no target has free capacity."""
+    """Decision to queue the request.
+
+    No target can run it now, or other requests of its pool are waiting.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Decision to refuse the request at once, as waiting would not help."""
+    """Decision to refuse the request, as it is predicted to start too late."""
 
     problem: Problem
 
@@ -86,12 +89,12 @@
 def choose_for_queued(
     state: State, request: RequestState, now: Millis
 ) -> TargetState | None:
-    """Return the target for the next queued request, or None if none has capacity."""
+    """Return the target for the next queued request, or None if none can run it now."""
     return routing.choose_target(state, request, now)
 
 
 def queue_request(state: State, request: RequestState) -> None:
-    """Add a request to the queue, ordered by its expected work."""
+    """Add a request to the queue with its expected work and its customer's share."""
     spec = request.spec
     cost, share = estimate_cost(state, spec), find_share(state, spec)
     state.queue.add(spec, cost, share, request.arrived)
@@ -107,9 +110,11 @@
 def choose_priority(state: State, request: RequestState) -> int:
     """Return the priority that the engine uses to choose what it preempts.
 
-    Among requests of one priority, those with a shorter expected length get the
-    higher value and are kept: they free their memory soonest, and a long request
-    loses a smaller part of its time by being recomputed.
+    It is the priority of the request, unless a ``Figstep`` policy with
+    ``engine_priority`` is in force. Then, among generations of one priority, those
+    with a shorter expected length get the higher value and are kept: they free
+    their memory soonest, and a long generation loses a smaller part of its time by
+    being recomputed.
     """
     spec = request.spec
     match state.policy:
@@ -135,11 +140,12 @@
 def jitter_retry_after(state: State, wait: Millis) -> Millis:
     """Return a Retry-After in milliseconds, with jitter.
 
-    The jitter keeps callers that were rejected together from returning at once.
+    The jitter keeps callers that were rejected together from returning together.
 
     Args:
         state: The entry's state, for its random numbers.
-        wait: Time until the request could start, in milliseconds.
+        wait: Predicted wait beyond the time left to the deadline, in milliseconds.
+            It is raised to ``MIN_RETRY_AFTER`` or lowered to ``MAX_RETRY_AFTER``.
     """
     base = min(MAX_RETRY_AFTER, max(wait, MIN_RETRY_AFTER))
     return Millis(round(base * (1.0 + RETRY_AFTER_JITTER * state.rng.random())))
--- a/figstep/core/attempts.py
+++ b/figstep/core/attempts.py
@@ -134,11 +134,11 @@
 def abandon_attempt(
     state: State, request: RequestState, cancel: bool = True
 ) -> list[Effect]:
-    """Close the request's connection and, if wanted, cancel its generation.
+    """Close the request's connection and, with ``cancel``, cancel its generation.
 
     Between two attempts no connection is open, but the target may still be
-    generating. The cancel is therefore sent whenever the request has had a
-    generation, other than for a plain service.
+    generating. The cancellation is therefore sent for any request that has had a
+    generation, except for a plain service call.
     """
     effects: list[Effect] = []
     attempt = remove_attempt(state, request.attempt)
--- a/figstep/core/effects.py
+++ b/figstep/core/effects.py
@@ -19,8 +19,10 @@
         attempt: Number of the attempt, unique in this process.
         target: Name of the target.
         generation: Generation id that the target is to use.
-        priority: Priority that the target is to use; higher goes first.
-        once: Whether the bytes may be sent only once.
+        priority: Priority by which the engine orders its queue and its preemptions;
+            higher ones are preferred. It is not sent to a plain service.
+        once: Whether the request may run only once. A plain service call is then
+            sent over a new connection, and a 429 counts as a refusal like a 503.
     """
 
     request: str
@@ -59,14 +61,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplacePool:
-    """Close the idle connections to a target and open new ones from now on."""
+    """Use new connections for all later requests to a target.
+
+    Requests in progress keep the old ones, which close when the last of these
+    requests ends.
+    """
 
     target: str
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeTarget:
-    """Check whether a target still listens at its address."""
+    """Check whether a process listens at a target's address.
+
+    ``TargetDown`` follows if the connection is refused; nothing follows otherwise.
+    """
 
     target: str
 
@@ -81,7 +90,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Deliver:
-    """Send events to the caller, in order."""
+    """Deliver the next events of a request, in order.
+
+    A stream is sent to the caller as it arrives; the events of any other answer are
+    gathered until it is whole.
+    """
 
     request: str
     frames: list[bytes]
@@ -89,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscardDelivered:
-    """Discard the events gathered for a caller that has received none of them."""
+    """Discard the events that are gathered for a request and not sent to its caller."""
 
     request: str
 
@@ -100,8 +113,7 @@
 
     Attributes:
         request: Id of the request.
-        attempt: Number of the attempt whose gathered service answer is delivered,
-            if any.
+        attempt: Number of the attempt that completed the request.
     """
 
     request: str
@@ -127,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """End a request with a problem as its final answer."""
+    """End a request, on arrival or later, with a problem as its final answer."""
 
     request: str
     problem: Problem
@@ -160,29 +172,32 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchCheckpoint:
-    """Request the checkpoint of the peer at "host:port"."""
+    """Fetch the checkpoint of the peer at "host:port", unless a fetch is running.
+
+    ``CheckpointOffered`` follows if the fetch succeeds; nothing follows otherwise.
+    """
 
     address: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReadConfigurationFrom:
-    """Continue to read the configuration stream from ``offset``."""
+    """Continue to read the configuration stream at ``offset``."""
 
     offset: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendOrder:
-    """Send an order to an engine.
+    """Send an order to an engine; ``OrderAnswered`` follows.
 
     Attributes:
         number: Number of the order, unique in this process.
         target: Name of the target.
-        order: State that the engine is to reach.
+        order: The order.
         fencing: Fencing number of the lease that covers the order.
-        until: End of the lease (monotonic), in milliseconds; the order is not sent
-            after that.
+        until: Time from which the order is no longer sent (monotonic), in
+            milliseconds. It precedes the end of the lease by ``leases.MARGIN``.
     """
 
     number: int
@@ -194,7 +209,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WakeAt:
-    """Set a timer, in place of an equal one that is set already.
+    """Set a timer; an equal one that is set already is replaced.
 
     Attributes:
         timer: Timer to fire.
@@ -215,7 +230,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """Write one line to the structured log.
+    """Write one line of level INFO to the structured log.
 
     Attributes:
         message: Message of the line.
--- a/figstep/core/events.py
+++ b/figstep/core/events.py
@@ -14,15 +14,15 @@
 
 
 class Loss(Enum):
-    """Way in which an attempt was lost, as its edge observed it."""
+    """Way in which an attempt was lost, as its edge or the reducer observed it."""
 
     CONNECT_FAILED = "connect_failed"  # no byte was handed to a connection
     REFUSED = "refused"  # the target refused before running
     NOT_FOUND = "not_found"  # the target does not have the generation to resume
-    BROKEN = "broken"  # the connection broke after bytes were sent
-    TRUNCATED = "truncated"  # the stream was closed cleanly without the end marker
+    BROKEN = "broken"  # an open connection broke, or its events have a gap
+    TRUNCATED = "truncated"  # the stream ended without an end marker or finish reason
     WRONG_GENERATION = "crossed"  # the answer belongs to another generation
-    FAILED = "failed"  # the target answered with a server error
+    FAILED = "failed"  # a server error, or a refusal that does not prove "not run"
     SILENT = "silent"  # no data arrived for longer than the silence limit
     EMPTY = "empty"  # an end marker arrived without an event before it
     SHUTDOWN = "shutdown"  # this process closed the connection on shutdown
@@ -119,14 +119,18 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetDown:
-    """A probe found that no process listens at a target's address."""
+    """A probe was refused: no process listens at the target's address."""
 
     target: str
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptRejected:
-    """The target answered that the request itself is invalid (4xx)."""
+    """The target rejected the request itself as invalid.
+
+    That is any status other than 200, a refusal (429 or 503), a server error, or a
+    404 to a resume.
+    """
 
     attempt: int
     problem: Problem
@@ -151,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReported:
-    """A target reported its load, as it was some time ago.
+    """A target reported its load, as it was ``age`` milliseconds ago.
 
     Attributes:
         target: Name of the target.
@@ -161,7 +165,8 @@
         waiting: Number of generations in the engine's queue.
         memory_used: Cache memory in use, in tokens.
         memory_total: Cache memory, in tokens.
-        models: Loaded models, each as "name@version".
+        models: Loaded models and adapters, each as "model@version" or
+            "model+adapter".
         age: Age of the report, in milliseconds.
     """
 
@@ -185,7 +190,7 @@
 
     Attributes:
         offset: Offset of the record.
-        base: Accepted offset that the edit was based on; -1 for none.
+        base: Offset of the edit in force that this edit was made from; -1 for none.
         author: Author who published the edit.
         reason: Reason that the author gave.
         inventory: The validated document, or None if it is not valid or its
@@ -211,7 +216,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Checkpoint:
-    """Result of the fold over every record up to a position.
+    """Result of folding all records of the configuration stream up to a position.
 
     Attributes:
         accepted: Offset of the edit in force.
@@ -266,7 +271,8 @@
         address: Base URL of the instance.
         failure_domain: Name of the instance's failure domain.
         leaving: Whether the platform is about to stop the instance.
-        incarnation: Number that grows each time the instance starts.
+        incarnation: Number that grows each time the instance starts; 0 if the list
+            does not name it.
         peers: Address at which an entry listens for peers, as "host:port", or "".
     """
 
@@ -352,7 +358,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderAnswered:
-    """An order to an engine was answered, or abandoned.
+    """An order to an engine was answered, failed without an answer or was not sent.
 
     Attributes:
         order: Number of the ``SendOrder`` effect.
@@ -375,7 +381,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryTimer:
-    """Timer for the end of the backoff before a request's next attempt."""
+    """Timer for the end of the backoff before a request is resumed."""
 
     request: str
 
@@ -394,7 +400,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptTimer:
-    """Timer to check that an attempt still makes progress."""
+    """Timer to check an attempt, which is lost if it was silent beyond its limit."""
 
     attempt: int
 
@@ -452,7 +458,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownRequested:
-    """The process was asked to end; running requests continue."""
+    """The process was asked to end: it refuses new requests; open ones continue."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/figstep/core/requests.py
+++ b/figstep/core/requests.py
@@ -34,11 +34,17 @@
 from figstep.core.state import Phase, RequestState, State, TargetState
 
 QUEUE_RETRY_INTERVAL = Millis(100)
-"""Time between two attempts to start queued requests, in milliseconds."""
+"""Longest time between two attempts to start queued requests, in milliseconds.
+
+A completed request triggers an attempt at once.
+"""
 
 
 def admit_request(state: State, event: RequestArrived, now: Millis) -> list[Effect]:
-    """Handle the arrival of a request: reject, claim, start or queue it.
+    """Handle the arrival of a request: refuse, claim, start or queue it.
+
+    A non-idempotent request is claimed: a record in the log marks its identity as
+    taken, and the request starts once the record has been read back as the owner.
 
     Args:
         state: The entry's state.
@@ -46,8 +52,9 @@
         now: Monotonic time, in milliseconds.
 
     Returns:
-        The effects; a ``Refuse`` where the entry is shutting down, has no
-        configuration, or has quarantined the request's digest.
+        The effects. The request is refused if the entry is shutting down, has no
+        configuration or has quarantined the request's digest. The claim and the
+        admission control may refuse it too.
     """
     spec = event.spec
     if state.shutting_down:
@@ -70,7 +77,10 @@
 
 
 def start_request(state: State, request: RequestState, now: Millis) -> list[Effect]:
-    """Open an attempt on the chosen target, or queue or reject the request."""
+    """Start, queue or refuse a request, as the admission control decides.
+
+    A request whose digest is quarantined, or whose claim is too old, is refused.
+    """
     _expire_failed_targets(request, now)
     quarantined = quarantine.check_digest(state.quarantine, request.spec, now)
     if quarantined is not None:
@@ -110,7 +120,12 @@
 
 
 def start_queued(state: State, now: Millis) -> list[Effect]:
-    """Start queued requests of each pool until the next one finds no target."""
+    """Start queued requests of each pool until the next one finds no target.
+
+    A request that avoids targets, as a suspect or after lost attempts, is skipped if
+    it finds none and stays queued. The queue timer is set again while requests are
+    queued.
+    """
     effects: list[Effect] = []
     for pool in state.queue.list_pools():
         effects += _start_pool(state, pool, now)
@@ -138,7 +153,8 @@
         state.queue.remove(spec.request)
         if target is None:
             # This request avoids certain targets. If it stayed at the head of
-            # the queue, the requests behind it would wait for its targets too.
+            # the queue, the requests behind it would wait although the targets
+            # that it avoids may have capacity for them.
             skipped.append(request)
             continue
         effects += _dispatch_request(state, request, target, now)
@@ -155,8 +171,9 @@
 def determine_ran(state: State, request: RequestState) -> Ran:
     """Return whether the request ran, as far as this entry can know.
 
-    While an attempt is open its bytes may be in transit, so ``Ran.NO`` is returned
-    only once the attempt has ended with a loss that proves it.
+    ``Ran.NO`` is returned for a request that was never sent, or whose attempts all
+    ended with a loss that proves that it did not run. While an attempt is open its
+    bytes may be in transit, so the result is at least ``Ran.UNKNOWN``.
     """
     if request.ran is Ran.NO and request.attempt in state.attempts:
         return Ran.UNKNOWN
@@ -166,13 +183,14 @@
 def end_request(
     state: State, request: RequestState, problem: Problem, cancel: bool = True
 ) -> list[Effect]:
-    """Refuse a request with a problem and stop whatever runs for it.
+    """End a request with a problem, and close its attempt and its claim.
 
     Args:
         state: The entry's state.
         request: The request.
-        problem: Final answer to the caller; whether the request ran is added.
-        cancel: Whether the generation is cancelled at the target.
+        problem: Final answer to the caller. Its ``ran`` is replaced by
+            ``determine_ran`` if that is stronger.
+        cancel: Whether the request's generation, if any, is cancelled at the target.
     """
     name = request.spec.request
     ran = retries.combine_ran(problem.ran, determine_ran(state, request))
@@ -204,7 +222,7 @@
 def complete_service_call(
     state: State, event: ServiceAnswered, now: Millis
 ) -> list[Effect]:
-    """Complete a plain service request: deliver its answer and record it."""
+    """Complete a plain service request; record the answer if the request is claimed."""
     request = _complete_request(state, event.attempt, now)
     if request is None:
         return [Count("attempts.late")]
@@ -219,6 +237,8 @@
 def _complete_request(state: State, number: int, now: Millis) -> RequestState | None:
     """Remove a completed attempt and its request from the state.
 
+    The success adds to the retry budget and drops the suspicions of the request.
+
     Returns:
         The request, or None if the attempt was removed earlier.
     """
@@ -234,7 +254,7 @@
 
 
 def reject_attempt(state: State, event: AttemptRejected, now: Millis) -> list[Effect]:
-    """Pass on the target's answer that the request itself is invalid (4xx)."""
+    """End a request that its target rejected as invalid, with the event's problem."""
     attempt = attempts.remove_attempt(state, event.attempt)
     if attempt is None:
         return [Count("attempts.late")]
@@ -244,12 +264,12 @@
 
 
 def reattach_caller(state: State, event: CallerReturned, now: Millis) -> list[Effect]:
-    """Reattach a returning caller to its generation, at any entry.
+    """Resume the generation of a returning caller, which may come from another entry.
 
     The generation id names the target and a digest of the customer, so the entry
-    needs no state of the first request. The request is refused if the customer is
-    another one, if the target is not known here, or if the entry is shutting down
-    or has no configuration.
+    needs no state of the first request. The request is refused if the id is
+    malformed or names another customer or a target that this entry does not know,
+    or if the entry is shutting down or has no configuration.
     """
     spec = event.spec
     if state.shutting_down:
@@ -281,12 +301,12 @@
 
 
 def drop_caller(state: State, event: CallerGone, now: Millis) -> list[Effect]:
-    """Handle a caller that disconnected: release what its request holds.
+    """Handle a caller that disconnected: drop its request, attempt and claim.
 
-    A non-idempotent call that was already sent continues without its caller.
-    Closing the connection would not stop a service that has begun, and a caller
-    that sends the same key again, for example after its own time-out, could then
-    not be given the outcome.
+    A non-idempotent call of a plain service that has an open attempt continues
+    without its caller. Closing the connection would not stop a service that has
+    begun, and a caller that sends the same key again, for example after its own
+    time-out, could then not be given the outcome.
     """
     request = state.requests.get(event.request)
     if request is None:
@@ -304,7 +324,12 @@
 
 
 def expire_request(state: State, timer: RequestTimer, now: Millis) -> list[Effect]:
-    """Refuse a request that got no first byte before its deadline."""
+    """Refuse a request that had no event delivered before its deadline.
+
+    For a returned caller only events after the last one that it had received count.
+    A plain service call delivers no events, so its whole answer has to arrive before
+    the deadline.
+    """
     request = state.requests.get(timer.request)
     if request is None or request.delivered > (request.returned_index or 0):
         return []
@@ -322,10 +347,10 @@
 
 
 def abort_requests(state: State) -> list[Effect]:
-    """Refuse all open requests because the process ends now.
+    """Refuse all open requests, and later ones too, because the process ends now.
 
-    Streams are not cancelled at their targets, so that their callers can resume
-    them through another entry.
+    The generations of streams are not cancelled at their targets, so that their
+    callers can resume them through another entry. Other generations are cancelled.
     """
     state.shutting_down = True
     effects: list[Effect] = []
