--- a/figstep/core/budgets.py
+++ b/figstep/core/budgets.py
@@ -1,26 +1,27 @@
-"""Retry budget, which limits retries to a share of the successful requests."""
+"""Retry budget, which limits retries to a fraction of the successful requests."""
 
 from dataclasses import dataclass
 
 RETRY_SHARE = 0.25
-"""Retries that each success adds to the budget."""
+"""Number of retries that each success adds to the budget."""
 
 INITIAL_RETRIES = 20.0
-"""Retries in a new budget."""
+"""Number of retries in a new budget."""
 
 MAX_RETRIES = 100.0
-"""Largest number of retries that a budget can hold."""
+"""Maximum number of retries that a budget can hold."""
 
 
 @dataclass(slots=True)
 class RetryBudget:
     """Number of retries that an entry may still make.
 
-    Each success adds a fraction of a retry and each retry takes one. A pool that
-    answers nothing adds nothing, so once the initial retries are used up, its load is
-    that of its callers and not a multiple of it. The initial retries allow all
-    requests of a single lost target to restart on other targets. Each entry has its
-    own budget; the same share of each entry's successes is that share in the fleet.
+    Each completed request adds a fraction of a retry and each retry takes one. While
+    no request completes nothing is added, so once the retries are used up, the load
+    on the targets is that of the callers and not a multiple of it. The initial
+    retries are meant for the requests of a single lost target, so that all of them
+    can restart on other targets. Each entry has its own budget; as each one allows
+    the same fraction of the entry's successes, so does the fleet.
 
     Attributes:
         left: Number of retries left; fractions accumulate.
--- a/figstep/core/queues.py
+++ b/figstep/core/queues.py
@@ -3,8 +3,8 @@
 There is one queue per pool (a model or a plain service), so that a pool without free
 capacity does not block the others. Within a pool, requests are ordered by priority,
 then by customer (start-time fair queueing: the customer with the least work for its
-share goes first), then by expected length. Waiting time offsets length, so that no
-request starves.
+share goes first), then by expected length. Waiting time offsets length, so that
+shorter requests do not overtake a long one of the same customer forever.
 """
 
 import heapq
@@ -17,7 +17,7 @@
 """Waiting time that offsets one more expected token, in milliseconds."""
 
 RATE_AVERAGING_TIME = 20_000.0
-"""Time over which the rate of started work is averaged, in milliseconds."""
+"""Time constant of the average of the rate of started work, in milliseconds."""
 
 MAX_PREDICTED_WAIT = 3_600_000.0
 """Upper bound of a predicted wait, in milliseconds; needed where the rate is near 0."""
@@ -57,8 +57,8 @@
     """Queued requests of one customer at one priority of a pool.
 
     Attributes:
-        finish_tag: Virtual time at which the last started work of the customer ends:
-            tokens divided by the share.
+        finish_tag: Virtual time at which the last started work of the customer ends,
+            in tokens divided by the share.
         share: Share of the customer.
         cost: Expected work of the queued requests, in tokens.
         count: Number of queued requests.
@@ -77,14 +77,15 @@
 
 @dataclass(slots=True)
 class PriorityLevel:
-    """Customers with requests of one priority of a pool.
+    """Customers that have or had requests of one priority of a pool.
 
     Attributes:
         clock: Virtual time of the level: the highest start tag of started work.
         shares: Sum of the shares of the customers with queued requests.
-        customers: Queues by customer; a single one under "" if not fair.
-        customer_heap: Customers as (finish tag, key), the smallest tag first; a tag
-            may be out of date.
+        customers: Queues by customer; a single one under "" if customers do not take
+            turns.
+        customer_heap: Customers as (finish tag, key in ``customers``), the smallest
+            tag first; a tag may be lower than the customer's current one.
     """
 
     clock: float = 0.0
@@ -113,7 +114,11 @@
         self.work += work
 
     def read(self, now: Millis) -> float | None:
-        """Return the rate; None if no work started or too little time has passed."""
+        """Return the rate in tokens per millisecond.
+
+        It is None if no work has started, or if the observed time is less than an
+        eighth of ``RATE_AVERAGING_TIME``.
+        """
         self._decay(now)
         if self.weight < RATE_AVERAGING_TIME / 8 or self.work <= 0:
             return None
@@ -147,8 +152,8 @@
 class RequestQueue:
     """Queued requests of all pools.
 
-    Adding, removing and finding the next request take time logarithmic in their
-    number.
+    Adding, removing and finding the next request take amortized time logarithmic in
+    the number of queued requests.
 
     Args:
         fair: Whether customers take turns by their shares.
@@ -167,7 +172,7 @@
         return len(self._queued)
 
     def order_by(self, fair: bool, shortest_first: bool) -> None:
-        """Change the order of the queue and add the queued requests anew."""
+        """Change the order of the queue, and queue its requests again in that order."""
         if (fair, shortest_first) == (self.fair, self.shortest_first):
             return
         waiting = list(self._queued.values())
@@ -259,7 +264,14 @@
         return None
 
     def charge(self, spec: RequestSpec, cost: float, share: float, now: Millis) -> None:
-        """Charge work that starts to its customer; ``cost`` is in tokens."""
+        """Charge a request that starts to its customer and to the pool's rate.
+
+        Args:
+            spec: The request.
+            cost: Expected work, in tokens.
+            share: Share of the request's customer.
+            now: Monotonic time, in milliseconds.
+        """
         pool = self._find_pool(spec)
         pool.rate.add(cost, now)
         level = pool.levels.setdefault(spec.priority, PriorityLevel())
@@ -272,9 +284,18 @@
     ) -> Millis:
         """Return the predicted wait of a request, in milliseconds; 0 if unknown.
 
-        The queued work of the same customer goes first, at that customer's share of
-        the rate at which work has been starting. The work ahead is at most all the
-        queued work of the pool.
+        The wait is the work ahead, divided by the rate at which work of the pool has
+        been starting. The work ahead is all queued work of the pool. If customers
+        take turns, it is at most the queued work of the request's own customer,
+        divided by that customer's fraction of the shares. If shorter requests go
+        first, the wait is also at least the time until the request's sort key
+        reaches the one at the head of its customer's queue.
+
+        Args:
+            spec: The request.
+            cost: Expected work, in tokens.
+            share: Share of the request's customer.
+            now: Monotonic time, in milliseconds.
         """
         pool = self._pools.get(name_pool(spec))
         if pool is None or pool.count == 0:
--- a/figstep/core/recovery.py
+++ b/figstep/core/recovery.py
@@ -180,8 +180,9 @@
     """Handle the end marker; the answer is whole only with a finish reason.
 
     An engine that fails may still close its stream with the end marker, and the
-    caller would take a truncated answer for a whole one. So a stream whose last
-    event has no finish reason counts as truncated, and one without events as empty.
+    caller would take a truncated answer for a whole one. An answer whose last event
+    has no finish reason is therefore handled as truncated, and an answer without
+    events as empty.
     """
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
@@ -198,8 +199,9 @@
 def recover_attempt(state: State, event: AttemptLost, now: Millis) -> list[Effect]:
     """Handle a lost attempt: resume, restart or refuse its request.
 
-    The target also gets no new generations for a growing time. The loss may count
-    as the death of the target, or as a broken call of a plain service.
+    The target also gets no new generations for a time that grows with each loss in a
+    row. The loss may count as the death of the target, or as a broken call of a
+    plain service.
     """
     attempt = attempts.remove_attempt(state, event.attempt)
     if attempt is None:
@@ -275,9 +277,9 @@
     event: AttemptLost,
     recovery: retries.Recovery,
 ) -> bool:
-    # The generation of a returned caller may have left the target's memory, and
-    # one that no target accepted may never have reached a target. Neither shows
-    # that the target died.
+    # A request whose generation no target has accepted, which includes a returned
+    # caller until its resume is answered, shows nothing: the generation may never
+    # have reached the target, or have left the target's memory.
     if recovery is retries.Recovery.RESUME or not request.accepted:
         return False
     if attempt.resuming:
@@ -331,8 +333,8 @@
         effects += _cancel_generation(request, attempt)
     effects.append(DiscardDelivered(attempt.request))
     if request.delivered:
-        # The deadline was for a first byte, which arrived. The restart gets as much
-        # time as the first start had.
+        # The deadline was for a first byte, which arrived. The restart gets the time
+        # from the request's arrival to that deadline.
         request.deadline = Millis(now + request.deadline - request.arrived)
         effects.append(WakeAt(RequestTimer(attempt.request), request.deadline))
     request.delivered = 0
--- a/figstep/core/retries.py
+++ b/figstep/core/retries.py
@@ -9,16 +9,22 @@
 from figstep.core.problems import Ran
 
 MAX_ATTEMPTS = 8
-"""Most starts of a request, not counting resumes."""
+"""Maximum number of starts of a request, not counting resumes."""
 
 MAX_RESUMES = 4
-"""Most resumes of a generation in a row without a new event."""
+"""Maximum number of resumes of a generation in a row without a new event."""
 
 INITIAL_BACKOFF = Millis(50)
-"""Backoff before the second resume in a row, in milliseconds; it then doubles."""
+"""Longest backoff before the second resume in a row, in milliseconds.
+
+It doubles with each further resume, up to ``MAX_BACKOFF``.
+"""
 
 MAX_BACKOFF = Millis(2_000)
-"""Longest backoff between two resumes, in milliseconds."""
+"""Longest backoff between two resumes, in milliseconds.
+
+A longer pause that the target requests takes precedence.
+"""
 
 
 class Recovery(Enum):
@@ -26,7 +32,7 @@
 
     RESUME = "resume"  # reattach to the same generation
     RESTART = "restart"  # start a new generation: nothing has reached the caller
-    GIVE_UP = "give_up"
+    GIVE_UP = "give_up"  # end the request with a problem
 
 
 _RAN_BY_LOSS = {
@@ -42,11 +48,11 @@
     Loss.SHUTDOWN: Ran.UNKNOWN,
 }
 
-# From weakest to strongest.
+# Values of Ran, from the weakest to the strongest evidence that a request ran.
 _RAN_ORDER = [Ran.NO, Ran.UNKNOWN, Ran.YES]
 
-# Losses after which a resume is tried: those of a first connection, then those of a
-# connection that was itself a resume.
+# Losses of a generation's first connection after which a resume is tried. After the
+# loss of a connection that was itself a resume, more of them allow another one.
 _RESUMABLE_LOSSES = frozenset(
     {Loss.BROKEN, Loss.TRUNCATED, Loss.WRONG_GENERATION, Loss.SILENT}
 )
@@ -56,8 +62,9 @@
     Loss.FAILED,
 }
 
-# Time for which a request avoids a target that lost it, in milliseconds. The cause
-# of a refusal ends as the target's queue drains; a dead target needs longer.
+# Time for which a request avoids a target after a lost attempt, in milliseconds. The
+# cause of a refusal ends as the target's queue drains; a dead target needs longer.
+# The default is for all other losses.
 _AVOIDANCE_BY_LOSS = {Loss.REFUSED: Millis(500), Loss.CONNECT_FAILED: Millis(2_000)}
 _DEFAULT_AVOIDANCE = Millis(5_000)
 
@@ -66,7 +73,8 @@
     """Return whether a request ran, judged from one loss.
 
     ``Ran.NO`` is returned only if no byte was handed to a connection or if the
-    target itself refused before running. Anything else would be a guess.
+    target itself refused before running. After any other loss the target may have
+    run the request.
     """
     return _RAN_BY_LOSS[loss]
 
@@ -86,7 +94,7 @@
         attempts: Starts so far, without resumes.
         resumes: Resumes in a row without a new event.
         resuming: Whether the lost attempt was itself a resume.
-        resumable: Whether the target can resume the generation.
+        resumable: Whether the target is a known engine that supports resumes.
         reached_caller: Whether any of the answer reached the caller.
         non_idempotent: Whether the request may run only once.
     """
@@ -102,10 +110,12 @@
 
 
 def decide_recovery(lost: LostAttempt) -> Recovery:
-    """Decide whether a request resumes, restarts or is given up.
+    """Decide whether a request is resumed, restarted or ended with a problem.
 
-    A restart needs that nothing has reached the caller, that fewer than
-    ``MAX_ATTEMPTS`` starts were made, and that a non-idempotent request did not run.
+    It is resumed if the target supports resumes, the loss allows one and fewer than
+    ``MAX_RESUMES`` were made in a row. Otherwise it is restarted if nothing has
+    reached the caller, fewer than ``MAX_ATTEMPTS`` starts were made, and it is not a
+    non-idempotent request that may have run.
     """
     if _can_resume(lost):
         return Recovery.RESUME
@@ -130,8 +140,12 @@
     """Return the pause before the next resume, in milliseconds.
 
     The first resume is immediate. Later backoffs double up to ``MAX_BACKOFF``; half
-    of each is random, so that the streams of one broken link do not all return at
+    of each is random, so that the streams of one broken link are not all resumed at
     the same time.
+
+    Args:
+        resumes: Number of resumes in a row before this one.
+        rng: Random generator.
     """
     if resumes == 0:
         return Millis(0)
@@ -140,12 +154,18 @@
 
 
 def compute_avoidance(loss: Loss, retry_after: Millis | None) -> Millis:
-    """Return how long a request avoids a target after a loss, in milliseconds."""
+    """Return how long a request avoids a target after a loss, in milliseconds.
+
+    Args:
+        loss: How the attempt was lost.
+        retry_after: Pause that the target requested, which takes precedence, in
+            milliseconds; None for none.
+    """
     return retry_after or _AVOIDANCE_BY_LOSS.get(loss, _DEFAULT_AVOIDANCE)
 
 
 def jitter_pause(base: int, rng: random.Random) -> Millis:
-    """Return a random pause from ``base`` to twice ``base``, in milliseconds.
+    """Return a random pause from ``base`` to twice ``base``, both in milliseconds.
 
     Without the jitter, callers that were refused together would return together.
     """
