--- a/figstep/core/finishes.py
+++ b/figstep/core/finishes.py
@@ -8,8 +8,9 @@
 def is_unfinished(frame: bytes) -> bool:
     """Return whether an event is a token event without a finish reason.
 
-    It is called once for each answer, on its last event. An event whose data is not
-    the JSON of a token event shows nothing, so False is returned for it.
+    It is called once for each answer, on its last event. False is returned for an
+    event whose data is not the JSON of a token event, and for one with a usage
+    report, as neither shows that the answer lacks its end.
 
     Args:
         frame: A server-sent event with its ``id`` and ``data`` lines.
--- a/figstep/core/lengths.py
+++ b/figstep/core/lengths.py
@@ -12,7 +12,7 @@
 """Number of bins of a histogram; the last one holds all longer answers too."""
 
 DECAY = 0.995
-"""Factor on the weight of all earlier answers with each new answer."""
+"""Factor by which each new answer lowers the weight of all earlier ones."""
 
 MIN_ANSWERS = 8.0
 """Decayed number of answers that a histogram needs before it is used."""
@@ -21,10 +21,13 @@
 """Number of bins of prompt lengths that share a histogram."""
 
 DEFAULT_MEAN = 256.0
-"""Expected length where too few answers are known, in tokens."""
+"""Smallest expected rest of an answer where too few answers are known, in tokens.
+
+If the part that was produced already is longer, the rest is expected to be as long.
+"""
 
 DEFAULT_DEVIATION = 512.0
-"""Least standard deviation where too few answers are known, in tokens."""
+"""Smallest standard deviation where too few answers are known, in tokens."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +44,7 @@
 
 
 UNKNOWN_REMAINING = Remaining(DEFAULT_MEAN, DEFAULT_DEVIATION**2)
-"""Estimate where no answer is known."""
+"""Estimate of a whole answer where too few answers are known."""
 
 
 def find_bin(tokens: int) -> int:
@@ -52,7 +55,7 @@
 
 
 def compute_bin_midpoint(number: int) -> float:
-    """Return the length in the middle of a bin, in tokens."""
+    """Return the geometric middle of a bin, in tokens."""
     return float(2 ** ((number + 0.5) / BINS_PER_DOUBLING))
 
 
@@ -63,8 +66,9 @@
 class Histogram:
     """Decayed counts of answer lengths in logarithmic bins.
 
-    Instead of scaling down all bins, the weight of each new answer grows, so that
-    recording an answer costs the same for any number of bins.
+    Instead of scaling down all bins, the weight of each new answer grows. The bins
+    are scaled down only when that weight reaches 1e9, so the amortized cost of
+    recording an answer hardly depends on the number of bins.
 
     Attributes:
         weights: Weight of the answers of each bin.
@@ -99,7 +103,8 @@
         Only the answers in the bin of ``produced`` and in longer ones are used.
 
         Returns:
-            The estimate, or None if these weigh less than one new answer.
+            The estimate, or None if the answers in these bins weigh less than one
+            new answer.
         """
         first = find_bin(produced) if produced else 0
         weight = mass = square = 0.0
@@ -118,13 +123,17 @@
 
 
 Key = tuple[str, str, str, int]
+"""Customer, model, kind and class of the prompt length of a histogram.
+
+An empty text, or a class of -1, stands for all values.
+"""
 
 
 class LengthTable:
-    """Histograms of lengths by customer, model, kind and prompt length.
+    """Histograms of answer lengths by customer, model, kind and prompt length.
 
-    Each answer is recorded under keys from narrow to wide; an estimate uses the
-    narrowest key with enough answers.
+    Each answer is recorded under all of its keys, from the narrowest to the widest;
+    an estimate uses the narrowest key with enough answers.
     """
 
     def __init__(self) -> None:
@@ -145,8 +154,9 @@
 
         The narrowest key with enough answers is used. If no key has an estimate, as
         for an answer longer than all recorded ones, the expected rest is as long as
-        ``produced``, and at least ``DEFAULT_MEAN``. The estimate is limited by the
-        caller's ``max_tokens``.
+        ``produced``, and at least ``DEFAULT_MEAN``. If the mean exceeds half of the
+        tokens that the caller's ``max_tokens`` leaves, the mean is limited to these
+        tokens, and the variance to the square of their half.
         """
         for key in list_keys(customer, work):
             histogram = self._histograms.get(key)
@@ -184,6 +194,7 @@
 ) -> Remaining:
     if work.max_tokens is None:
         return remaining
+    # A quarter of the squared range is the largest variance of a bounded value.
     max_remaining = max(1.0, float(work.max_tokens - produced))
     if remaining.mean <= max_remaining / 2:
         return remaining
--- a/figstep/core/policies.py
+++ b/figstep/core/policies.py
@@ -20,28 +20,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Figstep:
-    """Policy by predicted memory and speed; other requests are queued here.
+    """Policy that predicts the memory and speed of the engines.
+
+    Generations that no engine has capacity for are queued at the entry. Plain
+    service calls go to the target with the fewest attempts of this entry.
 
     Attributes:
         memory: Whether predicted memory limits the generations of a target.
-        growth: Share of the expected remaining tokens that counts as memory; it is
+        growth: Fraction of the expected remaining tokens that counts as memory; it is
             below 1 as running generations do not all end at the same time.
         deviations: Reserve of memory, in standard deviations of the remaining tokens.
         others: Whether the generations of other entries are counted.
-        reported_queue: Whether a target that reports a queue gets no generation.
+        reported_queue: Whether a target that reports a queue gets no generation,
+            unless none is known to run there.
         limit: Whether observed gaps between tokens limit the generations of a target.
-        gap_goal: Gap between tokens above which that limit falls, in milliseconds.
+        gap_goal: Smoothed gap between tokens above which ``limit`` lowers the number
+            of generations of a target, in milliseconds.
         pace: Whether targets are compared by predicted time, instead of by the number
             of running generations.
         affinity: Whether a cached prefix lowers the predicted time of a target.
         fair: Whether customers take turns in the queue by their shares.
-        shortest_first: Whether a customer's request with the shortest expected answer
-            goes first.
+        shortest_first: Whether a customer's requests are ordered by expected length
+            and waiting time, instead of by arrival.
         engine_priority: Whether engines get priorities by expected length, which
             decide what they preempt first.
         refuse_early: Whether a request that is predicted to start after its deadline
             is refused on arrival.
-        choices: Largest number of targets compared for a request.
+        choices: Maximum number of targets compared for a request; they are a random
+            sample of a larger pool.
     """
 
     memory: bool = True
@@ -71,7 +77,7 @@
 
 
 def find_policy(name: str) -> Policy:
-    """Return the policy that the rules of the inventory name.
+    """Return the policy of a name, as the rules of the inventory give it.
 
     Raises:
         KeyError: If there is no policy of this name.
--- a/figstep/core/routing.py
+++ b/figstep/core/routing.py
@@ -18,10 +18,11 @@
 )
 
 PREFILL_GAP_FRACTION = 1 / 250
-"""Time to prefill one token, as a share of the gap between tokens when idle."""
+"""Time to prefill one token, as a fraction of the gap between tokens of a generation
+that runs alone."""
 
 SHARED_PREFIX_FRACTION = 0.5
-"""Assumed share of a prompt that a cached prefix covers."""
+"""Assumed fraction of a prompt's prefill time that a cached prefix saves."""
 
 PREFIX_LIFETIME = Millis(60_000)
 """Time for which a prefix is assumed to stay in a target's cache, in milliseconds."""
@@ -42,7 +43,7 @@
     """Return whether a target has a version of the request's model loaded.
 
     An engine that never received an order reports no models and serves those of its
-    inventory entry, so an empty report counts as loaded.
+    inventory entry, so an empty report counts as loaded. So does a plain service.
     """
     if not target.models or not isinstance(spec.work, GenerationWork):
         return True
@@ -51,7 +52,14 @@
 
 
 def rank_target(node: str, target: str) -> bytes:
-    """Return the rendezvous hash of a target for an entry; higher is preferred."""
+    """Return the rendezvous hash of a target for an entry.
+
+    An entry prefers the targets with the highest hashes.
+
+    Args:
+        node: Name of the entry.
+        target: Name of the target or of a failure domain.
+    """
     return hashlib.sha256(f"{node}/{target}".encode()).digest()[:8]
 
 
@@ -60,9 +68,10 @@
 ) -> list[TargetState]:
     """Return the targets that an entry uses, evenly from all failure domains.
 
-    Each entry takes the targets that rank highest for it in each failure domain. A
-    target that is added or removed therefore changes only one place, and the loss of
-    a failure domain leaves every entry the same share.
+    Each entry takes the targets that rank highest for it in each failure domain. If
+    a target is added to a failure domain or removed from it, at most one of the
+    domain's targets in the subset therefore changes. Every entry loses about the
+    same number of targets with a failure domain.
 
     Args:
         node: Name of the entry.
@@ -78,8 +87,8 @@
         members.sort(key=lambda t: rank_target(node, t.info.name), reverse=True)
     chosen: list[TargetState] = []
     # If the size is not a multiple of the number of domains, some domains give one
-    # target more. Each entry has its own order of the domains, so that these are
-    # not the same for all entries.
+    # target more. Each entry has its own order of the domains, so that the domains
+    # that give more differ between entries.
     order = sorted(domains, key=lambda name: rank_target(node, name))
     place = 0
     while len(chosen) < size:
@@ -113,8 +122,10 @@
 ) -> list[TargetState]:
     """Return the targets that may run the request now, whatever their load.
 
-    Left out are targets that get no new work, lack the model, lost the request a
-    short time ago, or run another suspect while this request is one.
+    Targets are left out that get no new work, lack the model, are avoided by the
+    request after a lost attempt, or run another suspect while this request is one.
+    Under a ``Figstep`` policy only a random sample of ``choices`` targets is
+    considered.
     """
     candidates = []
     for target in _sample_pool(state, list_pool(state, request.spec)):
@@ -141,7 +152,11 @@
 def choose_target(
     state: State, request: RequestState, now: Millis = Millis(0)
 ) -> TargetState | None:
-    """Return the target for the request by the policy, or None if none has capacity."""
+    """Return the target that the policy chooses for the request.
+
+    It is None if no target may run the request now, or if a ``Figstep`` policy finds
+    no engine with capacity.
+    """
     candidates = list_candidates(state, request, now)
     if not candidates:
         return None
@@ -193,10 +208,10 @@
     footprint: Footprint,
     others: float = 0.0,
 ) -> bool:
-    """Return whether a target can accept a generation without preempting others.
+    """Return whether a target is expected to run a generation without preemptions.
 
-    An idle target accepts any generation; otherwise a request larger than the memory
-    of every target would wait forever.
+    An idle engine accepts any generation; otherwise a request larger than the memory
+    of every engine would wait forever. A plain service has no limit.
 
     Args:
         policy: Policy in force.
--- a/figstep/core/silence.py
+++ b/figstep/core/silence.py
@@ -1,4 +1,4 @@
-"""Limit on the time without data after which a connection is probed."""
+"""Silence limit: the time without data after which an attempt counts as lost."""
 
 from figstep.core.clock import Millis
 from figstep.core.state import AttemptState, TargetState
@@ -13,7 +13,7 @@
 """Silence limit before the first event of a connection, in milliseconds."""
 
 DEVIATIONS = 8
-"""Mean deviations of the gap between reads that are added to its mean."""
+"""Number of mean deviations that the limit adds to the mean gap between reads."""
 
 READ_GAP_SMOOTHING = 1 / 32
 """Weight of a new gap between reads in the smoothed values."""
@@ -22,9 +22,9 @@
 def update_read_gap(target: TargetState, gap: int) -> None:
     """Update the smoothed gap between reads of a target's streams.
 
-    The mean and the mean deviation are smoothed like a round-trip time in TCP. An
-    engine that is slow but regular is therefore not probed, and one that stalls now
-    and then gets a longer limit.
+    The mean and the mean deviation are smoothed like a round-trip time in TCP. The
+    streams of an engine that is slow but regular are therefore not taken for silent,
+    and an engine that stalls now and then gets a longer limit.
 
     Args:
         target: The target.
@@ -36,7 +36,10 @@
 
 
 def compute_silence_limit(target: TargetState | None, attempt: AttemptState) -> Millis:
-    """Return the silence limit of an attempt, in milliseconds."""
+    """Return the silence limit of an attempt, in milliseconds.
+
+    It is ``FIRST_EVENT_LIMIT`` also for a target that is no longer known.
+    """
     if target is None or attempt.tokens == 0:
         return FIRST_EVENT_LIMIT
     limit = int(target.gap + DEVIATIONS * target.gap_deviation)
--- a/figstep/core/specs.py
+++ b/figstep/core/specs.py
@@ -12,8 +12,9 @@
     Attributes:
         model: Model name.
         prompt_tokens: Estimated length of the prompt, in tokens.
-        max_tokens: Largest number of tokens to generate; None for no limit.
-        prefix: Digest of the prompt's first block, for prefix-cache affinity.
+        max_tokens: Maximum number of tokens to generate; None for no limit.
+        prefix: Digest of the prompt's first block, for prefix-cache affinity; "" for
+            none.
         kind: Kind of request, "chat" or "completion"; lengths are estimated by kind.
     """
 
@@ -55,8 +56,8 @@
         deadline: Latest time for the first byte (monotonic), in milliseconds, or
             None for the default of the inventory.
         idempotency_key: Idempotency key of the caller, or None.
-        non_idempotent: Whether the caller itself marked the request so.
-        digest: SHA-256 digest of method, path and body.
+        non_idempotent: Whether the caller marked the request as non-idempotent.
+        digest: Hexadecimal SHA-256 digest of method, path with query, and body.
     """
 
     request: str
