--- a/figstep/core/crashes.py
+++ b/figstep/core/crashes.py
@@ -1,7 +1,8 @@
 """Detection of requests that crash the targets that run them.
 
 A crash ends all requests on the target, so each of them becomes a suspect. A suspect is
-refused once neither another request nor chance explains the crashes that it was at.
+refused once neither another request nor chance explains the crashes of targets that it
+was on.
 """
 
 from dataclasses import dataclass, field
@@ -10,19 +11,19 @@
 
 CRASHES_BEFORE_REFUSAL = 2
 """Number of crashes after which a request is refused. One crash may be chance; at two,
-the same request was there both times."""
+the same request was on the target both times."""
 
 MAX_UNRELATED_CRASHES = 2
-"""Largest increase of ``CRASHES_BEFORE_REFUSAL``. If targets also crash without the
-request, each of those crashes raises the number by one, up to this."""
+"""Largest increase of ``CRASHES_BEFORE_REFUSAL``. Each crash of a target without the
+request, in the time span of the request's crashes, adds one, up to this maximum."""
 
 COMMON_CAUSE_WINDOW = Millis(1_000)
-"""Time in milliseconds within which crashes may have one cause, such as the loss of a
-failure domain."""
+"""Time within which crashes may have one cause, such as the loss of a failure domain,
+in milliseconds."""
 
 SUSPICION_DELAY = Millis(1_000)
 """Time after a crash in which other entries may still report which other requests were
-there, in milliseconds."""
+on the target, in milliseconds."""
 
 CRASH_RETENTION = Millis(15 * MINUTE)
 """Time for which crashes are kept, in milliseconds. It is long enough to cover a caller
@@ -35,11 +36,11 @@
 request that was at several crashes are always announced, for entries that restart."""
 
 MAX_ANNOUNCED_SUSPICIONS = 32
-"""Largest number of suspicions, and of clearances, in a message."""
+"""Maximum number of suspicions, and of clearances, in a message."""
 
 MAX_ANNOUNCED_PER_REQUEST = CRASHES_BEFORE_REFUSAL + MAX_UNRELATED_CRASHES
-"""Largest number of suspicions of one request in a message; no more are needed to
-refuse it."""
+"""Maximum number of suspicions of one request in a message; no more are needed to
+refuse the request."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +49,8 @@
 
     Attributes:
         digest: Digest of the request, which is the same when it is sent again.
-        life: Name of the target's life that the crash ended; the same at all entries.
+        life: Name of the target's life that the crash ended; entries that exchange
+            suspicions use the same name.
         age: Time since the crash, in milliseconds.
     """
 
@@ -76,8 +78,8 @@
 
     Attributes:
         at: Time of the crash (monotonic), in milliseconds.
-        suspects: Digests of the requests that were there, with the time (monotonic) at
-            which each became known.
+        suspects: Digests of the requests on the target, with the time (monotonic, in
+            milliseconds) at which each became known here.
     """
 
     at: Millis
@@ -89,10 +91,10 @@
     """A suspected request that has been answered since.
 
     Attributes:
-        at: Time of its last answer (monotonic), in milliseconds; earlier crashes do
-            not count.
-        dropped_at: Time at which suspicions were last dropped for it (monotonic), in
-            milliseconds.
+        at: Time of the request's last answer (monotonic), in milliseconds; earlier
+            crashes do not count for the request.
+        dropped_at: Time at which suspicions of the request were last dropped
+            (monotonic), in milliseconds.
     """
 
     at: Millis
@@ -108,7 +110,11 @@
     _cleared: dict[str, _Cleared] = field(default_factory=dict)
 
     def record_suspicion(self, suspicion: Suspicion, now: Millis) -> bool:
-        """Record a suspicion, and return whether it is new."""
+        """Record a suspicion, and return whether it was added.
+
+        A suspicion is ignored if it is known, or if its crash is not later than the
+        last recorded answer to the request.
+        """
         digest, life = suspicion.digest, suspicion.life
         at = Millis(now - suspicion.age)
         if life in self._lives.get(digest, ()):
@@ -131,7 +137,7 @@
         self._crashes.setdefault(life, _Crash(at))
 
     def is_suspected(self, digest: str) -> bool:
-        """Return whether a request was on a target that crashed."""
+        """Return whether any suspicion of a request is kept."""
         return digest in self._lives
 
     def list_suspected(self) -> list[str]:
@@ -139,11 +145,11 @@
         return list(self._lives)
 
     def count(self, digest: str) -> int:
-        """Return the number of crashes at which a request was on the target."""
+        """Return the number of suspicions of a request that are kept."""
         return len(self._lives.get(digest, ()))
 
     def clear(self, digest: str, at: Millis, now: Millis) -> bool:
-        """Drop the suspicions of a request that was answered.
+        """Drop the suspicions of a request from crashes up to an answer to it.
 
         Args:
             digest: Digest of the request.
@@ -180,8 +186,10 @@
     def is_refused(self, digest: str, now: Millis) -> bool:
         """Return whether a request is refused because of its crashes.
 
-        Counted are the crashes of the last ``CRASH_RETENTION`` that no other request
-        explains.
+        The crashes of the last ``CRASH_RETENTION`` that no other request explains
+        count. The request is refused if there are ``CRASHES_BEFORE_REFUSAL`` of them,
+        and one more for each crash without the request in the same time span, up to
+        ``MAX_UNRELATED_CRASHES`` more.
         """
         lives = self._lives.get(digest, ())
         if len(lives) < CRASHES_BEFORE_REFUSAL:
@@ -206,7 +214,7 @@
     def _is_explained(self, digest: str, crash: _Crash) -> bool:
         """Return whether another request is as likely to have caused a crash.
 
-        That is one that was there and was at as many crashes or more.
+        Such a request was on the same target, and has as many suspicions or more.
         """
         count = len(self._lives[digest])
         for other in crash.suspects:
@@ -217,8 +225,9 @@
     def _count_unrelated(self, digest: str, own: list[_Crash]) -> int:
         """Count the crashes without a request in the time span of its own crashes.
 
-        Crashes with a request that was at several are left out: that request may have
-        caused them, so they do not show that targets crash without a cause.
+        A crash is left out if a request with several suspicions was on the target:
+        that request may have caused the crash, which is thus no evidence that targets
+        crash by chance.
 
         Args:
             digest: Digest of the request.
@@ -235,9 +244,10 @@
         return count
 
     def list_suspicions(self, now: Millis) -> tuple[Suspicion, ...]:
-        """Return the suspicions to announce.
+        """Return the suspicions to announce, at most ``MAX_ANNOUNCED_SUSPICIONS``.
 
-        Those of requests that were at several crashes come first, then the newest.
+        Suspicions of requests that have several come first, and among equals those
+        that became known last.
         """
         found = []
         for digest, lives in self._lives.items():
@@ -255,7 +265,10 @@
         )
 
     def list_clearances(self, now: Millis) -> tuple[Clearance, ...]:
-        """Return the clearances to announce, the newest first."""
+        """Return the clearances to announce, the newest first.
+
+        There are at most ``MAX_ANNOUNCED_SUSPICIONS``.
+        """
         recent = []
         for digest, cleared in self._cleared.items():
             if now - cleared.dropped_at < SUSPICION_ANNOUNCE_DURATION:
--- a/figstep/core/pacing.py
+++ b/figstep/core/pacing.py
@@ -1,4 +1,4 @@
-"""Speed, memory and limit of a target, from the generations of this entry."""
+"""Speed, memory use and limit of a target, as observed on this entry's generations."""
 
 import math
 from collections import deque
@@ -7,7 +7,7 @@
 from figstep.core.clock import Millis
 
 GAP_DECAY = 0.98
-"""Factor on the weight of earlier gaps with each new gap."""
+"""Factor by which each new gap lowers the weight of all earlier ones."""
 
 MIN_LIMIT = 2.0
 """Lowest limit on the generations of a target."""
@@ -16,16 +16,23 @@
 """Highest limit on the generations of a target, and its initial value."""
 
 DECREASE_FACTOR = 0.85
-"""Factor on the limit when the gap exceeds its goal."""
+"""Factor on the limit, or on the running count if that is lower, when the gap exceeds
+its goal."""
 
 DECREASE_INTERVAL = Millis(1_000)
 """Shortest time between two decreases of a limit, in milliseconds."""
 
 PRIOR_BASE_GAP = 25.0
-"""Part of the assumed gap at speed 1 that does not depend on load, in milliseconds."""
+"""Part of the assumed gap that does not depend on load, in milliseconds.
+
+It is for an engine with speed 1 in the inventory.
+"""
 
 PRIOR_GAP_PER_RUNNING = 1.0
-"""Increase of the assumed gap at speed 1 per running generation, in milliseconds."""
+"""Increase of the assumed gap per running generation, in milliseconds.
+
+It is for an engine with speed 1 in the inventory.
+"""
 
 PRIOR_WEIGHT = 4.0
 """Weight of each of the two assumed gaps; an observed gap has weight 1."""
@@ -34,7 +41,7 @@
 """Shortest time between two samples of the running count, in milliseconds."""
 
 MAX_HISTORY = 64
-"""Largest number of samples of the running count that are kept."""
+"""Maximum number of samples of the running count that are kept."""
 
 
 @dataclass(slots=True)
@@ -64,8 +71,8 @@
 class GapRegression:
     """Linear regression of the gap between tokens over the running count.
 
-    Weighted least squares, kept as a few sums that decay with each sample. It starts
-    with assumed samples computed from the speed in the inventory.
+    It uses weighted least squares, kept as a few sums that decay with each sample.
+    The first two samples are assumed ones, from the speed in the inventory.
 
     Attributes:
         weight: Sum of the weights.
@@ -107,8 +114,9 @@
     def predict(self, running: float) -> float:
         """Return the expected gap with ``running`` generations, in milliseconds.
 
-        The slope is at least a quarter of the one of the assumed line, and the result
-        at least a tenth of the mean gap. There must be a sample.
+        The slope is at least a quarter of that of the assumed line, scaled to pass
+        through the mean gap. The result is at least a tenth of the mean gap. At least
+        one sample must have been added.
         """
         mean_x = self.x / self.weight
         mean_y = self.y / self.weight
@@ -125,22 +133,24 @@
 class Pace:
     """Running generations of this entry on one target, and the target's speed.
 
-    The sums are updated with every attempt that starts, is reviewed or ends.
+    The sums are updated whenever an attempt starts, is reviewed or ends.
 
     Attributes:
         running: Number of running generations of this entry.
-        held: Sum of the tokens that they hold.
-        mean: Sum of the tokens that they are expected to add.
-        variance: Sum of the variances of those, in tokens squared.
-        limit: Largest number of generations on the target, of all entries.
+        held: Sum of the tokens that these generations hold.
+        mean: Sum of the tokens that these generations are expected to add.
+        variance: Sum of the variances of the tokens to be added, in tokens squared.
+        limit: Maximum number of generations on the target, of all entries.
         limit_lowered_at: Time of the last decrease (monotonic), in milliseconds.
         gaps: Regression of the gap between tokens over the running count.
         gap: Smoothed gap between tokens, in milliseconds; 0 before the first.
         avoid_until: Time before which the target gets no new generation (monotonic),
             in milliseconds; set by lost attempts.
         losses: Number of lost attempts in a row.
-        prefixes: Prompt prefixes that were sent to the target, with the time of each.
-        running_history: Samples of ``running`` as (time, count), oldest first.
+        prefixes: Digests of prompt prefixes that were sent to the target, each with
+            the time at which it was last sent (monotonic), in milliseconds.
+        running_history: Samples of ``running`` as (monotonic time in milliseconds,
+            count), oldest first.
         own_at_report: Value of ``running`` at the time that the last report shows.
     """
 
@@ -171,7 +181,10 @@
             self.running_history.popleft()
 
     def count_running_at(self, then: Millis) -> int:
-        """Return the running count at an earlier time (monotonic, in milliseconds)."""
+        """Return the running count at an earlier time (monotonic, in milliseconds).
+
+        For a time before the oldest sample, the count of that sample is returned.
+        """
         running = self.running
         for at, count in reversed(self.running_history):
             if at <= then:
@@ -200,11 +213,11 @@
     def predict_memory(
         self, added: Footprint, growth: float, deviations: float
     ) -> float:
-        """Return the largest memory use to expect with ``added``, in tokens.
+        """Return the memory to expect for this entry's generations, in tokens.
 
         Args:
-            added: Footprint of the generation that may be added.
-            growth: Share of the expected remaining tokens that is counted.
+            added: Footprint of a generation that may be added; it is included.
+            growth: Fraction of the expected remaining tokens that is counted.
             deviations: Reserve, in standard deviations of the remaining tokens.
         """
         mean = self.mean + added.mean
@@ -218,7 +231,7 @@
         ``DECREASE_INTERVAL``.
 
         Args:
-            gap: Observed gap between tokens, in milliseconds.
+            gap: Smoothed gap between tokens, in milliseconds.
             goal: Gap above which the limit falls, in milliseconds.
             running: Number of generations on the target, of all entries.
             now: Monotonic time, in milliseconds.
--- a/figstep/core/quarantine.py
+++ b/figstep/core/quarantine.py
@@ -11,12 +11,13 @@
 """Time for which a digest is refused, in milliseconds."""
 
 ECHO_TOLERANCE = Millis(10_000)
-"""Increase of a digest's end of quarantine that is ignored, in milliseconds."""
+"""Largest postponement of the end of a digest's quarantine that is ignored, in
+milliseconds."""
 
 
 @dataclass(slots=True)
 class Quarantine:
-    """Digests of refused requests, and the crashes that lead to refusals.
+    """Digests of refused requests, and the crashes that may lead to more of them.
 
     Attributes:
         until: Refused digests, each with the end of its quarantine (monotonic), in
@@ -54,8 +55,9 @@
 
     Entries exchange remaining times, to which the transit time of a message is added
     at each hop. Entries that repeat a digest to each other would therefore prolong its
-    quarantine with every message, so an increase of up to ``ECHO_TOLERANCE`` is treated
-    as such an echo and ignored. The time is at most ``QUARANTINE_DURATION``.
+    quarantine with every message, so a postponement of the end by up to
+    ``ECHO_TOLERANCE`` is treated as such an echo and ignored. The time is limited to
+    ``QUARANTINE_DURATION``.
     """
     until = Millis(now + min(remaining, QUARANTINE_DURATION))
     known = quarantine.until.get(digest)
--- a/figstep/core/state.py
+++ b/figstep/core/state.py
@@ -24,11 +24,11 @@
 class Phase(Enum):
     """Stage of a request between its arrival and its final answer."""
 
-    CLAIMING = "claiming"  # waits for its claim to be settled
+    CLAIMING = "claiming"  # waits for its claim, or for the outcome of the owner
     QUEUED = "queued"
     RUNNING = "running"
     WAITING = "waiting"  # waits for the backoff before a resume
-    JOINED = "joined"  # waits for the answer of another request of its identity
+    JOINED = "joined"  # waits for this entry's earlier request of the same identity
 
 
 @dataclass(slots=True)
@@ -44,9 +44,10 @@
         generation: Id of the generation that the request is bound to, or "".
         target: Name of the target of the last attempt, or "".
         attempt: Number of the current attempt, or None.
-        delivered: Index of the last event delivered to the caller, from 1; 0 for
-            none.
-        last_frame: The last event delivered to the caller.
+        delivered: Index of the last event delivered to the caller, or gathered for
+            the caller, from 1; 0 for none.
+        last_frame: The last event that this entry delivered or gathered; empty
+            before the first.
         attempts: Number of starts, not counting resumes.
         resumes: Number of resumes in a row without a new event.
         returned_index: Index of the last event that a returned caller had received,
@@ -56,8 +57,9 @@
         claim: Record id of the request's own claim, or None.
         caller_gone: Whether the caller disconnected and the request continues only
             to record its outcome.
-        failed_targets: Targets that lost the request, by name, with the time
-            (monotonic) until which the request avoids each.
+        failed_targets: Targets that lost an attempt of the request, by name, with
+            the time (monotonic), in milliseconds, until which the request avoids
+            each.
         died_with: Id of the generation that was in flight when its target last
             died, or "".
     """
@@ -96,19 +98,21 @@
 
     Attributes:
         attempt: Number of the attempt, unique in this process.
-        request: Id of the request that it runs for.
+        request: Id of the request.
         target: Name of the target.
-        generation: Id of the generation that it carries.
-        opened: Time at which it was opened (monotonic), in milliseconds.
+        generation: Id of the generation.
+        opened: Time at which the attempt was opened (monotonic), in milliseconds.
         last_progress: Time from which silence is measured (monotonic), in
             milliseconds: the opening, the last data, or the last check that found the
             target slow.
-        footprint: Memory that it holds and is expected to need, in tokens; None for
-            a plain service.
+        footprint: Memory that the generation holds and is expected to need, in
+            tokens; None for a plain service.
         review_at: Index of the event at which the footprint is next updated.
-        resuming: Whether it resumes a running generation.
-        probing: Whether it replaces a connection that went silent.
-        answered: Whether the response headers arrived.
+        resuming: Whether the attempt resumes a generation that an earlier attempt
+            started.
+        probing: Whether the attempt replaces a connection that went silent, and may
+            still show that a new connection brings events.
+        answered: Whether response headers with status 200 arrived.
         tokens: Number of reads of events on this connection.
     """
 
@@ -139,8 +143,9 @@
             that the known incarnation takes no new work.
         listed_leaving: Whether the platform's instance list marks the target as
             leaving now; the list does not name the incarnation.
-        draining: Whether the document in force drains the target.
-        incarnation: Highest incarnation that was reported.
+        draining: Whether the document in force drains the target, evacuates its
+            failure domain or no longer lists the target.
+        incarnation: Highest incarnation that was reported; 0 for none.
         running: Reported number of generations that are decoding.
         waiting: Reported number of generations in the engine's queue.
         memory_used: Reported cache memory in use, in tokens.
@@ -154,12 +159,13 @@
         gap_deviation: Smoothed mean deviation of ``gap``, in milliseconds.
         dead: Whether the target was found dead and has not answered since.
         died_at: Time at which the target was last found dead (monotonic), in
-            milliseconds.
+            milliseconds; a time in the past before the first death.
         deaths: Number of times that the target was found dead.
         death_incarnation: Incarnation at the last death; -1 for none.
-        lost: Digests of service calls whose connection broke at the target, with
-            the time (monotonic) of each break.
-        probed_at: Time of the last probe (monotonic), in milliseconds.
+        lost: Digests of service calls whose connection to the target broke, with
+            the time (monotonic) of each break, in milliseconds.
+        probed_at: Time of the last probe (monotonic), in milliseconds; a time in the
+            past before the first probe.
     """
 
     info: TargetInfo
@@ -212,9 +218,12 @@
 
     Attributes:
         position: Offset of the last folded record; -1 before the first.
-        current: The accepted edit, or None before the first.
-        stalled: Reason why later records cannot be checked, or "".
-        snapshot_position: Position of the newest known snapshot; -1 for none.
+        current: Checkpoint of the edit in force, as of the record or checkpoint
+            that put the edit in force; None before the first.
+        stalled: Reason why a record or checkpoint could not be folded, or "". Only
+            a checkpoint that is applied clears it.
+        snapshot_position: Position that the newest known snapshot covers; -1 for
+            none.
         snapshot_made: Time at which the log stored that snapshot (monotonic), in
             milliseconds, or None.
     """
@@ -238,7 +247,8 @@
         configuration_offset: Offset of the document in force; -1 for none.
         configuration: Progress of the fold of the configuration stream.
         membership: Table of the other entries.
-        retention: Time for which the log keeps records, in milliseconds.
+        retention: Time for which the log keeps records, in milliseconds; a day by
+            default.
         targets: Known targets, by name.
         requests: Requests without a final answer, by request id.
         attempts: Open attempts, by number.
@@ -249,11 +259,12 @@
         pools: Cache of the targets of each pool.
         lengths: Estimates of the lengths of answers.
         claims: Claims on non-idempotent requests.
-        quarantine: Digests that are refused, and the crashes that count for it.
+        quarantine: Digests that are refused, and the crashes that may lead to more.
         leases: Leases, and which of them this node holds.
         placement: Orders that this node sent as the holder of a lease.
         next_attempt: Number of the next attempt.
-        shutting_down: Whether new requests are rejected.
+        shutting_down: Whether new requests are refused because the process is to
+            end.
     """
 
     node: str
--- a/figstep/core/suspects.py
+++ b/figstep/core/suspects.py
@@ -8,12 +8,12 @@
 from figstep.core.state import AttemptState, RequestState, State, TargetState
 
 MAX_DEATHS = 3
-"""Number of deaths of its targets after which a request is not retried, even if another
-request may have caused them."""
+"""Number of deaths of a request's targets after which the request is not restarted,
+even if another request may have caused them."""
 
 LOST_CALL_RETENTION = Millis(6_000)
-"""Time for which a call whose connection broke is a suspect if its target is then found
-dead, in milliseconds."""
+"""Time after a call's connection broke in which the call becomes a suspect if its
+target is found dead, in milliseconds."""
 
 PROBE_INTERVAL = Millis(200)
 """Shortest time between two probes of a target, in milliseconds."""
@@ -25,6 +25,11 @@
     The attempts that one death ends are reported as lost one by one. The first loss
     counts the death for all requests on the target; at a later loss of the same death
     the request's generation is already counted.
+
+    Args:
+        state: The entry's state.
+        attempt: The attempt whose loss showed the death; it is removed already.
+        now: Monotonic time, in milliseconds.
     """
     target = state.targets.get(attempt.target)
     if target is None:
@@ -34,15 +39,18 @@
 
 
 def detect_restart(state: State, event: LoadReported, now: Millis) -> list[Effect]:
-    """Count a newer incarnation in a load report as the death of the one before."""
+    """Count a newer incarnation in a load report as the death of the previous one.
+
+    Nothing is counted unless the target has accepted a request that is still open.
+    """
     target = state.targets.get(event.target)
     if target is None or target.incarnation == 0:
         return []
     if event.incarnation <= target.incarnation:
         return []
     if target.death_incarnation == target.incarnation:
-        # Lost streams have reported this death already. The requests that run there
-        # now were started on the new incarnation and cannot have caused it.
+        # Lost streams have reported this death already. The requests that run on the
+        # target now were started on the new incarnation and cannot have caused it.
         return []
     affected = []
     for request in state.requests.values():
@@ -90,7 +98,8 @@
 def clear_lost_calls(state: State, attempt: AttemptState) -> None:
     """Mark a target that answered an attempt as alive, and clear its older lost calls.
 
-    The target accepted the attempt after those calls were lost, so it had not died.
+    The target accepted the attempt after those calls were lost, which is taken to show
+    that it had not died.
     """
     target = state.targets.get(attempt.target)
     if target is None:
@@ -117,7 +126,8 @@
     digests = []
     for affected_request in affected:
         if affected_request.died_with == affected_request.generation:
-            # A late loss from a death that is counted, while the target runs again.
+            # This loss belongs to a death that was counted for the request already;
+            # the target may be running again.
             continue
         affected_request.died_with = affected_request.generation
         digests.append(affected_request.spec.digest)
@@ -160,7 +170,7 @@
     """Return whether a suspect must avoid a target because another suspect runs there.
 
     If the target died with two suspects on it, it would not be known which of them
-    caused the death, and one that did not would be quarantined too.
+    caused the death, and the one that did not could be quarantined too.
     """
     digest = request.spec.digest
     if not is_suspect(state, digest):
@@ -174,7 +184,7 @@
 
 
 def is_suspect(state: State, digest: str) -> bool:
-    """Return whether a request was in flight on a target that died."""
+    """Return whether a request was on a target that died, and not answered since."""
     return state.quarantine.crashes.is_suspected(digest)
 
 
@@ -184,5 +194,5 @@
 
 
 def reached_death_limit(state: State, request: RequestState) -> bool:
-    """Return whether a suspect was at too many deaths to be retried."""
+    """Return whether a suspect was on ``MAX_DEATHS`` targets or more when they died."""
     return state.quarantine.crashes.count(request.spec.digest) >= MAX_DEATHS
--- a/figstep/core/targets.py
+++ b/figstep/core/targets.py
@@ -14,12 +14,16 @@
 """Number of events between two reviews of an attempt's footprint."""
 
 ESTIMATE_GROWTH = 0.25
-"""Share by which an answer grows, beyond ``REVIEW_INTERVAL`` events, before its
-estimate is renewed."""
+"""Fraction by which an answer has to grow before its estimate is renewed.
+
+``REVIEW_INTERVAL`` events are added to that growth.
+"""
 
 INITIAL_AVOIDANCE = Millis(500)
-"""Time without new generations after a target's first lost attempt, in milliseconds; it
-doubles with each further loss in a row."""
+"""Time without new generations after a target's first lost attempt, in milliseconds.
+
+It doubles with each further loss in a row, up to ``MAX_AVOIDANCE``.
+"""
 
 MAX_AVOIDANCE = Millis(8_000)
 """Longest time without new generations after a lost attempt, in milliseconds."""
@@ -28,34 +32,39 @@
 """Weight of a new gap between tokens in the smoothed gap."""
 
 OUTLIER_FACTOR = 4.0
-"""Multiple of the smoothed gap at which a new gap is cut off."""
+"""Multiple of the smoothed gap to which a new gap is limited when it is smoothed."""
 
 REPORT_LIFETIME = Millis(10_000)
 """Age up to which a load report is used to estimate other entries' load, in
 milliseconds."""
 
 OWN_SHARE_THRESHOLD = 0.8
-"""Share of the reported generations that are this entry's own from which the rest is
-ignored as an error of timing."""
+"""Fraction of the reported generations from which this entry's own leave no others.
+
+The rest is then taken for an error of timing between the report and this entry.
+"""
 
 MAX_ENTRIES = 8.0
-"""Largest number of other entries that is assumed from a load report."""
+"""Maximum number of other entries that is assumed from a load report."""
 
 OTHERS_MEMORY_FACTOR = 1.25
-"""Factor on the average memory of a generation, for its growth."""
+"""Factor on the average memory of a running generation, to allow for its growth."""
 
 DEFAULT_OTHERS_MEMORY = 700.0
-"""Assumed memory of a generation where none is known to run, in tokens."""
+"""Assumed memory of a generation on a target where none is known to run, in tokens."""
 
 MAX_PREFIXES = 64
-"""Largest number of prompt prefixes that are remembered for a target."""
+"""Maximum number of prompt prefixes that are kept for a target."""
 
 NO_REVIEW = 1 << 62
 """Index of an event that no answer reaches, for attempts without a footprint."""
 
 
 def record_load(state: State, event: LoadReported, now: Millis) -> list[Effect]:
-    """Record a load report, unless it is of an older incarnation."""
+    """Record a load report, unless it is of an older incarnation.
+
+    A newer incarnation ends the avoidance of the target and its mark as leaving.
+    """
     target = state.targets.get(event.target)
     if target is None or event.incarnation < target.incarnation:
         return []
@@ -81,11 +90,12 @@
 def estimate_others_running(target: TargetState, now: Millis) -> float:
     """Return the estimated number of generations of other entries on a target.
 
-    The counts that peers report are used if there are any. Otherwise it is the number
-    in the last load report less what this entry ran at the time of the report. As the
-    report is old and shows all entries the same free capacity, each other entry is
-    assumed to have added as many generations since then as this one has. The estimate
-    is 0 if the report is too old or shows almost only this entry's generations.
+    The counts that peers report are used if there are any. Otherwise the estimate is
+    the number in the last load report less what this entry ran at the time of the
+    report. As the report is old and shows all entries the same free capacity, each
+    other entry is assumed to have added as many generations since then as this one
+    has. The estimate is 0 without a report, or if the report is older than
+    ``REPORT_LIFETIME`` or shows almost only this entry's generations.
     """
     if target.peers_in_flight:
         return float(target.peers_in_flight)
@@ -172,8 +182,8 @@
 ) -> None:
     """Update an attempt's footprint and the speed of its target.
 
-    It runs once in ``REVIEW_INTERVAL`` events, so that other events cost only one
-    comparison.
+    It runs at the first event and then once in ``REVIEW_INTERVAL`` events, so that
+    other events cost only one comparison.
     """
     footprint, target = attempt.footprint, state.targets.get(attempt.target)
     work = request.spec.work
@@ -230,7 +240,11 @@
 
 
 def record_loss(target: TargetState, now: Millis) -> None:
-    """Record a lost attempt: the target gets no new generation for a growing time."""
+    """Record a lost attempt: the target gets no new generation for some time.
+
+    The time doubles from ``INITIAL_AVOIDANCE`` to ``MAX_AVOIDANCE`` with the losses in
+    a row. Only the ``Figstep`` policies apply it, and only to generations.
+    """
     pace = target.pace
     pause = min(MAX_AVOIDANCE, INITIAL_AVOIDANCE << min(10, pace.losses))
     pace.losses += 1
