--- a/figstep/core/events.py
+++ b/figstep/core/events.py
@@ -128,8 +128,8 @@
 class AttemptRejected:
     """The target rejected the request itself as invalid.
 
-    That is any status other than 200, a refusal (429 or 503), a server error, or a
-    404 to a resume.
+    That is any status except 200, the refusals 429 and 503, server errors, and 404
+    as the answer to a resume.
     """
 
     attempt: int
--- a/figstep/core/lengths.py
+++ b/figstep/core/lengths.py
@@ -194,10 +194,10 @@
 ) -> Remaining:
     if work.max_tokens is None:
         return remaining
-    # A quarter of the squared range is the largest variance of a bounded value.
     max_remaining = max(1.0, float(work.max_tokens - produced))
     if remaining.mean <= max_remaining / 2:
         return remaining
+    # A quarter of the squared range is the largest variance of a bounded value.
     return Remaining(
         min(remaining.mean, max_remaining),
         min(remaining.variance, max_remaining * max_remaining / 4),
--- a/figstep/core/requests.py
+++ b/figstep/core/requests.py
@@ -43,8 +43,9 @@
 def admit_request(state: State, event: RequestArrived, now: Millis) -> list[Effect]:
     """Handle the arrival of a request: refuse, claim, start or queue it.
 
-    A non-idempotent request is claimed: a record in the log marks its identity as
-    taken, and the request starts once the record has been read back as the owner.
+    A non-idempotent request is claimed first: a record in the log claims its
+    identity, and the request goes on to start once the record is read back from the
+    log and owns the identity.
 
     Args:
         state: The entry's state.
--- a/figstep/core/retries.py
+++ b/figstep/core/retries.py
@@ -158,8 +158,8 @@
 
     Args:
         loss: How the attempt was lost.
-        retry_after: Pause that the target requested, which takes precedence, in
-            milliseconds; None for none.
+        retry_after: Pause that the target requested, in milliseconds. It takes
+            precedence unless it is None or 0.
     """
     return retry_after or _AVOIDANCE_BY_LOSS.get(loss, _DEFAULT_AVOIDANCE)
 
