--- a/figstep/core/changes.py
+++ b/figstep/core/changes.py
@@ -38,8 +38,8 @@
 
     Attributes:
         steps: Path of the field from the top of the document.
-        before: Value before the change; None if the field was absent.
-        after: Value after the change; None if the field is absent.
+        before: Value before the change; None if the field was absent or null.
+        after: Value after the change; None if the field is absent or null.
     """
 
     steps: tuple[Step, ...]
@@ -128,9 +128,12 @@
     """Return a document with the changes applied.
 
     The given document is not modified; unchanged parts are shared with the result.
+    A field whose new value is None is removed.
 
     Raises:
-        ChangeError: If a change does not fit the document.
+        ChangeError: If the path of a change leads through a value that is not the
+            object or list that the path expects, or if a change replaces the whole
+            document by a value that is not an object.
     """
     changed: Any = document
     for change in changes:
--- a/figstep/core/claims.py
+++ b/figstep/core/claims.py
@@ -15,21 +15,26 @@
 from figstep.core.specs import RequestSpec, ServiceWork
 
 CLAIM_WINDOW = Millis(15 * MINUTE)
-"""Longest time that an identity is remembered, in milliseconds."""
+"""Time for which an identity is remembered, in milliseconds.
+
+The digest window of a rule applies instead where the rule sets one. The ids of
+released claims are also remembered for this time.
+"""
 MAX_OUTCOME_BODY = 1_024
-"""Longest answer that is recorded with an outcome, in bytes."""
+"""Maximum size of the body that is recorded with an outcome, in bytes."""
 SWEEP_INTERVAL = 1_000
 """Number of folded records between two removals of expired claims."""
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Identity of a non-idempotent request; equal ones must run only once.
+    """Identity of a non-idempotent request; requests with equal names run only once.
 
     Attributes:
-        name: Digest of the customer and its key, or of the customer and the request.
-            It has a fixed length, and the log shows no data of the customer.
-        window: Time that the identity is remembered, in milliseconds.
+        name: Digest of the customer and its Idempotency-Key, or of the customer and
+            the request's digest or id. It has a fixed length, and the log shows no
+            data of the customer.
+        window: Time for which the identity is remembered, in milliseconds.
         time: Time that the caller's key carries, in milliseconds since the
             epoch; None if the key carries none.
     """
@@ -71,7 +76,7 @@
             the epoch by the log's clock.
         folded: Time at which this entry read the record, in monotonic
             milliseconds.
-        window: Time that the identity is remembered, in milliseconds.
+        window: Time for which the identity is remembered, in milliseconds.
         outcome: Outcome of the request, or None if none is recorded.
     """
 
@@ -122,7 +127,7 @@
         data: The record. Appending it twice is harmless, as only the first takes
             effect.
         since: Time at which an append of the record first went unanswered, in
-            monotonic milliseconds, or None.
+            monotonic milliseconds; None if none did.
         uncertain: Whether the last append of the record went unanswered.
     """
 
@@ -144,7 +149,7 @@
             entry's claim, by name of the identity.
         unconfirmed: Outcomes and releases that are not confirmed, by key of the
             append.
-        caught_up: Whether the stream was read to its end and is still readable.
+        caught_up: Whether the stream was read to its end and no read failed since.
         next_key: Key of the next append.
         folded: Number of records folded so far.
     """
@@ -164,7 +169,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimWon:
-    """Result: the record is the first claim for its identity and now owns it.
+    """The folded record is a claim that now owns its identity.
+
+    The identity was free: it was never claimed, it was released, or the window of
+    its last owner was over.
 
     Attributes:
         record: Id of the record.
@@ -177,7 +185,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimLost:
-    """Result: the record is a claim, but another claim owns the identity.
+    """The folded record is a claim for an identity that another claim owns.
 
     Attributes:
         record: Id of the record.
@@ -190,14 +198,23 @@
 
 @dataclass(frozen=True, slots=True)
 class IdentityReleased:
-    """Result: the owner released the identity without dispatching its request."""
+    """The folded record releases the identity that its claim owned.
+
+    Attributes:
+        name: Name of the identity.
+    """
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeRecorded:
-    """Result: the owner recorded the outcome of its request."""
+    """The folded record holds the first outcome of the claim that owns the identity.
+
+    Attributes:
+        name: Name of the identity.
+        outcome: The outcome.
+    """
 
     name: str
     outcome: Outcome
@@ -205,7 +222,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unchanged:
-    """Result: the record is repeated, late or malformed and changes nothing."""
+    """The folded record is repeated, late or malformed and changes no owner."""
 
 
 Change = ClaimWon | ClaimLost | IdentityReleased | OutcomeRecorded | Unchanged
@@ -248,7 +265,7 @@
     Args:
         inventory: The document in force, or None.
         spec: The request.
-        retention: Time that the log keeps records, in milliseconds.
+        retention: Time for which the log keeps records, in milliseconds.
     """
     longest = min(CLAIM_WINDOW, retention)
     if spec.idempotency_key is not None:
@@ -266,7 +283,10 @@
 
 
 def read_key_time(key: str) -> int | None:
-    """Return the time in a version 7 UUID, in milliseconds since the epoch, or None."""
+    """Return the time in a version 7 UUID, in milliseconds since the epoch.
+
+    None is returned for a key that is no version 7 UUID.
+    """
     try:
         parsed = uuid.UUID(key)
     except ValueError:
@@ -413,8 +433,8 @@
     """Return the claim that owns an identity, as far as this entry knows, or None.
 
     A claim that this entry read longer ago than the claim's window has expired by
-    the log's clock too. It is not returned: the caller then appends a new claim,
-    and the order of the log decides.
+    the log's clock too and is not returned. The caller then appends a new claim,
+    and the order of records in the log determines the owner.
     """
     claim = table.owners.get(name)
     if claim is None or now - claim.folded > claim.window:
@@ -423,7 +443,7 @@
 
 
 def find_own(table: ClaimTable, name: str, now: Millis) -> OwnClaim | None:
-    """Return this process's claim on an identity, or None.
+    """Return this process's claim on an identity, or None if it has none.
 
     Abandoned claims and claims appended longer ago than their window are skipped.
     """
--- a/figstep/core/configuration.py
+++ b/figstep/core/configuration.py
@@ -38,7 +38,7 @@
 RENEWALS_PER_RETENTION = 3
 """Number of snapshots that are appended within the log's retention.
 
-A snapshot is thus renewed well before the log drops it: two lost appends and an
+A snapshot is thus renewed long before the log deletes it: two lost appends and an
 outage of a third of the retention still leave one in the log.
 """
 SNAPSHOT_RECORDS = 200
@@ -51,12 +51,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """Verdict: the edit is accepted and comes into force."""
+    """Verdict on an edit that is accepted and comes into force."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Verdict: the edit is refused and changes nothing.
+    """Verdict on an edit that is refused and changes nothing.
 
     Attributes:
         rule: Short name of the rule that refused the edit.
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """Verdict: this program does not know the edit's validation version.
+    """Verdict on an edit whose validation version this program does not know.
 
     Attributes:
         why: What is missing, and the remedy.
@@ -110,7 +110,8 @@
     """Fold an edit and put its document in force if it is accepted.
 
     Records that were folded already are ignored, so an older document never comes
-    back into force.
+    back into force. Missing records before the edit, or a validation version that
+    this program does not know, stall the fold.
     """
     fold = state.configuration
     if event.offset <= fold.position:
@@ -166,8 +167,8 @@
     """Fold a snapshot: apply its checkpoint and schedule the next renewal.
 
     A snapshot of a state that this node has folded already leaves the document as
-    it is. One that claims to cover its own offset or later ones is counted as
-    invalid and not applied.
+    it is. The checkpoint of a snapshot that claims to cover its own offset or later
+    ones is counted as invalid and not applied.
     """
     fold = state.configuration
     effects: list[Effect] = []
@@ -189,7 +190,8 @@
     """Continue from a checkpoint that covers more records than were folded.
 
     The higher position wins, whether the checkpoint comes from the log or from a
-    peer. The records after it are read again, because a stalled node skipped them.
+    peer. The records after the checkpoint are read again, because a stalled node
+    skipped them. A checkpoint that this program cannot validate stalls the fold.
     """
     fold = state.configuration
     if offer.position <= fold.position:
@@ -239,9 +241,10 @@
 
 
 def apply_inventory(state: State, inventory: Inventory) -> None:
-    """Replace the known targets by those of ``inventory``.
+    """Replace the known targets by those of ``inventory`` and apply its load policy.
 
-    Targets that are no longer listed but still run attempts are kept and drained.
+    Targets that are no longer listed but still run attempts are kept and drained;
+    the other unlisted ones are removed.
     """
     state.inventory = inventory
     draining = {mark.target for mark in inventory.draining}
@@ -284,8 +287,9 @@
 def needs_snapshot(state: State, now: Millis) -> bool:
     """Return whether the log should get a newer snapshot.
 
-    That is so if there is none, if ``SNAPSHOT_RECORDS`` or more were folded after
-    it, or if it is older than the renewal period.
+    A newer one is needed if this node has read none, if ``SNAPSHOT_RECORDS`` or more
+    records were folded after the newest one, or if its age has reached the renewal
+    period.
     """
     fold = state.configuration
     if fold.snapshot_made is None:
@@ -296,7 +300,10 @@
 
 
 def renew_snapshot(state: State, now: Millis) -> list[Effect]:
-    """Append a snapshot if the log needs a newer one, and schedule the next check."""
+    """Append a snapshot if the log needs a newer one, and schedule the next check.
+
+    None is appended while no document is in force or the fold is stalled.
+    """
     fold = state.configuration
     wake = _schedule_renewal(state, now)
     if fold.current is None or fold.stalled or not needs_snapshot(state, now):
--- a/figstep/core/datagrams.py
+++ b/figstep/core/datagrams.py
@@ -14,9 +14,10 @@
 from figstep.core.state import State
 
 MAX_BYTES = 500
-"""Longest datagram, in bytes.
+"""Size up to which a datagram is filled, in bytes.
 
-The sizes of its parts below are upper bounds of their encoded sizes, in bytes.
+The constants below that end in ``_BYTES`` are upper bounds of the encoded sizes of
+its parts, in bytes.
 """
 HEADER_BYTES = 136
 """Upper bound for the fixed part, without the sender's name and address."""
@@ -29,11 +30,11 @@
 DIGEST_BYTES = 20
 """Upper bound for one quarantined digest, without the digest itself."""
 MAX_COUNTS = 16
-"""Most attempt counts in one datagram."""
+"""Maximum number of attempt counts in one datagram."""
 MAX_FRESH_MARKS = 8
-"""Most leaving marks in one datagram that are sent ahead of other content."""
+"""Maximum number of leaving marks that one datagram holds ahead of other content."""
 MAX_DIGESTS = 2
-"""Most quarantined digests in one datagram."""
+"""Maximum number of quarantined digests in one datagram."""
 
 
 class _FreeSpace:
@@ -53,7 +54,7 @@
 def build_gossip(
     state: State, receiver: Member | None, now: Millis, wants_answer: bool
 ) -> Gossip:
-    """Return the next message for a peer, filled in order of urgency.
+    """Return the next message for a peer, filled with the most urgent content first.
 
     Args:
         state: State of this entry; its sequence number, cursors and remaining sends
@@ -143,7 +144,8 @@
 ) -> list[MemberNews]:
     picked: list[MemberNews] = []
     if receiver is not None and receiver.status is not MemberStatus.ALIVE:
-        # The receiver learns that it is suspected or thought dead, and refutes it.
+        # A receiver that is suspected or gone can refute that only if it is
+        # informed, so this news is sent even if the free space is too small.
         free_space.consume(_size_member(receiver))
         picked.append(_describe_member(receiver))
     for member in state.membership.members.values():
--- a/figstep/core/gossip.py
+++ b/figstep/core/gossip.py
@@ -12,13 +12,20 @@
 
     ALIVE = 0
     SUSPECT = 1  # did not acknowledge a message; may still refute the suspicion
-    LEAVING = 2
-    GONE = 3
+    LEAVING = 2  # announced that it is shutting down; still gets messages
+    GONE = 3  # did not refute, or fell silent while leaving; gets no messages
 
 
 @dataclass(frozen=True, slots=True)
 class MemberNews:
-    """State of one entry, as a peer reports it."""
+    """State of one entry, as a peer reports it.
+
+    Attributes:
+        name: Name of the entry.
+        address: Address where the entry listens for peers, as "host:port".
+        incarnation: Incarnation of the entry that the status applies to.
+        status: Status of the entry.
+    """
 
     name: str
     address: str
@@ -62,17 +69,19 @@
     Attributes:
         sender: Name of the sending entry.
         address: Address where the sender listens for peers, as "host:port".
-        incarnation: Number that grows each time the sender starts or refutes a
-            suspicion.
+        incarnation: Number that grows each time the sender starts or refutes that it
+            is suspected or gone.
         sequence: Number that grows with each message of the sending process.
         wants_answer: Whether the receiver should acknowledge the message.
         leaving: Whether the sender is shutting down.
         accepted: Offset of the sender's document in force; -1 for none.
-        position: Last offset of the configuration stream that the sender folded.
+        position: Last offset of the configuration stream that the sender folded; -1
+            for none.
         members: News of other entries.
         marks: Targets that are leaving.
         counts: Attempts in progress at the sender, by target.
-        counts_whole: Whether ``counts`` covers every target that the sender uses.
+        counts_whole: Whether ``counts`` covers every target on which the sender runs
+            attempts. If not, the receiver updates the counts that it has.
         quarantined: Digests that are refused.
     """
 
@@ -104,12 +113,14 @@
         status: Last known status.
         status_changed_at: Time at which ``status`` last changed.
         sequence: Highest sequence number received of this incarnation; -1 for none.
-        unacknowledged_since: Time at which the oldest unacknowledged message was
-            sent, or None.
+        unacknowledged_since: Time at which the oldest unacknowledged periodic
+            message was sent; None if there is none.
         accepted: Offset of the entry's document in force; -1 for none.
-        position: Last offset of the configuration stream that the entry folded.
+        position: Last offset of the configuration stream that the entry folded; -1
+            for none.
         counts: Attempts in progress at the entry, by hash of the target.
-        counts_received_at: Time at which ``counts`` was last received, or None.
+        counts_received_at: Time of the last message, each of which carries counts;
+            None before the first.
         sends_left: Number of messages that still carry news of the entry ahead of
             other content.
     """
@@ -129,7 +140,7 @@
 
     @property
     def reachable(self) -> bool:
-        """Whether messages are sent to the entry, which is so until it is gone."""
+        """Whether the entry may get messages, which it does until it is gone."""
         return self.status is not MemberStatus.GONE
 
 
@@ -158,14 +169,16 @@
             it does not listen.
         incarnation: Incarnation of this entry.
         start: Addresses of peers from the settings.
-        seeds: Addresses from the settings and the instance list, used to join.
+        seeds: Addresses from the settings and the instance list. Those that no
+            reachable entry has get messages, to join or rejoin their entries.
         members: Other entries by name.
         marks: Leaving marks by name of the target.
         unvisited: Names of the entries still to be sent to in this round, shuffled.
         sequence: Sequence number of the last message sent.
         allowance: Urgent messages that may be sent now (a token bucket).
         refilled: Time at which ``allowance`` was last refilled.
-        fetch_at: Time at which a document is fetched from a peer, or None.
+        fetch_at: Time at which a document is to be fetched from a peer; None if no
+            fetch is pending.
         counts_cursor: Index at which the next window of attempt counts starts.
         marks_cursor: Index at which the next window of older marks starts.
         quarantine_cursor: Index at which the next window of digests starts.
--- a/figstep/core/inventory.py
+++ b/figstep/core/inventory.py
@@ -28,13 +28,13 @@
         failure_domain: Name of the engine's failure domain.
         models: Names of the models that the engine may serve.
         kind: Type of the engine, as the operators name it.
-        speed: Decode speed relative to the slowest class, which has 1.0.
+        speed: Decode speed, as a factor on the speed for which the assumed gaps
+            between tokens are given (``figstep.core.pacing``).
         memory_tokens: Cache memory, in tokens.
-        max_running: Most generations that the engine decodes at once.
+        max_running: Maximum number of generations that the engine decodes at once.
         resume: Whether a stream can be resumed by generation and index.
         continuation: Whether the engine continues a generation exactly from given
-            tokens. It is only recorded: nothing acts on it
-            (docs/design/requests.md).
+            tokens. The value is stored but not used (docs/design/requests.md).
         checks_fencing: Whether the engine refuses orders with an old fencing number.
     """
 
@@ -159,7 +159,7 @@
 
     Attributes:
         target: Name of the target.
-        reason: Why the operators drain it.
+        reason: Why the operators drain the target.
     """
 
     target: str
@@ -172,7 +172,7 @@
 
     Attributes:
         failure_domain: Name of the failure domain.
-        reason: Why the operators evacuate it.
+        reason: Why the operators evacuate the failure domain.
     """
 
     failure_domain: str
@@ -188,9 +188,10 @@
         method: HTTP method in capitals; None matches all.
         path: Prefix of the path below the service; "" matches all.
         customer: Name of the customer; None matches all.
-        digest_window: Time within which requests without an Idempotency-Key are
-            the same if their digests of method, path and body are equal, in
-            milliseconds; None to treat each such request as a different one.
+        digest_window: Time for which a request without an Idempotency-Key is
+            remembered by its digest of method, path and body, in milliseconds. A
+            request of the customer with the same digest counts as the same request
+            within this time. None if each such request counts as a different one.
     """
 
     service: str
@@ -206,16 +207,17 @@
 
     Attributes:
         non_idempotent: Rules for requests that run at most once.
-        deadline: Longest time that a request may wait for its first byte, in
-            milliseconds.
-        load_interval: Least time between two reads of the weight store by the
+        deadline: Longest time that a request without its own deadline may wait for
+            its first byte, in milliseconds.
+        load_interval: Minimum time between two reads of the weight store by the
             whole fleet, in milliseconds.
         routing: Name of the routing policy.
-        priorities: Priorities by customer and model; the first match applies.
+        priorities: Priorities by customer and model. They are stored but not used; a
+            request has the priority of its customer.
         placement: Rules for the number of replicas of models.
         gap_goal: Gap between two tokens above which a target gets less work, in
             milliseconds.
-        subset: Most targets of a pool that an entry sends to; 0 for all.
+        subset: Maximum number of targets of a pool that an entry sends to; 0 for all.
     """
 
     non_idempotent: tuple[NonIdempotentRule, ...] = ()
@@ -230,7 +232,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Inventory:
-    """Document of the operators: the inventory of the fleet and its rules."""
+    """Document of the operators: the inventory of the fleet and its rules.
+
+    Attributes:
+        failure_domains: Failure domains of the fleet.
+        engines: Model engines.
+        services: Replicas of plain services.
+        models: Models and their wanted versions.
+        customers: Customers whose requests are accepted.
+        rules: Rules that the operators set.
+        draining: Marks of the targets that are drained.
+        evacuated: Marks of the failure domains that are evacuated.
+        instances: Asset register of the machines.
+    """
 
     failure_domains: tuple[FailureDomain, ...] = ()
     engines: tuple[EngineInfo, ...] = ()
--- a/figstep/core/leases.py
+++ b/figstep/core/leases.py
@@ -12,7 +12,7 @@
 from figstep.core.records import LogRecord
 
 TERM = Millis(10_000)
-"""Time that a lease lasts after its last renewal, in milliseconds."""
+"""Time for which an acquisition or renewal makes a lease last, in milliseconds."""
 MARGIN = Millis(1_000)
 """Time before the end of the term at which a holder stops acting, in milliseconds."""
 
@@ -27,7 +27,7 @@
         session: Identifier that distinguishes the runs of a node.
         record: Id of this record, by which the node recognizes it when it is read
             back, also if the append went unanswered.
-        term: Time that the lease lasts, in milliseconds.
+        term: Time for which the lease lasts, in milliseconds.
         release: Whether the holder releases the lease.
     """
 
@@ -70,15 +70,16 @@
     """State of a lease, as folded from the log.
 
     Attributes:
-        holder: Name of the node that holds the lease.
-        session: Session of that node.
+        holder: Name of the node that acquired the lease last. It no longer holds the
+            lease if the lease is released or its term is over.
+        session: Session of the holder.
         fencing: Fencing number: offset of the record that acquired the lease.
-        time: Time of the last renewal, in milliseconds since the epoch by the
-            log's clock.
-        term: Time that the lease lasts from ``time`` on, in milliseconds.
+        time: Latest time of the records by which the holder acquired, renewed or
+            released the lease, in milliseconds since the epoch by the log's clock.
+        term: Time for which the lease lasts from ``time`` on, in milliseconds.
         released: Whether the holder released the lease.
-        last_read: Time at which this node read the last renewal, in monotonic
-            milliseconds.
+        last_read: Time at which this node read the last of these records, in
+            monotonic milliseconds.
     """
 
     holder: str
@@ -92,12 +93,12 @@
 
 @dataclass(slots=True)
 class Holding:
-    """Lease that this node holds.
+    """Lease that this node holds, or held until ``until``.
 
     Attributes:
         fencing: Fencing number that the node's orders carry.
-        acquired: Time at which the record that acquired the lease was appended, in
-            monotonic milliseconds.
+        acquired: Time just before the append of the record that acquired the lease,
+            in monotonic milliseconds.
         until: Time at which this node stops acting on the lease, in monotonic
             milliseconds.
     """
@@ -122,12 +123,13 @@
 
 @dataclass(slots=True)
 class LeaseTable:
-    """All leases, and those that this node holds.
+    """All leases known from the log, and the holdings of this node.
 
     Attributes:
         session: Identifier of the current run of this node.
         leases: Leases by name, as folded from the log.
-        holdings: Holds of this node, by name of the lease.
+        holdings: Leases that this node holds, by name. They may have expired; read
+            them with ``find_holding``.
         pending: Records of this node that acquire or renew a lease and are not read
             back yet, by id of the record.
         next_record: Number of this node's next record.
@@ -189,12 +191,13 @@
 ) -> LeaseRecord:
     """Return the record that acquires, renews or releases a lease for ``node``.
 
-    The time is stored before the append. A holder that was paused between the
-    append and its answer would otherwise count a term that is already over.
+    The term is counted from ``now``, before the append. If it were counted from
+    the answer, a holder that was paused in between would act on a lease that has
+    expired.
 
     Args:
         table: Table of leases; the record is added to the pending appends, or, for
-            a release, the node's hold and pending appends are dropped.
+            a release, the holding and the pending appends are removed.
         lease: Name of the lease.
         node: Name of this node.
         now: Monotonic time, in milliseconds.
@@ -221,7 +224,9 @@
 def apply_record(
     table: LeaseTable, node: str, position: LogRecord, now: Millis
 ) -> None:
-    """Fold a record read from the lease stream and update this node's own hold.
+    """Fold a record read from the lease stream and update this node's holdings.
+
+    Malformed records are ignored.
 
     Args:
         table: Table of leases, changed in place.
@@ -252,7 +257,7 @@
 
 
 def find_holding(table: LeaseTable, lease: str, now: Millis) -> Holding | None:
-    """Return this node's hold on a lease, or None if it may not act on it now."""
+    """Return this node's holding of a lease; None if it may not act on the lease."""
     holding = table.holdings.get(lease)
     if holding is None or now >= holding.until:
         return None
@@ -262,8 +267,8 @@
 def is_free(table: LeaseTable, lease: str, now: Millis) -> bool:
     """Return whether a lease is free as far as this node knows.
 
-    A renewal is read after it was written, so a term counted from the reading ends
-    late, never early.
+    A record is read after it was written, so a term counted from the reading ends
+    after the lease does, never before.
     """
     current = table.leases.get(lease)
     if current is None or current.released:
--- a/figstep/core/membership.py
+++ b/figstep/core/membership.py
@@ -35,31 +35,37 @@
 from figstep.core.state import State
 
 GOSSIP_INTERVAL = Millis(1_000)
-"""Mean time between two periodic rounds, in milliseconds; jittered by 10 percent."""
+"""Mean time between two periodic rounds, in milliseconds.
+
+Each interval is jittered by up to 10 percent in either direction.
+"""
 FANOUT = 2
 """Entries that each periodic round sends to."""
 URGENT_FANOUT = 3
-"""Most entries that one urgent broadcast sends to."""
+"""Maximum number of entries that one urgent broadcast sends to."""
 URGENT_RATE = 1.0
 """Average rate limit of urgent messages, in messages a second.
 
 Periodic messages and acknowledgements do not count against it.
 """
 URGENT_BURST = 12.0
-"""Most urgent messages that may be sent in one burst."""
+"""Maximum number of urgent messages that may be sent in one burst."""
 ACK_TIMEOUT = Millis(2_000)
-"""Time without an acknowledgement after which an entry is silent, in milliseconds."""
+"""Time after which an entry with an unacknowledged message is silent, in milliseconds.
+
+It is counted from the oldest periodic message to the entry since its last message.
+"""
 SUSPECT_TIMEOUT = Millis(5_000)
 """Time that a suspected entry has to refute the suspicion, in milliseconds."""
 REMOVAL_DELAY = Millis(60_000)
-"""Time that a gone entry stays in the member table, in milliseconds."""
+"""Time for which a gone entry stays in the member table, in milliseconds."""
 COUNTS_TTL = Millis(6_000)
-"""Time that the attempt counts of a peer stay valid, in milliseconds."""
+"""Time for which received attempt counts of a peer are valid, in milliseconds."""
 FETCH_DELAY = Millis(400)
 """Longest random delay before a document is fetched from a peer, in milliseconds.
 
-It is also the least time between the due time of one fetch and the planning of
-the next.
+While a fetch is pending, another one is scheduled only if the pending one has been
+due for this time.
 """
 
 
@@ -76,7 +82,10 @@
 
 
 def run_period(state: State, now: Millis) -> list[Effect]:
-    """Run one gossip round: detect silent entries and send to the next partners."""
+    """Run one gossip round: detect silent entries and send to the next partners.
+
+    One message also goes to a seed address that no reachable entry has.
+    """
     effects: list[Effect] = []
     _refill_allowance(state, now)
     for member in list(state.membership.members.values()):
@@ -179,16 +188,17 @@
     """Return how many messages of this entry carry one piece of news.
 
     The number is logarithmic in the number of entries, which is enough for the
-    news to reach all of them with high probability. The windows of older news in
-    each datagram reach the rest.
+    news to reach all of them with high probability. Each datagram fills its free
+    space with older news, which reaches the rest.
     """
     return 3 * (len(state.membership.members) + 2).bit_length()
 
 
 def handle_gossip(state: State, event: GossipReceived, now: Millis) -> list[Effect]:
-    """Apply a peer's message and acknowledge it if the peer asks for that.
+    """Apply a peer's message and acknowledge it if the peer requests that.
 
-    A message that brings urgent news is followed by an urgent broadcast.
+    Outdated and repeated messages are only counted. A message with urgent news is
+    followed by an urgent broadcast.
     """
     gossip = event.gossip
     if gossip.sender == state.node:
@@ -243,7 +253,12 @@
 
 
 def _apply_news(state: State, news: MemberNews, now: Millis) -> bool:
-    """Apply a peer's news of a third entry; return whether the news is urgent."""
+    """Apply a peer's news of an entry.
+
+    Returns:
+        Whether the news is urgent: a known entry is leaving in its known
+        incarnation, or this entry has refuted a suspicion against itself.
+    """
     if news.name == state.node:
         return _refute(state, news)
     members = state.membership.members
@@ -270,7 +285,7 @@
 
 
 def _refute(state: State, news: MemberNews) -> bool:
-    """Raise this entry's incarnation if peers believe that it is dead.
+    """Raise this entry's incarnation if a peer reports it as suspected or gone.
 
     A pause or a lossy link makes peers suspect a live entry; without the
     refutation they would remove it from their tables although it still serves.
@@ -291,10 +306,11 @@
     """Mark a target as leaving, so that it gets no new work.
 
     The marks of all sources are combined by union, so a source that lags behind
-    never clears a mark: only a newer incarnation of the target does.
+    never clears a mark: only a newer incarnation of the target does. Marks of
+    unknown targets and of older incarnations are ignored.
 
     Returns:
-        Whether the mark is news to this entry.
+        Whether the mark was unknown to this entry and is now sent to peers.
     """
     target = state.targets.get(mark.target)
     if target is None or mark.incarnation < target.incarnation:
@@ -312,7 +328,7 @@
 
 
 def broadcast_leaving(state: State, target: str, now: Millis) -> list[Effect]:
-    """Announce to peers at once that ``target`` is leaving, if that is news."""
+    """Announce to peers at once that ``target`` is leaving, unless that was done."""
     found = state.targets.get(target)
     if found is None or not found.leaving:
         return []
@@ -352,8 +368,8 @@
     The counts received within the last ``COUNTS_TTL`` are summed and scaled up to
     the number of reachable entries. If fewer than half of these have reported,
     the estimate is 0 and the load policy relies on the targets' own reports:
-    otherwise one entry's count would stand for many, and a target that this entry
-    uses would look full.
+    otherwise the counts of a few entries would be scaled up to the whole fleet, and
+    a target that this entry uses would look full.
     """
     alive, reporters = 0, 0
     sums: dict[int, int] = {}
@@ -428,10 +444,11 @@
 def record_instances(state: State, event: InstancesListed, now: Millis) -> list[Effect]:
     """Merge the platform's instance list into the known targets and seeds.
 
-    The list lags behind, so a line that shows a target alive never clears a mark
-    that another source set. A leaving line without an incarnation (0) may belong
-    to an earlier start of the target; it is honoured only for as long as the list
-    holds it, and it is not sent to peers.
+    The list lags behind, so an item that shows a target alive never clears a mark
+    of another source in the same incarnation. A leaving item without an incarnation
+    (0) may belong to an earlier start of the target; it applies only while the list
+    holds it, and it is not sent to peers. If the list holds addresses of entries,
+    seeds that are neither in the list nor in the settings are removed.
     """
     effects: list[Effect] = []
     for instance in event.instances:
--- a/figstep/core/orders.py
+++ b/figstep/core/orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines, which state the wanted state."""
+"""Orders to engines, each of which names a state that the engine is to reach."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -6,9 +6,7 @@
 from figstep.core.clock import Millis
 
 ORDER_TIMEOUT = Millis(5_000)
-"""Longest time that an order takes, and least time before it is sent again, in
-milliseconds.
-"""
+"""Timeout of an order, and minimum time before it is sent again, in milliseconds."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +41,7 @@
 
     APPLIED = "applied"
     STALE = "stale"  # the engine has received a higher fencing number
-    UNCERTAIN = "uncertain"  # no answer: it may have taken effect
+    UNCERTAIN = "uncertain"  # not sent, failed or unanswered: it may have taken effect
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,12 +60,13 @@
 
     Attributes:
         sent: Time at which each order was last sent.
-        last_load: Time at which an order last made an engine read weights, or None.
+        last_load: Time at which an order to load a model was last sent; None if none
+            was.
         open_orders: Names of the leases of orders whose answers are awaited, by
             number of the order.
         next_order: Number of the next order.
-        try_at: Time at which to try to acquire each lease that is known as free, by
-            name of the lease.
+        try_at: Earliest time of the next attempt to acquire a lease that is known as
+            free, by name of the lease.
     """
 
     sent: dict[PlacedOrder, Millis] = field(default_factory=dict)
--- a/figstep/core/ownership.py
+++ b/figstep/core/ownership.py
@@ -24,7 +24,7 @@
 OUTCOME_WAIT_TIMEOUT = Millis(10 * SECOND)
 """Longest time that a duplicate waits for the owner's outcome, in milliseconds."""
 MAX_DISPATCH_AGE = Millis(60 * SECOND)
-"""Age up to which a claim may be dispatched, in milliseconds.
+"""Maximum age of a claim when its request is dispatched, in milliseconds.
 
 Half the claim's window applies if that is shorter.
 """
@@ -36,7 +36,7 @@
 
 
 def begin_claim(state: State, request: RequestState, now: Millis) -> list[Effect]:
-    """Claim the identity of a request, or wait for the claim that owns it.
+    """Claim the identity of a request, or join or follow an earlier claim of it.
 
     A request is refused if the claims stream is not read to its end.
     """
@@ -85,7 +85,8 @@
 ) -> list[Effect]:
     """Answer a duplicate with the owner's outcome, or make it wait for the outcome.
 
-    A request whose digest differs from the owner's is refused.
+    A request whose digest differs from the owner's is refused, as its method, path
+    or body is another one.
 
     Args:
         state: State of this entry.
@@ -109,10 +110,10 @@
 
 
 def answer_duplicate(request: str, outcome: Outcome) -> Effect:
-    """Answer a duplicate with the outcome of the first request.
+    """Return the effect that answers a duplicate with the first request's outcome.
 
-    The recorded answer is replayed if the outcome holds it; otherwise the duplicate
-    is refused with a problem that names what is known.
+    The recorded answer is replayed if the outcome holds its body. Otherwise the
+    duplicate is refused, with the status, generation or ``ran`` that is known.
     """
     if outcome.body is not None:
         return ReplayAnswer(request, outcome.status, outcome.content_type, outcome.body)
@@ -129,9 +130,11 @@
 def may_dispatch(state: State, request: RequestState, now: Millis) -> bool:
     """Return whether a request may be dispatched now.
 
-    A paused owner may resume after its identity has expired and another claim owns
-    it; dispatching then would run the request twice. The claim's age is measured
-    from before the append, so it is never less than its age by the log's clock.
+    A non-idempotent request needs a claim that owns its identity and is not older
+    than half its window or ``MAX_DISPATCH_AGE``, whichever is shorter. A paused
+    owner may resume after its identity has expired and another claim owns it;
+    dispatching then would run the request twice. The claim's age is measured from
+    before the append, so it is never less than its age by the log's clock.
     """
     if not request.non_idempotent:
         return True
@@ -145,8 +148,8 @@
 def outlives_caller(state: State, request: RequestState) -> bool:
     """Return whether a request continues after its caller has disconnected.
 
-    A non-idempotent request to a plain service that has an attempt in progress
-    does, so that its outcome can be recorded.
+    A non-idempotent request to a plain service continues while it has an attempt,
+    so that its outcome can be recorded.
     """
     if not request.non_idempotent or request.attempt is None:
         return False
@@ -279,7 +282,7 @@
 
 
 def build_mismatch_problem() -> Problem:
-    """Return the problem for a key that was first used with another path or body."""
+    """Return the problem for an identity that a request with another digest owns."""
     return Problem(
         422,
         "key_reused",
@@ -289,7 +292,11 @@
 
 
 def build_unknown_problem(ran: Ran) -> Problem:
-    """Return the problem for a request that may or may not have run."""
+    """Return the problem for a request that may have run but has no recorded answer.
+
+    Args:
+        ran: Whether the request ran, as far as it is known.
+    """
     return Problem(
         409,
         "outcome_unknown",
@@ -300,7 +307,7 @@
 
 
 def build_stale_problem() -> Problem:
-    """Return the problem for a claim that became too old before its dispatch."""
+    """Return the problem for a request that ``may_dispatch`` does not allow to run."""
     return Problem(
         503,
         "claim_too_old",
@@ -311,7 +318,7 @@
 
 
 def build_expired_problem() -> Problem:
-    """Return the problem for a key that is older than its identity's window."""
+    """Return the problem for a key whose time lies further back than its window."""
     return Problem(
         409,
         "key_expired",
@@ -332,5 +339,5 @@
 
 
 def build_unsettled_problem(state: State) -> Problem:
-    """Return the problem for a claim that was not read back before its deadline."""
+    """Return the problem for a claim that could not be read back from the log."""
     return _build_log_problem(state)
--- a/figstep/core/placement.py
+++ b/figstep/core/placement.py
@@ -1,9 +1,10 @@
-"""Placement: loads and unloads models, versions and adapters as the rules want.
+"""Placement: orders that load and unload models and adapters according to the rules.
 
 There is one lease per failure domain. Its holder compares what the engines of the
 failure domain report with what is wanted, and sends orders for the difference in
-each round until the engines report the wanted state. Apart from the number of an
-open order, only the time at which an order was last sent is stored.
+each round until the engines report the wanted state. The progress of an order is not
+tracked beyond the time at which it was last sent and the number under which its answer
+is awaited.
 """
 
 import hashlib
@@ -29,7 +30,7 @@
 ROUND_INTERVAL = Millis(2_000)
 """Time between two rounds of placement, in milliseconds."""
 SENT_RETENTION = Millis(600_000)
-"""Time that the last sending of an order is remembered, in milliseconds."""
+"""Time for which the last sending of an order is remembered, in milliseconds."""
 LEASE_PREFIX = "orders."
 """Prefix of a lease's name; the name of the failure domain follows."""
 LEASE_APPEND_KEY = 0
@@ -48,7 +49,7 @@
         info: Inventory record of the engine.
         loaded: What the engine reports as loaded, as "model@version" or
             "model+adapter".
-        usable: Whether the engine takes work and has reported its load.
+        usable: Whether the engine accepts new work and has reported its load.
     """
 
     info: EngineInfo
@@ -78,7 +79,8 @@
 
     Returns:
         For each model the loads, then the unloads. Other versions stay loaded until
-        the wanted number of replicas serves the wanted version.
+        the wanted version is served by as many engines as are wanted, or by all
+        chosen ones that are usable if these are fewer.
     """
     orders: list[PlacedOrder] = []
     for model in inventory.models:
@@ -89,7 +91,10 @@
 
 
 def count_wanted(inventory: Inventory, model: str, domain: str) -> int | None:
-    """Return the replicas wanted in a failure domain; None if the model has no rule."""
+    """Return the number of replicas of a model that are wanted in a failure domain.
+
+    None is returned if the model has no rule.
+    """
     wanted = None
     for rule in inventory.rules.placement:
         if rule.model != model:
@@ -147,9 +152,9 @@
 ) -> list[PlacedOrder]:
     """Return the orders that unload unwanted versions of a model from an engine.
 
-    A chosen engine keeps the wanted version; any other engine keeps none. This is
-    called only once the wanted number of replicas serves the wanted version: an
-    earlier unload would remove capacity for as long as the weights load.
+    A chosen engine keeps the wanted version; any other engine keeps none. The orders
+    are planned only once enough engines serve the wanted version: an earlier unload
+    would remove capacity for as long as the weights load.
     """
     orders = []
     for loaded in sorted(engine.loaded):
@@ -267,8 +272,8 @@
     if sent is not None and now < sent + ORDER_TIMEOUT:
         return False
     # An engine that ignores fencing numbers would still obey an earlier holder
-    # that was paused in the middle of an order. After a whole term and the
-    # longest order, that holder has stopped and its last order has ended.
+    # that was paused while it sent an order. After a whole term and the timeout of
+    # an order, that holder has stopped and its last order has ended.
     takeover_safe_at = holding.acquired + leases.TERM + ORDER_TIMEOUT
     if not target.info.checks_fencing and now < takeover_safe_at:
         return False
@@ -278,7 +283,8 @@
 def _may_load(state: State, now: Millis) -> bool:
     """Return whether a load may be sent within the weight store's rate limit.
 
-    The limit holds for the whole fleet: each failure domain gets an equal share.
+    The limit applies to the whole fleet and is divided equally among the failure
+    domains that have engines.
     """
     assert state.inventory is not None
     last = state.placement.last_load
@@ -304,12 +310,12 @@
 
 
 def handle_answer(state: State, event: OrderAnswered, now: Millis) -> list[Effect]:
-    """Count the result of an order; a stale fencing number ends this node's hold."""
+    """Count the result of an order; a stale fencing number ends this node's holding."""
     lease = state.placement.open_orders.pop(event.order, None)
     if lease is None or event.outcome is not OrderOutcome.STALE:
         return [Count(f"orders.{event.outcome.value}")]
-    # A newer holder has sent orders to the engine, so this node's lease expired
-    # unnoticed. If this node went on, the orders of two holders would conflict.
+    # A newer holder has sent orders to the engine, so this node's lease has expired
+    # unnoticed. Further orders of this node would conflict with the new holder's.
     state.leases.holdings.pop(lease, None)
     return [
         Count("orders.stale"),
--- a/figstep/core/problems.py
+++ b/figstep/core/problems.py
@@ -1,4 +1,4 @@
-"""Problems: final answers to callers other than success."""
+"""Refusals and failures of requests, as reported to callers."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,7 +7,7 @@
 
 
 class Ran(Enum):
-    """Whether a request ran on a target."""
+    """Whether a request ran on a target, as far as it is known."""
 
     NO = "no"
     UNKNOWN = "unknown"
--- a/figstep/core/records.py
+++ b/figstep/core/records.py
@@ -6,7 +6,7 @@
 CONFIGURATION = "configuration"
 """Name of the stream of edits and snapshots of the document."""
 CLAIMS = "claims"
-"""Name of the stream of claims on non-idempotent requests."""
+"""Name of the stream of claims on non-idempotent requests and of their outcomes."""
 LEASES = "leases"
 """Name of the stream of leases for sending orders."""
 
--- a/figstep/core/settlement.py
+++ b/figstep/core/settlement.py
@@ -36,7 +36,7 @@
 
 
 def apply_records(state: State, event: RecordsRead, now: Millis) -> list[Effect]:
-    """Fold records of the claims stream and continue the requests that they settle."""
+    """Fold records of the claims stream and start or answer requests they settle."""
     effects: list[Effect] = []
     if event.stream != CLAIMS:
         return effects
@@ -120,14 +120,17 @@
 
 
 def handle_caught_up(state: State, event: StreamCaughtUp) -> list[Effect]:
-    """Record that the claims stream is read to its end, so claims can be settled."""
+    """Record that the claims stream is read to its end, so claims may be appended."""
     if event.stream == CLAIMS:
         state.claims.caught_up = True
     return []
 
 
 def handle_unavailable(state: State, event: StreamUnavailable) -> list[Effect]:
-    """Refuse the requests whose claims cannot be read back, as the stream is down."""
+    """Record that the claims stream cannot be read, and refuse requests that need it.
+
+    These are the requests whose claims are not read back yet.
+    """
     if event.stream != CLAIMS:
         return []
     state.claims.caught_up = False
@@ -143,8 +146,9 @@
 
     A claim is settled by reading it back within ``READ_BACK_TIMEOUT``. Appending it
     again under a new id could leave two claims in the log, the first of which might
-    be read only after the caller was refused. An outcome or release is appended
-    again after ``OUTCOME_RETRY_DELAY``.
+    be read only after the caller was refused. If the stream cannot be read, the
+    request is refused at once. An outcome or release is appended again after
+    ``OUTCOME_RETRY_DELAY``.
     """
     unconfirmed = state.claims.unconfirmed.get(event.key)
     if unconfirmed is not None:
@@ -162,7 +166,7 @@
 
 
 def handle_confirmed(state: State, event: AppendConfirmed) -> list[Effect]:
-    """Discard an outcome or release that the log has confirmed."""
+    """Stop retrying an outcome or release, as the log has confirmed its append."""
     state.claims.unconfirmed.pop(event.key, None)
     return []
 
@@ -170,8 +174,9 @@
 def append_outcomes(state: State, now: Millis) -> list[Effect]:
     """Append unanswered outcomes and releases again, for a bounded time.
 
-    If an outcome is lost, duplicates at other entries are answered with "unknown".
-    The fold applies only the first record of an id, so a second one is harmless.
+    If an outcome is lost, duplicates at other entries wait for it until
+    ``OUTCOME_WAIT_TIMEOUT`` and are then refused with ``Ran.UNKNOWN``. The fold
+    ignores a repeated outcome or release, so a second append is harmless.
     """
     effects: list[Effect] = []
     for key, unconfirmed in list(state.claims.unconfirmed.items()):
@@ -194,7 +199,7 @@
 
 
 def expire_claim(state: State, timer: ClaimTimer) -> list[Effect]:
-    """End the wait of a request for its read-back or for another request's outcome."""
+    """Refuse a request that still waits for its claim or for another one's outcome."""
     request = state.requests.get(timer.request)
     if request is None or request.phase is not Phase.CLAIMING:
         return []
--- a/figstep/core/watch.py
+++ b/figstep/core/watch.py
@@ -10,10 +10,11 @@
 
 
 def list_watched(state: State, now: Millis) -> list[EngineInfo]:
-    """Return the engines to which this entry sends work or orders.
+    """Return the engines to which this entry may send work or orders.
 
-    In a large fleet, reading the reports of all engines would cost an entry many
-    times its budget for control traffic.
+    These are the engines of the pools that it uses and those of failure domains
+    whose lease it holds. In a large fleet, reading the reports of all engines would
+    cost an entry many times its budget for control traffic.
 
     Args:
         state: State of this entry.
