--- a/figstep/net/answers.py
+++ b/figstep/net/answers.py
@@ -21,7 +21,8 @@
         chat: Whether the answer is a chat completion rather than a text completion.
 
     Returns:
-        The body of an OpenAI-compatible answer.
+        The body of an OpenAI-compatible answer. Without ``usage`` in the events, each
+        event counts as one completion token.
     """
     texts: list[str] = []
     finish = None
--- a/figstep/net/arrivals.py
+++ b/figstep/net/arrivals.py
@@ -39,7 +39,7 @@
     async def read_body(self, request: web.Request) -> bytes:
         """Return the body of a request.
 
-        The size is bounded by aiohttp.
+        aiohttp rejects a body that is longer than ``body_bytes``.
 
         Raises:
             RefusedError: If the body takes longer than ``body_seconds``.
@@ -160,7 +160,13 @@
 
 
 def digest_request(method: str, path: str, body: bytes) -> str:
-    """Return the SHA-256 of method, path and body of a request, in hexadecimal."""
+    """Return the SHA-256 of method, path and body of a request, in hexadecimal.
+
+    Args:
+        method: HTTP method.
+        path: Path with its query.
+        body: Body as the caller sent it.
+    """
     digest = hashlib.sha256(f"{method} {path}\n".encode())
     digest.update(body)
     return digest.hexdigest()
--- a/figstep/net/bodies.py
+++ b/figstep/net/bodies.py
@@ -19,7 +19,7 @@
     n: Literal[1] | None = None
 
     def get_max_tokens(self) -> int | None:
-        """Return the most tokens that the caller requests, or None for no limit."""
+        """Return the maximum number of tokens to generate, or None for no limit."""
         return self.max_tokens
 
 
@@ -39,7 +39,7 @@
     max_completion_tokens: int | None = Field(default=None, gt=0)
 
     def get_max_tokens(self) -> int | None:
-        """Return the most tokens that the caller requests, or None for no limit.
+        """Return the maximum number of tokens to generate, or None for no limit.
 
         ``max_completion_tokens`` takes precedence over ``max_tokens``.
         """
@@ -53,7 +53,10 @@
 
 
 def count_prompt_tokens(body: ChatBody | CompletionBody) -> int:
-    """Return an estimate of the prompt's length, in tokens."""
+    """Return an estimate of the prompt's length, in tokens, at least 1.
+
+    Content of a message that is a list is counted by its Python representation.
+    """
     if isinstance(body, CompletionBody):
         characters = len(body.prompt)
     else:
--- a/figstep/net/callers.py
+++ b/figstep/net/callers.py
@@ -127,10 +127,10 @@
     async def _prepare_response(
         self, request: web.Request, response: web.StreamResponse
     ) -> None:
-        # On a kept-alive connection the caller's next request would arrive after
-        # the listener closed and be lost. Closing the connection makes the caller
-        # connect to another entry. The header announces the close: without it the
-        # next request on the connection could meet the close and be lost.
+        # Closing a kept-alive connection makes the caller connect to another entry;
+        # its next request could otherwise arrive after the listener has closed and
+        # be lost. The header announces the close, so that the caller sends no
+        # request that crosses it.
         if not self.ready:
             response.headers["Connection"] = "close"
             response.force_close()
@@ -235,11 +235,16 @@
         return response
 
     def _handle_disconnect(self, exchange: Exchange, grace: float) -> None:
-        """Cancel the generation of a disconnected caller, now or after its grace.
+        """End the request of a disconnected caller, now or after its grace period.
+
+        The generation is cancelled only if the request ends now. Without a grace
+        period, before the stream has begun and after the answer has ended, the
+        request ends now.
 
         Args:
             exchange: The caller's request.
-            grace: How long the generation runs on without its caller, in seconds.
+            grace: Time for which the generation continues without its caller, in
+                seconds.
         """
         if not grace or exchange.sink is None or exchange.ended:
             self._dispatch(CallerGone(exchange.spec.request))
--- a/figstep/net/deliveries.py
+++ b/figstep/net/deliveries.py
@@ -27,7 +27,8 @@
     """Waits between deliveries to one caller, in seconds.
 
     Attributes:
-        last: Time of the last delivery.
+        last: Monotonic time of the last delivery; before the first one, that at which
+            the stream began.
         longest: Longest wait so far.
         stalled: Sum of the waits that count as stalls.
     """
@@ -109,6 +110,8 @@
     def keep_alive(self) -> bool:
         """Write a comment if nothing was written since the last call.
 
+        None is written after the stream has finished or while bytes are unsent.
+
         Returns:
             Whether a comment was written.
         """
@@ -123,7 +126,7 @@
 
         Args:
             now: Monotonic time, in seconds.
-            stalled_seconds: Time without progress after which to abort.
+            stalled_seconds: Time without progress after which to abort, in seconds.
 
         Returns:
             Whether the connection was aborted.
--- a/figstep/net/frames.py
+++ b/figstep/net/frames.py
@@ -1,8 +1,10 @@
-"""Splitting of server-sent events without decoding their JSON.
+"""Splitting of server-sent events (SSE) without decoding their JSON.
+
+Only line feeds are recognized as line ends.
 
 A target writes ``id: <generation>:<index>`` as the first line of each event, so a
-frame is forwarded unchanged. A general decoder costs more per token than the rest
-of the path together, see docs/DESIGN.md.
+frame is forwarded unchanged. A general SSE decoder costs more per token than the rest
+of the path together (docs/DESIGN.md).
 """
 
 from dataclasses import dataclass
@@ -19,7 +21,7 @@
 """Start of the first line of an event."""
 
 MAX_FRAME_BYTES = 1_048_576
-"""Longest event that is buffered while its end is awaited, in bytes."""
+"""Maximum size of an incomplete event that is buffered, in bytes."""
 
 
 @dataclass(slots=True)
@@ -38,7 +40,7 @@
 
 
 class FrameSplitter:
-    """Splits a byte stream into runs of events.
+    """Splits the byte stream of a generation into runs of events.
 
     Attributes:
         ended: Whether the end marker was received.
@@ -54,7 +56,8 @@
         Comments and events without an id are dropped.
 
         Raises:
-            FrameError: If an id has no index or an event is too long.
+            FrameError: If an id has no index, or an incomplete event exceeds
+                ``MAX_FRAME_BYTES``.
         """
         parts = (self._incomplete + chunk).split(BOUNDARY)
         self._incomplete = parts.pop()
@@ -107,7 +110,10 @@
 
 
 class EventSplitter:
-    """Splits a stream of numbered events, preserving every byte."""
+    """Splits a stream of numbered events, preserving every byte.
+
+    Each event must have a number, unlike in a stream for ``FrameSplitter``.
+    """
 
     def __init__(self) -> None:
         self._incomplete = b""
@@ -121,7 +127,8 @@
         """Add bytes and return the events that they complete.
 
         Raises:
-            FrameError: If an event has no number or is too long.
+            FrameError: If an event has no number, or an incomplete event exceeds
+                ``MAX_FRAME_BYTES``.
         """
         parts = (self._incomplete + chunk).split(BOUNDARY)
         self._incomplete = parts.pop()
--- a/figstep/net/headers.py
+++ b/figstep/net/headers.py
@@ -52,8 +52,10 @@
     """Options that a caller sets by headers.
 
     Attributes:
-        deadline: Longest wait for the first event, in milliseconds, or None.
-        grace: How long the generation runs on without its caller, in seconds.
+        deadline: Longest wait for the first byte, in milliseconds; None for the
+            default of the rules.
+        grace: Time for which the generation continues without its caller, in seconds,
+            at most ``resume_grace_seconds``.
         idempotency_key: The caller's key for this request, or None.
         non_idempotent: Whether the request may run only once.
         last_event: Event after which a reconnecting caller resumes, or None.
@@ -70,8 +72,8 @@
     """Validate the headers that figstep reads.
 
     Raises:
-        RefusedError: If a header is invalid or repeated; the detail names the header
-            and the accepted value.
+        RefusedError: If a header is invalid or repeated, or the deadline is longer than
+            ``deadline_ms``; the detail names the header and the remedy.
     """
     given = {}
     for field in _Headers.model_fields.values():
--- a/figstep/net/hellos.py
+++ b/figstep/net/hellos.py
@@ -1,4 +1,4 @@
-"""Codec of the messages and record copies that gateways exchange."""
+"""Codec of the messages and copies of records that entries exchange."""
 
 import zlib
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 _schema: Any = capnp.load(str(Path(__file__).with_name("links.capnp")))
 
 MAX_COPY_BYTES = 32 * 1024 * 1024
-"""Largest copy of records that is accepted, in bytes.
+"""Maximum size of a copy of records that is accepted, in bytes.
 
 The limit applies before and after decompression. The records of thousands of routes
 and targets take a few MB.
@@ -50,15 +50,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """A message between gateways.
+    """A message between entries.
 
     Attributes:
         content: Content that the gateway handles. Its address is that of the entry
-            that wrote the message, which another entry may have forwarded.
+            that wrote the message, even if another entry forwarded the message.
         session: Random number drawn by each process of the sender.
         sequence: Number that grows with each message of a session.
         members: Other entries from which the sender recently received messages.
-        records: Registrations that the sender read last, up to its position.
+        records: Registrations that the sender read last, as pairs of key and stored
+            value; the last one is the record before the position in ``content``.
         requests_failure_domain: Whether the sender doesn't know the receiver's failure
             domain yet.
     """
@@ -139,7 +140,8 @@
 
     Args:
         data: Payload of the datagram.
-        sender: Source address, as "ip:port"; used if the message names none.
+        sender: Source address, as "ip:port"; used if the message holds no address of
+            the entry that wrote it.
 
     Raises:
         PeerMessageError: If the datagram cannot be decoded.
--- a/figstep/net/instances.py
+++ b/figstep/net/instances.py
@@ -9,14 +9,14 @@
 from figstep.core.events import Event, InstanceInfo, InstancesListed
 
 MIN_POLL_SECONDS = 1.0
-"""Shortest interval between two reads of the list by one entry, in seconds."""
+"""Minimum interval between two reads of the list by one entry, in seconds."""
 
 MAX_FLEET_POLLS_PER_SECOND = 8
-"""Most reads of the list a second by all entries together.
+"""Maximum number of reads of the list per second by all entries together.
 
 The list is read whole and grows with the fleet: at 370 entries and 670 targets one
 read a second by each entry would be some 100 KB/s. An entry that reads that a target
-is leaving announces it to the others at once, so fewer reads do not delay the news.
+is leaving announces this to the others at once, so fewer reads delay such news little.
 """
 
 TIMEOUT_SECONDS = 5.0
@@ -24,7 +24,7 @@
 
 
 class InstanceEdge(Service):
-    """Polls the instance list and dispatches each version read."""
+    """Polls the instance list and dispatches each valid one as ``InstancesListed``."""
 
     def __init__(
         self,
--- a/figstep/net/links.py
+++ b/figstep/net/links.py
@@ -1,4 +1,7 @@
-"""Links between gateways: loads over UDP, copies of the store's records over TCP."""
+"""Links between entries.
+
+Loads and recent registrations are sent over UDP, copies of all records over TCP.
+"""
 
 import asyncio
 import random
@@ -30,27 +33,33 @@
 _log = logbook.Logger("figstep.links")
 
 HELLO_INTERVAL_SECONDS = 1.0
-"""Interval of messages while nothing changes, in seconds.
+"""Minimum time between two messages while nothing changes, in seconds.
 
-Three messages in a row may be lost before a peer counts as silent.
+A peer counts as silent after ``PEER_TIMEOUT``, which is three of these intervals. One
+lost message is tolerated; after two lost ones in a row the next may be too late.
 """
 
 POLL_SECONDS = 0.1
 """Interval at which an entry checks whether its loads have changed, in seconds.
 
-It bounds the delay of a report. Each entry gets a few requests a second, and an
-engine's own load reports are half a second old.
+A changed load is reported after at most this time. A shorter one would gain little:
+each entry gets a few requests a second, and an engine's own load reports are half a
+second old.
 """
 
 LARGE_FLEET_POLL_SECONDS = 0.4
 """Interval at which an entry of a large fleet checks its loads, in seconds.
 
-A large fleet announces prompts as they are sent; besides these, only the growth of
-running generations changes the loads.
+A longer interval than in a small fleet is enough, because an entry calls ``announce``
+when it sends a prompt. Between prompts, loads change as running generations grow.
 """
 
 REMOTE_UPDATE_SECONDS = 0.4
-"""Interval of partial messages to other failure domains, in seconds."""
+"""Interval of messages to other failure domains, in seconds.
+
+A message between two full ones holds only the loads that changed. It is left out if
+nothing changed, but for no longer than ``HELLO_INTERVAL_SECONDS``.
+"""
 
 REMOTE_FULL_REPORT_SECONDS = 2.0
 """Interval of full messages to other failure domains, in seconds.
@@ -59,12 +68,12 @@
 """
 
 MAX_DOMAIN_REQUESTS = 8
-"""Most entries whose unknown failure domain is queried in one second."""
+"""Maximum number of entries whose unknown failure domain is queried in one second."""
 
 COPY_TIMEOUT_SECONDS = 2.0
 """Timeout of a transfer of copied records, in seconds.
 
-The next attempt may go to another peer.
+A later fetch may use another peer.
 """
 
 MAX_DATAGRAM_BYTES = 60_000
@@ -96,11 +105,18 @@
 
     @abstractmethod
     def describe_domain(self) -> PeerHeard:
-        """Return the content of messages to other failure domains."""
+        """Return the content of messages to other failure domains.
+
+        Its loads are the sums of the loads in this entry's failure domain.
+        """
 
     @abstractmethod
     def describe_domain_at(self, target: str) -> PeerHeard:
-        """Return the content of a message to other failure domains on one target."""
+        """Return the content of a message to other failure domains about one target.
+
+        It holds only the load of the target and is marked as partial; all fields
+        other than the loads are complete.
+        """
 
     @abstractmethod
     def is_domain_representative(self) -> bool:
@@ -108,17 +124,27 @@
 
     @abstractmethod
     def read_copy(self) -> RecordCopy:
-        """Return the records read from the store, for an entry that can't read it."""
+        """Return all records known from the store, for an entry that can't read it."""
 
     @abstractmethod
     def list_recent_registrations(self) -> tuple[tuple[str, bytes], ...]:
-        """Return the registrations read last, up to the position in messages."""
+        """Return the registrations read last, as pairs of key and stored value.
+
+        The last one is the record before the position that messages hold. A value is
+        empty if the registration was removed.
+        """
 
     @abstractmethod
     def handle_message(
         self, message: PeerHeard, records: tuple[tuple[str, bytes], ...]
     ) -> None:
-        """Handle a message and the registrations that its sender read last."""
+        """Handle a message of another entry.
+
+        Args:
+            message: Content of the message.
+            records: Registrations that the writer of the message read last, as pairs
+                of key and stored value; empty values stand for removed ones.
+        """
 
     @abstractmethod
     def update_entry_count(self, entries: int) -> None:
@@ -128,8 +154,11 @@
 class PeerLink(Service):
     """Sends this entry's loads to the other entries and receives theirs.
 
-    In a small fleet all entries exchange all loads. In a large one this holds within a
-    failure domain, and one entry sends the sums of its domain to the others.
+    In a small fleet all entries exchange all loads. In a large fleet the entries of one
+    failure domain do; one entry of each failure domain, its representative, sends the
+    sums of the domain's loads to one entry of each other domain, which forwards them to
+    the entries of its own domain. Messages also hold recently read registrations. An
+    entry that cannot read the store can fetch a copy of all records from another entry.
     """
 
     def __init__(
@@ -173,7 +202,7 @@
         )
 
     async def on_stop(self) -> None:
-        """Send a last message to the local entries and close the sockets."""
+        """Send a last message as ``announce`` does and close the sockets."""
         self._send_locally(loop_time())
         if self._transport is not None:
             self._transport.close()
@@ -220,9 +249,10 @@
                 self._send_remotely(loop_time())
 
     def announce(self) -> None:
-        """Schedule a message to the local entries for when this callback has ended.
+        """Schedule a message to the entries that exchange all loads.
 
-        Several calls before the message is sent result in one message.
+        The message is sent after the running callback of the event loop. Several calls
+        before that result in one message.
         """
         if self._announcement_scheduled:
             return
@@ -234,7 +264,7 @@
         self._send_locally(loop_time())
 
     def announce_records(self) -> None:
-        """Send to all failure domains after records were read."""
+        """Send to all failure domains at once, as records were read from the store."""
         now = loop_time()
         self._send_locally(now)
         self._send_remotely(now)
@@ -336,7 +366,7 @@
         content = hello.content
         neighbor = self._neighbors.add(content.address, now)
         if hello.session == neighbor.session and hello.sequence <= neighbor.sequence:
-            # The message was overtaken and is older than the known state.
+            # The message is a duplicate, or a newer one has arrived before it.
             return
         is_new = hello.session != neighbor.session
         neighbor.session, neighbor.sequence = hello.session, hello.sequence
@@ -347,6 +377,8 @@
             self._send(Hello(self._entry.describe_domain()), [content.address])
         elif is_new and not content.far:
             self._answer_new_session(content.address, content.failure_domain, now)
+        # A message that another entry forwarded comes from that entry's address and
+        # is not forwarded again.
         if content.far and content.address == sender:
             self._forward(data, content.failure_domain)
         self._entry.handle_message(content, hello.records)
@@ -354,7 +386,10 @@
     def _answer_new_session(
         self, address: str, failure_domain: str, now: float
     ) -> None:
-        """Send a message to an entry that has just started and knows no loads yet."""
+        """Send the current loads to an entry from which a new session was received.
+
+        A new session is usually that of an entry that has just started.
+        """
         content = self._entry.describe_entry()
         if self.is_large and failure_domain != self._failure_domain:
             content = self._entry.describe_domain()
@@ -362,7 +397,10 @@
         self._send(Hello(content, members=members), [address])
 
     def _forward(self, data: bytes, failure_domain: str) -> None:
-        """Forward a message of another failure domain to all entries of this one."""
+        """Forward a message to all entries of this failure domain.
+
+        A message that comes from this failure domain itself is not forwarded.
+        """
         if failure_domain != self._failure_domain:
             self._send_bytes(data, self._neighbors.list_local())
 
--- a/figstep/net/log.py
+++ b/figstep/net/log.py
@@ -11,7 +11,7 @@
 from figstep.errors import LogTruncatedError, LogUnavailableError
 
 READ_LIMIT = 500
-"""Default for the most records that one read returns."""
+"""Default maximum number of records that one read returns."""
 
 
 class LogClient(ABC):
@@ -22,25 +22,28 @@
         """Append records and return the offset of the first.
 
         Raises:
-            LogUnavailableError: If there is no answer; the append may have taken
-                effect.
+            LogUnavailableError: If there is no answer or an answer other than success;
+                the append may have taken effect.
         """
 
     @abstractmethod
     async def read(
         self, stream: str, start: int, wait: int = 0, limit: int = READ_LIMIT
     ) -> list[LogRecord]:
-        """Return records from offset ``start`` on, waiting up to ``wait`` ms.
+        """Return the records from offset ``start`` on, in order.
+
+        If there are none yet, the read waits for one. The result is empty if none is
+        appended during the wait.
 
         Args:
             stream: Name of the stream.
             start: Offset of the first record.
             wait: Longest wait for a record, in milliseconds.
-            limit: Most records returned.
+            limit: Maximum number of records to return.
 
         Raises:
-            LogUnavailableError: If there is no answer.
-            LogTruncatedError: If the records at ``start`` have expired.
+            LogUnavailableError: If there is no answer or an answer other than success.
+            LogTruncatedError: If the record at ``start`` has expired.
         """
 
     @abstractmethod
@@ -49,7 +52,7 @@
 
 
 class MemoryLog(LogClient):
-    """Log in memory, for tests.
+    """Log in memory, for tests. The time of all records is 0.
 
     Attributes:
         streams: Records of each stream.
@@ -102,7 +105,8 @@
 class HttpLog(LogClient):
     """Client of the platform's log service over HTTP.
 
-    A call is abandoned after ``timeout`` seconds, in addition to a read's wait.
+    An append times out after ``timeout`` seconds, a read after ``timeout`` seconds and
+    the time that it waits for records.
     """
 
     def __init__(self, base_url: str, timeout: float = 5.0) -> None:
--- a/figstep/net/messages.py
+++ b/figstep/net/messages.py
@@ -28,7 +28,7 @@
 """Length to which the HMAC-SHA256 of a message is truncated, in bytes."""
 
 MAX_RECORD_BYTES = 64 * 1024 * 1024
-"""Largest answer with a snapshot record, and largest decompressed record, in bytes."""
+"""Maximum size of a checkpoint answer and of a decompressed record, in bytes."""
 
 _schema: Any = capnp.load(str(Path(__file__).with_name("peers.capnp")))
 
@@ -42,7 +42,10 @@
 
 
 class Keyring:
-    """The shared key, and an old key that is accepted during a key rotation."""
+    """The shared key, and an old key that is accepted during a key rotation.
+
+    Messages are signed with the shared key. An empty key is not accepted.
+    """
 
     def __init__(self, key: str, old_key: str = "") -> None:
         self._key = key.encode()
@@ -58,9 +61,11 @@
     def verify(self, kind: MessageKind, data: bytes) -> bytes:
         """Return the body of a message whose authentication code is valid.
 
+        The format version of the message is not checked.
+
         Raises:
-            PeerMessageError: If the message is malformed or not signed with an
-                accepted key.
+            PeerMessageError: If the message is malformed or was not signed as this kind
+                with an accepted key.
         """
         try:
             message = _schema.Signed.from_bytes_packed(data)
@@ -178,8 +183,8 @@
     """Return the snapshot record of an answer.
 
     Raises:
-        PeerMessageError: If the answer is malformed, too large or belongs to another
-            request.
+        PeerMessageError: If the answer is malformed or belongs to another request, or
+            if its record exceeds ``MAX_RECORD_BYTES`` after decompression.
     """
     try:
         message = _schema.CheckpointAnswer.from_bytes_packed(body)
--- a/figstep/net/neighbors.py
+++ b/figstep/net/neighbors.py
@@ -5,18 +5,20 @@
 from dataclasses import dataclass
 
 NEIGHBOR_EXPIRY_SECONDS = 30.0
-"""Time without messages and mentions after which an address is removed, in seconds."""
+"""Time after the last message or mention at which an address is removed, in seconds."""
 
 RECENT_SECONDS = 3.0
 """Time for which an entry counts as alive after a message or a mention, in seconds.
 
-A mention is a message of another entry that names the address.
+A mention is a message of another entry that names the address. An address that was
+just added counts as mentioned, whatever it was added from.
 """
 
 MAX_MEMBERS_PER_MESSAGE = 16
-"""Most addresses in a message.
+"""Maximum number of addresses in a message.
 
-Each message continues where the last one ended, so that all are sent within seconds.
+Each message with addresses continues where the last one ended, so that all are sent
+within some seconds.
 """
 
 
@@ -52,7 +54,7 @@
     failure_domain: str = ""
 
     def is_recent(self, now: float) -> bool:
-        """Return whether a message or mention is at most ``RECENT_SECONDS`` old."""
+        """Return whether a message or mention is newer than ``RECENT_SECONDS``."""
         return now - max(self.last_received, self.last_named) < RECENT_SECONDS
 
 
@@ -92,7 +94,7 @@
                 known.failure_domain = member.failure_domain
 
     def remove_expired(self, now: float) -> None:
-        """Remove addresses not received from or named for a long time."""
+        """Remove addresses without messages and mentions for the expiry time."""
         for address, neighbor in list(self._neighbors.items()):
             newest = max(neighbor.last_received, neighbor.last_named)
             if now - newest >= NEIGHBOR_EXPIRY_SECONDS:
@@ -135,7 +137,11 @@
         return picked
 
     def pick_members(self, now: float) -> tuple[Member, ...]:
-        """Return the next group of entries from which messages came recently."""
+        """Return the next group of entries to name in a message.
+
+        Only entries from which a message was received within ``RECENT_SECONDS`` are
+        named; all of them if they are at most ``MAX_MEMBERS_PER_MESSAGE``.
+        """
         recent = []
         for address, neighbor in self._neighbors.items():
             if now - neighbor.last_received < RECENT_SECONDS:
--- a/figstep/net/orders.py
+++ b/figstep/net/orders.py
@@ -1,4 +1,4 @@
-"""Edge that sends orders to engines."""
+"""Service that sends orders to engines."""
 
 import asyncio
 from collections.abc import Callable
@@ -65,12 +65,17 @@
             task.cancel()
 
     async def on_shutdown(self) -> None:
-        """Close the session, which the tasks use until they have ended."""
+        """Close the client session, after ``on_stop`` has cancelled its users."""
         if self._session is not None:
             await self._session.close()
 
     def send_order(self, effect: SendOrder) -> None:
-        """Send an order and dispatch its outcome as an event."""
+        """Start to send an order and dispatch ``OrderAnswered`` with its outcome.
+
+        The outcome is APPLIED for status 200, STALE for 409 and UNCERTAIN for any other
+        answer, for none, and if the order is not sent because its target is unknown or
+        the lease is over.
+        """
         task = asyncio.get_running_loop().create_task(self._send(effect))
         self._sending.add(task)
         task.add_done_callback(self._sending.discard)
--- a/figstep/net/peers.py
+++ b/figstep/net/peers.py
@@ -1,4 +1,4 @@
-"""Edge to other entries: gossip over UDP, checkpoints over TCP."""
+"""Service that exchanges gossip (UDP) and checkpoints (TCP) with other entries."""
 
 import asyncio
 import secrets
@@ -37,13 +37,13 @@
 """Timeout of a fetch of a checkpoint, on both sides, in seconds."""
 
 MAX_REQUEST_BYTES = 1_024
-"""Largest request for a checkpoint, in bytes."""
+"""Maximum size of a request for a checkpoint, in bytes."""
 
 MAX_SERVED_FETCHES = 4
-"""Most fetches that an entry serves at the same time."""
+"""Maximum number of fetches that an entry serves at the same time."""
 
 MAX_BIND_ATTEMPTS = 20
-"""Most attempts to find a port that is free for both UDP and TCP."""
+"""Maximum number of attempts to find a port that is free for both UDP and TCP."""
 
 WILDCARD_HOSTS = ("", "0.0.0.0", "::")
 """Listen addresses to which other entries cannot send."""
@@ -54,8 +54,8 @@
 
     Attributes:
         address: Own address, as "ip:port"; empty until the edge listens.
-        bytes_sent: Bytes sent in datagrams and answers.
-        bytes_received: Bytes received in datagrams and answers.
+        bytes_sent: Bytes sent in datagrams and checkpoint answers.
+        bytes_received: Bytes received in datagrams and checkpoint answers.
         rejected: Number of datagrams that were rejected.
     """
 
@@ -108,8 +108,12 @@
     async def _bind(self, host: str, port: int) -> int:
         """Bind UDP and TCP to the same port and return the port.
 
-        A port that the system picked for UDP may be in use for TCP; then another
-        one is tried, if ``port`` is 0.
+        If ``port`` is 0, the system picks a port for UDP. That port may be in use for
+        TCP; in this case another one is tried.
+
+        Raises:
+            OSError: If the port cannot be bound, or no port is free for both within
+                ``MAX_BIND_ATTEMPTS``.
         """
         loop = asyncio.get_running_loop()
         for attempt in range(MAX_BIND_ATTEMPTS):
@@ -129,7 +133,7 @@
         raise AssertionError("unreachable")
 
     async def on_stop(self) -> None:
-        """Cancel a running fetch and close the sockets."""
+        """Cancel a running fetch and close the UDP socket and the TCP listener."""
         if self._fetch is not None:
             self._fetch.cancel()
         if self._transport is not None:
@@ -138,7 +142,10 @@
             self._server.close()
 
     def send(self, address: str, gossip: Gossip) -> None:
-        """Send one datagram; later ones make up for a lost one."""
+        """Send one datagram to an address, as "ip:port", while the edge listens.
+
+        A datagram that is lost is not sent again; later ones hold newer content.
+        """
         if self._transport is None or self._transport.is_closing():
             return
         host, _, port = address.rpartition(":")
@@ -157,7 +164,13 @@
         self._dispatch(GossipReceived(gossip))
 
     def fetch(self, address: str) -> None:
-        """Fetch the checkpoint of a peer, unless a fetch is running."""
+        """Start to fetch the checkpoint of a peer, unless a fetch is running.
+
+        Success is dispatched as ``CheckpointOffered``; a failure is only logged.
+
+        Args:
+            address: Address of the peer, as "ip:port".
+        """
         if self._fetch is not None and not self._fetch.done():
             return
         loop = asyncio.get_running_loop()
@@ -234,7 +247,7 @@
 
 
 class _GossipProtocol(asyncio.DatagramProtocol):
-    """Passes datagrams to a handler."""
+    """Passes the payload of each datagram to a handler."""
 
     def __init__(self, handler: Callable[[bytes], None]) -> None:
         self._handler = handler
@@ -244,4 +257,7 @@
         self._handler(data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that a peer's port is closed; the peer is detected as silent."""
+        """Ignore an error of the socket, such as a peer's closed port.
+
+        A peer that cannot be reached is detected by its silence.
+        """
--- a/figstep/net/pools.py
+++ b/figstep/net/pools.py
@@ -12,7 +12,10 @@
 
 
 class Pool:
-    """Connections to one target; a retired pool closes when it is unused.
+    """Connections to one target.
+
+    A pool that is retired while in use closes when its last request ends. One that is
+    retired while unused closes with the table.
 
     Attributes:
         reused: Session whose connections are kept alive.
@@ -56,7 +59,7 @@
                 await pool.close()
 
     def replace(self, target: str) -> None:
-        """Use a new pool for later requests; open ones keep the old pool."""
+        """Use a new pool for later requests; requests in progress keep the old one."""
         pool = self._pools.pop(target, None)
         if pool is None:
             return
--- a/figstep/net/reports.py
+++ b/figstep/net/reports.py
@@ -22,11 +22,15 @@
 """
 
 MIN_ROUND_SECONDS = 0.5
-"""Shortest time between two requests to the same engine, in seconds."""
+"""Minimum duration of a round, which reads each engine once, in seconds."""
 
 
 class ReportEdge(Service):
-    """Reads the load reports of the watched engines in rounds."""
+    """Reads the load reports of the watched engines in rounds.
+
+    A report that is not received before the timeout or cannot be parsed is left out;
+    the engine is read again in the next round.
+    """
 
     def __init__(
         self,
@@ -87,8 +91,8 @@
         document: The decoded answer; missing fields get defaults.
 
     Raises:
-        ValueError: If a field has an invalid value.
-        TypeError: If the document or a field has the wrong type.
+        ValueError: If text in a number field is not a number.
+        TypeError: If the document is not an object or a field has the wrong type.
     """
     if not isinstance(document, dict):
         raise TypeError("a load report is one JSON object")
--- a/figstep/net/streams.py
+++ b/figstep/net/streams.py
@@ -1,4 +1,4 @@
-"""Edges for the streams of the log: followers and a batching appender."""
+"""Services that follow the streams of the log and append to them in batches."""
 
 import asyncio
 from collections.abc import Callable
@@ -28,8 +28,11 @@
 class StreamFollower(Service):
     """Reads one stream by long polls and passes its records on in order.
 
-    The follower pauses for ``read_delay`` seconds after a read that returned records,
-    so that later records are read together: one read costs as much as several records.
+    Records that the log has deleted are skipped. ``StreamUnavailable`` is dispatched
+    after each failed read, and ``StreamCaughtUp`` when the end of the stream is reached
+    for the first time and again after failed reads. After a read that returned records
+    the follower pauses for ``read_delay`` seconds, so that records appended meanwhile
+    are returned by one read instead of several.
     """
 
     def __init__(
@@ -53,7 +56,7 @@
         self._next = start
 
     def read_from(self, offset: int) -> None:
-        """Continue at ``offset``; the result of a running poll is discarded."""
+        """Continue at ``offset``; the records of a running read are discarded."""
         self._next = offset
 
     @Service.task
@@ -90,7 +93,10 @@
 
 
 class StreamAppender(Service):
-    """Appends records; pending ones of the same stream are sent as one batch."""
+    """Appends records, one batch at a time for each stream.
+
+    Records that are queued while a batch is sent form the next batch.
+    """
 
     def __init__(self, log: LogClient, dispatch: Callable[[Event], None]) -> None:
         super().__init__()
@@ -100,7 +106,7 @@
         self._senders: dict[str, asyncio.Task[None]] = {}
 
     async def on_stop(self) -> None:
-        """Cancel all appends that are not confirmed."""
+        """Cancel all appends that are queued or unanswered."""
         for task in self._senders.values():
             task.cancel()
 
@@ -110,7 +116,10 @@
         return not self._senders
 
     def append(self, effect: AppendRecords) -> None:
-        """Queue an append; its outcome is dispatched as an event."""
+        """Queue an append.
+
+        ``AppendConfirmed`` or ``AppendUncertain`` is dispatched as its outcome.
+        """
         self._waiting.setdefault(effect.stream, []).append(effect)
         if effect.stream in self._senders:
             return
--- a/figstep/net/targets.py
+++ b/figstep/net/targets.py
@@ -1,4 +1,4 @@
-"""Edge to targets: attempts, cancellations and probes."""
+"""Service that sends attempts, cancellations and probes to targets."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -36,7 +36,7 @@
 """Timeout of one attempt to deliver a cancellation, in seconds."""
 
 MAX_CANCEL_ATTEMPTS = 3
-"""Most attempts to deliver a cancellation."""
+"""Maximum number of attempts to deliver a cancellation."""
 
 PROBE_TIMEOUT = 2.0
 """Timeout of a probe's connection attempt, in seconds."""
@@ -45,12 +45,15 @@
 """Time to wait for the end of the body after the end marker, in seconds."""
 
 MAX_RECORDED_BODY = 1_024
-"""Largest body of a plain service's answer that is recorded for replay, in bytes."""
+"""Maximum size of a service's answer that is recorded for replay, in bytes."""
 
 _log = logbook.Logger("figstep.targets")
 
 _REFUSED_STATUSES = (429, 503)
-"""HTTP statuses by which a target refuses a request without running it."""
+"""HTTP statuses by which a target refuses a request, usually without running it.
+
+``ServiceInfo.refusals_not_run`` holds whether this is certain for a plain service.
+"""
 
 _DROPPED_HEADERS = {"transfer-encoding", "connection", "content-length", "date"}
 """Headers of a plain service's answer that are not passed on to the caller."""
@@ -79,7 +82,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def on_shutdown(self) -> None:
-        """Close the connections, which are in use until all tasks have ended."""
+        """Close the connections, after ``on_stop`` has ended the tasks on them."""
         await self._pools.close()
 
     def open_attempt(self, effect: OpenAttempt, exchange: Exchange) -> None:
@@ -105,11 +108,17 @@
         self._run_in_background(self._send_cancel(effect))
 
     def replace_pool(self, target: str) -> None:
-        """Use new connections for later requests to a target."""
+        """Use new connections for later requests to a target.
+
+        Requests in progress keep their connections.
+        """
         self._pools.replace(target)
 
     def probe_target(self, target: str) -> None:
-        """Start to check whether a target listens; dispatch TargetDown if not."""
+        """Start to probe a target; ``TargetDown`` is dispatched if it refuses.
+
+        Nothing is dispatched if the probe fails in another way or times out.
+        """
         self._run_in_background(self._probe(target))
 
     async def _probe(self, name: str) -> None:
@@ -120,7 +129,7 @@
         try:
             listens = await is_listening(url.host or "", url.port or 0, PROBE_TIMEOUT)
         except OSError as error:
-            # A failing link says nothing about the target.
+            # Whether the target listens is unknown if the link to it fails.
             _log.info("probe failed", extra={"target": name, "error": repr(error)})
             return
         if not listens:
@@ -232,9 +241,9 @@
             self._dispatch(AttemptLost(effect.attempt, Loss.CONNECT_FAILED))
             return
         async with self._pools.use(effect.target) as pool:
-            # A kept-alive connection may have broken unnoticed, and it would be
-            # unknown whether the call ran. A call that may run only once gets a
-            # new connection.
+            # If a kept-alive connection has broken unnoticed, it is unknown whether
+            # a call sent over it ran. A call that may run only once gets a new
+            # connection.
             session = pool.fresh if effect.once else pool.reused
             async with session.request(
                 exchange.method,
@@ -244,13 +253,12 @@
                 allow_redirects=False,
             ) as response:
                 body = await response.read()
-        # A 429, like a 503, means that the call did not run. If it were passed on
-        # and recorded, it would be replayed to every later request with the same
-        # key.
+        # If a 429 or 503 were passed on as the answer to a call that may run only
+        # once, it would be recorded and replayed to every later request with the
+        # same key.
         if response.status in (_REFUSED_STATUSES if effect.once else (503,)):
             # A proxy in front of the service may return these statuses after the
-            # call has run. Sending the call again would run it twice, such as an
-            # order of flour that is delivered twice.
+            # call has run; sending the call again would then run it twice.
             loss = Loss.REFUSED if target.refusals_not_run else Loss.FAILED
             retry_after = _read_retry_after(response)
             self._dispatch(AttemptLost(effect.attempt, loss, retry_after))
@@ -271,7 +279,8 @@
             return
         url = f"{target.address}/v1/generations/{effect.generation}"
         timeout = aiohttp.ClientTimeout(total=CANCEL_TIMEOUT)
-        # Without a cancellation the target generates the whole answer unread.
+        # Without a cancellation the target generates the whole answer, which
+        # nobody reads.
         for _ in range(MAX_CANCEL_ATTEMPTS):
             try:
                 async with self._pools.use(effect.target) as pool:
@@ -297,8 +306,9 @@
 
 
 async def _read_body_end(response: aiohttp.ClientResponse) -> None:
-    # The end of the body often arrives a moment after the end marker. If it is not
-    # read, the connection cannot be reused, and each answer costs a new one.
+    # The end of the body often arrives shortly after the end marker. A connection
+    # whose body is not read to its end cannot be reused, so that the next request
+    # would have to open a new one.
     with suppress(aiohttp.ClientError, TimeoutError):
         async with asyncio.timeout(BODY_END_TIMEOUT):
             while await response.content.readany():
