--- a/figstep/core/inventory.py
+++ b/figstep/core/inventory.py
@@ -28,8 +28,8 @@
         failure_domain: Name of the engine's failure domain.
         models: Names of the models that the engine may serve.
         kind: Type of the engine, as the operators name it.
-        speed: Decode speed, as a factor on the speed for which the assumed gaps
-            between tokens are given (``figstep.core.pacing``).
+        speed: Decode speed, as a multiple of the speed for which the assumed gaps
+            between tokens hold (``figstep.core.pacing``).
         memory_tokens: Cache memory, in tokens.
         max_running: Maximum number of generations that the engine decodes at once.
         resume: Whether a stream can be resumed by generation and index.
--- a/figstep/core/membership.py
+++ b/figstep/core/membership.py
@@ -53,7 +53,8 @@
 ACK_TIMEOUT = Millis(2_000)
 """Time after which an entry with an unacknowledged message is silent, in milliseconds.
 
-It is counted from the oldest periodic message to the entry since its last message.
+It is counted from the first periodic message to the entry after which no message of
+the entry has arrived.
 """
 SUSPECT_TIMEOUT = Millis(5_000)
 """Time that a suspected entry has to refute the suspicion, in milliseconds."""
@@ -253,7 +254,7 @@
 
 
 def _apply_news(state: State, news: MemberNews, now: Millis) -> bool:
-    """Apply a peer's news of an entry.
+    """Apply a peer's news of another entry or of this one.
 
     Returns:
         Whether the news is urgent: a known entry is leaving in its known
@@ -310,7 +311,7 @@
     unknown targets and of older incarnations are ignored.
 
     Returns:
-        Whether the mark was unknown to this entry and is now sent to peers.
+        Whether the mark is newly among those that are sent to peers.
     """
     target = state.targets.get(mark.target)
     if target is None or mark.incarnation < target.incarnation:
@@ -328,7 +329,7 @@
 
 
 def broadcast_leaving(state: State, target: str, now: Millis) -> list[Effect]:
-    """Announce to peers at once that ``target`` is leaving, unless that was done."""
+    """Announce to peers at once that ``target`` is leaving, if this is not yet done."""
     found = state.targets.get(target)
     if found is None or not found.leaving:
         return []
--- a/figstep/net/configuration.py
+++ b/figstep/net/configuration.py
@@ -50,7 +50,8 @@
 ) -> ConfigurationRead | SnapshotRead:
     """Convert a log record into an event.
 
-    A record that is invalid becomes an event that holds its problems.
+    An invalid record, including an invalid snapshot, becomes a ``ConfigurationRead``
+    that holds its problems.
 
     Args:
         record: The record of the configuration stream.
@@ -105,10 +106,12 @@
 def _build_document(model: _EditRecord, current: Checkpoint | None) -> dict[str, Any]:
     """Return the whole document of an edit.
 
-    The base of an edit that holds a whole document is checked by the core.
+    The base of an edit that holds a whole document is not checked here, but by
+    ``figstep.core.configuration``.
 
     Raises:
-        ChangeError: If the edit holds changes to a document that is not in force.
+        ChangeError: If the edit holds changes that are malformed, do not fit the
+            document in force or are to another document.
     """
     if model.document is not None:
         return model.document
@@ -126,7 +129,8 @@
 def parse_checkpoint(data: dict[str, Any]) -> Checkpoint:
     """Convert a decoded snapshot record into a checkpoint.
 
-    The inventory of the checkpoint is None if its document is invalid.
+    The inventory of the checkpoint is None if its document is invalid or this program
+    does not know its validation version.
 
     Raises:
         ValidationError: If the data is not a snapshot record.
--- a/figstep/net/connectors.py
+++ b/figstep/net/connectors.py
@@ -13,7 +13,7 @@
     """Reports an error for a body whose connection is reset.
 
     An answer without a length ends with its connection. aiohttp treats a reset as
-    such an end too, which would forward half an answer as a complete one.
+    such an end too, so that a part of an answer would be forwarded as a complete one.
     """
 
     def connection_lost(self, exc: BaseException | None) -> None:
--- a/figstep/net/keys.py
+++ b/figstep/net/keys.py
@@ -12,7 +12,7 @@
 
 
 class CustomerKeys:
-    """Customers of the inventory in force, indexed by the hash of their key."""
+    """Customers of the document in force, indexed by the hash of their key."""
 
     def __init__(self, read_inventory: Callable[[], Inventory | None]) -> None:
         self._read_inventory = read_inventory
@@ -23,8 +23,8 @@
         """Return the customer that a request belongs to.
 
         Raises:
-            RefusedError: If no configuration is in force, or the request has no key or
-                an unknown one.
+            RefusedError: If no document is in force, or the request has no key or an
+                unknown one.
         """
         self._refresh()
         scheme, _, key = headers.get("Authorization", "").partition(" ")
--- a/figstep/net/links.capnp
+++ b/figstep/net/links.capnp
@@ -1,5 +1,5 @@
 @0xd3a1f0c27be94415;
-# Messages between gateways. Members are added and never removed; a reader ignores
+# Messages between entries. Members are added and never removed; a reader ignores
 # members that it does not know.
 
 struct Hello {
@@ -46,13 +46,13 @@
 
 struct Load {
   target @0 :Text;
-  calls @1 :UInt32;
-  memory @2 :UInt32;
-  reading @3 :UInt32;
-  readRate @4 :Float32;      # 0 for unknown
+  calls @1 :UInt32;          # open attempts
+  memory @2 :UInt32;         # engine memory that they are expected to use, in tokens
+  reading @3 :UInt32;        # prompt tokens that the target has still to read
+  readRate @4 :Float32;      # prompt tokens a millisecond, 0 for unknown
   retired5 @5 :UInt16;       # no longer sent
   incoming @6 :UInt32;       # tokens that are being copied to the target
-  outgoing @7 :UInt32;
+  outgoing @7 :UInt32;       # tokens that are being copied from the target
 }
 
 struct Use {
@@ -70,9 +70,9 @@
   target @0 :Text;
   born @1 :Int64;            # Unix millisecond of the target's start
   named @2 :Bool;            # false: the target accepts any rate
-  rate @3 :Float64;          # requests a second, for all gateways together
+  rate @3 :Float64;          # requests a second, for all entries together
   age @4 :UInt32;            # milliseconds since the answer
-  turn @5 :UInt32;           # number of times that the rate was handed to other gateways
+  turn @5 :UInt32;           # number of times that the rate passed to other entries
 }
 
 struct Crash {
@@ -87,7 +87,7 @@
 }
 
 struct Copy {
-  # Records that a gateway sends to one that cannot read the store.
+  # Records that an entry sends to one that cannot read the store.
   configuration @0 :Data;    # the record as the operator wrote it
   position @1 :Int64;
   registrations @2 :List(Entry);
--- a/figstep/net/links.py
+++ b/figstep/net/links.py
@@ -36,7 +36,7 @@
 """Minimum time between two messages while nothing changes, in seconds.
 
 A peer counts as silent after ``PEER_TIMEOUT``, which is three of these intervals. One
-lost message is tolerated; after two lost ones in a row the next may be too late.
+lost message is tolerated; after two in a row the next may arrive after the timeout.
 """
 
 POLL_SECONDS = 0.1
@@ -210,7 +210,7 @@
             self._server.close()
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Set the addresses at which to look for other entries, as "ip:port"."""
+        """Set the addresses at which other entries may listen, as "ip:port"."""
         self._seeds = [seed for seed in seeds if seed != self._own]
 
     @property
--- a/figstep/net/listener.py
+++ b/figstep/net/listener.py
@@ -1,4 +1,4 @@
-"""Listener for callers: aiohttp's, with problem documents for malformed HTTP."""
+"""HTTP listener for callers that answers malformed HTTP with problem documents."""
 
 import asyncio
 import ssl
@@ -15,7 +15,7 @@
 _log = logbook.Logger("figstep.callers")
 
 SHUTDOWN_SECONDS = 1.0
-"""Time for which the listener waits for open requests when it closes, in seconds."""
+"""Maximum time that a closing listener waits for open requests, in seconds."""
 
 
 class _CallerProtocol(web.RequestHandler):
--- a/figstep/net/probes.py
+++ b/figstep/net/probes.py
@@ -9,13 +9,14 @@
     Args:
         host: IP address.
         port: Port.
-        seconds: Timeout of the connection attempt.
+        seconds: Timeout of the connection attempt, in seconds.
 
     Returns:
         False only if the connection was refused.
 
     Raises:
-        OSError: If the link fails or the timeout expires, so that neither is known.
+        OSError: If the attempt fails otherwise or times out, so that it is unknown
+            whether a process listens.
     """
     try:
         async with asyncio.timeout(seconds):
--- a/figstep/net/refusals.py
+++ b/figstep/net/refusals.py
@@ -36,7 +36,11 @@
 
 
 def build_status_problem(status: int) -> Problem:
-    """Return the problem of a request that the HTTP library rejected."""
+    """Return the problem of a request that aiohttp rejected with an HTTP status.
+
+    Raises:
+        ValueError: If the status is not a registered HTTP status.
+    """
     phrase = http.HTTPStatus(status).phrase
     detail = _DETAILS.get(status, f"{phrase}; mend the request and send it again")
     return Problem(status, phrase.lower().replace(" ", "_"), detail)
--- a/figstep/net/sessions.py
+++ b/figstep/net/sessions.py
@@ -40,7 +40,7 @@
 
     Args:
         connector: Connector that opens the connections of the session.
-        connect_seconds: Timeout of opening a connection.
+        connect_seconds: Timeout of opening a connection, in seconds.
         skip_auto_headers: Headers that aiohttp must not add by itself.
     """
     # Cookies are dropped: a cookie jar would send one customer's cookies with the
--- a/figstep/net/sockets.py
+++ b/figstep/net/sockets.py
@@ -6,9 +6,9 @@
 """Idle time of a connection before the first keep-alive probe, in seconds.
 
 After a network partition, or when a device on the path has lost the state of the
-connection, the connection would otherwise stay open forever while its reader waits.
-The keep-alive detects this within three seconds, without a request to the peer's
-program.
+connection, the connection would otherwise stay open without limit while its reader
+waits. The keep-alive detects this within three seconds and needs no answer of the
+peer's program.
 """
 
 KEEPALIVE_INTERVAL_SECONDS = 1
