--- a/figstep/account.py
+++ b/figstep/account.py
@@ -31,8 +31,8 @@
     """Times above which an answer counts as late.
 
     Attributes:
-        first: Longest time to a stream's first event, in milliseconds.
-        pause: Longest pause between two events of a stream, in milliseconds.
+        first: Maximum time to the first event, in milliseconds.
+        pause: Maximum pause between two events, in milliseconds.
     """
 
     first: int = 1_800
@@ -67,7 +67,8 @@
     Attributes:
         route: Route of the requests; "" if no line names it.
         outcome: Outcome of the requests.
-        cause: Cause of the outcome as far as it is logged; "" if there is none.
+        cause: Cause of the outcome as far as it is logged; "" if none is logged
+            and for outcomes that need none.
         requests: Number of requests.
         events: Number of events that were delivered for these requests.
     """
@@ -80,7 +81,10 @@
 
 
 def read_traces(lines: Iterable[str]) -> dict[str, RequestTrace]:
-    """Return the log lines of each request by its id; skip all other lines."""
+    """Return the log lines of each request by its id.
+
+    Lines without a JSON object, a message or a request id are skipped.
+    """
     traces: dict[str, RequestTrace] = defaultdict(RequestTrace)
     for line in lines:
         start = line.find("{")
@@ -105,7 +109,8 @@
     """Count requests by route, outcome and cause.
 
     Returns:
-        Rows sorted by route and outcome, then by descending number of requests.
+        Rows sorted by route, then alphabetically by the text of the outcome, then by
+        descending number of requests.
     """
     counts: Counter[tuple[str, Outcome, str]] = Counter()
     events: Counter[tuple[str, Outcome, str]] = Counter()
@@ -122,7 +127,7 @@
 
 
 def classify_request(trace: RequestTrace, limits: LatencyLimits) -> tuple[Outcome, str]:
-    """Return the outcome of a request and its cause."""
+    """Return the outcome of a request and its cause, or "" for no logged cause."""
     end = trace.find_last("request ended")
     if end is None:
         turned_away = trace.find_last("request turned away")
--- a/figstep/bench.py
+++ b/figstep/bench.py
@@ -33,7 +33,8 @@
         model: Name of the model.
         streams: Number of parallel streams.
         tokens: Length of each answer, in tokens.
-        gap: Requested time between two tokens of the token source, in milliseconds.
+        gap: Time between two tokens that is requested from a token source, in
+            milliseconds.
     """
 
     url: str
@@ -49,11 +50,13 @@
     """Results that the callers of a workload collect.
 
     Attributes:
-        tokens: Number of events received.
+        tokens: Number of token events received.
         requests: Number of complete answers.
         failures: Number of incomplete answers by reason.
-        first: Times to the first bytes of an answer, in milliseconds.
-        delays: Times from the target's write to the caller's read, in milliseconds.
+        first: Time from sending each request to the first bytes of its answer, in
+            milliseconds.
+        delays: Time from the target's write of each event with ``sent_ns`` to the
+            caller's read, in milliseconds.
     """
 
     tokens: int = 0
@@ -63,7 +66,7 @@
     delays: list[float] = field(default_factory=list)
 
     def clear(self) -> None:
-        """Reset all results, as at the end of a warm-up."""
+        """Reset all results."""
         self.tokens = self.requests = 0
         self.failures.clear()
         self.first.clear()
@@ -84,7 +87,10 @@
 
 
 class LoadGenerator:
-    """Keeps the streams of a workload open; a stream that ends is replaced."""
+    """Keeps the streams of a workload open; a stream that ends is replaced.
+
+    After an incomplete answer, the next request is sent 0.5 seconds later.
+    """
 
     def __init__(self, workload: Workload) -> None:
         self.workload = workload
--- a/figstep/load.py
+++ b/figstep/load.py
@@ -41,6 +41,8 @@
 class Lengths(_Model):
     """Distribution of answer lengths: short answers and a heavy tail of long ones.
 
+    Short lengths are exponentially distributed, long ones log-normally.
+
     Stand-in engines read the drawn length from the request body. A real engine
     ignores it and decides the length itself.
 
@@ -49,7 +51,7 @@
         short_mean: Mean length of short answers, in tokens.
         long_median: Median length of long answers, in tokens.
         long_sigma: Standard deviation of the logarithm of long lengths.
-        most: Largest length of an answer, in tokens.
+        most: Maximum length of an answer, in tokens.
     """
 
     short_part: float = Field(default=0.7, ge=0, le=1)
@@ -67,12 +69,13 @@
         model: Name of the requested model.
         customers: Customers that send requests.
         seconds: Duration for which requests are sent, in seconds.
-        rate: Mean number of requests a second (Poisson arrivals).
-        seed: Seed of arrivals, customers and lengths.
+        rate: Mean number of requests per second (Poisson arrivals).
+        seed: Seed of arrivals, customers and the lengths of prompts and answers.
         prompt_tokens: Mean length of a prompt, in tokens.
         lengths: Distribution of answer lengths.
-        returns: Largest number of reconnects of a caller whose stream broke.
-        timeout_seconds: Time after which a caller abandons a connection, in seconds.
+        returns: Maximum number of reconnects of a caller whose stream broke.
+        timeout_seconds: Maximum duration of one connection, after which the caller
+            abandons it, in seconds.
     """
 
     entries: tuple[str, ...] = Field(min_length=1)
@@ -108,7 +111,8 @@
     """Read and validate a scenario.
 
     Raises:
-        SettingsError: Names the file, each invalid field and its correction.
+        SettingsError: The file cannot be read or is not valid. The message names
+            the file, each invalid field and its correction.
     """
     try:
         return Scenario.model_validate(load_yaml(path))
@@ -181,7 +185,10 @@
     async def _read_stream(
         self, entry: str, arrival: Arrival, stream: StreamTimes, last_event: str
     ) -> str:
-        """Read a stream until it ends or breaks; return the id of the last event."""
+        """Read a stream until it ends or breaks; return the id of the last event.
+
+        If no event is read, ``last_event`` is returned unchanged.
+        """
         assert self._session is not None
         headers = {"Authorization": f"Bearer {arrival.customer.key}"}
         if last_event:
--- a/figstep/logs.py
+++ b/figstep/logs.py
@@ -11,9 +11,9 @@
 import orjson
 
 MAX_LINES_PER_SECOND = 400
-"""Maximum number of log lines a second. An entry at its share of the peak load writes
-some tens a second. Without a limit, a flood of refused requests would use up the
-processor for writing log lines."""
+"""Maximum number of log lines per second. An entry at its share of the peak load writes
+some tens of lines per second. Without a limit, a flood of refused requests would use up
+the processor for writing log lines."""
 
 
 class JsonLinesHandler(logbook.StreamHandler):  # type: ignore[misc]
@@ -34,15 +34,16 @@
 
 
 class BoundedLinesHandler(JsonLinesHandler):
-    """Log handler that limits the lines a second and never blocks on its output.
+    """Log handler that limits the lines per second and never blocks on its output.
 
     If the process that reads the logs stops reading, a blocking write would stall
-    this process and all of its callers. Lines over the limit, or that the pipe does
-    not accept, are dropped and counted; the next line that is written carries the
-    count as ``lines_left_out``.
+    this process and all of its callers. A line that meets a full pipe stays pending,
+    whole or in part. Later lines are dropped and counted until the pipe has accepted
+    the pending line, as are lines over the limit. The next line that is not dropped
+    carries the count as ``lines_left_out``.
 
     Attributes:
-        dropped_lines: Number of lines dropped since the last one written.
+        dropped_lines: Number of lines dropped since the last one that was not.
     """
 
     def __init__(
@@ -61,7 +62,10 @@
         self._unwritten = b""
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Write a record, or drop and count it."""
+        """Write a record or keep it pending; drop and count it over the limit.
+
+        A record is also dropped while an earlier line is pending.
+        """
         second = int(self._read_clock())
         if second != self._second:
             self._second = second
@@ -78,10 +82,10 @@
         self._flush_unwritten()
 
     def _flush_unwritten(self) -> bool:
-        """Write the pending bytes of a line.
+        """Write the pending bytes of a line; discard them if the pipe is closed.
 
         Returns:
-            False if the pipe is full and bytes are still pending.
+            False if the pipe is full and bytes are still pending, True otherwise.
         """
         while self._unwritten:
             try:
@@ -100,7 +104,7 @@
     """Write all log records to a stream, including those of the ``logging`` module.
 
     Args:
-        level: Lowest level that is written.
+        level: Name of the lowest level that is written, in any case.
         stream: Stream to write to; standard error if None.
     """
     handler = JsonLinesHandler(stream or sys.stderr, level=level.upper())
@@ -111,8 +115,10 @@
 def install_bounded_logs(level: str = "INFO") -> None:
     """Write log records to standard output, rate-limited and without blocking.
 
+    Records of the ``logging`` module are included.
+
     Args:
-        level: Lowest level that is written.
+        level: Name of the lowest level that is written, in any case.
     """
     handler = BoundedLinesHandler(sys.stdout.fileno(), level.upper())
     handler.push_application()
--- a/figstep/measures.py
+++ b/figstep/measures.py
@@ -9,15 +9,19 @@
 
 @dataclass(slots=True)
 class StreamTimes:
-    """Timestamps of one request as its caller observed them, in milliseconds.
+    """Timestamps of one request as its caller observed them.
+
+    All times are in milliseconds on one monotonic clock.
 
     Attributes:
         customer: Customer that sent the request.
         sent_at: Time at which the request was sent.
         tokens: Arrival time of each token event.
-        ended: Time at which the answer ended, or None if it did not end.
+        ended: Time at which the caller had read the answer or abandoned the request,
+            or None before that.
         whole: Whether the answer was complete.
-        refused: Code of the problem that ended the request, or "".
+        refused: Code of the problem that ended the request, or "". A request with a
+            complete answer has none.
     """
 
     customer: str
@@ -47,7 +51,8 @@
         refused: Number of requests that ended with a problem.
         broken: Number of requests with neither a complete answer nor a problem.
         tokens: Number of token events received.
-        stall_sum: Sum of the stall times of all streams.
+        stall_sum: Sum of the stall times of all streams. A stream's stall time
+            includes the wait for its first token.
         stall_p99: 99th percentile over streams of the stall time per stream.
         first_token_p95: 95th percentile of the time to the first token.
         gap_p50: Median gap between tokens.
@@ -74,7 +79,12 @@
 
 
 def find_percentile(values: Iterable[float], percent: float) -> float:
-    """Return the percentile of values by the nearest-rank method; 0 for no values."""
+    """Return a percentile of values by the nearest-rank method; 0 for no values.
+
+    Args:
+        values: Values in any order.
+        percent: Rank of the result in percent of the number of values, from 0 to 100.
+    """
     ordered = sorted(values)
     if not ordered:
         return 0.0
@@ -83,7 +93,11 @@
 
 
 def sum_stalls(stream: StreamTimes) -> float:
-    """Return the total stall time of a stream, in milliseconds."""
+    """Return the total stall time of a stream, in milliseconds.
+
+    Each wait above ``STALL_THRESHOLD_MS`` counts in full, including the wait for the
+    first token.
+    """
     return sum(wait for wait in stream.list_waits() if wait > STALL_THRESHOLD_MS)
 
 
--- a/figstep/metrics.py
+++ b/figstep/metrics.py
@@ -10,11 +10,11 @@
 
     @abstractmethod
     def count(self, name: str, value: int = 1) -> None:
-        """Add to a counter."""
+        """Add ``value`` to a counter."""
 
     @abstractmethod
     def gauge(self, name: str, value: float) -> None:
-        """Set a gauge."""
+        """Set a gauge to ``value``."""
 
     @abstractmethod
     def time(self, name: str, millis: float) -> None:
@@ -30,11 +30,11 @@
         self._client = statsd.StatsClient(host, port, prefix=prefix)
 
     def count(self, name: str, value: int = 1) -> None:
-        """Add to a counter."""
+        """Add ``value`` to a counter."""
         self._client.incr(name, value)
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a gauge."""
+        """Set a gauge to ``value``."""
         self._client.gauge(name, value)
 
     def time(self, name: str, millis: float) -> None:
@@ -50,11 +50,11 @@
         self.gauges: dict[str, float] = {}
 
     def count(self, name: str, value: int = 1) -> None:
-        """Add to a counter."""
+        """Add ``value`` to a counter."""
         self.counters[name] = self.counters.get(name, 0) + value
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a gauge."""
+        """Set a gauge to ``value``."""
         self.gauges[name] = value
 
     def time(self, name: str, millis: float) -> None:
