--- a/figstep/audit.py
+++ b/figstep/audit.py
@@ -19,7 +19,7 @@
 
     Attributes:
         offset: Offset of the edit's record in the log.
-        time: When the log stored the record, in milliseconds since the epoch.
+        time: When the log stored the record, in milliseconds since the Unix epoch.
         edit: Unique id of the edit.
         author: Author of the edit.
         reason: Reason that the author gave.
@@ -27,7 +27,8 @@
         verdict: "accepted", "refused" or "unknown".
         rule: Name of the rule by which the edit was refused, or "".
         why: Explanation of a refused or unknown verdict, or "".
-        changes: Changes against the document that was in force before the edit.
+        changes: Changes against the document that was in force before the edit;
+            empty if the verdict is "unknown".
     """
 
     offset: int
@@ -69,11 +70,14 @@
 
     @property
     def next(self) -> int:
-        """Offset of the next record to read."""
+        """Offset of the next record to read; 0 before the first one."""
         return self._records[-1].offset + 1 if self._records else 0
 
     def add(self, records: list[LogRecord]) -> None:
-        """Apply the next records of the configuration stream, in order."""
+        """Apply the next records of the configuration stream, in order.
+
+        Earlier records are applied again if the reducer requests it.
+        """
         index = len(self._records)
         self._records += records
         while index < len(self._records):
--- a/figstep/checker.py
+++ b/figstep/checker.py
@@ -38,7 +38,8 @@
         ended: Whether the answer was complete; for a stream, whether its end marker
             was received.
         problem: Code of the problem, or "".
-        ran: Whether the request ran according to the problem, or None.
+        ran: Whether the request ran according to the problem, or None if the
+            problem does not say.
     """
 
     status: int
@@ -112,7 +113,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OutOfOrder:
-    """A caller received event ``index`` where ``expected`` was next."""
+    """A caller received an event out of order.
+
+    Attributes:
+        tag: Tag of the caller's request.
+        expected: Index that was expected next.
+        index: Index of the event that was received.
+    """
 
     tag: str
     expected: int
@@ -144,7 +151,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Truncated:
-    """An answer was marked complete without ending at the last token."""
+    """A stream was marked complete, but its last event is not the only last token.
+
+    Attributes:
+        tag: Tag of the caller's request.
+        events: Number of events received.
+    """
 
     tag: str
     events: int
@@ -152,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Misdelivered:
-    """A caller received the answer to another request, or to none.
+    """A caller received the answer to another or to an unknown request.
 
     Attributes:
         tag: Tag of the caller's request.
@@ -173,7 +185,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RanAgain:
-    """A non-idempotent request was executed more than once."""
+    """A non-idempotent request was executed more than once.
+
+    Attributes:
+        identity: Idempotency key of the request.
+        targets: Name of the target of each execution.
+    """
 
     identity: str
     targets: tuple[str, ...]
--- a/figstep/cli.py
+++ b/figstep/cli.py
@@ -45,7 +45,10 @@
 
 @app.command()
 def demo(hold: bool = False) -> None:
-    """Run stand-ins and entries in one process and stream an answer."""
+    """Run stand-ins and entries in one process and stream an answer.
+
+    With --hold, stream nothing and keep them running until SIGTERM or SIGINT.
+    """
     install_logs("WARNING")
     if hold:
         uvloop.run(demonstration.hold_demo())
@@ -110,7 +113,10 @@
     timeout: float = 30.0,
     end: Annotated[bool, typer.Option("--end", help="End the drain.")] = False,
 ) -> None:
-    """Publish that a target gets no new work; requests that run there continue."""
+    """Publish that a target gets no new work, or with --end that it does again.
+
+    Requests that run on the target continue.
+    """
     author = author or getpass.getuser()
     offset = operations.run_with_log(
         log,
@@ -133,7 +139,11 @@
     timeout: float = 30.0,
     undo: Annotated[bool, typer.Option("--undo", help="End the evacuation.")] = False,
 ) -> None:
-    """Publish that a domain's targets get no new work; requests there continue."""
+    """Publish that a failure domain's targets get no new work, or undo it.
+
+    Requests that run in the failure domain continue. With --undo, its targets get
+    new work again.
+    """
     author = author or getpass.getuser()
     offset = operations.run_with_log(
         log,
@@ -319,7 +329,7 @@
 
 @app.command()
 def cost() -> None:
-    """Measure the reducer's time per event by number of targets and requests."""
+    """Measure the reducer's time per event, by number of targets and requests."""
     costs = []
     for targets, requests in itertools.product(TARGETS, REQUESTS):
         costs.append(measure_cost(targets, requests))
@@ -341,7 +351,7 @@
 
 @app.command()
 def plot(results: list[Path], output: Annotated[Path, typer.Option()]) -> None:
-    """Draw the latency and preemption measures of result files."""
+    """Draw the stall, preemption and token gap measures of result files."""
     draw_measures(read_results(results), output)
 
 
@@ -351,7 +361,7 @@
     first: Annotated[int, typer.Option(help="Latest first event, ms.")] = 1_800,
     pause: Annotated[int, typer.Option(help="Longest pause, ms.")] = 180,
 ) -> None:
-    """Summarize from logs which requests were lost, late or refused, and why."""
+    """Count the requests in logs of entries by route, outcome and cause."""
     traces: dict[str, accounts.RequestTrace] = {}
     for log in logs:
         with log.open(errors="replace") as lines:
--- a/figstep/demo.py
+++ b/figstep/demo.py
@@ -25,7 +25,7 @@
 MODEL = "langar-8b"
 # Time between two tokens of each engine, in seconds.
 ENGINE_TOKEN_GAPS = (0.01, 0.02, 0.04)
-# Interval at which the start checks whether the inventory is in force.
+# Interval at which ``run_deployment`` checks whether the inventory is in force.
 READY_POLL_SECONDS = 0.02
 
 
@@ -156,7 +156,7 @@
 
 
 async def show_demo() -> None:
-    """Publish an inventory, stream one answer and print which target served it."""
+    """Publish an inventory, stream and print one answer, and name its target."""
     async with run_deployment() as deployment:
         print(f"published inventory at offset {deployment.offset}")
         url = deployment.entries[0].callers.address
@@ -189,7 +189,10 @@
 
 
 async def hold_demo() -> None:
-    """Run the demo until SIGTERM or SIGINT; print addresses, a key and ``ready``."""
+    """Run the demo until SIGTERM or SIGINT.
+
+    Prints the addresses of the entries, the customer's key and ``ready`` first.
+    """
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/figstep/errors.py
+++ b/figstep/errors.py
@@ -20,7 +20,7 @@
 
 
 class LogUnavailableError(FigstepError):
-    """The log service gave no answer; an append may still have taken effect."""
+    """The log service gave no valid answer; an append may have taken effect."""
 
 
 class LogTruncatedError(FigstepError):
@@ -36,7 +36,10 @@
 
 
 class PublishRefusedError(FigstepError):
-    """The log holds the edit, but the configuration rules refuse it."""
+    """The configuration rules refuse an edit, or this program cannot check it.
+
+    In the first case the log holds the edit; in the second nothing was appended.
+    """
 
 
 class FrameError(FigstepError):
@@ -44,7 +47,7 @@
 
 
 class PublishUncertainError(FigstepError):
-    """An append got no answer, and its record was not found before the deadline."""
+    """An edit was not found in the log before the deadline; it may appear later."""
 
 
 class NotInForceError(FigstepError):
@@ -52,7 +55,7 @@
 
 
 class InstancesUnavailableError(FigstepError):
-    """The platform's instance list gave no answer."""
+    """The platform's instance list gave no valid answer."""
 
 
 class UnknownTargetError(FigstepError):
--- a/figstep/operations.py
+++ b/figstep/operations.py
@@ -44,13 +44,13 @@
 
 T = TypeVar("T")
 
-# Longest time to look for an appended edit in the log.
+# Maximum time to look for an appended edit in the log.
 READ_BACK_TIMEOUT_SECONDS = 30.0
 # Interval between two reads of the log while looking for an appended edit.
 READ_BACK_INTERVAL_SECONDS = 0.5
 # Interval between two rounds of status queries while waiting for an edit.
 STATUS_POLL_INTERVAL_SECONDS = 0.1
-# Longest time for one query of an entry's status or of the instance list.
+# Maximum time for one query of an entry's status or of the instance list, in seconds.
 STATUS_TIMEOUT = aiohttp.ClientTimeout(total=2.0)
 
 
@@ -61,7 +61,8 @@
     Attributes:
         name: Name of the entry.
         address: Base URL of the entry.
-        status: Document from ``GET /status``, or None if the entry did not answer.
+        status: Document from ``GET /status``, or None if the entry gave no valid
+            answer.
     """
 
     name: str
@@ -70,7 +71,10 @@
 
     @property
     def offset(self) -> int | None:
-        """Offset of the document in force on this entry; None if unknown."""
+        """Offset of the document in force on this entry.
+
+        It is -1 if no document is in force, and None if the entry did not answer.
+        """
         return None if self.status is None else self.status["configuration_offset"]
 
 
@@ -109,6 +113,9 @@
 
     Returns:
         The reader, or a new one if the log deleted records that were not read yet.
+
+    Raises:
+        LogUnavailableError: The log could not be read.
     """
     start = reader.next
     while True:
@@ -124,7 +131,11 @@
 
 
 async def read_history(log: LogClient) -> Trail:
-    """Return the audit trail and the document in force."""
+    """Return the audit trail and the document in force.
+
+    Raises:
+        LogUnavailableError: The log could not be read.
+    """
     return (await follow_trail(log, TrailReader())).trail
 
 
@@ -137,13 +148,21 @@
 ) -> int:
     """Append a document to the log and return its offset once it is accepted.
 
+    Args:
+        log: Client of the log service.
+        document: Inventory document.
+        author: Author of the edit.
+        reason: Reason for the edit.
+        read_back_timeout: Maximum time to look for the appended edit in the log, in
+            seconds.
+
     Raises:
         InventoryError: The document is not valid; nothing was appended.
         LogUnavailableError: The log could not be read; nothing was appended.
         PublishRefusedError: The edit is refused, for example because another edit
             was accepted first, or this program cannot evaluate the log.
-        PublishUncertainError: The append got no answer and the edit was not found
-            in the log before the deadline; the append is not repeated.
+        PublishUncertainError: The edit was not found in the log before the deadline;
+            the append is not repeated.
     """
     parse_inventory(document)
     reader = await follow_trail(log, TrailReader())
@@ -165,10 +184,18 @@
 ) -> int:
     """Append an edit that is based on the reader's trail and return its offset.
 
+    Args:
+        log: Client of the log service.
+        reader: Reader that has read the configuration stream to its end.
+        edit: Edit to append.
+        read_back_timeout: Maximum time to look for the appended edit in the log, in
+            seconds.
+
     Raises:
-        LogUnavailableError: See ``publish_document``.
-        PublishRefusedError: See ``publish_document``.
-        PublishUncertainError: See ``publish_document``.
+        PublishRefusedError: The edit is refused, for example because another edit
+            was accepted first, or this program cannot evaluate the log.
+        PublishUncertainError: The edit was not found in the log before the deadline;
+            the append is not repeated.
     """
     trail = reader.trail
     if trail.stalled:
@@ -189,8 +216,9 @@
         await log.append(CONFIGURATION, [record])
     except LogUnavailableError:
         # The append may have taken effect although its answer was lost. Repeating
-        # it would add a second edit to the audit trail, which would be reported as
-        # refused although the first one was accepted. So the log is read instead.
+        # the append would add a second edit to the audit trail, which would be
+        # reported as refused although the first one was accepted. So the log is
+        # read instead.
         pass
     entry = await _read_back(log, reader, name, read_back_timeout)
     if entry.verdict != "accepted":
@@ -201,8 +229,8 @@
 def _encode_content(trail: Trail, document: dict[str, Any]) -> dict[str, Any]:
     """Return the changes against the document in force, or the whole document.
 
-    Every entry reads each record. With some thousand customers, sending the whole
-    document with each edit would exceed an entry's budget for control traffic.
+    Every entry reads each record. With some thousands of customers, sending the
+    whole document with each edit would exceed an entry's budget for control traffic.
     """
     if trail.current is None:
         return {"document": document}
@@ -249,8 +277,12 @@
         Offset of the accepted edit.
 
     Raises:
-        UnknownTargetError: The document has no such target.
-        PublishRefusedError: Another edit was accepted first.
+        UnknownTargetError: The document in force has no such target.
+        InventoryError: The changed document is not valid; nothing was appended.
+        LogUnavailableError: The log could not be read; nothing was appended.
+        PublishRefusedError: The edit is refused, for example because another edit
+            was accepted first, or this program cannot evaluate the log.
+        PublishUncertainError: The edit was not found in the log before the deadline.
     """
     reader, document = await _read_document(log)
     targets = [*document.get("engines", []), *document.get("services", [])]
@@ -279,8 +311,12 @@
         Offset of the accepted edit.
 
     Raises:
-        UnknownTargetError: The document has no such failure domain.
-        PublishRefusedError: Another edit was accepted first.
+        UnknownTargetError: The document in force has no such failure domain.
+        InventoryError: The changed document is not valid; nothing was appended.
+        LogUnavailableError: The log could not be read; nothing was appended.
+        PublishRefusedError: The edit is refused, for example because another edit
+            was accepted first, or this program cannot evaluate the log.
+        PublishUncertainError: The edit was not found in the log before the deadline.
     """
     reader, document = await _read_document(log)
     if domain not in {item["name"] for item in document.get("failure_domains", [])}:
@@ -362,7 +398,7 @@
 
 
 async def read_status(instances_url: str) -> list[EntryStatus]:
-    """Query the status of every live entry.
+    """Query the status of every listed entry that is not leaving.
 
     Raises:
         InstancesUnavailableError: The instance list gave no valid answer.
@@ -399,15 +435,16 @@
     Args:
         instances_url: Base URL of the instance list.
         offset: Offset of the accepted edit.
-        seconds: Longest time to wait, in seconds.
+        seconds: Maximum time to wait, in seconds.
         required_entries: Number of entries that must show the offset or a later one;
-            all live entries if None.
+            all listed entries that are not leaving if None or 0.
 
     Returns:
         Number of entries that show the offset or a later one.
 
     Raises:
-        NotInForceError: The time ran out; the message names the entries that lag.
+        NotInForceError: The time ran out; the message names each entry that shows
+            an earlier offset or did not answer.
         InstancesUnavailableError: The instance list gave no valid answer.
     """
     deadline = time.monotonic() + seconds
