--- a/figstep/application.py
+++ b/figstep/application.py
@@ -68,13 +68,13 @@
 
 _log = logbook.Logger("figstep")
 
-# Largest number of configuration records in one read. A document of a large fleet
+# Maximum number of configuration records in one read. A document of a large fleet
 # is large and slow to parse: an entry that read all kept records at once after its
 # start would block its event loop and use much memory.
 MAX_DOCUMENTS_PER_READ = 4
 # Interval at which a drain checks whether requests and unsent bytes are left.
 DRAIN_POLL_SECONDS = 0.05
-# Longest time that a forced stop waits until its error answers are sent.
+# Maximum time that a forced stop waits until its error answers are sent.
 FORCED_STOP_TIMEOUT_SECONDS = 2.0
 # Pause between reads of the lease stream, so that one read returns several records.
 LEASES_READ_DELAY_SECONDS = 2.0
@@ -83,8 +83,9 @@
 class Application(Service):
     """One entry instance.
 
-    Events are reduced one at a time. Their effects run immediately; events caused by
-    an effect are queued, so that no event is reduced while another one is.
+    The reducer handles one event at a time, and the effects that it returns run
+    immediately. Events that arise while an event or its effects are handled are
+    queued until all of these effects have run.
     """
 
     def __init__(
@@ -179,30 +180,36 @@
         await self._log_client.close()
 
     async def drain(self) -> None:
-        """Shut down gracefully: become unready, then finish every open request."""
+        """Shut down gracefully: become unready, then finish every open request.
+
+        New requests are still accepted for ``notice_seconds``. There is no time
+        limit for open requests. Once all of them have ended, unsent bytes of their
+        answers are awaited for at most ``stalled_seconds``.
+        """
         self.callers.ready = False
         await asyncio.sleep(self.settings.notice_seconds)
         self.dispatch(ShutdownRequested())
         # If the outcome of a claim is not written to the log, its caller and any
-        # duplicate of the request get "unknown" for ever.
+        # duplicate of the request are answered "unknown" permanently.
         while self._is_busy():
             await asyncio.sleep(DRAIN_POLL_SECONDS)
         await self._flush_answers()
 
     async def _flush_answers(self) -> None:
         # Bytes of an answer may still be in the send buffer, and are lost when the
-        # process exits. The timeout keeps a caller that reads nothing from
-        # blocking the exit for ever.
+        # process exits. Without the timeout, a caller that reads nothing would
+        # block the exit indefinitely.
         with suppress(TimeoutError):
             async with asyncio.timeout(self.settings.limits.stalled_seconds):
                 while self.callers.unsent_bytes:
                     await asyncio.sleep(DRAIN_POLL_SECONDS)
 
     async def force_stop(self) -> None:
-        """End every open request with a typed error, without cancelling its stream.
+        """End every open request with a typed error.
 
-        Generations continue at their targets for a limited time, so that callers
-        can reconnect to another entry for the rest of a stream.
+        Streams are not cancelled at their targets, so that their callers can resume
+        them through another entry; all other requests are cancelled there. The error
+        answers are awaited for at most ``FORCED_STOP_TIMEOUT_SECONDS``.
         """
         self.callers.ready = False
         self.dispatch(ShutdownForced())
@@ -288,7 +295,7 @@
         }
 
     def dispatch(self, event: Event) -> None:
-        """Reduce an event and run its effects, or queue it while another is reduced."""
+        """Reduce an event and run its effects, or queue it while another is handled."""
         self._events.append(event)
         if self._reducing:
             return
--- a/figstep/inventory.py
+++ b/figstep/inventory.py
@@ -30,7 +30,10 @@
 
 
 class InstanceModel(_Model):
-    """A machine that the asset register lists, as an entry or a target."""
+    """A machine that the asset register lists, as an entry or a target.
+
+    ``size`` is the size class, as the operators name it.
+    """
 
     name: str = Name
     kind: Literal["entry", "target"] = "target"
@@ -108,14 +111,14 @@
 
 
 class DrainModel(_Model):
-    """A draining target, which gets no new work."""
+    """Mark that drains one target: it gets no new work."""
 
     target: str
     reason: str = ""
 
 
 class EvacuationModel(_Model):
-    """An evacuated failure domain, whose targets get no new work."""
+    """Mark that evacuates one failure domain: its targets get no new work."""
 
     failure_domain: str
     reason: str = ""
@@ -214,7 +217,7 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the SHA-256 hash of a customer's key, in hexadecimal."""
+    """Return the SHA-256 hash of a customer's UTF-8 key, in hexadecimal."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -230,10 +233,12 @@
     """Validate a document by the rules of a validation version.
 
     Returns:
-        The inventory, or None if this program does not know the version.
+        The inventory, or None if this program does not know the version of the
+        rules; the document is not checked then.
 
     Raises:
-        InventoryError: Names each invalid field and its correction.
+        InventoryError: The document is not valid, or has fields that the version
+            does not know. The message names each invalid field and its correction.
     """
     if not 1 <= validation <= VALIDATION:
         return None
@@ -249,7 +254,8 @@
     """Validate a document and convert it to data classes.
 
     Raises:
-        InventoryError: Names each invalid field and its correction.
+        InventoryError: The document is not valid. The message names each invalid
+            field and its correction.
     """
     try:
         model = InventoryModel.model_validate(document)
--- a/figstep/plots.py
+++ b/figstep/plots.py
@@ -31,8 +31,8 @@
     """Draw one bar chart per measure, with a bar for each run.
 
     Args:
-        runs: Runs with a ``label`` and their measures. Only measures of the first
-            run are drawn.
+        runs: At least one run, each with a ``label`` and its measures. Only measures
+            that the first run has are drawn; a run without one of them counts as 0.
         path: Path of the image; its suffix selects the format.
 
     Raises:
--- a/figstep/problems.py
+++ b/figstep/problems.py
@@ -42,7 +42,10 @@
 
 
 def build_headers(problem: Problem) -> dict[str, str]:
-    """Return the headers of a problem response."""
+    """Return the headers of a problem response.
+
+    ``Retry-After`` is in whole seconds, rounded up.
+    """
     headers = {"Content-Type": CONTENT_TYPE}
     if problem.retry_after is not None:
         headers["Retry-After"] = str(math.ceil(problem.retry_after / 1000))
--- a/figstep/reporting.py
+++ b/figstep/reporting.py
@@ -26,7 +26,7 @@
         queued: Number of requests that wait for a target.
         streams: Number of open streams to callers.
         targets: Number of known targets.
-        leaving: Number of targets that accept no new work.
+        leaving: Number of known targets that accept no new work.
         configuration_offset: Offset of the document in force; -1 if there is none.
     """
 
@@ -62,7 +62,8 @@
     Args:
         metrics: Receiver of the gauges.
         load: Current load of the entry.
-        lag: Delay with which the event loop ran a timer, in seconds.
+        lag: Delay with which the event loop ran a timer, in seconds. The gauge is
+            in milliseconds.
     """
     metrics.gauge("requests.open", load.requests)
     metrics.gauge("requests.queued", load.queued)
--- a/figstep/server.py
+++ b/figstep/server.py
@@ -10,7 +10,7 @@
 from figstep.logs import install_logs
 from figstep.settings import Settings
 
-# Exit code after a graceful shutdown that finished every request.
+# Exit code after a graceful shutdown, which waits until every request has ended.
 EXIT_DRAINED = 0
 # Exit code after a second signal, which ends open requests with an error.
 EXIT_FORCED = 3
@@ -22,7 +22,7 @@
     """Serve until SIGTERM or SIGINT, then drain; a second signal forces the stop.
 
     Returns:
-        ``EXIT_DRAINED`` if every request ended normally, or
+        ``EXIT_DRAINED`` if every request had ended before a second signal, or
         ``EXIT_FORCED`` after a second signal.
     """
     signals: asyncio.Queue[int] = asyncio.Queue()
--- a/figstep/settings.py
+++ b/figstep/settings.py
@@ -35,8 +35,8 @@
     Attributes:
         log: The log service.
         instances: The instance list.
-        weights: The weight store, or None.
-        log_retention_seconds: Shortest time that the log keeps a record.
+        weights: The weight store, or None; no code reads this setting.
+        log_retention_seconds: Minimum time that the log keeps a record, in seconds.
     """
 
     log: BaseUrl
@@ -52,7 +52,7 @@
         listen: UDP and TCP address for peers.
         start: Addresses of entries to contact at start, as "host:port".
         key: Shared key that authenticates messages.
-        old_key: Second key, accepted while keys are rotated.
+        old_key: Second key that is accepted while keys are rotated; "" for none.
     """
 
     listen: Listen = Listen()
@@ -65,20 +65,21 @@
     """Limits on requests, answers and connections of callers.
 
     Attributes:
-        body_bytes: Largest request body, in bytes.
-        header_bytes: Largest size of the request line and headers, in bytes.
-        headers: Largest number of headers in a request.
-        body_seconds: Longest time for receiving a request body, in seconds.
-        idle_seconds: Longest time that a connection may be idle, and longest time
+        body_bytes: Maximum size of a request body, in bytes.
+        header_bytes: Maximum size of the request line, and of each header, in bytes.
+        headers: Maximum number of headers in a request.
+        body_seconds: Maximum time for receiving a request body, in seconds.
+        idle_seconds: Maximum time that a connection may be idle, and maximum time
             for receiving the headers of a request, in seconds.
-        deadline_ms: Longest deadline that a caller may request, in milliseconds.
-        resume_grace_seconds: Longest time that a generation may continue after its
-            caller disconnected, if the caller asked for it, in seconds.
-        buffer_bytes: Largest number of unsent bytes of a stream.
-        answer_bytes: Largest answer that is collected for a caller that does not
-            stream, in bytes.
+        deadline_ms: Maximum deadline that a caller may request, in milliseconds.
+        resume_grace_seconds: Maximum time that a generation may continue after its
+            caller disconnected, if the caller requested that, in seconds.
+        buffer_bytes: Maximum number of unsent bytes of a stream.
+        answer_bytes: Maximum size of an answer that is collected for a caller that
+            does not stream, in bytes.
         keep_alive_seconds: Interval of comments on an idle stream, in seconds.
-        stalled_seconds: Longest time that a caller may read nothing, in seconds.
+        stalled_seconds: Maximum time that a caller may leave the bytes of a stream
+            unread, in seconds; its connection is aborted then.
     """
 
     body_bytes: int = Field(default=1_048_576, gt=0)
@@ -114,7 +115,7 @@
     Attributes:
         node: Name of this instance.
         failure_domain: Failure domain of this instance.
-        region: Region of this instance.
+        region: Region of this instance; no code reads this setting.
         callers: Address on which callers connect.
         platform: Addresses of the platform's services.
         peers: Addresses and keys for other entries.
@@ -169,7 +170,8 @@
     """Read and validate a settings file.
 
     Raises:
-        SettingsError: Names the file, each invalid field and its correction.
+        SettingsError: The file cannot be read or is not valid. The message names
+            the file, each invalid field and its correction.
     """
     document = load_yaml(path)
     try:
