--- a/figstep/standins/balancer.py
+++ b/figstep/standins/balancer.py
@@ -1,7 +1,7 @@
 """Stand-in for the platform's load balancer.
 
-It distributes connections over the ready entries. It polls ``/readyz``, so its
-view of readiness is late, as with a real load balancer.
+It distributes connections over the ready entries. It learns of readiness by polling
+``/readyz``, so a change takes effect late, as with a real load balancer.
 """
 
 import asyncio
@@ -12,18 +12,20 @@
 from figstep.standins.proxy import TcpProxy
 
 POLL_SECONDS = 0.2
-"""Seconds between two polls of the readiness of all entries."""
+"""Pause between two polls of the readiness of all entries, in seconds."""
 
 PROBE_TIMEOUT_SECONDS = 2.0
-"""Longest wait for the answer to one readiness probe, in seconds."""
+"""Maximum wait for the answer to one readiness probe, in seconds."""
 
 
 class Balancer(TcpProxy):
     """Relays new connections in turn to the entries that were ready when polled.
 
+    A connection is reset if no entry is ready.
+
     Attributes:
-        entries: Base URLs by name; the owner of the balancer adds and removes
-            entries.
+        entries: Base URLs of the entries by name. The owner of the balancer may
+            change them at any time.
         ready: Names of the entries that were ready at the last poll.
     """
 
@@ -49,7 +51,7 @@
         await super().stop()
 
     def choose_target(self) -> tuple[str, int] | None:
-        """Return host and port of the next ready entry, or None if none is ready."""
+        """Return the host and port of the next ready entry, or None without one."""
         ready = [name for name in self.ready if name in self.entries]
         if not ready:
             return None
--- a/figstep/standins/engine.py
+++ b/figstep/standins/engine.py
@@ -8,11 +8,12 @@
 the prefix cache and ``POST /orders`` takes orders with a fencing number.
 
 A request with ``X-Continue-After: N`` carries the N tokens produced so far as
-``continuation`` in its body; indexes continue at N + 1. ``standin_length`` in
-the body sets the length of the answer, and the engine crashes before the token
-with the index ``standin_crash_at``. The first token repeats the last word of
-the prompt, so that a reader can match the answer to its request.
-``POST /standin/do/KIND`` calls ``leave``, ``crash`` or ``restart``.
+``continuation`` in its body; indexes continue at N + 1. The stand-in reads only N,
+not the tokens. ``standin_length`` in the body sets the length of the answer, and
+the engine crashes before it sends the token with the index ``standin_crash_at``.
+The first token repeats the last word of the prompt, so that a reader can match the
+answer to its request. ``POST /standin/do/KIND`` calls ``leave``, ``crash`` or
+``restart``, and ``GET /standin/executed`` lists the generations.
 """
 
 import asyncio
@@ -47,15 +48,15 @@
 """Characters of a prompt that count as one token."""
 
 RUN_AHEAD_MS = 0.5
-"""Milliseconds by which the model runs ahead of the clock.
+"""Time by which the model runs ahead of the clock, in milliseconds.
 
 A step that ends within this time is finished at once, without another sleep.
 """
 
 FIXED_GAP_MEMORY_TOKENS = 16_777_216
-"""Cache memory of an engine with a fixed gap, and tokens prefilled in one step.
+"""Cache memory and prefill limit per step of an engine with a fixed gap, in tokens.
 
-It is chosen so large that neither limits the engine.
+Both are so large that they do not limit the engine.
 """
 
 FIXED_GAP_MAX_RUNNING = 65_536
@@ -81,7 +82,10 @@
 
 
 def build_fixed_gap_profile(gap: float) -> EngineProfile:
-    """Return a profile that gives every sequence a token each ``gap`` seconds."""
+    """Return a profile that gives every sequence a token each ``gap`` seconds.
+
+    The gap is at least 10 microseconds.
+    """
     return EngineProfile(
         memory_tokens=FIXED_GAP_MEMORY_TOKENS,
         max_running=FIXED_GAP_MAX_RUNNING,
@@ -103,18 +107,20 @@
             ``length_distribution`` sets another length.
         length_distribution: Distribution that lengths are drawn from in place of
             ``length``, or None.
-        grace: Seconds until a generation without a reader is cancelled.
-        answer_delay: Seconds by which every answer is delayed.
-        crashed: Whether the engine has crashed: connections are reset.
+        grace: Time from the end of a generation's last connection until the
+            generation is cancelled, in seconds.
+        answer_delay: Delay of every answer, in seconds.
+        crashed: Whether the engine has crashed: connections are reset, except for
+            calls below ``/standin/``.
         checks_fencing: Whether orders with an old fencing number are refused.
-        load_seconds: Seconds that an order takes.
+        load_seconds: Duration of an order of any kind, in seconds.
         leaving: Whether new generations are rejected with 503.
-        role: Role that the last order of kind "role" set.
+        role: Role that the last order of kind "role" set, or "serve" before it.
         executed: Generation ids in the order in which they started.
-        prompts: Prompts by generation id.
-        cancelled: Generation ids that were cancelled.
-        fencing: Highest fencing number received.
-        orders: Orders that were executed.
+        prompts: Prompts by generation id; of a chat, the last message.
+        cancelled: Ids of the generations that were cancelled, in order.
+        fencing: Highest fencing number received, or 0 before the first order.
+        orders: Orders that were executed, in order.
         model: Simulation of batching, memory and preemption.
         models: Loaded models, as "model@version" and "model+adapter"; every model
             is served while no model version is loaded.
@@ -164,7 +170,7 @@
 
     @property
     def slow(self) -> float:
-        """Factor on the time of every step."""
+        """Factor on the duration of every step; 1 for normal speed."""
         return self.model.slow
 
     @slow.setter
@@ -173,9 +179,9 @@
 
     @property
     def gap(self) -> float:
-        """Seconds between tokens of an engine with a fixed gap.
+        """Time between tokens of an engine with a fixed gap, in seconds.
 
-        Setting it replaces the profile by one with a fixed gap.
+        Setting a gap replaces the profile by one with a fixed gap.
         """
         return self.model.profile.step / 1_000
 
@@ -199,9 +205,9 @@
         return app
 
     def crash(self) -> None:
-        """Reset all connections and lose all generations.
+        """Reset all streams, lose all generations and start a new incarnation.
 
-        Until ``restart``, every new connection is reset too.
+        Until ``restart``, every call except those below ``/standin/`` is reset too.
         """
         self.crashed = True
         self.model.crash(_read_clock())
@@ -213,7 +219,10 @@
             _cut(request)
 
     def restart(self) -> None:
-        """Serve again after ``crash``, without generations, in a new incarnation."""
+        """Serve again after ``crash`` and ``leave``.
+
+        The incarnation was already increased by ``crash``. Loaded models remain.
+        """
         self.crashed = False
         self.leaving = False
 
@@ -227,7 +236,7 @@
         self._work.set()
 
     def leave(self) -> None:
-        """Reject new generations with 503; running ones continue."""
+        """Reject new generations with 503 until ``restart``; running ones continue."""
         self.leaving = True
 
     async def _handle_action(self, request: web.Request) -> web.Response:
@@ -481,7 +490,7 @@
             await response.write(DONE)
 
     def _schedule_cancel(self, name: str) -> None:
-        # A reader that lost its connection may resume the stream. If it never
+        # A reader that lost its connection may resume the stream. If no reader
         # does, the generation must not hold cache memory any longer.
         task = asyncio.create_task(self._cancel_unread(name))
         self._tasks.add(task)
@@ -500,7 +509,7 @@
 
 
 def hash_name(name: str) -> int:
-    """Return a seed that depends only on the name."""
+    """Return a seed for random numbers that depends only on the name."""
     return int.from_bytes(hashlib.sha256(name.encode()).digest()[:4])
 
 
@@ -516,7 +525,17 @@
 def build_frame(
     generation: str, index: int, text: str, finish: str | None, model: str, chat: bool
 ) -> bytes:
-    """Return the server-sent event of one token of a generation."""
+    """Return the server-sent event of one token of a generation.
+
+    Args:
+        generation: Generation id.
+        index: Index of the token in the generation, from 1.
+        text: Text of the token.
+        finish: Finish reason on the last token, None on all others.
+        model: Name of the model.
+        chat: Whether the event is a chunk of a chat completion, instead of a text
+            completion.
+    """
     choice: dict[str, Any] = {"index": 0, "finish_reason": finish}
     if chat:
         choice["delta"] = {"role": "assistant", "content": text}
--- a/figstep/standins/engine_model.py
+++ b/figstep/standins/engine_model.py
@@ -9,16 +9,17 @@
   memory read and per token prefilled, all divided by the engine's speed.
 - Prefill is chunked: a step prefills at most ``prefill_chunk`` tokens.
 - A sequence holds cache memory for its prompt and all produced tokens. It is
-  admitted when its current need fits and a small watermark stays free; the
-  engine does not know what it will need later.
+  admitted when its current need fits and a small watermark stays free, or when no
+  other sequence runs; the engine does not know the sequence's later need.
 - If the next token of every sequence does not fit, the sequence of lowest
-  priority, and among equals the latest, is preempted: its memory is freed, and
-  prompt and produced tokens are prefilled again before it continues.
+  priority, and among equals the latest, is preempted, unless it is the only one:
+  its memory is freed, and prompt and produced tokens are prefilled again before
+  the sequence continues.
 - Cached prefixes are kept in a separate region with least-recently-used
   eviction; a hit saves prefill of the shared part, not memory.
 - A load report shows the engine as it was ``report_lag`` ago. Cache events are
-  published ``cache_lag`` late and some are lost, which gaps in their sequence
-  numbers show.
+  published ``cache_lag`` late. Some are lost, which leaves gaps in their sequence
+  numbers, and only the last 1,000 are kept.
 - A generation can be resumed for ``retention`` after its end.
 """
 
@@ -30,22 +31,24 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineProfile:
-    """Sizes and costs of an engine; all times in milliseconds at speed 1.
+    """Sizes and costs of an engine; all times are in milliseconds.
 
     Attributes:
-        speed: Factor by which every time is divided.
+        speed: Factor by which the duration of a step is divided.
         memory_tokens: Cache memory, in tokens.
         max_running: Maximum number of sequences in the batch.
-        step: Fixed time of a step.
-        per_sequence: Time per decoding sequence in a step.
-        per_thousand: Time per 1,000 tokens of cache memory in use in a step.
-        per_prefill: Time per token prefilled.
+        step: Fixed time of a step, at speed 1.
+        per_sequence: Time per decoding sequence in a step, at speed 1.
+        per_thousand: Time per 1,000 tokens of cache memory in use in a step, at
+            speed 1.
+        per_prefill: Time per token prefilled, at speed 1.
         prefill_chunk: Maximum number of tokens prefilled in a step.
-        watermark: Fraction of the memory kept free when a sequence is admitted.
+        watermark: Fraction of the memory that stays free when a sequence is
+            admitted, from 0 to 1.
         prefix_memory: Size of the region of cached prefixes, in tokens.
         report_lag: Age of a load report.
         cache_lag: Age at which a cache event is published.
-        cache_loss: Fraction of cache events that are lost.
+        cache_loss: Fraction of cache events that are lost, from 0 to 1.
         retention: Time for which an ended generation can be resumed.
     """
 
@@ -71,18 +74,20 @@
 
     Attributes:
         name: Generation id.
-        length: Number of tokens after which it ends; only the engine knows it.
+        length: Number of tokens after which the generation ends, including those
+            of ``produced`` at its start; only the engine knows this number.
         finish: Finish reason, "stop" or "length".
         prompt_tokens: Length of the prompt, in tokens.
         priority: Sequences of higher priority are preempted later.
         prefix: Digest of the shared prefix of the prompt, or "".
         prefix_tokens: Length of the shared prefix, in tokens.
-        produced: Tokens so far, including those that it continues from.
+        produced: Number of tokens so far, including those that the generation
+            continues from.
         to_prefill: Tokens to prefill before the next token is decoded.
         held: Cache memory held, in tokens.
         order: Position in the order of arrival.
-        preemptions: Number of times it was preempted.
-        ended: Time of its end in milliseconds, or None.
+        preemptions: Number of times that the sequence was preempted.
+        ended: Time of the end in milliseconds, or None before the end.
     """
 
     name: str
@@ -107,7 +112,7 @@
     Attributes:
         name: Generation id.
         index: Index of the token in the generation, from 1.
-        at: Time at which it was decoded, in milliseconds.
+        at: Time at which the token was decoded, in milliseconds.
         finish: Finish reason on the last token, None on all others.
     """
 
@@ -119,7 +124,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Load of the engine at the time ``at``; memory is counted in tokens."""
+    """Load of the engine at the time ``at``, in milliseconds.
+
+    ``running`` and ``waiting`` count sequences; memory is counted in tokens.
+    """
 
     at: float
     running: int
@@ -130,7 +138,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """A prefix that entered ("stored") or left ("evicted") the cache."""
+    """A change of the prefix cache.
+
+    Attributes:
+        number: Sequence number of the event, from 1.
+        at: Time of the change, in milliseconds.
+        kind: "stored" if the prefix entered the cache, "evicted" if it left.
+        prefix: Digest of the prefix.
+    """
 
     number: int
     at: float
@@ -146,7 +161,7 @@
         rng: Source of randomness.
         median: Median of a log-normal distribution, in tokens.
         sigma: Standard deviation of the logarithm; 1.2 gives a 99th percentile of
-            16 medians.
+            16 times the median.
         longest: Maximum length, in tokens.
     """
 
@@ -163,19 +178,21 @@
 
 @dataclass(slots=True)
 class EngineModel:
-    """One engine; times are milliseconds on the caller's clock.
+    """One engine; times are in milliseconds on the caller's clock.
 
     Attributes:
         profile: Sizes and costs of the engine.
         rng: Source of randomness, used only for lost cache events.
         incarnation: Number that increases with each crash.
-        slow: Factor on the time of every step, to simulate a degraded engine.
+        slow: Factor on the duration of every step, to simulate a degraded engine.
         frozen: Whether the engine makes no progress; see ``freeze`` and ``thaw``.
         preemptions: Number of preemptions.
-        produced: Tokens decoded; tokens that are prefilled again do not count.
-        prefilled: Tokens prefilled, including those prefilled again.
-        prefix_hits: Prefills whose prefix was cached.
-        sequences: Generations by id, until ``retention`` after their end.
+        produced: Number of tokens decoded; tokens that are prefilled again do not
+            count.
+        prefilled: Number of tokens prefilled, including those prefilled again.
+        prefix_hits: Number of admissions whose prefix was cached.
+        sequences: Generations by id. An ended one is removed when a generation ends
+            at least ``retention`` later.
     """
 
     profile: EngineProfile = field(default_factory=EngineProfile)
@@ -217,7 +234,11 @@
         self._run(now)
 
     def cancel(self, name: str, now: float) -> bool:
-        """End a generation early and return whether it had not ended yet."""
+        """End a generation early.
+
+        Returns:
+            False if the generation is unknown or had already ended.
+        """
         self._run(now)
         sequence = self.sequences.get(name)
         if sequence is None or sequence.ended is not None:
@@ -250,7 +271,7 @@
         self.frozen = True
 
     def thaw(self, now: float) -> None:
-        """Continue from ``now``; the time since ``freeze`` is not made up for."""
+        """Continue from ``now``; steps missed since ``freeze`` are not made up."""
         self.frozen = False
         self._time = now
         if self._step_end is not None:
@@ -267,7 +288,7 @@
         return None if self.frozen else self._step_end
 
     def read_load(self, now: float) -> LoadReport:
-        """Return the load as of ``report_lag`` ago, or the oldest known load."""
+        """Return the load as of ``report_lag`` ago, or the oldest recorded load."""
         self._run(now)
         self._record_load(now)
         while len(self._reports) > 1:
--- a/figstep/standins/http.py
+++ b/figstep/standins/http.py
@@ -16,7 +16,7 @@
 async def start_app(
     app: web.Application, host: str = "127.0.0.1", port: int = 0
 ) -> tuple[web.AppRunner, str]:
-    """Serve ``app`` and return its runner and base URL; port 0 takes a free port."""
+    """Serve ``app`` and return its runner and base URL; port 0 selects a free port."""
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
     await runner.setup()
     site = web.TCPSite(runner, host, port)
--- a/figstep/standins/instances.py
+++ b/figstep/standins/instances.py
@@ -4,7 +4,8 @@
 adds or replaces an instance and ``DELETE /instances/NAME`` removes it. An
 instance has ``name``, ``kind`` ("entry" or "target"), ``address``,
 ``failure_domain``, ``state`` ("live" or "leaving"), ``incarnation`` and, for an
-entry, ``peers``. ``PUT /standin/faults`` sets ``lag_ms``, the delay in
+entry, ``peers``; the stand-in does not check them. ``PUT /standin/faults`` sets
+``lag_ms``, the delay in
 milliseconds until a change takes effect, and ``available``; while it is false,
 the list answers 503.
 """
@@ -25,7 +26,8 @@
     Attributes:
         instances: Documents of the live and leaving instances, by name.
         available: Whether the list can be read; it answers 503 otherwise.
-        lag_ms: Milliseconds until a change that was received takes effect.
+        lag_ms: Delay until a change received over HTTP takes effect, in
+            milliseconds.
     """
 
     def __init__(self) -> None:
@@ -43,7 +45,7 @@
         return app
 
     def list_entry(self, name: str, address: str, peers: str) -> None:
-        """Add an entry as live.
+        """Add an entry as live, without the delay ``lag_ms``.
 
         Args:
             name: Name of the entry.
--- a/figstep/standins/log.py
+++ b/figstep/standins/log.py
@@ -3,10 +3,11 @@
 ``POST /streams/NAME/records`` takes ``{"records": [...]}`` and answers
 ``{"offset": FIRST}``. ``GET /streams/NAME/records?from=&wait_ms=&limit=``
 answers ``{"records": [{"offset", "time", "data"}], "next", "earliest"}``, or
-410 with ``earliest`` if the start was already removed by retention. Offsets of
-a stream have no gaps. ``PUT /standin/faults`` changes the members of ``Faults``
-that its JSON body names. ``GET /standin/counts`` answers the number of appends
-and of appended records.
+410 with ``earliest`` if retention removed the record at ``from``. ``time`` is in
+milliseconds since the Unix epoch. If there is no record yet, the answer waits for
+one for at most ``wait_ms``. Offsets of a stream have no gaps.
+``PUT /standin/faults`` changes the members of ``Faults`` that its JSON body names.
+``GET /standin/counts`` answers the number of appends and of appended records.
 """
 
 import asyncio
@@ -25,11 +26,13 @@
     """Injected faults and retention of the log service.
 
     Attributes:
-        available: Whether calls are served; they are answered with 503 otherwise.
-        delay_ms: Delay added to each call, in milliseconds.
-        lose_answers: Number of next appends that take effect but whose answer is
-            lost.
-        drop_appends: Number of next appends that fail without taking effect.
+        available: Whether calls for streams are served; they are answered with 503
+            otherwise.
+        delay_ms: Delay added to each call for a stream, in milliseconds.
+        lose_answers: Number of next appends that take effect but whose connection
+            is closed without an answer.
+        drop_appends: Number of next appends that are answered with 503 without
+            taking effect.
         keep_records: Maximum number of records kept in a stream, or None for no
             limit.
         keep_ms: Maximum age of a kept record in milliseconds, or None for no
@@ -72,7 +75,7 @@
 
     @property
     def available(self) -> bool:
-        """Whether calls are served."""
+        """Whether calls for streams are served."""
         return self.faults.available
 
     @available.setter
--- a/figstep/standins/process.py
+++ b/figstep/standins/process.py
@@ -27,7 +27,7 @@
     Args:
         kind: One of ``KINDS`` except "proxy".
         name: Target name, for engines and services.
-        gap: Seconds between tokens, for engines without a profile.
+        gap: Time between tokens of an engine without a profile, in seconds.
         profile: Sizes and costs of an engine, or None for a fixed gap.
 
     Raises:
@@ -57,7 +57,7 @@
 
     Args:
         target: ``host:port`` of the target.
-        port: Port to listen on; 0 takes a free port.
+        port: Port to listen on; 0 selects a free port.
     """
     host, _, number = target.rpartition(":")
     proxy = TcpProxy(host, int(number))
@@ -81,10 +81,13 @@
     Args:
         kind: One of ``KINDS``.
         name: Target name, or for a proxy the ``host:port`` that it relays to.
-        port: Port to listen on; 0 takes a free port.
-        gap: Seconds between tokens of an engine without a profile, whatever its
-            load.
+        port: Port to listen on; 0 selects a free port.
+        gap: Time between tokens of an engine without a profile, in seconds; it does
+            not depend on the load.
         profile: Sizes and costs of an engine, or None for a fixed gap.
+
+    Raises:
+        ValueError: If the kind is unknown.
     """
     if kind == "proxy":
         await run_proxy(name, port)
--- a/figstep/standins/proxy.py
+++ b/figstep/standins/proxy.py
@@ -1,8 +1,12 @@
 """Fault-injecting proxy between a client and a target, over TCP and UDP.
 
 A fault that is set applies to every connection, open or new, until it is
-cleared. ``freeze``, ``cut`` and ``half_open`` affect only the connections that
+cleared. ``LoseAnswers`` and ``CutAfter`` clear themselves once their ``count`` is
+used up. ``freeze``, ``cut`` and ``half_open`` affect only the connections that
 are open at that moment; connections opened later work.
+
+A connection is reset by aborting its transport. Data in the write buffer is
+discarded, and the peer may see a normal close instead of a reset.
 """
 
 import asyncio
@@ -16,7 +20,7 @@
 from figstep.standins.http import answer_json
 
 CHUNK_BYTES = 65_536
-"""Largest number of bytes read from a connection at once."""
+"""Maximum number of bytes read from a connection at once."""
 
 
 class Direction(Enum):
@@ -28,26 +32,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Delay:
-    """Fault that delays each chunk or datagram by ``seconds``."""
+    """Fault that delays each chunk or datagram by ``seconds``.
+
+    The chunks of a connection in one direction are relayed one after the other, so
+    their delays add up. Datagrams are delayed independently.
+    """
 
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class Stall:
-    """Fault that relays nothing in either direction and keeps connections open."""
+    """Fault that relays nothing in either direction and keeps connections open.
+
+    Over TCP, the data is relayed when the fault is cleared; datagrams are dropped.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Lose:
-    """Fault that drops everything sent in one direction."""
+    """Fault that drops all data sent in one direction.
+
+    Over TCP, the end of the stream is still relayed.
+    """
 
     direction: Direction
 
 
 @dataclass(frozen=True, slots=True)
 class Drip:
-    """Fault that sends ``size`` bytes to the client, then pauses for ``seconds``."""
+    """Fault that relays data to the client in pieces of at most ``size`` bytes.
+
+    Each piece is followed by a pause of ``seconds``. Data to the target is not
+    affected.
+    """
 
     size: int
     seconds: float
@@ -55,11 +73,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LoseAnswers:
-    """Fault that relays requests but resets the connection instead of answering.
+    """Fault that relays requests but resets both connections instead of answering.
 
     Attributes:
-        count: Number of answers to lose.
-        prefix: Bytes that a request must begin with for its answer to be lost.
+        count: Number of answers to lose; then the fault clears itself.
+        prefix: Bytes that the last chunk from the client must begin with for the
+            answer to be lost.
     """
 
     count: int = 1
@@ -70,9 +89,12 @@
 class CutAfter:
     """Fault that closes a connection once ``size`` bytes were sent to the client.
 
+    The client's connection is closed normally and the target's is reset.
+
     Attributes:
-        size: Bytes that the client still receives.
-        count: Number of connections to close.
+        size: Number of bytes that the client receives in total, counted from the
+            start of the connection.
+        count: Number of connections to close; then the fault clears itself.
     """
 
     size: int
@@ -86,7 +108,8 @@
     """Return the fault that a JSON object describes.
 
     Raises:
-        ValueError: If the kind of the fault is unknown.
+        ValueError: If the kind or the direction of the fault is unknown, or a member
+            that the kind requires is missing.
     """
     match document:
         case {"kind": "delay", "seconds": seconds}:
@@ -118,7 +141,7 @@
         self.request = b""
 
     def cut(self) -> None:
-        """Reset both connections."""
+        """Reset the connections to the client and to the target."""
         self.client.transport.abort()
         self.target.transport.abort()
 
@@ -144,7 +167,7 @@
         self.accepted = 0
 
     def choose_target(self) -> tuple[str, int] | None:
-        """Return the host and port for a new connection, or None to reset it."""
+        """Return the host and port to relay a new connection to, or None to reset it."""
         return self._target
 
     @property
@@ -154,11 +177,11 @@
 
     @property
     def open_connections(self) -> int:
-        """Number of connections that are currently relayed."""
+        """Number of open connections of clients, including frozen ones."""
         return len(self._links)
 
     async def start(self, port: int = 0) -> None:
-        """Listen on the loopback interface; port 0 takes a free port."""
+        """Listen on the loopback interface; port 0 selects a free port."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", port)
         self._port = self._server.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{self._port}"
@@ -186,7 +209,7 @@
         self.fault = fault
 
     def clear_fault(self) -> None:
-        """Clear the fault and relay what a stall held back.
+        """Clear the fault and relay the data that a ``Stall`` held back.
 
         Frozen connections stay frozen.
         """
@@ -195,7 +218,13 @@
         self._fault_cleared = asyncio.Event()
 
     def freeze(self) -> int:
-        """Freeze the open connections permanently and return their number."""
+        """Stop relaying on the open connections without closing them.
+
+        Frozen connections cannot be thawed; ``cut`` and ``stop`` reset them.
+
+        Returns:
+            Number of open connections, including those that were already frozen.
+        """
         for link in self._links:
             link.frozen = True
         return len(self._links)
@@ -210,8 +239,10 @@
     def half_open(self) -> int:
         """Reset the connections to the target but keep those of the clients open.
 
+        Nothing is relayed on the clients' connections any longer.
+
         Returns:
-            Number of connections.
+            Number of open connections.
         """
         for link in self._links:
             link.frozen = True
@@ -242,7 +273,7 @@
                 group.create_task(self._pump(link, target_reader, Direction.TO_CLIENT))
         except asyncio.CancelledError:
             # Only ``stop`` cancels this task. The asyncio server would log the
-            # exception if it were raised again.
+            # exception if this method raised it again.
             link.cut()
         finally:
             self._links.discard(link)
@@ -310,7 +341,9 @@
 
 
 class UdpProxy:
-    """Relays datagrams to one target; supports ``Delay``, ``Stall`` and ``Lose``.
+    """Relays datagrams to one target and the answers to the clients.
+
+    The faults ``Delay``, ``Stall`` and ``Lose`` are supported; others are ignored.
 
     Attributes:
         fault: Fault in force, or None.
@@ -391,9 +424,10 @@
 def build_control(proxy: TcpProxy) -> web.Application:
     """Return the HTTP application that controls a proxy in a process of its own.
 
-    ``PUT /standin/fault`` sets a fault and ``DELETE /standin/fault`` clears it.
-    ``POST /standin/strike/KIND`` calls ``freeze``, ``cut`` or ``half_open`` and
-    returns the number of connections affected as ``struck``.
+    ``PUT /standin/fault`` sets the fault that ``parse_fault`` reads from the JSON body,
+    and ``DELETE /standin/fault`` clears the fault. ``POST /standin/strike/KIND`` calls
+    ``freeze``, ``cut`` or ``half_open`` and returns the number of open connections as
+    ``struck``.
     """
 
     async def set_fault(request: web.Request) -> web.Response:
--- a/figstep/standins/service.py
+++ b/figstep/standins/service.py
@@ -18,14 +18,14 @@
 
 
 class PlainService:
-    """Executes every call once and answers with its sequence number.
+    """Executes every call and answers with the call's sequence number.
 
     Attributes:
         name: Target name.
-        delay: Seconds between execution and answer.
+        delay: Time between execution and answer, in seconds.
         cut_answers: Number of answers still to be lost: the call is executed and
             its connection is reset.
-        refusals: HTTP statuses of the next answers; these calls are refused
+        refusals: HTTP statuses with which the next calls are refused, in order,
             without being executed.
         executed: Executed calls, in order of execution.
     """
--- a/figstep/standins/source.py
+++ b/figstep/standins/source.py
@@ -1,8 +1,8 @@
 """Token source: a fast stand-in for an engine, for benchmarks.
 
-A timer writes the tokens of all streams of a slot in one pass. Each token
-carries the time at which it was written, so that a reader on the same machine
-can compute the delay.
+A timer writes the tokens of all streams of a slot in one pass. Each token event
+carries as ``sent_ns`` the monotonic time in nanoseconds at which it was written, so
+that a reader on the same machine can compute the delay.
 """
 
 import asyncio
@@ -18,10 +18,10 @@
 """Last server-sent event of every stream."""
 
 DEFAULT_LENGTH = 250
-"""Tokens of an answer if the request has no ``max_tokens``."""
+"""Number of tokens of an answer if the request has no ``max_tokens``."""
 
 DEFAULT_GAP_SECONDS = 0.05
-"""Seconds between two tokens of a stream if the request has no ``gap_ms``."""
+"""Time between two tokens if the request has no ``gap_ms``, in seconds."""
 
 SLOTS_PER_GAP = 10
 """Timer passes per gap; the streams are distributed over them.
@@ -61,9 +61,11 @@
 
 
 class TokenSource:
-    """Streams tokens at a fixed gap.
+    """Streams tokens at a fixed gap, as server-sent events.
 
-    The body of a request can set ``gap_ms`` and ``max_tokens``.
+    The body of a request can set the gap in milliseconds as ``gap_ms`` and the number
+    of tokens as ``max_tokens``. All other calls are answered with an empty object,
+    except ``GET /load``.
     """
 
     def __init__(self) -> None:
--- a/figstep/standins/weights.py
+++ b/figstep/standins/weights.py
@@ -1,7 +1,8 @@
-"""Stand-in for the platform's weight store, which limits the rate of calls.
+"""Stand-in for the platform's weight store, which holds the weights of models.
 
-``GET /weights/MODEL/VERSION`` answers the bytes, or 429 with ``Retry-After`` in
-whole seconds if the limit of the current window is reached.
+The store limits the rate of calls. ``GET /weights/MODEL/VERSION`` answers
+``MODEL@VERSION`` in place of weights, or 429 with ``Retry-After`` in whole seconds,
+at least 1, if the limit of the current window is reached.
 """
 
 import math
