--- a/figstep/experiment/cost.py
+++ b/figstep/experiment/cost.py
@@ -1,4 +1,4 @@
-"""Cost of the reducer per event, by number of targets and of requests."""
+"""Time that the reducer takes per event, by number of targets and of requests."""
 
 import random
 import time
@@ -29,34 +29,36 @@
 """Numbers of requests in flight to measure with."""
 
 EVENTS = 4_000
-"""Number of measured token events; of other events a quarter is measured."""
+"""Number of measured token events; of every other kind, a quarter as many."""
 
 CUSTOMERS = 50
 """Number of customers that the requests are drawn from."""
 
 EVENTS_PER_MILLI = 20
-"""Events per millisecond of the reducer's clock."""
+"""Number of events per millisecond of the reducer's simulated clock."""
 
 FRAME = [b""]
 """Frames of a token event; their content does not matter here."""
 
 NO_DEADLINE = Millis(1 << 50)
-"""Deadline that no request reaches, in milliseconds."""
+"""Deadline that no request reaches, in milliseconds on the simulated clock."""
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """Mean cost of events in one setting, in microseconds.
+    """Mean time that the reducer takes for each kind of event.
+
+    All times are elapsed real time, in microseconds.
 
     Attributes:
         targets: Number of known targets.
         requests: Number of requests, started or queued.
         waiting: Number of these requests that wait in the queue.
-        token: Cost of a token event.
-        arrival: Cost of an arrival, which is started or queued.
-        end: Cost of the end of a request and of the start of queued requests, as
-            far as there is free capacity.
-        report: Cost of a load report.
+        token: Time for an event with one token.
+        arrival: Time for the arrival of a request, which is started or queued.
+        end: Time for the end of a request and for the queue timer, which starts
+            queued requests as far as there is free capacity.
+        report: Time for a load report.
     """
 
     targets: int
@@ -69,7 +71,12 @@
 
 
 def measure_cost(targets: int, requests: int) -> Cost:
-    """Return the cost of events with the given numbers of targets and requests."""
+    """Measure the mean time per event with the given number of targets and requests.
+
+    Args:
+        targets: Number of known targets.
+        requests: Number of requests in flight, started or queued.
+    """
     meter = _CostMeter(targets)
     while len(meter.state.requests) < requests:
         meter.arrive()
@@ -154,7 +161,7 @@
 
 
 def format_costs(costs: list[Cost]) -> str:
-    """Return the costs as a Markdown table."""
+    """Return the measurements as a Markdown table."""
     lines = [
         "| targets | requests | waiting | token µs | arrival µs | end µs | report µs |",
         "|" + " --- |" * 7,
--- a/figstep/experiment/harness.py
+++ b/figstep/experiment/harness.py
@@ -50,33 +50,42 @@
 from figstep.standins.engine_model import EngineModel, Token
 
 LINK_DELAY = 1.0
-"""Time from an entry's decision to its arrival at an engine, in milliseconds."""
+"""Time until an opened or resumed attempt reaches its engine, in milliseconds.
+
+Everything else is not delayed: tokens, cancellations, answers and load reports.
+"""
 
 REPORT_INTERVAL = 1_000.0
 """Time between two load reports of an engine, in milliseconds."""
 
 DRAIN_DURATION = 300 * SECOND
-"""Longest simulated time after the end of the arrivals, in milliseconds."""
+"""Maximum simulated time after the end of the arrivals, in milliseconds."""
 
 DEADLINE = 60_000
-"""Deadline of every request, in milliseconds after its arrival."""
+"""Deadline of every request, in milliseconds after its latest submission."""
 
 MAX_SUBMISSIONS = 4
-"""Number of times that a caller submits a request that is refused."""
+"""Maximum number of submissions of a request, including the first one."""
 
 FRAME = [b""]
-"""Frames of a token event; their content does not matter here."""
+"""Frames of an event with one token; their content does not matter here."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
     """A fault that is injected into a run.
 
+    - "death": The engine crashes, and refuses connections until the end.
+    - "slow": The steps of the engine take ten times as long.
+    - "silence": No load report of any engine arrives.
+    - "flood": One small customer sends additional requests, whose answers add up to
+      the load of the run.
+
     Attributes:
-        kind: "death", "slow", "silence" or "flood", or "" for none.
-        engine: Number of the affected engine, for "death" and "slow".
-        start: Start of the fault, in milliseconds.
-        end: End of the fault, in milliseconds.
+        kind: Kind of the fault, or "" for none.
+        engine: Number of the affected engine from 1, for "death" and "slow".
+        start: Start of the fault, in milliseconds of simulated time.
+        end: End of the fault, in milliseconds of simulated time.
     """
 
     kind: str = ""
@@ -100,12 +109,13 @@
     Attributes:
         deployment: Engines and workload.
         policy: Policy that the reducer applies.
-        seed: Seed of the arrivals.
+        seed: Seed of the arrivals, of the reducers, and of the choice of the entry
+            that a submission reaches.
         load: Requested tokens per millisecond.
         duration: Time during which requests arrive, in milliseconds.
         fault: Injected fault.
-        entries: Number of entries that share the engines. They know of each
-            other's requests only by ``gossip``.
+        entries: Number of entries that share the engines. An entry counts the
+            requests of the others only through ``gossip``.
         gossip: Time between two exchanges of in-flight counts among the entries,
             in milliseconds; 0 for none.
         statistics: Statistics of the streams.
@@ -138,7 +148,10 @@
     _step_ends: dict[str, float] = field(default_factory=dict)
 
     def simulate(self) -> dict[str, float]:
-        """Simulate the run to its end and return its measures by name."""
+        """Simulate the run to its end and return its measures by name.
+
+        The run ends ``DRAIN_DURATION`` after the end of the arrivals.
+        """
         self._set_up()
         end = self.duration + DRAIN_DURATION
         while self._event_queue:
--- a/figstep/experiment/measures.py
+++ b/figstep/experiment/measures.py
@@ -7,16 +7,21 @@
 """Shortest wait that counts as a stall, in milliseconds; it then counts in full."""
 
 BINS_PER_E = 50
-"""Histogram bins per factor of e, so that a bin is 2% wide."""
+"""Number of histogram bins per factor of e, so that a bin is 2% wide."""
 
 FLOODING_CUSTOMER = "customer-9"
-"""Customer that floods in the fault "flood"; ``spared`` measures leave it out."""
+"""Customer that sends the additional requests of the fault "flood".
+
+Measures whose name begins with ``spared`` leave this customer out.
+"""
 
 
 @dataclass(slots=True)
 class GapHistogram:
     """Counts of gaps in logarithmic bins that are 2% wide.
 
+    All gaps up to 1 millisecond are counted in bin 0.
+
     Attributes:
         bins: Counts by number of the bin.
         count: Number of gaps.
@@ -36,9 +41,13 @@
             self.longest = gap
 
     def find_quantile(self, share: float) -> float:
-        """Return the gap in milliseconds below which a fraction ``share`` of all lie.
+        """Return a quantile of the gaps, in milliseconds; 0 without gaps.
+
+        The result is the geometric middle of a bin, so the quantile is accurate to 1%
+        above 1 millisecond.
 
-        The result is 0 without gaps.
+        Args:
+            share: Fraction of the gaps that are not above the quantile, from 0 to 1.
         """
         cumulative = 0
         for number in sorted(self.bins):
@@ -55,17 +64,20 @@
     Attributes:
         customer: Name of the customer.
         asked: Time of the first submission.
-        length: Tokens of the whole answer.
-        last: Time of the last delivery, or of the first submission before it.
+        length: Number of tokens of the whole answer.
+        last: Time of the last delivery; before the first delivery, time of the first
+            submission.
         last_asked: Time of the last submission.
-        tokens: Tokens delivered.
+        tokens: Number of tokens delivered.
         first: Time of the first delivery, or None.
-        stalled: Stall time.
-        slowest_gap: Longest gap between deliveries.
+        stalled: Sum of the waits of at least ``STALL_THRESHOLD_MS``, and of the whole
+            wait of a request that was finally refused.
+        slowest_gap: Longest gap between two deliveries.
         ended: Time at which the answer was complete, or None.
         asks: Number of submissions.
-        refused: Whether it was finally refused: the caller submits it no more.
-        lost: Whether the request was lost and may have run.
+        refused: Whether the request was finally refused: the caller submits it no
+            more.
+        lost: Whether the request ended with a problem after it ran or may have run.
     """
 
     customer: str
@@ -84,7 +96,12 @@
 
 
 def find_quantile(values: list[float], share: float) -> float:
-    """Return the quantile ``share`` of values, or 0 without values."""
+    """Return a quantile of values; 0 for no values.
+
+    Args:
+        values: Values in any order.
+        share: Fraction of the values that are not above the quantile, from 0 to 1.
+    """
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -92,7 +109,7 @@
 
 
 def compute_fairness(values: list[float]) -> float:
-    """Return Jain's fairness index, which is 1 if all values are equal."""
+    """Return Jain's fairness index: 1 if all values are equal, at least 1 / count."""
     squares = sum(value * value for value in values)
     if not squares:
         return 1.0
@@ -105,9 +122,11 @@
 
     Attributes:
         streams: Streams by request.
-        gaps: Gaps between tokens of all streams.
+        gaps: Gaps between successive deliveries, over all streams, in milliseconds.
+            The wait for the first delivery is not a gap.
         refusals: Number of submissions refused without having run.
-        late_refusals: Number of these refusals that came after a wait.
+        late_refusals: Number of these refusals that came more than
+            ``harness.LINK_DELAY`` after the submission.
     """
 
     streams: dict[str, Stream] = field(default_factory=dict)
@@ -116,7 +135,13 @@
     late_refusals: int = 0
 
     def deliver(self, stream: Stream, now: float, tokens: int) -> None:
-        """Count tokens that reached a caller at ``now`` milliseconds."""
+        """Record the delivery of tokens to a caller.
+
+        Args:
+            stream: Stream of the caller.
+            now: Simulated time of the delivery, in milliseconds.
+            tokens: Number of tokens delivered.
+        """
         gap = now - stream.last
         if stream.first is None:
             stream.first = now
@@ -133,13 +158,14 @@
     ) -> dict[str, float]:
         """Return the measures of a run by name.
 
-        A stream that never ended counts with its wait until ``end``. A stream
-        that was finally refused or lost is counted as such, with its stall time
-        until then.
+        For a stream without an end, the wait from its last delivery until ``end``
+        is added to its stall time. A stream that was finally refused or lost counts
+        as such, with its stall time until then.
 
         Args:
             end: End of the run, in milliseconds.
-            arrivals_end: Time of the end of the arrivals, in milliseconds.
+            arrivals_end: End of the arrivals, in milliseconds. Answers that were
+                complete by then count for "tokens_in_time".
             preemptions: Number of preemptions of all engines.
         """
         streams = list(self.streams.values())
--- a/figstep/experiment/scenarios.py
+++ b/figstep/experiment/scenarios.py
@@ -45,7 +45,8 @@
         median: Median length of the answer.
         sigma: Standard deviation of the logarithm of the length.
         longest: Maximum length of an answer.
-        prompt: Median length of the prompt without the shared prefix.
+        prompt: Median length of the prompt without the shared prefix; its logarithm
+            has a standard deviation of 0.6.
     """
 
     kind: str
@@ -64,8 +65,9 @@
         profiles: Profiles of the engines.
         short: Kind of the requests with short answers.
         long: Kind of the requests with long answers.
-        long_share: Fraction of long answers, on average over the customers.
-        mixed: Fraction of requests that name the other kind.
+        long_share: Expected fraction of long answers of a customer, from 0 to 1. The
+            fraction of each customer is 0.4 to 1.6 times as large.
+        mixed: Fraction of requests that declare the other kind, from 0 to 1.
     """
 
     name: str
@@ -112,13 +114,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """A customer and its fraction of the traffic.
+    """A customer and its workload.
 
     Attributes:
         name: Name of the customer.
         weight: Relative weight of the customer among the arrivals.
-        long_share: Fraction of long answers among its requests.
-        prefixes: Lengths in tokens of the prefixes that its prompts share, by name.
+        long_share: Fraction of long answers among the customer's requests.
+        prefixes: Length of each prefix that the customer's prompts share, in tokens,
+            by name.
     """
 
     name: str
@@ -129,9 +132,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that will arrive at ``at`` milliseconds.
+    """A request of the workload.
 
-    Its ``length``, in tokens, is known only to the engines.
+    Attributes:
+        at: Time of the first submission, in milliseconds of simulated time.
+        request: Request id.
+        customer: Name of the customer.
+        kind: Name of the kind that the request declares.
+        prompt_tokens: Length of the prompt with its prefix, in tokens.
+        prefix: Name of the shared prefix of the prompt.
+        prefix_tokens: Length of the shared prefix, in tokens.
+        length: Length of the answer, in tokens; only the engines know it.
     """
 
     at: float
@@ -145,7 +156,10 @@
 
 
 def build_customers(deployment: Deployment) -> list[Customer]:
-    """Return ten customers, three of them large; they are the same in every run."""
+    """Return the ten customers of a deployment, three of them large.
+
+    They are the same in every run.
+    """
     rng = random.Random(deployment.name)
     customers = []
     for number in range(10):
@@ -162,7 +176,15 @@
 def draw_arrival(
     rng: random.Random, deployment: Deployment, customer: Customer, at: float, name: str
 ) -> Arrival:
-    """Return one request of a customer, drawn from the deployment's workload."""
+    """Draw one request of a customer.
+
+    Args:
+        rng: Source of randomness.
+        deployment: Deployment whose workload is drawn.
+        customer: Customer that sends the request.
+        at: Time of the first submission, in milliseconds.
+        name: Request id.
+    """
     long = rng.random() < customer.long_share
     actual = deployment.long if long else deployment.short
     other = deployment.short if long else deployment.long
@@ -187,12 +209,12 @@
 def draw_arrivals(
     deployment: Deployment, seed: int, load: float, duration: float
 ) -> list[Arrival]:
-    """Return the arrivals of one run, whose answers add up to the load.
+    """Return the arrivals of one run, in order of arrival.
 
     The arrival rate oscillates around its mean, as in a Sunday peak. With
     heavy-tailed lengths the load of a short run would depend on chance, so
-    requests are drawn until the sum of their lengths reaches the load, and their
-    times are then scaled to the duration.
+    requests are drawn until the sum of their answers' lengths reaches ``load`` times
+    ``duration``, and their times are then scaled to the duration.
 
     Args:
         deployment: Deployment whose workload is drawn.
@@ -220,10 +242,9 @@
 
 
 def _find_arrival_time(part: float, duration: float) -> float:
-    """Return the time by which the fraction ``part`` of the arrivals has come.
+    """Return the time by which the fraction ``part`` of the requests has arrived.
 
-    It is found by bisection, as the rate oscillates; the result is in
-    milliseconds.
+    The result is in milliseconds. As the rate oscillates, it is found by bisection.
     """
     low, high = 0.0, duration
     for _ in range(40):
@@ -240,7 +261,9 @@
 def draw_flood(
     deployment: Deployment, seed: int, load: float, start: float, end: float
 ) -> list[Arrival]:
-    """Return the requests of one small customer that floods, in order of arrival.
+    """Return the additional requests of one small customer, in order of arrival.
+
+    The lengths of the answers add up to at least ``load`` times the duration.
 
     Args:
         deployment: Deployment whose workload is drawn.
@@ -270,7 +293,8 @@
         deployment: Engines and customers.
         routing: Name of the routing policy.
         deadline: Deadline of requests, in milliseconds.
-        copies: Number of times that every engine is listed.
+        copies: Number of times that the deployment's engines are listed. The names
+            of the copies continue the numbering.
     """
     engines = []
     for copy in range(copies):
@@ -295,9 +319,9 @@
 def measure_capacity(deployment: Deployment) -> float:
     """Return the capacity of the engines, in tokens per millisecond.
 
-    Each engine is kept at a fixed number of sequences: whenever one ends, a new
-    one from the workload starts. The number of sequences with the highest token
-    rate counts.
+    Each engine is simulated with each number of sequences in
+    ``CALIBRATION_BATCHES``: whenever a sequence ends, a new one from the workload
+    starts. The highest token rate is the capacity of the engine.
     """
     tokens = 0.0
     for profile in deployment.profiles:
@@ -344,8 +368,10 @@
     Args:
         arrival: The request.
         name: Generation id.
-        priority: Priority of the sequence; higher is preempted later.
-        produced: Number of tokens that it continues after.
+        priority: Priority of the sequence; sequences of higher priority are
+            preempted later.
+        produced: Number of tokens that were already produced elsewhere; the sequence
+            continues after them.
     """
     return Sequence(
         name,
--- a/figstep/experiment/trials.py
+++ b/figstep/experiment/trials.py
@@ -10,7 +10,7 @@
 from figstep.experiment.scenarios import DEPLOYMENTS, SECOND, measure_capacity
 
 BASELINES = ("round_robin", "least_in_flight", "two_choices")
-"""Policies that figstep is compared with."""
+"""Names of the policies that figstep is compared with."""
 
 ABLATIONS = (
     "memory",
@@ -48,17 +48,18 @@
     "fairness": "fairness",
     "least_share": "least",
 }
-"""Headings of the columns of the table, by measure."""
+"""Headings of the columns of the table, by name of the measure."""
 
 
 @dataclass(frozen=True, slots=True)
 class Trial:
-    """One row of the table: a policy under one load and fault, over seeds.
+    """One row of the table: a policy under one load and fault.
 
     Attributes:
         deployment: Name of the deployment.
         load: Requested load as a fraction of the engines' capacity.
-        policy: Name of the policy, or of the switch that differs.
+        policy: Name of the row: the policy, or "with" or "without" and the switch
+            that differs from the policy "figstep".
         fault: Kind of the fault, "" for none.
         entries: Number of entries that share the engines.
         gossip: Time between two exchanges of in-flight counts among the entries,
@@ -81,7 +82,7 @@
         deployments: Names of deployments.
         loads: Requested loads as fractions of the engines' capacity.
         faults: Kinds of faults; "" for none.
-        policies: Names of rows; empty for all.
+        policies: Names of rows, as ``list_policies`` returns them; empty for all.
         seeds: Seeds of the arrivals, the same for every row.
         seconds: Time during which requests arrive, in seconds.
         entries: Number of entries that share the engines.
@@ -129,15 +130,17 @@
     """Run one trial with every seed.
 
     Args:
-        trial: Deployment, load, fault and entries.
+        trial: Deployment, load, fault, entries and gossip of the runs. Its name of
+            the policy is only copied into the result.
         policy: Policy that the reducer applies.
         seeds: Seeds of the arrivals.
         seconds: Time during which requests arrive, in seconds.
         capacity: Capacity of the engines, in tokens per millisecond.
 
     Returns:
-        The trial, the seeds, the mean of each measure and the measures of each
-        seed.
+        A dictionary with the trial as ``trial``, the seeds as ``seeds``, the mean of
+        each measure over the seeds as ``mean``, and the measures of the run with each
+        seed as ``runs``.
     """
     runs = []
     for seed in seeds:
@@ -157,7 +160,11 @@
 
 
 def read_capacity(deployment: str) -> float:
-    """Return the capacity of a deployment's engines, in tokens per millisecond."""
+    """Measure the capacity of a deployment's engines, in tokens per millisecond.
+
+    Args:
+        deployment: Name of the deployment.
+    """
     return measure_capacity(DEPLOYMENTS[deployment])
 
 
@@ -168,10 +175,13 @@
 
     Args:
         options: Combinations to run.
-        report: Callback that gets each result when its trial is done.
+        report: Callback that receives each result when its trial is done.
 
     Returns:
         The results of all trials, as ``run_trial`` returns them.
+
+    Raises:
+        KeyError: If a deployment or a policy is unknown.
     """
     results = []
     policies = list_policies(options.ablate)
@@ -192,7 +202,10 @@
 
 
 def find_best(results: list[dict[str, Any]], measure: str) -> float | None:
-    """Return the lowest mean of a measure among the baselines, or None."""
+    """Return the lowest mean of a measure among the baselines.
+
+    The result is None if there is no baseline among ``results``.
+    """
     means = []
     for result in results:
         if result["trial"]["policy"] in BASELINES:
@@ -201,7 +214,7 @@
 
 
 def format_table(results: list[dict[str, Any]]) -> str:
-    """Return the results as a Markdown table."""
+    """Return the mean measures of the results as a Markdown table."""
     head = ["deployment", "load", "fault", "entries", "policy", *COLUMNS.values()]
     lines = ["| " + " | ".join(head) + " |", "|" + " --- |" * len(head)]
     for result in results:
@@ -230,9 +243,12 @@
 
 
 def format_ratios(results: list[dict[str, Any]]) -> str:
-    """Return the ratio of figstep to the best baseline, by group of rows.
+    """Return text with the ratios of figstep to the best baseline.
 
-    The best baseline has the lowest mean, or the highest for "tokens_in_time".
+    Each line is for the results with the same deployment, load, fault, entries and
+    gossip, and has a ratio for each of several measures. The best baseline has the
+    lowest mean, or the highest for "tokens_in_time". Results without figstep or
+    without a baseline have no line; a measure whose best mean is 0 has no ratio.
     """
     groups: dict[tuple[Any, ...], list[dict[str, Any]]] = {}
     for result in results:
--- a/figstep/standins/proxy.py
+++ b/figstep/standins/proxy.py
@@ -167,7 +167,7 @@
         self.accepted = 0
 
     def choose_target(self) -> tuple[str, int] | None:
-        """Return the host and port to relay a new connection to, or None to reset it."""
+        """Return host and port for a new connection; None to reset the connection."""
         return self._target
 
     @property
