--- a/benchmarks/binary.py
+++ b/benchmarks/binary.py
@@ -17,7 +17,7 @@
 import yaml
 
 STARTS = 5
-"""Number of starts of the packed file, and of the package."""
+"""Number of starts of the packed file, and as many of the package."""
 
 PYTHON = getattr(sys, "_base_executable", sys.executable)
 """Interpreter outside the virtual environment, which runs the packed file."""
@@ -26,8 +26,12 @@
 async def start_once(command: list[str], environment: dict[str, str]) -> str:
     """Start an entry, stop it, and return its measurements as a line of text.
 
+    Args:
+        command: Command that starts the entry.
+        environment: Environment variables of the entry.
+
     Raises:
-        SystemExit: If the entry does not start.
+        SystemExit: If the first line that the process prints is not an entry's.
     """
     started = time.monotonic()
     process = await asyncio.create_subprocess_exec(
@@ -53,13 +57,13 @@
 
 
 def measure_size(path: Path) -> float:
-    """Return the size of a file, or of all files in a folder, in megabytes."""
+    """Return the size of a file, or of all files below a folder, in megabytes."""
     files = path.rglob("*") if path.is_dir() else [path]
     return sum(file.stat().st_size for file in files) / 1e6
 
 
 async def run(file: Path) -> None:
-    """Measure the packed file, cold and warm, and then the package."""
+    """Measure the starts of the packed file, cold and warm, and then of the package."""
     with tempfile.TemporaryDirectory() as folder:
         settings = Path(folder) / "settings.yaml"
         closed_url = "http://127.0.0.1:9"
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -29,11 +29,11 @@
     Attributes:
         answered: Number of calls answered with 200.
         failed: Number of calls answered with another status.
-        p50: Median time of a successful call, in milliseconds.
-        p99: 99th percentile of the time of a successful call, in milliseconds.
+        p50: Median duration of the calls answered with 200, in milliseconds.
+        p99: 99th percentile of these durations, in milliseconds.
         appends: Number of appends to the log, each with a batch of records.
         records: Number of records appended.
-        seconds: Duration of the load.
+        seconds: Time from the first call to the last answer, in seconds.
     """
 
     answered: int
@@ -52,7 +52,7 @@
         fleet: Fleet to send to.
         path: Path of the calls at the service.
         rate: Calls per second.
-        seconds: Duration of the load.
+        seconds: Time during which calls are sent, in seconds.
     """
     urls = [entry.url for entry in fleet.entries.values()]
     times: list[float] = []
@@ -93,12 +93,14 @@
 
 
 async def measure(entries: int, rate: float, seconds: float, delay: int) -> None:
-    """Compare claimed calls with others and print the append rate of an idle fleet.
+    """Print the append rate of an idle fleet, and compare claimed calls with others.
+
+    Calls of ``/orders`` are claimed, and calls of ``/menus`` are not.
 
     Args:
         entries: Number of entries.
         rate: Calls per second.
-        seconds: Duration of each measurement.
+        seconds: Duration of each measurement, in seconds.
         delay: Delay of every answer of the log, in milliseconds.
     """
     with TemporaryDirectory() as folder:
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -59,27 +59,29 @@
 KEY = "benchmark"
 
 POLL_SECONDS = 0.02
-"""Seconds between two polls of the status of all entries.
+"""Pause between two polls of the status of all entries, in seconds.
 
-It limits the resolution of the measured times.
+The pause limits the resolution of the measured times.
 """
 
 CONVERGENCE_TIMEOUT_SECONDS = 60
-"""Longest wait until all entries show a change, in seconds."""
+"""Maximum wait until all entries show a change, in seconds."""
 
 SETTLE_SECONDS = 8
-"""Seconds from the start of the fleet to the measurement of control traffic."""
+"""Pause between the start of the fleet and the measurement, in seconds."""
 
 app = typer.Typer(no_args_is_help=True, add_completion=False)
 
 
 class StoppableLog(LogService):
-    """Log service that can stop once one follower has received the next append.
+    """Log service that can fail reads once one follower has read the next append.
+
+    A follower is a caller that waits for new records (``wait_ms``).
 
     Attributes:
-        stop_after_append: Whether the log stops after the next append.
-        readers_left: Number of followers that may still read records before the
-            log answers 503, or None while it works.
+        stop_after_append: Whether reads begin to fail with the next append.
+        readers_left: Number of followers that may still read records before every
+            read is answered with 503, or None while the log works.
     """
 
     stop_after_append = False
@@ -111,11 +113,11 @@
 
 
 class StoppableInstanceList(InstanceList):
-    """Instance list that can stop once one reader has received the next change.
+    """Instance list that can become unavailable after a number of reads.
 
     Attributes:
         readers_left: Number of reads until the list becomes unavailable, or None
-            while it works.
+            while the list works.
     """
 
     readers_left: int | None = None
@@ -168,10 +170,12 @@
             start: Monotonic time from which the delays count, in seconds.
 
         Returns:
-            Delay in seconds until the condition was first fulfilled, by entry.
+            For each entry, the delay in seconds until the condition was first
+            fulfilled, in the order in which the entries fulfilled it.
 
         Raises:
-            TimeoutError: If it takes longer than ``CONVERGENCE_TIMEOUT_SECONDS``.
+            TimeoutError: If an entry does not fulfil the condition within
+                ``CONVERGENCE_TIMEOUT_SECONDS``.
         """
         shown_after: dict[int, float] = {}
         async with asyncio.timeout(CONVERGENCE_TIMEOUT_SECONDS):
@@ -204,9 +208,10 @@
 
 @asynccontextmanager
 async def run_fleet(entries: int, targets: int) -> AsyncIterator[Fleet]:
-    """Start the platform and the entries, and publish a first document.
+    """Run the platform and the entries with a published first document.
 
-    The fleet is returned when every entry knows its peers and the document.
+    The context is entered when every entry knows all its peers and has the document
+    in force.
     """
     async with AsyncExitStack() as stack:
         log, instances = StoppableLog(), StoppableInstanceList()
@@ -245,7 +250,13 @@
 
 
 def summarize(label: str, values: list[float], **fields: Any) -> None:
-    """Print median and maximum of ``values``, in seconds, as a JSON line."""
+    """Print the median and maximum of ``values`` as a JSON line.
+
+    Args:
+        label: Name of the measure.
+        values: Values in seconds.
+        fields: Further members of the JSON object.
+    """
     line = {
         "measure": label,
         "samples": len(values),
@@ -259,17 +270,18 @@
 async def time_publish(
     fleet: Fleet, document: dict[str, Any], number: int, wait: bool = True
 ) -> list[float]:
-    """Publish a document once and measure when every entry has it in force.
+    """Publish a document and measure when every entry has the document in force.
 
     Args:
         fleet: Fleet to publish to.
         document: Document that is published with one more customer.
         number: Number of the change, which names that customer.
-        wait: Whether to wait for the publication while the log works; if not, the
-            log is restored first.
+        wait: Whether the log works; if not, it is restored after the measurement so
+            that the publication can finish.
 
     Returns:
-        Seconds from the start of the call until each entry showed the change.
+        For each entry, the time in seconds from the start of the publication until
+        the entry showed the change.
     """
     changed = deepcopy(document)
     changed["customers"].append({"name": f"c{number}", "key_hash": hash_key("c")})
@@ -291,7 +303,7 @@
 def configuration(entries: int = 8, targets: int = 12, repeats: int = 20) -> None:
     """Measure the time from publishing a document until it is in force.
 
-    The log is healthy, then slow, and then goes down after the publication.
+    The log is healthy, then slow, and then fails all reads after the publication.
     """
 
     async def run() -> None:
@@ -408,7 +420,7 @@
     start = time.monotonic()
     times = await fleet.time_all(lambda s: s["targets"][name]["leaving"], start)
     if single_reader:
-        # Measured from the time at which the first entry knows it.
+        # The delays count from the time at which the first entry shows the change.
         times = [value - min(times) for value in times]
     fleet.instances.readers_left = None
     fleet.instances.available = True
@@ -453,8 +465,8 @@
 def state(periods: int = 200) -> None:
     """Measure processor time and bytes of the gossip of one entry, by fleet size.
 
-    A single state with the given number of members sends its messages in each
-    simulated second and handles as many. No network is simulated.
+    In each simulated second, one state sends its messages and handles four messages
+    of other members, of which two request an answer. No network is simulated.
     """
     keys = Keyring(KEY)
     for members, targets in ((8, 12), (8, 670), (100, 670), (370, 12), (370, 670)):
--- a/benchmarks/hot_path.py
+++ b/benchmarks/hot_path.py
@@ -2,9 +2,10 @@
 
 Run as ``python -m benchmarks.hot_path``. The token source, the platform
 stand-ins, the measured process and the callers each run in a separate process.
-For every measured process two loads run at the same time: one through it, and
-one with fewer streams directly from the token source. Both are affected alike by
-the state of the machine, and the added delay is the difference of the quantiles.
+For every measured process two loads run at the same time: one through the process,
+and one with fewer streams directly from the token source. The state of the machine
+affects both loads alike, and the added delay is the difference of the quantiles of
+their delays.
 """
 
 import argparse
@@ -189,8 +190,8 @@
         child: Measured process.
         source: Token source.
         load: Load through the measured process.
-        ramp: Seconds over which the streams are started.
-        seconds: Duration of the measurement after the ramp.
+        ramp: Time over which the streams are started, in seconds.
+        seconds: Duration of the measurement after the ramp, in seconds.
     """
     direct_load = Workload(source.url, "", MODEL, DIRECT_STREAMS, load.tokens, 50.0)
     through, direct = LoadGenerator(load), LoadGenerator(direct_load)
@@ -230,16 +231,16 @@
 
 
 async def count_open(child: ChildProcess) -> int:
-    """Return the number of requests that an entry holds."""
+    """Return the number of open requests that an entry reports."""
     async with aiohttp.ClientSession() as session:
         async with session.get(child.url + "/status") as response:
             return int((await response.json())["requests"])
 
 
 async def measure_memory(child: ChildProcess, counts: list[int]) -> None:
-    """Measure and print the resident memory by number of open streams.
+    """Measure and print the memory and processor time by number of open streams.
 
-    Each stream gets four tokens a second.
+    Each stream receives four tokens per second.
     """
     lines = [f"streams 0 resident MB {child.read_memory():.1f}"]
     for count in counts:
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -34,7 +34,10 @@
 
 
 async def find_holder(fleet: Fleet) -> str:
-    """Return the name of the entry that holds the lease of the only failure domain."""
+    """Return the recorded holder of the lease of the only failure domain.
+
+    The lease may have expired since.
+    """
     table = LeaseTable()
     for record in await fleet.log_client.read(LEASES, 0):
         apply_record(table, "", record, Millis(0))
@@ -42,7 +45,7 @@
 
 
 async def wait_loaded(engine: EngineServer, version: int) -> None:
-    """Wait until the engine has loaded the version; others may be loaded too."""
+    """Wait until the engine has loaded the version, possibly besides other versions."""
     versioned_model = f"{MODEL}@{version}"
     await wait_for(lambda: versioned_model in engine.models, versioned_model)
 
@@ -54,7 +57,9 @@
 
 
 async def run_rounds(rounds: int, freeze: bool, folder: Path) -> list[float]:
-    """Return the duration of each round, in seconds.
+    """Run the rounds and return the duration of each, in seconds.
+
+    A round lasts from the publication of a version until the engine has loaded it.
 
     Args:
         rounds: Number of rounds.
--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -1,4 +1,4 @@
-"""Baseline for benchmarks: a minimal aiohttp proxy that relays to one target.
+"""Baseline for benchmarks: a minimal aiohttp proxy that relays POST requests.
 
 ``python -m benchmarks.passthrough URL LOOP`` relays to ``URL`` on the event loop
 "uvloop" or "asyncio" and prints ``passthrough`` and its own URL.
@@ -13,7 +13,7 @@
 
 
 async def serve(target: str) -> None:
-    """Relay requests to ``target`` until killed, with one write for each event."""
+    """Relay POST requests to ``target`` until killed, with one write for each event."""
     session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
 
     async def relay(request: web.Request) -> web.StreamResponse:
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -76,7 +76,7 @@
 def find_free_ports(count: int) -> list[int]:
     """Return loopback ports that are free for both TCP and UDP.
 
-    Another process may take them before they are used.
+    Another process may bind the ports before they are used.
     """
     ports: list[int] = []
     with ExitStack() as stack:
@@ -119,7 +119,7 @@
 
 
 async def count_preemptions(urls: dict[str, str]) -> int:
-    """Return the number of preemptions of all engines."""
+    """Return the total number of preemptions of all engines."""
     total = 0
     async with aiohttp.ClientSession() as session:
         for url in urls.values():
@@ -135,13 +135,13 @@
 
     Args:
         policy: Name of the routing policy.
-        rate: Requests per second.
-        seconds: Duration of the load.
+        rate: Mean number of requests per second.
+        seconds: Time during which requests are sent, in seconds.
         seed: Seed of the arrivals.
         folder: Folder for the settings of the entries.
 
     Returns:
-        The measures and the number of preemptions of all engines.
+        The measures of the load and the total number of preemptions.
     """
     async with AsyncExitStack() as stack:
         urls = await start_engines(stack)
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -18,7 +18,7 @@
 from figstep.standins.proxy import TcpProxy
 
 TOKENS = 200
-"""Tokens of each answer."""
+"""Number of tokens of each answer."""
 
 FAULT_AFTER_TOKENS = 100
 """Number of received tokens after which the fault is injected."""
@@ -27,7 +27,10 @@
 
 
 async def relay_engines(deployment: Deployment) -> list[TcpProxy]:
-    """Start a proxy in front of each engine and publish the proxies' addresses."""
+    """Start a proxy in front of each engine and publish the proxies' addresses.
+
+    Returns when the changed document is in force on the first entry.
+    """
     proxies = []
     for item in deployment.document["engines"]:
         parts = urlsplit(item["address"])
@@ -44,13 +47,19 @@
 
 
 async def stream_once(url: str, proxies: list[TcpProxy], fault: str) -> float:
-    """Stream an answer and inject a fault in the middle of it.
+    """Stream an answer and inject a fault after ``FAULT_AFTER_TOKENS`` tokens.
+
+    Args:
+        url: Base URL of the entry.
+        proxies: Proxies in front of the engines.
+        fault: "cut", "frozen" or "none".
 
     Returns:
-        The longest gap between two tokens, in milliseconds.
+        The longest gap between two tokens in milliseconds, including the wait from the
+        response headers to the first token.
 
     Raises:
-        RuntimeError: If the answer is not complete.
+        RuntimeError: If not exactly ``TOKENS`` tokens were received.
     """
     body = {
         "model": MODEL,
@@ -79,7 +88,7 @@
 
 
 def inject_fault(proxies: list[TcpProxy], fault: str) -> None:
-    """Apply the fault to the open connections of all proxies.
+    """Inject a fault into the open connections of all proxies.
 
     Args:
         proxies: Proxies in front of the engines.
@@ -96,7 +105,11 @@
 
 
 async def measure(runs: int) -> None:
-    """Print median and maximum of the longest gap for each kind of fault."""
+    """Print the median and maximum of the longest gap for each kind of fault.
+
+    Args:
+        runs: Number of streams for each kind of fault.
+    """
     async with run_deployment(entries=1) as deployment:
         proxies = await relay_engines(deployment)
         url = deployment.entries[0].callers.address
--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -23,7 +23,7 @@
     """Return the installed distributions that ``name`` depends on at run time.
 
     Args:
-        name: Name of an installed distribution; it is not in the result.
+        name: Name of an installed distribution, which is not in the result.
     """
     found: dict[str, Distribution] = {}
     pending = [name]
@@ -44,7 +44,8 @@
 def copy_distribution(source: Distribution, site: Path) -> None:
     """Copy the installed files of one distribution into ``site``.
 
-    Scripts, bytecode and C or Cython sources are left out.
+    Files outside the site directory, such as scripts, are left out, and so are
+    bytecode and C or Cython sources.
     """
     for file in source.files or []:
         if ".." in file.parts or "__pycache__" in file.parts:
--- a/tools/compare_days.py
+++ b/tools/compare_days.py
@@ -23,12 +23,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DayRun:
-    """One day of one site, as it is run on both checkouts.
+    """One day of one site that is run on both checkouts.
 
     Attributes:
         site: Path of the site file.
         day: Name of the day, or path of a day file.
-        seed: Seed that replaces the day's own seed, or None to keep that one.
+        seed: Seed that replaces the day's own seed, or None to keep the day's seed.
     """
 
     site: Path
@@ -44,7 +44,8 @@
         day_run: Site, day and seed.
         before: Score on the first checkout.
         after: Score on the second checkout.
-        broken: Rules that were broken on either checkout.
+        broken: Names of the rules that were broken, for the first checkout and then
+            for the second.
     """
 
     day_run: DayRun
@@ -59,7 +60,7 @@
 
     Attributes:
         pairs: Number of pairs.
-        mean: Mean of ``after`` minus ``before``.
+        mean: Mean of the score after minus the score before.
         error: Standard error of the mean; None for fewer than two pairs.
     """
 
@@ -69,7 +70,7 @@
 
 
 def compute_difference(pairs: Iterable[Pair]) -> Difference:
-    """Return the mean difference in score of pairs and its standard error.
+    """Return the mean difference in score of pairs and the standard error of the mean.
 
     Raises:
         StatisticsError: If there is no pair.
@@ -86,6 +87,12 @@
 ) -> dict[str, object]:
     """Run a day on a checkout and return the report of the bench.
 
+    Args:
+        bench: Program of the bench.
+        checkout: Directory in which the bench is run.
+        day_run: Site, day and seed.
+        why: Reason that is passed to the bench.
+
     Raises:
         RuntimeError: If the bench wrote no report.
     """
@@ -136,7 +143,7 @@
 async def run_pairs(
     bench: Path, before: Path, after: Path, day_runs: list[DayRun], why: str, jobs: int
 ) -> list[Pair]:
-    """Run all days, ``jobs`` pairs at a time; prints each pair when it is done."""
+    """Run all days, ``jobs`` pairs at a time, and print each pair when it is done."""
     free = asyncio.Semaphore(jobs)
 
     async def run_next(day_run: DayRun) -> Pair:
