--- a/figstep/checker.py
+++ b/figstep/checker.py
@@ -39,7 +39,7 @@
             was received.
         problem: Code of the problem, or "".
         ran: Whether the request ran according to the problem, or None if the
-            problem does not say.
+            problem does not state it.
     """
 
     status: int
