--- a/figstep/gateway/edges.py
+++ b/figstep/gateway/edges.py
@@ -103,11 +103,7 @@
 
     @abstractmethod
     def fetch_records(self, address: str) -> None:
-        """Request from a peer the records that it has read from the store.
-
-        Args:
-            address: Address of the peer, as "ip:port".
-        """
+        """Request the records that the peer at "ip:port" has read from the store."""
 
     @abstractmethod
     def announce(self) -> None:
--- a/figstep/gateway/effects.py
+++ b/figstep/gateway/effects.py
@@ -29,7 +29,6 @@
     Attributes:
         number: Number of the request.
         attempt: Number of the attempt, unique in this process.
-        target: Target to send the request to.
         customer: Name of the request's customer, or "".
         deadline: Monotonic time in milliseconds at which the target may stop work.
         priority: Urgency for the engine; 0 is the most urgent. None for plain services.
@@ -60,13 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CopyRun:
-    """Order the engine that runs a request to copy the run to another engine.
-
-    Attributes:
-        number: Number of the request.
-        source: Target that runs it.
-        holder: Target that is to hold the copy.
-    """
+    """Order the engine that runs a request to copy the run to another engine."""
 
     number: int
     source: str
@@ -114,9 +107,7 @@
 class AnnounceTarget:
     """Send other failure domains this one's open work at a target, at once.
 
-    Attributes:
-        target: Target whose load, summed over the entries of this failure domain, is
-            sent.
+    The work is summed over the entries of this failure domain.
     """
 
     target: str
@@ -124,12 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BeginStream:
-    """Start the caller's answer with the headers that an attempt received.
-
-    Attributes:
-        number: Number of the request.
-        attempt: Number of the attempt.
-    """
+    """Start the caller's answer with the headers that an attempt received."""
 
     number: int
     attempt: int
@@ -159,12 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Send the caller the complete answer that an attempt received.
-
-    Attributes:
-        number: Number of the request.
-        attempt: Number of the attempt.
-    """
+    """Send the caller the complete answer that an attempt received."""
 
     number: int
     attempt: int
@@ -180,12 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Count:
-    """Increment a counter by one.
-
-    Attributes:
-        name: Name of the counter.
-        labels: Values of its labels.
-    """
+    """Increment a counter by one."""
 
     name: str
     labels: tuple[str, ...] = ()
@@ -193,13 +169,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Observe:
-    """Add a duration to a histogram.
-
-    Attributes:
-        name: Name of the histogram.
-        millis: Duration in milliseconds.
-        label: Value of its label.
-    """
+    """Add a duration to a histogram."""
 
     name: str
     millis: int
--- a/figstep/gateway/events.py
+++ b/figstep/gateway/events.py
@@ -20,7 +20,6 @@
     Attributes:
         number: Number of the request, unique in this process.
         id: Id that the caller gave the request; "" if it gave none.
-        method: HTTP method.
         host: Value of the Host header.
         path: Path of the request, without its query.
         key: API key that the caller sent, or None.
@@ -29,7 +28,6 @@
         after: Id of the last event that a returning caller received, or None.
         digest: Hash of key, method, path with query, and body; equal when the request
             is sent again.
-        body_bytes: Size of the body, in bytes.
     """
 
     number: int
@@ -111,7 +109,6 @@
     """A target ended its stream, and the answer was complete.
 
     Attributes:
-        attempt: Number of the attempt.
         tail: Bytes after the last event.
     """
 
@@ -124,10 +121,6 @@
     """A target gave a complete answer that reports no failure of its own.
 
     The target port holds the answer while this event is handled.
-
-    Attributes:
-        attempt: Number of the attempt.
-        status: HTTP status of the answer.
     """
 
     attempt: int
@@ -139,8 +132,6 @@
     """An attempt ended without an answer, or with a failure of the target.
 
     Attributes:
-        attempt: Number of the attempt.
-        loss: How it was lost.
         retry_after: Delay in milliseconds that the target asks for before the next
             request; None if it names none.
         detail: Text for the log.
@@ -171,8 +162,6 @@
 
     Attributes:
         number: Number of the request that the run belongs to.
-        source: Target that made the copy.
-        holder: Target that holds the copy.
         handle: Name that the source gave the copy.
     """
 
@@ -188,8 +177,6 @@
 
     Attributes:
         number: Number of the request that the run belongs to.
-        source: Target that runs it.
-        holder: Target that should have received the copy.
         detail: Text for the log.
     """
 
@@ -204,7 +191,6 @@
     """An engine answered a query for its state.
 
     Attributes:
-        target: Id of the engine.
         leaving: Whether it reports that it accepts no new work, or when it ends.
         memory: Tokens of its memory that were in use half a second ago and cannot be
             freed on demand; None if it does not report them.
@@ -219,11 +205,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetLeaving:
-    """A target's answer stated that the target accepts no new requests.
-
-    Attributes:
-        incarnation: Incarnation of that target.
-    """
+    """A target's answer stated that the target accepts no new requests."""
 
     incarnation: Incarnation
 
@@ -233,7 +215,6 @@
     """A target's answer named the rate that it accepts, or ended the limit.
 
     Attributes:
-        target: Id of the target.
         rate: Requests per second that it accepts from all entries together; None if it
             accepts any rate.
         asked: When the answered request was sent, as a monotonic time in milliseconds.
@@ -273,7 +254,6 @@
     """All registrations were read at once; a target that is not listed is gone.
 
     Attributes:
-        registrations: All registrations.
         position: Offset in the store up to which they were read; -1 for none.
     """
 
@@ -313,7 +293,6 @@
     """What one entry, or all entries of a failure domain, have open at one target.
 
     Attributes:
-        target: Id of the target.
         calls: Number of open attempts.
         memory: Tokens of engine memory that runs and copies are expected to use.
         reading: Prompt tokens that the target has still to read (prefill).
@@ -338,7 +317,6 @@
     """The rate named in the newest answer of a target to an entry.
 
     Attributes:
-        incarnation: Incarnation of the target that answered.
         rate: Requests per second that it accepts from all entries together; None if it
             accepts any rate.
         age: Time since that answer, in milliseconds.
@@ -367,7 +345,6 @@
             entry has yet to send.
         configuration: Version of the configuration in force at the peer; -1 for none.
         position: Offset up to which it has read the registrations; -1 for none.
-        failure_domain: Failure domain of the peer.
         entries: Number of entries that it knows, itself included.
         far: Whether the loads are the sums of all entries of its failure domain, sent
             to another failure domain.
--- a/figstep/gateway/measures.py
+++ b/figstep/gateway/measures.py
@@ -46,10 +46,7 @@
     def observe(self, name: str, millis: int, label: str) -> None:
         """Add a duration to a histogram, which counts in seconds.
 
-        Args:
-            name: Name of the histogram, without "figstep_" and "_seconds".
-            millis: The duration, in milliseconds.
-            label: Name of the route.
+        ``name`` is given without "figstep_" and "_seconds"; ``label`` names the route.
         """
         histogram = self._histograms.get(name)
         if histogram is None:
