--- a/figstep/gateway/budgets.py
+++ b/figstep/gateway/budgets.py
@@ -54,9 +54,7 @@
 class ServiceUse:
     """This entry's requests and repeats at one service within the window.
 
-    Attributes:
-        requests: Monotonic times of requests in milliseconds, oldest first.
-        repeats: Monotonic times of repeats in milliseconds, oldest first.
+    Requests and repeats are kept as monotonic times in milliseconds, oldest first.
     """
 
     requests: deque[Millis] = field(default_factory=deque)
@@ -68,8 +66,6 @@
     """Requests and repeats that one entry sent to a service within a window.
 
     Attributes:
-        service: Name of the service.
-        requests: Number of its callers' requests.
         repeats: Number of arrivals beyond the first of each request.
     """
 
@@ -83,7 +79,6 @@
     """Requests and repeats of the other entries that share the budget, at a service.
 
     Attributes:
-        requests: Number of their callers' requests.
         repeats: Number of their arrivals beyond the first of each request.
         entries: Number of entries that share the budget, this one included.
         complete: Whether all of these entries report now.
@@ -133,14 +128,8 @@
     ) -> bool:
         """Return whether one more repeat keeps the fleet within its bound.
 
-        Nothing is reserved: `record_repeat` counts a repeat.
-
-        Args:
-            service: Service that the repeat goes to.
-            fleet: Requests and repeats of the other entries for this service.
-            now: Monotonic time in milliseconds.
-            urgent: Whether the repeat is for a stream that would be lost without it; it
-                may use the reserve.
+        Nothing is reserved: `record_repeat` counts a repeat. An urgent repeat, for a
+        stream that would be lost without it, may use the reserve.
         """
         use = self._trim(service, now)
         usable_fraction = 1.0 if urgent else 1.0 - URGENT_RESERVE_FRACTION
--- a/figstep/gateway/prompts.py
+++ b/figstep/gateway/prompts.py
@@ -24,8 +24,6 @@
     """Size of a generation's prompt and answer.
 
     Attributes:
-        model: Model that is requested.
-        tokens: Tokens of the prompt.
         max_output: Maximum number of tokens to generate; 0 if the caller gives none.
         hint: The caller's estimate of the output, in tokens; None if not given.
         parts: Ids and token counts of the parts of the prompt, in order.
--- a/figstep/gateway/refusals.py
+++ b/figstep/gateway/refusals.py
@@ -51,11 +51,8 @@
     def record_own(self, digest: str, first_arrived: Millis, now: Millis) -> None:
         """Record a request that this entry refuses.
 
-        Args:
-            digest: Digest of the request.
-            first_arrived: Monotonic time in milliseconds at which the request first
-                arrived at any entry.
-            now: Monotonic time in milliseconds.
+        ``first_arrived`` is the monotonic time in milliseconds at which the request
+        first arrived at any entry.
         """
         self._known[digest] = _KnownRefusal(first_arrived, now, True)
 
--- a/figstep/gateway/routes.py
+++ b/figstep/gateway/routes.py
@@ -20,10 +20,8 @@
     """Destination and bounds of requests for one host and path prefix.
 
     Attributes:
-        name: Name of the route.
         host: Host that it belongs to, in lower case.
         prefix: Start of the paths that it matches; begins and ends with a slash.
-        kind: Whether its answers are streams, and how often its requests may run.
         shares: Names of services and their weights.
         attempts: Maximum number of attempts of an idempotent request that may have run;
             attempts that are known not to have run don't count.
@@ -98,7 +96,6 @@
     """Targets that answer the same requests.
 
     Attributes:
-        name: Name of the service.
         connections: Configured number of connections that one target accepts; the
             gateway does not enforce it.
         engine: Common properties of its engines; None for a plain service.
@@ -121,7 +118,6 @@
 
     Attributes:
         header_bytes: Maximum size of all headers, in bytes.
-        body_bytes: Maximum size of a body, in bytes.
         header_timeout: Milliseconds that a request's headers may take.
         idle_timeout: Milliseconds that a connection may stay without a request.
     """
@@ -158,7 +154,6 @@
             relies on the order.
         services: Services by name.
         customers: Customers by API key; None if callers need no key.
-        limits: Limits on what callers may send.
     """
 
     version: int
--- a/figstep/gateway/state.py
+++ b/figstep/gateway/state.py
@@ -63,7 +63,6 @@
     Attributes:
         number: Number of the attempt, unique in this process.
         request: Number of its request.
-        target: Target that it was sent to.
         opened: When it was sent.
         memory: Tokens of memory that it is expected to need at its target, and again
             at its backup's holder.
@@ -101,7 +100,6 @@
     Attributes:
         spec: The request as it arrived.
         route: Its route, as configured when it arrived.
-        service: Name of the service that it goes to.
         customer: Name of its customer, or "".
         priority: Its urgency; 0 is the most urgent.
         arrived: When it arrived at this entry.
@@ -119,7 +117,6 @@
         copying_tokens: Tokens that are being copied; less than the whole run if its
             holder already has a copy.
         copied_tokens: Tokens that its copy on order had when it was made.
-        stream_begun: Whether the caller's stream has begun.
         delivered: Id of the last event delivered to the caller, now or in an earlier
             attempt of the caller; 0 for none.
         delivered_at: When the last event was delivered by this entry.
@@ -127,7 +124,6 @@
         time_to_first_event: Time from its arrival to the first delivery.
         longest_pause: Longest time between two deliveries.
         smoothed_pause: Smoothed time between two deliveries.
-        attempts_sent: Number of attempts so far.
         unreached: Number of attempts that found no connection.
         lost_runs: Number of lost attempts that may have run.
         may_have_run: Whether a target may have begun to run it.
@@ -246,12 +242,8 @@
 
     Attributes:
         node: Name of this entry instance.
-        failure_domain: Failure domain of this entry.
         rng: The only source of randomness.
-        budget: Retry budget, with this entry's use of it.
         table: Configuration in force, or None before the first.
-        targets: Targets that have registered.
-        evacuations: Failure domains that get no more work.
         regions: Region of each failure domain.
         requests: Requests without a final answer, by number.
         attempts: Open attempts, by number.
@@ -268,8 +260,6 @@
         entries: Number of entries in the fleet, this one included.
         silent_peers: Peers whose messages stopped although they announced no shutdown,
             and when this entry removed each.
-        crashes: Crashes of targets, and the requests that ran there.
-        next_attempt: Number of the next attempt.
         position: Offset up to which the registrations were read; -1 for none.
         behind_since: Since when a peer has known newer records than this entry, or when
             this entry last fetched them from a peer; None if no peer knows newer ones.
--- a/figstep/gateway/targets.py
+++ b/figstep/gateway/targets.py
@@ -12,7 +12,6 @@
     """One incarnation of a target; a target that restarts may keep its id.
 
     Attributes:
-        target: Id of the target.
         born: Start of the incarnation, as a Unix time in milliseconds.
     """
 
@@ -26,9 +25,7 @@
 
     Attributes:
         target: Id of the target; some targets keep their id when they restart.
-        service: Service that the target belongs to.
         address: Where it listens, as "ip:port".
-        failure_domain: Failure domain of the target.
         slots: Number of requests that it runs at once.
         draining: Whether it accepts no new work.
         warmup: How much longer it is slow, in milliseconds; 0 if it does not warm up.
@@ -149,7 +146,6 @@
 
     Attributes:
         info: Newest registration of the target.
-        standing: Whether it gets work.
         left_at: When it was found to be leaving; None while it is not.
         calls: Open attempts of this entry at the target, streams included.
         memory: Tokens of its memory that runs and copies of this entry are expected to
@@ -293,14 +289,9 @@
         return total / count if count else DEFAULT_READ_RATE
 
     def predict_read_time(self, tokens: int, now: Millis) -> float:
-        """Return the expected time until the target has read a new prompt.
+        """Return the expected milliseconds until the target has read a new prompt.
 
-        Args:
-            tokens: Length of the prompt.
-            now: Monotonic time, in milliseconds.
-
-        Returns:
-            The time in milliseconds, including that of the prompts ahead of it.
+        The time for the prompts ahead of the new one is included.
         """
         rate = self.read_rate
         if now < self.warm_at:
@@ -335,10 +326,8 @@
     def record_loss(self, now: Millis, reached: bool) -> None:
         """Record an attempt or a probe that ended without an answer.
 
-        Args:
-            now: Monotonic time, in milliseconds.
-            reached: Whether there was a connection. A loss without one counts as two,
-                so the target is avoided from the first such loss on.
+        A loss without a connection (not ``reached``) counts as two, so the target is
+        avoided from the first such loss on.
         """
         self.failures += FAILURE_SMOOTHING * (1.0 - self.failures)
         self.consecutive_losses += 1 if reached else 2
@@ -507,11 +496,8 @@
     def defer_departure(self, name: str, until: Millis) -> None:
         """Keep a target whose registration may only have lapsed.
 
-        A departure that is already pending keeps its deadline.
-
-        Args:
-            name: Id of the target.
-            until: Monotonic time, in milliseconds, at which it counts as departed.
+        The target counts as departed from ``until`` on. A departure that is already
+        pending keeps its deadline.
         """
         if name in self.targets:
             self.pending_departures.setdefault(name, until)
