--- a/figstep/gateway/departures.py
+++ b/figstep/gateway/departures.py
@@ -35,14 +35,7 @@
 def apply_leaving_reports(
     state: State, leaving: Iterable[Incarnation], source: str, now: Millis
 ) -> list[Effect]:
-    """Apply another entry's report of targets that leave.
-
-    Args:
-        state: The gateway's state.
-        leaving: Incarnations that have announced that they leave.
-        source: Name of the entry that reports them, for the log.
-        now: Monotonic time in milliseconds.
-    """
+    """Apply another entry's report of targets that leave."""
     effects: list[Effect] = []
     for incarnation in leaving:
         state.departures.setdefault(incarnation, Departure(now, own=False))
--- a/figstep/gateway/evacuations.py
+++ b/figstep/gateway/evacuations.py
@@ -17,11 +17,7 @@
 ) -> list[Effect]:
     """Apply a set of evacuated failure domains if it is newer than the known one.
 
-    Args:
-        state: The gateway's state.
-        received: The evacuated failure domains.
-        source: "store" or the name of the peer that sent the set, for the log.
-        now: Monotonic time, in milliseconds.
+    For the log, `source` is "store" or the name of the peer that sent the set.
     """
     known = state.evacuations
     if received.position <= known.position:
--- a/figstep/gateway/limits.py
+++ b/figstep/gateway/limits.py
@@ -110,13 +110,7 @@
 
 
 def record_pause(target: Target, pause: Millis, now: Millis) -> None:
-    """Record that a target asked this entry for a pause.
-
-    Args:
-        target: The target.
-        pause: Length of the pause, in milliseconds.
-        now: Monotonic time, in milliseconds.
-    """
+    """Record that a target asked this entry for a pause."""
     target.paused_until = Millis(max(target.paused_until, now + pause))
 
 
@@ -133,8 +127,8 @@
 def find_send_time(state: State, target: Target, now: Millis) -> Millis:
     """Return the earliest time at which this entry may send a target a request.
 
-    The time is monotonic, in milliseconds. An entry without a share of the target's
-    rate gets the time at which the rate next passes to other entries.
+    An entry without a share of the target's rate gets the time at which the rate next
+    passes to other entries.
     """
     send_time = _find_rate_send_time(state, target, now)
     return Millis(max(send_time, target.paused_until))
--- a/figstep/gateway/peers.py
+++ b/figstep/gateway/peers.py
@@ -223,12 +223,8 @@
 def spend_repeat(state: State, service: str, now: Millis, urgent: bool = False) -> bool:
     """Record a repeat if the fleet's retry budget permits one; return whether it does.
 
-    Args:
-        state: The gateway's state.
-        service: Name of the service that gets the repeat.
-        now: Monotonic time, in milliseconds.
-        urgent: Whether the repeat may use the part of the budget that is reserved for
-            streams whose engine leaves or failed.
+    An urgent repeat may use the part of the budget that is reserved for streams whose
+    engine leaves or failed.
     """
     if not state.budget.can_repeat(service, sum_uses(state, service), now, urgent):
         return False
@@ -286,10 +282,7 @@
 
 
 def describe_domain(state: State, now: Millis) -> PeerHeard:
-    """Return a message with the summed loads of this failure domain's entries.
-
-    It is meant for other failure domains.
-    """
+    """Return a message for other failure domains with this domain's summed loads."""
     reported = [*list_loads(state)]
     for peer in state.peers.values():
         reported += peer.loads.values()
@@ -351,11 +344,7 @@
     Runs grow with every event, which alone is not reported. The placement of prompts
     depends on attempts that start or end, prompts that were read, copies in progress,
     and growth of at least ``MEMORY_REPORT_STEP``. A reported load that is missing from
-    ``loads`` is returned as zero.
-
-    Args:
-        reported: Loads as they were last reported, by target.
-        loads: Present loads.
+    ``loads`` is returned as zero; ``reported`` holds the last reported loads by target.
     """
     changed = []
     remaining = dict(reported)
--- a/figstep/gateway/shares.py
+++ b/figstep/gateway/shares.py
@@ -24,11 +24,8 @@
     the same selection, so no two of them take the same request. A restarted process
     gets 0 until ``RESTART_SHARE_DELAY`` has passed.
 
-    Args:
-        state: The gateway's state.
-        key: Key of the hash; another key selects other entries.
-        requests: Requests that the whole fleet may send within the caller's window.
-        now: Monotonic time, in milliseconds.
+    ``key`` is the key of the hash; another key selects other entries. ``requests`` is
+    what the whole fleet may send within the caller's window.
     """
     budget = state.budget
     if not budget.first_start and now < budget.started + RESTART_SHARE_DELAY:
@@ -49,12 +46,8 @@
 
     In a large fleet, entries know the entries of their own failure domain only, and
     assume that each domain gets an equal part. The part is rounded up in some domains
-    and down in others, which a hash selects, so that the sum is kept.
-
-    Args:
-        state: The gateway's state.
-        key: Key of the hash; another key selects other failure domains.
-        part: Requests of each failure domain, before rounding.
+    and down in others, so that the sum is kept. A hash selects these domains; another
+    key selects others.
     """
     own = hash_rank(state.failure_domain, key)
     before = sum(1 for name in state.remote_loads if hash_rank(name, key) < own)
--- a/figstep/gateway/sources.py
+++ b/figstep/gateway/sources.py
@@ -111,8 +111,7 @@
 def find_healthy_since(state: State, event: PeerHeard, now: Millis) -> Millis | None:
     """Return since when a peer has reported that it reads the store successfully.
 
-    Returns:
-        A monotonic time in milliseconds; None if the peer does not report that now.
+    Returns None if the peer does not report that now.
     """
     if not (event.reading and event.answered and event.receives_records):
         return None
@@ -180,13 +179,8 @@
     If a whole failure domain fetched at once from the few peers that have them, all
     entries would get them late over a slow link. The entries that are behind are
     ordered by a hash; the number that may fetch doubles every ``CATCH_UP_DELAY`` and
-    grows with the number of peers that have the records.
-
-    Args:
-        state: The gateway's state.
-        ahead: Peers that have the records.
-        waited: Time in milliseconds for which this entry has been behind, or since its
-            last fetch.
+    grows with the number of peers that have the records. ``waited`` counts from when
+    this entry fell behind, or from its last fetch.
     """
     newest = max((peer.configuration, peer.position) for peer in ahead)
     behind = [name for name, peer in state.peers.items() if not _is_ahead(state, peer)]
--- a/figstep/gateway/warmups.py
+++ b/figstep/gateway/warmups.py
@@ -41,13 +41,9 @@
 
 
 def assume_cold(state: State, target: Target, since: Millis) -> None:
-    """Treat a target as cold for the whole warm-up time of its service.
+    """Treat a target as cold from ``since`` on, for the warm-up time of its service.
 
-    Args:
-        state: The gateway's state.
-        target: The target.
-        since: Start of the warm-up, as a monotonic time in milliseconds. A later end
-            that is already known is kept.
+    A later end of the warm-up that is already known is kept.
     """
     service = _find_service(state, target)
     if service is not None and service.warmup:
