--- a/figstep/gateway/application.py
+++ b/figstep/gateway/application.py
@@ -60,10 +60,6 @@
 
     Attributes:
         known: State of the gateway; changed by its reducer only.
-        measures: Counters and histograms.
-        targets: Port to the targets.
-        callers: Port to the callers.
-        peers: Port to the other entries.
     """
 
     targets: TargetPort
--- a/figstep/gateway/crashes.py
+++ b/figstep/gateway/crashes.py
@@ -77,14 +77,9 @@
 
 
 def record_answer(state: State, target: Target, asked: Millis) -> None:
-    """Record that a target answered, so it was running when the request was sent.
+    """Record that a target answered a request sent at ``asked``: it was running then.
 
     An end recorded less than ``MIN_RESTART_TIME`` before that is discarded as wrong.
-
-    Args:
-        state: The gateway's state.
-        target: The target.
-        asked: When the answered request was sent, as a monotonic time in milliseconds.
     """
     if target.lost:
         for digest, lost_at in list(target.lost.items()):
--- a/figstep/gateway/placement.py
+++ b/figstep/gateway/placement.py
@@ -317,15 +317,9 @@
     """Return the engine that a run is copied to, or None if none accepts the copy.
 
     Engines are left out that recently failed to take one, are avoided after losses, may
-    be sent no request now, or would be filled above `max_fraction`.
-
-    Args:
-        state: The gateway's state.
-        request: Request whose run is copied.
-        source: Name of the target that runs it.
-        now: Monotonic time in milliseconds.
-        max_fraction: Largest fraction of memory expected in use, with the copy.
-        proactive: Whether the run's engine stays, as far as is known.
+    be sent no request now, or would be filled above `max_fraction` of their memory with
+    the copy. `source` names the target that runs the request; a copy is proactive if
+    that target stays, as far as is known.
     """
     memory = find_engine_memory(state, request.service)
     need = estimate_memory(state, request)
@@ -361,13 +355,8 @@
 def was_refused_copy(request: Request, name: str, now: Millis, proactive: bool) -> bool:
     """Return whether an engine is not to be tried again yet for a copy of a run.
 
-    It recently failed to take one, or one was dropped there for lack of memory.
-
-    Args:
-        request: Request whose run is copied.
-        name: Name of the engine.
-        now: Monotonic time in milliseconds.
-        proactive: Whether the run's engine stays, as far as is known.
+    It recently failed to take one, or one was dropped there for lack of memory. A copy
+    is proactive if the run's engine stays, as far as is known.
     """
     refused = request.copy_refused_at.get(name)
     retry_delay = COPY_RETRY_DELAY if proactive else NOTICE_COPY_RETRY_DELAY
@@ -416,8 +405,7 @@
 def can_send_before(state: State, request: Request, now: Millis, until: Millis) -> bool:
     """Return whether an untried target can be sent one more request by ``until``.
 
-    A rate or pause that a target asked for may rule that out. ``until`` is a monotonic
-    time in milliseconds.
+    A rate or pause that a target asked for may rule that out.
     """
     for target in eligibility.list_eligible(state, request):
         if target.name in request.tried_targets:
--- a/figstep/gateway/recovery.py
+++ b/figstep/gateway/recovery.py
@@ -32,13 +32,7 @@
 def recover_attempt(state: State, event: AttemptLost, now: Millis) -> list[Effect]:
     """Decide how a request continues after it lost an attempt.
 
-    Args:
-        state: The gateway's state.
-        event: The loss; ignored if its attempt is no longer open.
-        now: Monotonic time in milliseconds.
-
-    Returns:
-        Effects that record the loss and continue or end the request.
+    The loss is ignored if its attempt is no longer open.
     """
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
@@ -176,7 +170,6 @@
 
     A repeat is taken from the retry budget only if the lost attempt had a connection.
     """
-    # A failed connection reached no target, so it doesn't count.
     if (
         request.attempts_sent - request.unreached >= MAX_SENDS
         or now >= request.deadline
@@ -189,7 +182,6 @@
 
 
 def _may_run_again(request: Request) -> bool:
-    # Lost attempts that may have run count against the route's limit; others don't.
     return request.lost_runs < request.route.attempts
 
 
--- a/figstep/gateway/reducer.py
+++ b/figstep/gateway/reducer.py
@@ -66,12 +66,7 @@
 
 
 def reduce(state: State, event: Event, now: Millis) -> list[Effect]:
-    """Apply one event to the state.
-
-    Args:
-        state: State of this gateway; changed in place, and only by the reducer.
-        event: What happened.
-        now: Monotonic time, in milliseconds.
+    """Apply one event to the state, which is changed in place.
 
     Returns:
         Effects that the edges have to perform, in order.
