--- a/figstep/gateway/copies.py
+++ b/figstep/gateway/copies.py
@@ -185,14 +185,12 @@
 
 
 def _has_refresh_timed_out(request: Request, now: Millis) -> bool:
-    """Return whether a refresh takes so long that the older copy is used instead."""
     if request.copy is None:
         return False
     return now - request.copy_ordered_at >= REFRESH_TIMEOUT
 
 
 def _should_delay_switch(state: State, request: Request, now: Millis) -> bool:
-    """Return whether a switch is delayed, up to `SWITCH_WAIT_TIMEOUT`."""
     current = request.current
     copy = request.copy
     if current is None or copy is None or current.target.left_at is None:
