--- a/figstep/core/budgets.py
+++ b/figstep/core/budgets.py
@@ -22,9 +22,6 @@
     retries are meant for the requests of a single lost target, so that all of them
     can restart on other targets. Each entry has its own budget; as each one allows
     the same fraction of the entry's successes, so does the fleet.
-
-    Attributes:
-        left: Number of retries left; fractions accumulate.
     """
 
     left: float = INITIAL_RETRIES
--- a/figstep/core/effects.py
+++ b/figstep/core/effects.py
@@ -15,9 +15,7 @@
     """Send a request's body to a target.
 
     Attributes:
-        request: Id of the request.
         attempt: Number of the attempt, unique in this process.
-        target: Name of the target.
         generation: Generation id that the target is to use.
         priority: Priority by which the engine orders its queue and its preemptions;
             higher ones are preferred. It is not sent to a plain service.
@@ -38,10 +36,6 @@
     """Resume a generation over a new connection.
 
     Attributes:
-        request: Id of the request.
-        attempt: Number of the attempt, unique in this process.
-        target: Name of the target.
-        generation: Id of the generation to resume.
         after: Index of the last event that was delivered; later ones are wanted.
     """
 
@@ -109,12 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Complete:
-    """End the caller's response, as the answer is whole.
-
-    Attributes:
-        request: Id of the request.
-        attempt: Number of the attempt that completed the request.
-    """
+    """End the caller's response, as the answer is whole."""
 
     request: str
     attempt: int
@@ -122,14 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplayAnswer:
-    """Answer a duplicate request with the recorded answer of the first one.
-
-    Attributes:
-        request: Id of the duplicate request.
-        status: HTTP status of the recorded answer.
-        content_type: Content type of the recorded answer.
-        body: Body of the recorded answer.
-    """
+    """Answer a duplicate request with the recorded answer of the first one."""
 
     request: str
     status: int
@@ -152,9 +134,7 @@
     Answered by ``AppendConfirmed`` or ``AppendUncertain`` with the same key.
 
     Attributes:
-        stream: Name of the stream.
         key: Key that the answer carries; appends whose answer is not used share one.
-        records: Records to append, as JSON objects.
     """
 
     stream: str
@@ -193,8 +173,6 @@
 
     Attributes:
         number: Number of the order, unique in this process.
-        target: Name of the target.
-        order: The order.
         fencing: Fencing number of the lease that covers the order.
         until: Time from which the order is no longer sent (monotonic), in
             milliseconds. It precedes the end of the lease by ``leases.MARGIN``.
@@ -212,7 +190,6 @@
     """Set a timer; an equal one that is set already is replaced.
 
     Attributes:
-        timer: Timer to fire.
         at: Time at which it fires (monotonic), in milliseconds.
     """
 
@@ -233,7 +210,6 @@
     """Write one line of level INFO to the structured log.
 
     Attributes:
-        message: Message of the line.
         fields: Fields such as the request, generation, attempt, target and customer.
     """
 
--- a/figstep/core/events.py
+++ b/figstep/core/events.py
@@ -58,7 +58,6 @@
     """The caller closed its connection before the answer ended.
 
     Attributes:
-        request: Id of the request.
         cancel: Whether the generation is to be cancelled at its target.
     """
 
@@ -81,7 +80,6 @@
     """Consecutive token events of one generation, from one read of a connection.
 
     Attributes:
-        attempt: Number of the attempt whose connection carried the events.
         generation: Id of the generation that the events name.
         first: Index of the first event, from 1.
         frames: The events as they are sent to the caller, one per index.
@@ -105,8 +103,6 @@
     """An attempt ended without a whole answer.
 
     Attributes:
-        attempt: Number of the attempt.
-        loss: How it was lost.
         retry_after: Pause that the target requested, in milliseconds, or None.
         detail: Description for the log.
     """
@@ -141,9 +137,6 @@
     """A plain service answered; the edge holds the body until delivery.
 
     Attributes:
-        attempt: Number of the attempt.
-        status: HTTP status of the answer.
-        content_type: Content type of the answer.
         body: Body of the answer if it is small enough to be recorded, else None.
     """
 
@@ -158,7 +151,6 @@
     """A target reported its load, as it was ``age`` milliseconds ago.
 
     Attributes:
-        target: Name of the target.
         incarnation: Number that grows each time the target starts.
         leaving: Whether the target takes no new work.
         running: Number of generations that are decoding.
@@ -167,7 +159,6 @@
         memory_total: Cache memory, in tokens.
         models: Loaded models and adapters, each as "model@version" or
             "model+adapter".
-        age: Age of the report, in milliseconds.
     """
 
     target: str
@@ -189,10 +180,7 @@
     """An edit in the configuration stream.
 
     Attributes:
-        offset: Offset of the record.
         base: Offset of the edit in force that this edit was made from; -1 for none.
-        author: Author who published the edit.
-        reason: Reason that the author gave.
         inventory: The validated document, or None if it is not valid or its
             validation version is not known here.
         problems: Reasons why the document is not valid.
@@ -222,8 +210,6 @@
         accepted: Offset of the edit in force.
         position: Offset of the last record that was folded.
         edit: Unique id of the edit in force.
-        author: Author who published the edit.
-        reason: Reason that the author gave.
         validation: Version of the validation rules that the edit was made for.
         document: The document as published.
         inventory: The validated document, or None if this program cannot read it.
@@ -244,8 +230,6 @@
     """A snapshot record in the configuration stream.
 
     Attributes:
-        offset: Offset of the record.
-        checkpoint: The checkpoint in the record.
         age: Time since the log stored the record, in milliseconds.
     """
 
@@ -266,10 +250,8 @@
     """An entry of the platform's instance list.
 
     Attributes:
-        name: Name of the instance.
         kind: "entry" for entries of this system, "target" for all others.
         address: Base URL of the instance.
-        failure_domain: Name of the instance's failure domain.
         leaving: Whether the platform is about to stop the instance.
         incarnation: Number that grows each time the instance starts; 0 if the list
             does not name it.
@@ -362,7 +344,6 @@
 
     Attributes:
         order: Number of the ``SendOrder`` effect.
-        outcome: Result of the order.
     """
 
     order: int
--- a/figstep/core/gossip.py
+++ b/figstep/core/gossip.py
@@ -21,10 +21,8 @@
     """State of one entry, as a peer reports it.
 
     Attributes:
-        name: Name of the entry.
         address: Address where the entry listens for peers, as "host:port".
         incarnation: Incarnation of the entry that the status applies to.
-        status: Status of the entry.
     """
 
     name: str
@@ -77,12 +75,9 @@
         accepted: Offset of the sender's document in force; -1 for none.
         position: Last offset of the configuration stream that the sender folded; -1
             for none.
-        members: News of other entries.
-        marks: Targets that are leaving.
         counts: Attempts in progress at the sender, by target.
         counts_whole: Whether ``counts`` covers every target on which the sender runs
             attempts. If not, the receiver updates the counts that it has.
-        quarantined: Digests that are refused.
     """
 
     sender: str
@@ -107,10 +102,8 @@
     All times are monotonic milliseconds of this entry.
 
     Attributes:
-        name: Name of the entry.
         address: Address where the entry listens for peers, as "host:port".
         incarnation: Highest known incarnation.
-        status: Last known status.
         status_changed_at: Time at which ``status`` last changed.
         sequence: Highest sequence number received of this incarnation; -1 for none.
         unacknowledged_since: Time at which the oldest unacknowledged periodic
@@ -167,7 +160,6 @@
     Attributes:
         address: Address where this entry listens for peers, as "host:port"; "" while
             it does not listen.
-        incarnation: Incarnation of this entry.
         start: Addresses of peers from the settings.
         seeds: Addresses from the settings and the instance list. Those that no
             reachable entry has get messages, to join or rejoin their entries.
--- a/figstep/core/inventory.py
+++ b/figstep/core/inventory.py
@@ -11,7 +11,6 @@
 
     Attributes:
         name: Unique name.
-        region: Name of the region.
     """
 
     name: str
@@ -25,7 +24,6 @@
     Attributes:
         name: Unique target name.
         address: Base URL.
-        failure_domain: Name of the engine's failure domain.
         models: Names of the models that the engine may serve.
         kind: Type of the engine, as the operators name it.
         speed: Decode speed, as a multiple of the speed for which the assumed gaps
@@ -59,7 +57,6 @@
         name: Unique target name.
         service: Name of the service that callers use.
         address: Base URL.
-        failure_domain: Name of the replica's failure domain.
         refusals_not_run: Whether an answer with status 429 or 503 proves that the
             call did not run.
     """
@@ -80,7 +77,6 @@
 
     Attributes:
         name: Unique name.
-        version: Wanted version.
         adapters: Names of the adapters that should be loaded with the model.
     """
 
@@ -111,7 +107,6 @@
     """Number of replicas of a model that are wanted in some failure domains.
 
     Attributes:
-        model: Model name.
         replicas: Number of replicas wanted in each of the failure domains.
         failure_domains: Names of the failure domains; empty for all.
     """
@@ -143,7 +138,6 @@
     Attributes:
         name: Name in the platform's instance list.
         kind: "entry" for entry instances, "target" for engines and services.
-        failure_domain: Name of the machine's failure domain.
         size: Size class, as the operators name it.
     """
 
@@ -155,12 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainMark:
-    """Mark that drains one target: it gets no new work.
-
-    Attributes:
-        target: Name of the target.
-        reason: Why the operators drain the target.
-    """
+    """Mark that drains one target: it gets no new work."""
 
     target: str
     reason: str = ""
@@ -168,12 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EvacuationMark:
-    """Mark that evacuates one failure domain: its targets get no new work.
-
-    Attributes:
-        failure_domain: Name of the failure domain.
-        reason: Why the operators evacuate the failure domain.
-    """
+    """Mark that evacuates one failure domain: its targets get no new work."""
 
     failure_domain: str
     reason: str = ""
@@ -184,7 +168,6 @@
     """Rule that makes matching requests non-idempotent: they run at most once.
 
     Attributes:
-        service: Name of the plain service.
         method: HTTP method in capitals; None matches all.
         path: Prefix of the path below the service; "" matches all.
         customer: Name of the customer; None matches all.
@@ -206,7 +189,6 @@
     """Rules that the operators set.
 
     Attributes:
-        non_idempotent: Rules for requests that run at most once.
         deadline: Longest time that a request without its own deadline may wait for
             its first byte, in milliseconds.
         load_interval: Minimum time between two reads of the weight store by the
@@ -214,7 +196,6 @@
         routing: Name of the routing policy.
         priorities: Priorities by customer and model. They are stored but not used; a
             request has the priority of its customer.
-        placement: Rules for the number of replicas of models.
         gap_goal: Gap between two tokens above which a target gets less work, in
             milliseconds.
         subset: Maximum number of targets of a pool that an entry sends to; 0 for all.
@@ -235,14 +216,7 @@
     """Document of the operators: the inventory of the fleet and its rules.
 
     Attributes:
-        failure_domains: Failure domains of the fleet.
-        engines: Model engines.
-        services: Replicas of plain services.
-        models: Models and their wanted versions.
         customers: Customers whose requests are accepted.
-        rules: Rules that the operators set.
-        draining: Marks of the targets that are drained.
-        evacuated: Marks of the failure domains that are evacuated.
         instances: Asset register of the machines.
     """
 
--- a/figstep/core/orders.py
+++ b/figstep/core/orders.py
@@ -64,7 +64,6 @@
             was.
         open_orders: Names of the leases of orders whose answers are awaited, by
             number of the order.
-        next_order: Number of the next order.
         try_at: Earliest time of the next attempt to acquire a lease that is known as
             free, by name of the lease.
     """
--- a/figstep/core/problems.py
+++ b/figstep/core/problems.py
@@ -19,10 +19,8 @@
     """Refusal or failure of a request.
 
     Attributes:
-        status: HTTP status.
         code: Stable machine-readable kind of the problem, in snake case.
         detail: What was wrong, and the remedy.
-        ran: Whether the request ran.
         retry_after: Delay after which a retry may succeed, in milliseconds; None if
             a retry does not help.
     """
--- a/figstep/core/specs.py
+++ b/figstep/core/specs.py
@@ -10,7 +10,6 @@
     """A generation of unknown length.
 
     Attributes:
-        model: Model name.
         prompt_tokens: Estimated length of the prompt, in tokens.
         max_tokens: Maximum number of tokens to generate; None for no limit.
         prefix: Digest of the prompt's first block, for prefix-cache affinity; "" for
@@ -30,8 +29,6 @@
     """A call of a plain service.
 
     Attributes:
-        service: Name of the service.
-        method: HTTP method.
         path: Path relative to the service.
     """
 
@@ -49,13 +46,10 @@
 
     Attributes:
         request: Request id, unique in the fleet.
-        customer: Name of the customer.
-        work: The generation or the service call to run.
         stream: Whether the caller receives the answer as it is generated.
         priority: Priority; higher ones go first.
         deadline: Latest time for the first byte (monotonic), in milliseconds, or
             None for the default of the inventory.
-        idempotency_key: Idempotency key of the caller, or None.
         non_idempotent: Whether the caller marked the request as non-idempotent.
         digest: Hexadecimal SHA-256 digest of method, path with query, and body.
     """
--- a/figstep/core/state.py
+++ b/figstep/core/state.py
@@ -39,8 +39,6 @@
         spec: The request as it arrived.
         arrived: Time of arrival (monotonic), in milliseconds.
         deadline: Latest time for the first byte (monotonic), in milliseconds.
-        phase: Current stage.
-        ran: Whether the request ran, as far as it is known.
         generation: Id of the generation that the request is bound to, or "".
         target: Name of the target of the last attempt, or "".
         attempt: Number of the current attempt, or None.
@@ -98,9 +96,6 @@
 
     Attributes:
         attempt: Number of the attempt, unique in this process.
-        request: Id of the request.
-        target: Name of the target.
-        generation: Id of the generation.
         opened: Time at which the attempt was opened (monotonic), in milliseconds.
         last_progress: Time from which silence is measured (monotonic), in
             milliseconds: the opening, the last data, or the last check that found the
@@ -135,7 +130,6 @@
     """A target as this entry knows it.
 
     Attributes:
-        info: The target's entry in the inventory.
         in_flight: Number of this entry's attempts on the target.
         peers_in_flight: Number of attempts of other entries on the target, computed
             from the counts that they report.
@@ -154,7 +148,6 @@
             "model+adapter".
         reported: Time of the state that the last report shows (monotonic), in
             milliseconds, or None before the first report.
-        pace: Running generations of this entry, and what was observed of the speed.
         gap: Smoothed time between two reads of a stream, in milliseconds.
         gap_deviation: Smoothed mean deviation of ``gap``, in milliseconds.
         dead: Whether the target was found dead and has not answered since.
@@ -241,28 +234,17 @@
 
     Attributes:
         node: Name of this entry instance.
-        failure_domain: Name of this entry's failure domain.
         rng: Seeded random generator; the only source of randomness.
         inventory: Document in force, or None before the first.
         configuration_offset: Offset of the document in force; -1 for none.
-        configuration: Progress of the fold of the configuration stream.
-        membership: Table of the other entries.
         retention: Time for which the log keeps records, in milliseconds; a day by
             default.
         targets: Known targets, by name.
         requests: Requests without a final answer, by request id.
         attempts: Open attempts, by number.
-        queue: Queued requests.
         policy: Policy for admission and for the choice of targets.
         shares: Shares of the customers, by name of the customer.
-        retry_budget: Retries that this entry may still make.
-        pools: Cache of the targets of each pool.
-        lengths: Estimates of the lengths of answers.
-        claims: Claims on non-idempotent requests.
-        quarantine: Digests that are refused, and the crashes that may lead to more.
-        leases: Leases, and which of them this node holds.
         placement: Orders that this node sent as the holder of a lease.
-        next_attempt: Number of the next attempt.
         shutting_down: Whether new requests are refused because the process is to
             end.
     """
