--- a/figstep/core/claims.py
+++ b/figstep/core/claims.py
@@ -49,9 +49,7 @@
     """Outcome of a claimed request.
 
     Attributes:
-        ran: Whether the request ran.
         status: HTTP status of the answer; 0 if there was none.
-        content_type: Content type of the answer.
         body: Body of the answer, or None if it was too large to be recorded.
         generation: Id of the generation that holds the answer, or "".
     """
@@ -102,11 +100,9 @@
 
     Attributes:
         record: Id of the claim's record.
-        identity: Identity that is claimed.
         request: Id of the request that the claim is made for.
         key: Key of the append.
         appended: Time at which the append began, in monotonic milliseconds.
-        state: State of the claim.
         joined: Ids of duplicate requests at this entry that get the same answer.
     """
 
@@ -150,7 +146,6 @@
         unconfirmed: Outcomes and releases that are not confirmed, by key of the
             append.
         caught_up: Whether the stream was read to its end and no read failed since.
-        next_key: Key of the next append.
         folded: Number of records folded so far.
     """
 
@@ -175,7 +170,6 @@
     its last owner was over.
 
     Attributes:
-        record: Id of the record.
         time: Time of the record, in milliseconds since the epoch by the log's clock.
     """
 
@@ -185,12 +179,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimLost:
-    """The folded record is a claim for an identity that another claim owns.
-
-    Attributes:
-        record: Id of the record.
-        name: Name of the identity.
-    """
+    """The folded record is a claim for an identity that another claim owns."""
 
     record: str
     name: str
@@ -198,23 +187,14 @@
 
 @dataclass(frozen=True, slots=True)
 class IdentityReleased:
-    """The folded record releases the identity that its claim owned.
-
-    Attributes:
-        name: Name of the identity.
-    """
+    """The folded record releases the identity that its claim owned."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeRecorded:
-    """The folded record holds the first outcome of the claim that owns the identity.
-
-    Attributes:
-        name: Name of the identity.
-        outcome: The outcome.
-    """
+    """The folded record holds the first outcome of the claim that owns the identity."""
 
     name: str
     outcome: Outcome
@@ -261,11 +241,6 @@
     request's own id.
     The window is never longer than the log's retention, because an entry that
     starts after that could no longer read the claim.
-
-    Args:
-        inventory: The document in force, or None.
-        spec: The request.
-        retention: Time for which the log keeps records, in milliseconds.
     """
     longest = min(CLAIM_WINDOW, retention)
     if spec.idempotency_key is not None:
@@ -334,13 +309,8 @@
     """Apply one record of the claims stream to the table.
 
     Ownership follows from the records and the log's times alone, so all entries
-    that fold the same records agree on the owners.
-
-    Args:
-        table: Table of claims, changed in place.
-        record: The record, with the offset and time that the log assigned.
-        now: Time of the reading, in monotonic milliseconds; it is stored for this
-            entry's own use and does not affect the result.
+    that fold the same records agree on the owners. ``now``, in monotonic
+    milliseconds, is stored for this entry's own use and does not affect the result.
     """
     table.folded += 1
     if table.folded % SWEEP_INTERVAL == 0:
--- a/figstep/core/configuration.py
+++ b/figstep/core/configuration.py
@@ -84,9 +84,7 @@
 def check_edit(current: Checkpoint | None, event: ConfigurationRead) -> EditVerdict:
     """Check an edit against the document that is in force before it.
 
-    Args:
-        current: Checkpoint of the last accepted edit, or None before the first.
-        event: The edit.
+    ``current`` is None before the first accepted edit.
     """
     if not event.known:
         return Unknown(
@@ -319,9 +317,7 @@
 def encode_snapshot(current: Checkpoint, position: int) -> dict[str, Any]:
     """Return the snapshot record of a checkpoint.
 
-    Args:
-        current: Checkpoint of the edit in force.
-        position: Last offset that was folded, which the snapshot covers.
+    ``position`` is the last offset that was folded, which the snapshot covers.
     """
     return {
         "kind": SNAPSHOT,
--- a/figstep/core/leases.py
+++ b/figstep/core/leases.py
@@ -22,13 +22,11 @@
     """Record of the lease stream.
 
     Attributes:
-        lease: Name of the lease.
         holder: Name of the node that acquires, renews or releases the lease.
         session: Identifier that distinguishes the runs of a node.
         record: Id of this record, by which the node recognizes it when it is read
             back, also if the append went unanswered.
         term: Time for which the lease lasts, in milliseconds.
-        release: Whether the holder releases the lease.
     """
 
     lease: str
@@ -72,12 +70,10 @@
     Attributes:
         holder: Name of the node that acquired the lease last. It no longer holds the
             lease if the lease is released or its term is over.
-        session: Session of the holder.
         fencing: Fencing number: offset of the record that acquired the lease.
         time: Latest time of the records by which the holder acquired, renewed or
             released the lease, in milliseconds since the epoch by the log's clock.
         term: Time for which the lease lasts from ``time`` on, in milliseconds.
-        released: Whether the holder released the lease.
         last_read: Time at which this node read the last of these records, in
             monotonic milliseconds.
     """
@@ -132,7 +128,6 @@
             them with ``find_holding``.
         pending: Records of this node that acquire or renew a lease and are not read
             back yet, by id of the record.
-        next_record: Number of this node's next record.
     """
 
     session: str = ""
@@ -226,13 +221,8 @@
 ) -> None:
     """Fold a record read from the lease stream and update this node's holdings.
 
-    Malformed records are ignored.
-
-    Args:
-        table: Table of leases, changed in place.
-        node: Name of this node.
-        position: Record as read, with the offset and time that the log assigned.
-        now: Time of the reading, in monotonic milliseconds.
+    Malformed records are ignored. ``now`` is the time of the reading, in monotonic
+    milliseconds.
     """
     record = parse_lease_record(position.data)
     if record is None:
--- a/figstep/core/ownership.py
+++ b/figstep/core/ownership.py
@@ -87,13 +87,6 @@
 
     A request whose digest differs from the owner's is refused, as its method, path
     or body is another one.
-
-    Args:
-        state: State of this entry.
-        request: The duplicate.
-        identity: Name of the identity.
-        owner: Claim that owns the identity.
-        now: Monotonic time, in milliseconds.
     """
     name = request.spec.request
     request.claim = None
@@ -157,13 +150,7 @@
 
 
 def abandon_claim(state: State, request: RequestState, ran: Ran) -> list[Effect]:
-    """Close the claim of a request whose caller has disconnected.
-
-    Args:
-        state: State of this entry.
-        request: The request.
-        ran: Whether the request ran, as far as this entry knows.
-    """
+    """Close the claim of a request whose caller has disconnected."""
     problem = Problem(
         409,
         "first_request_gone",
@@ -292,11 +279,7 @@
 
 
 def build_unknown_problem(ran: Ran) -> Problem:
-    """Return the problem for a request that may have run but has no recorded answer.
-
-    Args:
-        ran: Whether the request ran, as far as it is known.
-    """
+    """Return the problem for a request that may have run but has no recorded answer."""
     return Problem(
         409,
         "outcome_unknown",
--- a/figstep/core/placement.py
+++ b/figstep/core/placement.py
@@ -46,7 +46,6 @@
     """Properties of one engine that placement depends on.
 
     Attributes:
-        info: Inventory record of the engine.
         loaded: What the engine reports as loaded, as "model@version" or
             "model+adapter".
         usable: Whether the engine accepts new work and has reported its load.
@@ -72,11 +71,6 @@
 ) -> list[PlacedOrder]:
     """Return the orders that bring one failure domain to the wanted state.
 
-    Args:
-        inventory: The document in force.
-        domain: Name of the failure domain.
-        engines: The engines of the failure domain.
-
     Returns:
         For each model the loads, then the unloads. Other versions stay loaded until
         the wanted version is served by as many engines as are wanted, or by all
--- a/figstep/core/reducer.py
+++ b/figstep/core/reducer.py
@@ -58,15 +58,9 @@
 
 
 def reduce(state: State, event: Event, now: Millis) -> list[Effect]:
-    """Apply one event.
+    """Apply one event and return the effects for the edges to carry out, in order.
 
-    Args:
-        state: State of this entry. It is changed in place, and only here.
-        event: The event.
-        now: Monotonic time, in milliseconds.
-
-    Returns:
-        Effects for the edges to carry out, in order.
+    The state is changed in place, and only here. ``now`` is the monotonic time.
     """
     match event:
         case TokensArrived():
--- a/figstep/core/requests.py
+++ b/figstep/core/requests.py
@@ -47,15 +47,9 @@
     identity, and the request goes on to start once the record is read back from the
     log and owns the identity.
 
-    Args:
-        state: The entry's state.
-        event: The request that arrived.
-        now: Monotonic time, in milliseconds.
-
-    Returns:
-        The effects. The request is refused if the entry is shutting down, has no
-        configuration or has quarantined the request's digest. The claim and the
-        admission control may refuse it too.
+    The request is refused if the entry is shutting down, has no configuration or
+    has quarantined the request's digest. The claim and the admission control may
+    refuse it too.
     """
     spec = event.spec
     if state.shutting_down:
@@ -124,8 +118,7 @@
     """Start queued requests of each pool until the next one finds no target.
 
     A request that avoids targets, as a suspect or after lost attempts, is skipped if
-    it finds none and stays queued. The queue timer is set again while requests are
-    queued.
+    it finds none and stays queued.
     """
     effects: list[Effect] = []
     for pool in state.queue.list_pools():
@@ -186,12 +179,8 @@
 ) -> list[Effect]:
     """End a request with a problem, and close its attempt and its claim.
 
-    Args:
-        state: The entry's state.
-        request: The request.
-        problem: Final answer to the caller. Its ``ran`` is replaced by
-            ``determine_ran`` if that is stronger.
-        cancel: Whether the request's generation, if any, is cancelled at the target.
+    The ``ran`` of the problem is replaced by ``determine_ran`` if that is stronger.
+    With ``cancel``, the request's generation, if any, is cancelled at the target.
     """
     name = request.spec.request
     ran = retries.combine_ran(problem.ran, determine_ran(state, request))
--- a/figstep/core/retries.py
+++ b/figstep/core/retries.py
@@ -89,7 +89,6 @@
     """Inputs of the decision on how a request continues after a lost attempt.
 
     Attributes:
-        loss: How the attempt was lost.
         ran: Whether the request ran, this attempt included.
         attempts: Starts so far, without resumes.
         resumes: Resumes in a row without a new event.
@@ -143,9 +142,7 @@
     of each is random, so that the streams of one broken link are not all resumed at
     the same time.
 
-    Args:
-        resumes: Number of resumes in a row before this one.
-        rng: Random generator.
+    ``resumes`` is the number of resumes in a row before this one.
     """
     if resumes == 0:
         return Millis(0)
@@ -156,10 +153,8 @@
 def compute_avoidance(loss: Loss, retry_after: Millis | None) -> Millis:
     """Return how long a request avoids a target after a loss, in milliseconds.
 
-    Args:
-        loss: How the attempt was lost.
-        retry_after: Pause that the target requested, in milliseconds. It takes
-            precedence unless it is None or 0.
+    ``retry_after``, the pause that the target requested, takes precedence unless it
+    is None or 0.
     """
     return retry_after or _AVOIDANCE_BY_LOSS.get(loss, _DEFAULT_AVOIDANCE)
 
