--- a/figstep/core/admission.py
+++ b/figstep/core/admission.py
@@ -142,10 +142,8 @@
 
     The jitter keeps callers that were rejected together from returning together.
 
-    Args:
-        state: The entry's state, for its random numbers.
-        wait: Predicted wait beyond the time left to the deadline, in milliseconds.
-            It is raised to ``MIN_RETRY_AFTER`` or lowered to ``MAX_RETRY_AFTER``.
+    ``wait`` is the predicted wait beyond the time left to the deadline. It is raised
+    to ``MIN_RETRY_AFTER`` or lowered to ``MAX_RETRY_AFTER``.
     """
     base = min(MAX_RETRY_AFTER, max(wait, MIN_RETRY_AFTER))
     return Millis(round(base * (1.0 + RETRY_AFTER_JITTER * state.rng.random())))
--- a/figstep/core/crashes.py
+++ b/figstep/core/crashes.py
@@ -64,7 +64,6 @@
     """Report that a suspected request was answered and its target did not crash.
 
     Attributes:
-        digest: Digest of the request.
         age: Time since the answer, in milliseconds.
     """
 
@@ -128,12 +127,7 @@
         return True
 
     def record_crash(self, life: str, at: Millis) -> None:
-        """Record a crash of a target, with or without requests on it.
-
-        Args:
-            life: Name of the target's life that ended.
-            at: Time of the crash (monotonic), in milliseconds.
-        """
+        """Record a crash of a target, with or without requests on it."""
         self._crashes.setdefault(life, _Crash(at))
 
     def is_suspected(self, digest: str) -> bool:
@@ -151,13 +145,8 @@
     def clear(self, digest: str, at: Millis, now: Millis) -> bool:
         """Drop the suspicions of a request from crashes up to an answer to it.
 
-        Args:
-            digest: Digest of the request.
-            at: Time of the answer (monotonic), in milliseconds.
-            now: Monotonic time, in milliseconds.
-
-        Returns:
-            Whether any suspicion was dropped.
+        ``at`` is the monotonic time of the answer. Return whether any suspicion was
+        dropped.
         """
         cleared = self._cleared.get(digest)
         if cleared is not None:
@@ -228,10 +217,6 @@
         A crash is left out if a request with several suspicions was on the target:
         that request may have caused the crash, which is thus no evidence that targets
         crash by chance.
-
-        Args:
-            digest: Digest of the request.
-            own: Crashes at which the request was on the target.
         """
         first = min(crash.at for crash in own) - COMMON_CAUSE_WINDOW
         last = max(crash.at for crash in own) + COMMON_CAUSE_WINDOW
--- a/figstep/core/datagrams.py
+++ b/figstep/core/datagrams.py
@@ -56,12 +56,8 @@
 ) -> Gossip:
     """Return the next message for a peer, filled with the most urgent content first.
 
-    Args:
-        state: State of this entry; its sequence number, cursors and remaining sends
-            are advanced.
-        receiver: The receiving entry, or None if only its address is known.
-        now: Monotonic time, in milliseconds.
-        wants_answer: Whether the receiver should acknowledge the message.
+    The sequence number, the cursors and the remaining sends in ``state`` are
+    advanced. ``receiver`` is None if only its address is known.
     """
     membership = state.membership
     membership.sequence += 1
--- a/figstep/core/lengths.py
+++ b/figstep/core/lengths.py
@@ -72,8 +72,6 @@
 
     Attributes:
         weights: Weight of the answers of each bin.
-        total: Sum of the weights.
-        next_weight: Weight of the next answer.
     """
 
     weights: list[float] = field(default_factory=lambda: [0.0] * BIN_COUNT)
--- a/figstep/core/pacing.py
+++ b/figstep/core/pacing.py
@@ -75,7 +75,6 @@
     The first two samples are assumed ones, from the speed in the inventory.
 
     Attributes:
-        weight: Sum of the weights.
         x: Weighted sum of the running counts.
         y: Weighted sum of the gaps, in milliseconds.
         xx: Weighted sum of the squared running counts.
@@ -99,11 +98,7 @@
     ) -> None:
         """Add one observed gap.
 
-        Args:
-            running: Number of generations that were running.
-            gap: Gap between tokens, in milliseconds.
-            weight: Weight of the sample.
-            keep: Factor on the weight of the earlier samples.
+        ``gap`` is in milliseconds; ``keep`` scales the weight of the earlier samples.
         """
         self.weight = self.weight * keep + weight
         self.x = self.x * keep + weight * running
--- a/figstep/core/quarantine.py
+++ b/figstep/core/quarantine.py
@@ -22,7 +22,6 @@
     Attributes:
         until: Refused digests, each with the end of its quarantine (monotonic), in
             milliseconds.
-        crashes: Crashes of targets, and the requests that were on those targets.
     """
 
     until: dict[str, Millis] = field(default_factory=dict)
--- a/figstep/core/queues.py
+++ b/figstep/core/queues.py
@@ -40,9 +40,7 @@
     """A request in the queue.
 
     Attributes:
-        spec: The request.
         cost: Expected work, in tokens.
-        share: Share of the request's customer.
         since: Time of arrival (monotonic), in milliseconds.
     """
 
@@ -59,9 +57,7 @@
     Attributes:
         finish_tag: Virtual time at which the last started work of the customer ends,
             in tokens divided by the share.
-        share: Share of the customer.
         cost: Expected work of the queued requests, in tokens.
-        count: Number of queued requests.
         in_heap: Whether the customer is in the heap of its priority level.
         heap: Requests as (sort key, sequence number, request id); it may still hold
             requests that were removed.
@@ -137,10 +133,7 @@
     """Queued requests that the same targets can run.
 
     Attributes:
-        levels: Levels by priority.
-        count: Number of queued requests.
         cost: Expected work of the queued requests, in tokens.
-        rate: Rate of started work.
     """
 
     levels: dict[int, PriorityLevel] = field(default_factory=dict)
@@ -200,11 +193,7 @@
     ) -> None:
         """Add a request to the queue.
 
-        Args:
-            spec: The request.
-            cost: Expected work, in tokens.
-            share: Share of the request's customer.
-            since: Time of arrival (monotonic), in milliseconds.
+        ``cost`` is the expected work, in tokens, and ``since`` the time of arrival.
         """
         queued = QueuedRequest(spec, cost, share, since)
         self._queued[spec.request] = queued
@@ -266,11 +255,7 @@
     def charge(self, spec: RequestSpec, cost: float, share: float, now: Millis) -> None:
         """Charge a request that starts to its customer and to the pool's rate.
 
-        Args:
-            spec: The request.
-            cost: Expected work, in tokens.
-            share: Share of the request's customer.
-            now: Monotonic time, in milliseconds.
+        ``cost`` is the expected work of the request, in tokens.
         """
         pool = self._find_pool(spec)
         pool.rate.add(cost, now)
@@ -291,11 +276,7 @@
         first, the wait is also at least the time until the request's sort key
         reaches the one at the head of its customer's queue.
 
-        Args:
-            spec: The request.
-            cost: Expected work, in tokens.
-            share: Share of the request's customer.
-            now: Monotonic time, in milliseconds.
+        ``cost`` is the expected work of the request, in tokens.
         """
         pool = self._pools.get(name_pool(spec))
         if pool is None or pool.count == 0:
--- a/figstep/core/routing.py
+++ b/figstep/core/routing.py
@@ -54,11 +54,8 @@
 def rank_target(node: str, target: str) -> bytes:
     """Return the rendezvous hash of a target for an entry.
 
-    An entry prefers the targets with the highest hashes.
-
-    Args:
-        node: Name of the entry.
-        target: Name of the target or of a failure domain.
+    An entry prefers the targets with the highest hashes. ``target`` may also be the
+    name of a failure domain.
     """
     return hashlib.sha256(f"{node}/{target}".encode()).digest()[:8]
 
@@ -73,10 +70,7 @@
     domain's targets in the subset therefore changes. Every entry loses about the
     same number of targets with a failure domain.
 
-    Args:
-        node: Name of the entry.
-        targets: Targets to choose from.
-        size: Number of targets to return; all of them if 0 or less.
+    All targets are returned if ``size`` is 0 or less.
     """
     if size <= 0 or len(targets) <= size:
         return targets
@@ -213,11 +207,7 @@
     An idle engine accepts any generation; otherwise a request larger than the memory
     of every engine would wait forever. A plain service has no limit.
 
-    Args:
-        policy: Policy in force.
-        target: The target.
-        footprint: Memory that the generation needs, in tokens.
-        others: Number of generations that other entries run on the target.
+    ``others`` is the number of generations that other entries run on the target.
     """
     pace, info = target.pace, target.info
     if not isinstance(info, EngineInfo):
--- a/figstep/core/silence.py
+++ b/figstep/core/silence.py
@@ -26,9 +26,7 @@
     streams of an engine that is slow but regular are therefore not taken for silent,
     and an engine that stalls now and then gets a longer limit.
 
-    Args:
-        target: The target.
-        gap: Time between two reads of one stream, in milliseconds.
+    ``gap`` is the time between two reads of one stream, in milliseconds.
     """
     error = gap - target.gap
     target.gap += READ_GAP_SMOOTHING * error
--- a/figstep/core/suspects.py
+++ b/figstep/core/suspects.py
@@ -26,10 +26,7 @@
     counts the death for all requests on the target; at a later loss of the same death
     the request's generation is already counted.
 
-    Args:
-        state: The entry's state.
-        attempt: The attempt whose loss showed the death; it is removed already.
-        now: Monotonic time, in milliseconds.
+    ``attempt`` is the one whose loss showed the death; it is removed already.
     """
     target = state.targets.get(attempt.target)
     if target is None:
--- a/figstep/core/targets.py
+++ b/figstep/core/targets.py
@@ -125,11 +125,7 @@
 ) -> Footprint | None:
     """Return the footprint of a generation, or None for a plain service.
 
-    Args:
-        state: The entry's state.
-        spec: The request.
-        produced: Tokens of the answer so far.
-        now: Monotonic time, in milliseconds.
+    ``produced`` is the number of tokens of the answer so far.
     """
     if not isinstance(spec.work, GenerationWork):
         return None
@@ -242,8 +238,7 @@
 def record_loss(target: TargetState, now: Millis) -> None:
     """Record a lost attempt: the target gets no new generation for some time.
 
-    The time doubles from ``INITIAL_AVOIDANCE`` to ``MAX_AVOIDANCE`` with the losses in
-    a row. Only the ``Figstep`` policies apply it, and only to generations.
+    Only the ``Figstep`` policies apply this time, and only to generations.
     """
     pace = target.pace
     pause = min(MAX_AVOIDANCE, INITIAL_AVOIDANCE << min(10, pace.losses))
--- a/figstep/core/watch.py
+++ b/figstep/core/watch.py
@@ -15,10 +15,6 @@
     These are the engines of the pools that it uses and those of failure domains
     whose lease it holds. In a large fleet, reading the reports of all engines would
     cost an entry many times its budget for control traffic.
-
-    Args:
-        state: State of this entry.
-        now: Monotonic time, in milliseconds.
     """
     if state.inventory is None:
         return []
