--- a/figstep/platform/answers.py
+++ b/figstep/platform/answers.py
@@ -73,10 +73,7 @@
 def check_answer(response: aiohttp.ClientResponse, request_id: str | None) -> None:
     """Check that an answer belongs to a request and does not state "not run".
 
-    Args:
-        response: Answer of the target.
-        request_id: Id of the request; None, which skips the check of the id, if the
-            caller gave none.
+    The id is not checked if ``request_id`` is None: the caller gave none.
 
     Raises:
         RefusedError: If the answer proves that the request did not run.
@@ -92,12 +89,7 @@
 
 
 def read_retry_after(response: aiohttp.ClientResponse) -> Millis | None:
-    """Return for how long a target wants no requests.
-
-    Returns:
-        The time in its Retry-After header, converted to milliseconds; None if the
-        header is missing or invalid.
-    """
+    """Return the time of a Retry-After header; None if it is missing or invalid."""
     text = response.headers.get(names.RETRY_AFTER)
     if text is None:
         return None
@@ -152,11 +144,7 @@
 
 
 def parse_report(target: str, body: bytes) -> EngineReported:
-    """Return the state that an engine reports.
-
-    Args:
-        target: Id of the engine.
-        body: Report as JSON.
+    """Return the state in an engine's report, which is JSON.
 
     Raises:
         ValueError: If the report is not valid.
--- a/figstep/platform/callers.py
+++ b/figstep/platform/callers.py
@@ -56,10 +56,8 @@
     """A caller's request, and the parts of its answer as they arrive.
 
     Attributes:
-        method: HTTP method.
         path: Path with its query, as received.
         headers: Headers that are forwarded to targets.
-        body: Complete body of the request.
         head: Status and headers of a stream; None until the stream has begun.
         answer: Complete answer of a target; None if there is none.
         problem: Error answer made by the gateway; None if there is none.
@@ -284,10 +282,7 @@
             exchange.wake_handler()
 
     def break_stream(self, number: int) -> None:
-        """Cut a stream off so that it cannot look complete.
-
-        It is ignored if the request is not open.
-        """
+        """Cut a stream off so that it cannot look complete, if the request is open."""
         exchange = self.exchanges.get(number)
         if exchange is not None:
             exchange.broken = True
@@ -333,10 +328,7 @@
 def read_request(number: int, request: web.Request, body: bytes) -> RoutedRequest:
     """Return a request in the form that the gateway's decisions use.
 
-    Args:
-        number: Number of the request at this entry.
-        request: Request as the HTTP server parsed it.
-        body: Its complete body.
+    ``number`` identifies the request at this entry.
     """
     headers = request.headers
     key = headers.get(names.CREDENTIAL)
--- a/figstep/platform/documents.py
+++ b/figstep/platform/documents.py
@@ -101,10 +101,7 @@
 
 
 def parse_configuration(value: bytes) -> RoutingTable:
-    """Return the routing table of a configuration record.
-
-    Args:
-        value: Configuration as JSON.
+    """Return the routing table of a configuration record, which is JSON.
 
     Raises:
         ValueError: If the configuration is not valid. The platform is expected to
@@ -202,11 +199,8 @@
     """Return a target's registration, or None if the record is not a valid one.
 
     Other programs may write records to the topic, so a record with an unknown state,
-    missing fields or invalid JSON is no error.
-
-    Args:
-        key: Key of the record, which is the id of the target.
-        value: Registration as JSON.
+    missing fields or invalid JSON is no error. The key of the record is the id of the
+    target.
     """
     try:
         document: Any = orjson.loads(value)
--- a/figstep/platform/engines.py
+++ b/figstep/platform/engines.py
@@ -194,14 +194,7 @@
     def _dispatch_target_signals(
         self, response: aiohttp.ClientResponse, target: Target, requested_at: Millis
     ) -> None:
-        """Dispatch what an answer newly reports about its target.
-
-        Args:
-            response: Answer of the target.
-            target: Target that was sent the request.
-            requested_at: When the request was sent, as a monotonic time in
-                milliseconds.
-        """
+        """Dispatch what an answer newly reports about its target."""
         signals = answers.read_target_signals(response)
         if signals.leaving and not target.announced_leaving:
             self._dispatch(TargetLeaving(target.info.incarnation))
--- a/figstep/platform/entry.py
+++ b/figstep/platform/entry.py
@@ -115,10 +115,7 @@
 
 
 class Entry(Service, PeerPort, LinkHost):
-    """One entry instance on the platform.
-
-    It connects the gateway with callers, targets, peers and the store.
-    """
+    """Connects the gateway of an entry with callers, targets, peers and the store."""
 
     def __init__(
         self,
@@ -469,12 +466,7 @@
 
 
 def build_state(settings: EntrySettings, now: Millis) -> State:
-    """Return the initial state of an entry.
-
-    Args:
-        settings: Settings of the entry.
-        now: Time of the start, as a monotonic time in milliseconds.
-    """
+    """Return the initial state of an entry that starts at ``now``."""
     budget = RetryBudget(
         settings.retry_ratio,
         settings.retry_allowance,
@@ -511,11 +503,8 @@
 async def serve_until_signal(path: Path, listener: socket.socket | None = None) -> None:
     """Serve callers until SIGTERM or SIGINT, then drain and stop.
 
-    On SIGHUP, the settings file is read again.
-
-    Args:
-        path: Settings file.
-        listener: Socket that already listens for callers; None to open one.
+    On SIGHUP, the settings file at ``path`` is read again. ``listener`` is a socket
+    that already listens for callers, or None to open one.
 
     Raises:
         SettingsError: If the settings file is not valid.
--- a/figstep/platform/settings.py
+++ b/figstep/platform/settings.py
@@ -69,7 +69,6 @@
 
     Attributes:
         node: Name of this instance.
-        failure_domain: Failure domain of this instance.
         callers: Address at which callers connect.
         readiness: Address at which the platform checks readiness.
         peers: Address at which other entries reach this one, by UDP and TCP.
@@ -137,9 +136,7 @@
 def parse_settings(document: dict[str, Any], origin: str) -> EntrySettings:
     """Return the settings in a parsed settings file.
 
-    Args:
-        document: Content of the file.
-        origin: Name of the file, for error messages.
+    ``origin`` names the file in error messages.
 
     Raises:
         SettingsError: If the document is not valid; the error names each wrong field
--- a/figstep/platform/store.py
+++ b/figstep/platform/store.py
@@ -48,7 +48,6 @@
     """A record of a keyed topic.
 
     Attributes:
-        key: Key of the record.
         value: Value of the key; None if the record deletes the key.
     """
 
@@ -99,10 +98,7 @@
 
 
 class HttpStore(Store):
-    """Client of the store's HTTP interface.
-
-    It opens its session at the first call.
-    """
+    """Client of the store's HTTP interface; opens its session at the first call."""
 
     def __init__(self, address: str) -> None:
         self._base_url = f"http://{address}"
