--- a/figstep/net/arrivals.py
+++ b/figstep/net/arrivals.py
@@ -162,10 +162,7 @@
 def digest_request(method: str, path: str, body: bytes) -> str:
     """Return the SHA-256 of method, path and body of a request, in hexadecimal.
 
-    Args:
-        method: HTTP method.
-        path: Path with its query.
-        body: Body as the caller sent it.
+    The path includes its query; the body is the one that the caller sent.
     """
     digest = hashlib.sha256(f"{method} {path}\n".encode())
     digest.update(body)
--- a/figstep/net/callers.py
+++ b/figstep/net/callers.py
@@ -40,7 +40,6 @@
     Attributes:
         ready: Whether load balancers should send new callers to this entry.
         address: Base URL; empty until the server listens.
-        streams: Open streams to callers.
     """
 
     def __init__(
@@ -235,16 +234,11 @@
         return response
 
     def _handle_disconnect(self, exchange: Exchange, grace: float) -> None:
-        """End the request of a disconnected caller, now or after its grace period.
+        """End the request of a disconnected caller, now or within ``grace`` seconds.
 
         The generation is cancelled only if the request ends now. Without a grace
         period, before the stream has begun and after the answer has ended, the
         request ends now.
-
-        Args:
-            exchange: The caller's request.
-            grace: Time for which the generation continues without its caller, in
-                seconds.
         """
         if not grace or exchange.sink is None or exchange.ended:
             self._dispatch(CallerGone(exchange.spec.request))
--- a/figstep/net/configuration.py
+++ b/figstep/net/configuration.py
@@ -51,12 +51,8 @@
     """Convert a log record into an event.
 
     An invalid record, including an invalid snapshot, becomes a ``ConfigurationRead``
-    that holds its problems.
-
-    Args:
-        record: The record of the configuration stream.
-        current: The document in force before the record, to which the changes of
-            an edit apply; None if there is none.
+    that holds its problems. The changes of an edit apply to ``current``, the document
+    in force before the record, or None for none.
     """
     try:
         if record.data.get("kind") == SNAPSHOT:
--- a/figstep/net/deliveries.py
+++ b/figstep/net/deliveries.py
@@ -38,11 +38,7 @@
     stalled: float = 0.0
 
     def add(self, now: float) -> None:
-        """Record a delivery.
-
-        Args:
-            now: Monotonic time, in seconds.
-        """
+        """Record a delivery."""
         gap = now - self.last
         self.last = now
         if gap > self.longest:
@@ -56,7 +52,6 @@
 
     Attributes:
         finished: Whether nothing more will be written.
-        gaps: Waits between deliveries to the caller.
     """
 
     def __init__(
@@ -122,11 +117,9 @@
         return True
 
     def abort_if_stalled(self, now: float, stalled_seconds: float) -> bool:
-        """Abort the connection if its reader has read nothing for too long.
+        """Abort the connection if its reader has read nothing for ``stalled_seconds``.
 
-        Args:
-            now: Monotonic time, in seconds.
-            stalled_seconds: Time without progress after which to abort, in seconds.
+        ``now`` is a monotonic time, in seconds.
 
         Returns:
             Whether the connection was aborted.
@@ -149,7 +142,6 @@
 
     Attributes:
         kept_alive: Number of streams that got a keep-alive comment.
-        aborted: Number of connections aborted.
     """
 
     kept_alive: int
--- a/figstep/net/exchanges.py
+++ b/figstep/net/exchanges.py
@@ -50,13 +50,9 @@
         max_bytes: Maximum size of ``frames``, in bytes; an answer that exceeds it ends
             with a problem.
         frames: Events collected and not yet read.
-        frames_bytes: Size of ``frames``, in bytes.
         sink: Receives events as they arrive, instead of ``frames``; None until the
             stream to the caller has begun, and for answers that are not streamed.
-        completed: Whether the answer is complete.
         problem: Final problem, or None if the answer has not ended with one.
-        answer: Answer of a plain service, or None.
-        received_at: Monotonic time at which the request was received, in milliseconds.
     """
 
     spec: RequestSpec
--- a/figstep/net/frames.py
+++ b/figstep/net/frames.py
@@ -110,10 +110,7 @@
 
 
 class EventSplitter:
-    """Splits a stream of numbered events, preserving every byte.
-
-    Each event must have a number, unlike in a stream for ``FrameSplitter``.
-    """
+    """Splits a stream of numbered events, preserving every byte."""
 
     def __init__(self) -> None:
         self._incomplete = b""
--- a/figstep/net/headers.py
+++ b/figstep/net/headers.py
@@ -36,12 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LastEvent:
-    """Last event that a reconnecting caller received.
-
-    Attributes:
-        generation: Generation that the event belongs to.
-        index: Index of the event.
-    """
+    """Last event that a reconnecting caller received."""
 
     generation: str
     index: int
@@ -56,7 +51,6 @@
             default of the rules.
         grace: Time for which the generation continues without its caller, in seconds,
             at most ``resume_grace_seconds``.
-        idempotency_key: The caller's key for this request, or None.
         non_idempotent: Whether the request may run only once.
         last_event: Event after which a reconnecting caller resumes, or None.
     """
--- a/figstep/net/hellos.py
+++ b/figstep/net/hellos.py
@@ -138,10 +138,8 @@
 def decode_hello(data: bytes, sender: str) -> Hello:
     """Return the message of a datagram.
 
-    Args:
-        data: Payload of the datagram.
-        sender: Source address, as "ip:port"; used if the message holds no address of
-            the entry that wrote it.
+    ``sender`` is the source address, as "ip:port". It is used if the message holds no
+    address of the entry that wrote it.
 
     Raises:
         PeerMessageError: If the datagram cannot be decoded.
--- a/figstep/net/instances.py
+++ b/figstep/net/instances.py
@@ -54,11 +54,7 @@
 
 
 def compute_poll_interval(entries: int) -> float:
-    """Return the interval between two reads by one entry, in seconds.
-
-    Args:
-        entries: Number of entries that read the list.
-    """
+    """Return the time between two reads by each of ``entries`` readers, in seconds."""
     return max(MIN_POLL_SECONDS, entries / MAX_FLEET_POLLS_PER_SECOND)
 
 
--- a/figstep/net/links.py
+++ b/figstep/net/links.py
@@ -140,10 +140,8 @@
     ) -> None:
         """Handle a message of another entry.
 
-        Args:
-            message: Content of the message.
-            records: Registrations that the writer of the message read last, as pairs
-                of key and stored value; empty values stand for removed ones.
+        The records are the registrations that the writer of the message read last, as
+        pairs of key and stored value; empty values stand for removed ones.
         """
 
     @abstractmethod
--- a/figstep/net/log.py
+++ b/figstep/net/log.py
@@ -32,14 +32,8 @@
     ) -> list[LogRecord]:
         """Return the records from offset ``start`` on, in order.
 
-        If there are none yet, the read waits for one. The result is empty if none is
-        appended during the wait.
-
-        Args:
-            stream: Name of the stream.
-            start: Offset of the first record.
-            wait: Longest wait for a record, in milliseconds.
-            limit: Maximum number of records to return.
+        If there are none yet, the read waits up to ``wait`` milliseconds for one. The
+        result is empty if none is appended during the wait.
 
         Raises:
             LogUnavailableError: If there is no answer or an answer other than success.
@@ -55,7 +49,6 @@
     """Log in memory, for tests. The time of all records is 0.
 
     Attributes:
-        streams: Records of each stream.
         earliest: Offset of the first record that has not expired, by stream.
         available: Whether calls succeed; if not, they raise LogUnavailableError.
     """
--- a/figstep/net/orders.py
+++ b/figstep/net/orders.py
@@ -24,9 +24,7 @@
 def build_order(order: Order, fencing: int) -> dict[str, Any]:
     """Return the body of ``POST /orders``.
 
-    Args:
-        order: The order.
-        fencing: Fencing number of the lease under which the order is sent.
+    The fencing number is that of the lease under which the order is sent.
     """
     match order:
         case LoadModel(model=model, version=version):
--- a/figstep/net/peers.py
+++ b/figstep/net/peers.py
@@ -164,12 +164,10 @@
         self._dispatch(GossipReceived(gossip))
 
     def fetch(self, address: str) -> None:
-        """Start to fetch the checkpoint of a peer, unless a fetch is running.
+        """Start to fetch the checkpoint of the peer at ``address``, as "ip:port".
 
-        Success is dispatched as ``CheckpointOffered``; a failure is only logged.
-
-        Args:
-            address: Address of the peer, as "ip:port".
+        Nothing happens while another fetch is running. Success is dispatched as
+        ``CheckpointOffered``; a failure is only logged.
         """
         if self._fetch is not None and not self._fetch.done():
             return
@@ -253,7 +251,6 @@
         self._handler = handler
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Pass one datagram to the handler."""
         self._handler(data)
 
     def error_received(self, exc: Exception) -> None:
--- a/figstep/net/probes.py
+++ b/figstep/net/probes.py
@@ -6,10 +6,7 @@
 async def is_listening(host: str, port: int, seconds: float) -> bool:
     """Return whether a process accepts connections at an address.
 
-    Args:
-        host: IP address.
-        port: Port.
-        seconds: Timeout of the connection attempt, in seconds.
+    The host is an IP address. The attempt times out after ``seconds``.
 
     Returns:
         False only if the connection was refused.
--- a/figstep/net/reports.py
+++ b/figstep/net/reports.py
@@ -86,9 +86,7 @@
 def parse_report(target: str, document: dict[str, Any]) -> LoadReported:
     """Convert the decoded answer of ``GET /load`` into an event.
 
-    Args:
-        target: Name of the engine.
-        document: The decoded answer; missing fields get defaults.
+    Missing fields get defaults.
 
     Raises:
         ValueError: If text in a number field is not a number.
--- a/figstep/net/sessions.py
+++ b/figstep/net/sessions.py
@@ -38,10 +38,8 @@
 ) -> aiohttp.ClientSession:
     """Return a session that passes on the answers of targets byte for byte.
 
-    Args:
-        connector: Connector that opens the connections of the session.
-        connect_seconds: Timeout of opening a connection, in seconds.
-        skip_auto_headers: Headers that aiohttp must not add by itself.
+    Opening a connection times out after ``connect_seconds``. aiohttp does not add
+    ``skip_auto_headers`` by itself.
     """
     # Cookies are dropped: a cookie jar would send one customer's cookies with the
     # requests of another.
--- a/figstep/net/streams.py
+++ b/figstep/net/streams.py
@@ -116,10 +116,7 @@
         return not self._senders
 
     def append(self, effect: AppendRecords) -> None:
-        """Queue an append.
-
-        ``AppendConfirmed`` or ``AppendUncertain`` is dispatched as its outcome.
-        """
+        """Queue an append; it results in ``AppendConfirmed`` or ``AppendUncertain``."""
         self._waiting.setdefault(effect.stream, []).append(effect)
         if effect.stream in self._senders:
             return
--- a/figstep/net/targets.py
+++ b/figstep/net/targets.py
@@ -108,10 +108,7 @@
         self._run_in_background(self._send_cancel(effect))
 
     def replace_pool(self, target: str) -> None:
-        """Use new connections for later requests to a target.
-
-        Requests in progress keep their connections.
-        """
+        """Use new connections for later requests; requests in progress keep theirs."""
         self._pools.replace(target)
 
     def probe_target(self, target: str) -> None:
