--- a/figstep/account.py
+++ b/figstep/account.py
@@ -41,11 +41,7 @@
 
 @dataclass(slots=True)
 class RequestTrace:
-    """Log lines of one request.
-
-    Attributes:
-        lines: Parsed log lines, in the order in which they were written.
-    """
+    """Parsed log lines of one request, in the order in which they were written."""
 
     lines: list[dict[str, Any]] = field(default_factory=list)
 
@@ -66,10 +62,8 @@
 
     Attributes:
         route: Route of the requests; "" if no line names it.
-        outcome: Outcome of the requests.
         cause: Cause of the outcome as far as it is logged; "" if none is logged
             and for outcomes that need none.
-        requests: Number of requests.
         events: Number of events that were delivered for these requests.
     """
 
--- a/figstep/audit.py
+++ b/figstep/audit.py
@@ -21,8 +21,6 @@
         offset: Offset of the edit's record in the log.
         time: When the log stored the record, in milliseconds since the Unix epoch.
         edit: Unique id of the edit.
-        author: Author of the edit.
-        reason: Reason that the author gave.
         base: Offset of the accepted document on which the edit is based.
         verdict: "accepted", "refused" or "unknown".
         rule: Name of the rule by which the edit was refused, or "".
--- a/figstep/bench.py
+++ b/figstep/bench.py
@@ -30,7 +30,6 @@
     Attributes:
         url: Base URL of an entry or of a target.
         key: Key of the customer.
-        model: Name of the model.
         streams: Number of parallel streams.
         tokens: Length of each answer, in tokens.
         gap: Time between two tokens that is requested from a token source, in
@@ -74,11 +73,9 @@
 
 
 def find_quantile(values: list[float], share: float) -> float:
-    """Return a quantile of values; 0 for no values.
+    """Return a quantile of values in any order; 0 for no values.
 
-    Args:
-        values: Values in any order.
-        share: Fraction of the values below the quantile, from 0 to 1.
+    ``share`` is the fraction of the values below the quantile, from 0 to 1.
     """
     if not values:
         return 0.0
@@ -169,12 +166,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """Results of a workload.
-
-    Attributes:
-        seconds: Duration of the measurement, in seconds.
-        tally: Results of the callers over that time.
-    """
+    """Results of a workload and the duration of its measurement, in seconds."""
 
     seconds: float
     tally: Tally
@@ -196,10 +188,8 @@
 async def measure(workload: Workload, warm_up: float, seconds: float) -> Report:
     """Run a workload and return its results.
 
-    Args:
-        workload: Parameters of the benchmark.
-        warm_up: Time over which the streams are opened, in seconds; not measured.
-        seconds: Duration of the measurement, in seconds.
+    The streams are opened over ``warm_up`` seconds, which are not measured. The
+    measurement lasts ``seconds`` after that.
 
     Raises:
         BenchmarkError: If no token was received.
--- a/figstep/checker.py
+++ b/figstep/checker.py
@@ -19,7 +19,6 @@
     Attributes:
         generation: Generation in the event's id.
         index: Index in the event's id, from 1.
-        text: Text of the token.
         finish: Reason why the generation ended, or "" before its last token.
     """
 
@@ -74,13 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExecutedGeneration:
-    """A generation that an engine started.
-
-    Attributes:
-        target: Name of the engine.
-        generation: Id of the generation.
-        tag: Tag of the request that started it.
-    """
+    """A generation that an engine started, with the tag of its request."""
 
     target: str
     generation: str
@@ -93,7 +86,6 @@
 
     Attributes:
         target: Name of the service's replica.
-        tag: Tag of the request that caused the call.
         identity: Idempotency key of the request, or "".
     """
 
@@ -116,7 +108,6 @@
     """A caller received an event out of order.
 
     Attributes:
-        tag: Tag of the caller's request.
         expected: Index that was expected next.
         index: Index of the event that was received.
     """
@@ -151,12 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Truncated:
-    """A stream was marked complete, but its last event is not the only last token.
-
-    Attributes:
-        tag: Tag of the caller's request.
-        events: Number of events received.
-    """
+    """A stream was marked complete, but its last event is not the only last token."""
 
     tag: str
     events: int
@@ -167,7 +153,6 @@
     """A caller received the answer to another or to an unknown request.
 
     Attributes:
-        tag: Tag of the caller's request.
         source: Tag of the request that the answer belongs to, or "" if unknown.
     """
 
@@ -188,7 +173,6 @@
     """A non-idempotent request was executed more than once.
 
     Attributes:
-        identity: Idempotency key of the request.
         targets: Name of the target of each execution.
     """
 
--- a/figstep/demo.py
+++ b/figstep/demo.py
@@ -36,11 +36,6 @@
     Attributes:
         document: Published inventory document.
         offset: Offset at which the inventory was accepted.
-        entries: Applications of the entries.
-        engines: Stand-ins of the engines.
-        service: Stand-in of the plain service.
-        log: Stand-in of the log service.
-        instances: Stand-in of the instance list.
     """
 
     document: dict[str, Any]
@@ -55,9 +50,7 @@
 def build_document(engines: dict[str, str], service_url: str) -> dict[str, Any]:
     """Return the inventory document of the demo.
 
-    Args:
-        engines: Base URL by engine name.
-        service_url: Base URL of the plain service.
+    ``engines`` holds the base URL of each engine by name.
     """
     listed = []
     for name, url in engines.items():
--- a/figstep/load.py
+++ b/figstep/load.py
@@ -28,7 +28,6 @@
     """A customer that sends requests.
 
     Attributes:
-        name: Name of the customer.
         key: Key that authenticates its requests.
         weight: Relative share of all requests that this customer sends.
     """
@@ -66,13 +65,10 @@
 
     Attributes:
         entries: Base URLs of the entries, used in turn by successive requests.
-        model: Name of the requested model.
-        customers: Customers that send requests.
         seconds: Duration for which requests are sent, in seconds.
         rate: Mean number of requests per second (Poisson arrivals).
         seed: Seed of arrivals, customers and the lengths of prompts and answers.
         prompt_tokens: Mean length of a prompt, in tokens.
-        lengths: Distribution of answer lengths.
         returns: Maximum number of reconnects of a caller whose stream broke.
         timeout_seconds: Maximum duration of one connection, after which the caller
             abandons it, in seconds.
@@ -96,8 +92,6 @@
 
     Attributes:
         at: Time at which the request is sent, in seconds from the start.
-        customer: Customer that sends the request.
-        prompt_tokens: Length of the prompt, in tokens.
         length: Length of the answer, in tokens.
     """
 
--- a/figstep/measures.py
+++ b/figstep/measures.py
@@ -14,8 +14,6 @@
     All times are in milliseconds on one monotonic clock.
 
     Attributes:
-        customer: Customer that sent the request.
-        sent_at: Time at which the request was sent.
         tokens: Arrival time of each token event.
         ended: Time at which the caller had read the answer or abandoned the request,
             or None before that.
@@ -43,10 +41,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """Measures of a run, with times in milliseconds.
+    """Measures of a run, with times in milliseconds; gaps are between two tokens.
 
     Attributes:
-        requests: Number of requests sent.
         whole: Number of requests with a complete answer.
         refused: Number of requests that ended with a problem.
         broken: Number of requests with neither a complete answer nor a problem.
@@ -55,10 +52,6 @@
             includes the wait for its first token.
         stall_p99: 99th percentile over streams of the stall time per stream.
         first_token_p95: 95th percentile of the time to the first token.
-        gap_p50: Median gap between tokens.
-        gap_p95: 95th percentile of the gap between tokens.
-        gap_p99: 99th percentile of the gap between tokens.
-        gap_max: Longest gap between tokens.
         least_share: Smallest fraction of completely answered requests over all
             customers, from 0 to 1.
     """
@@ -79,11 +72,10 @@
 
 
 def find_percentile(values: Iterable[float], percent: float) -> float:
-    """Return a percentile of values by the nearest-rank method; 0 for no values.
+    """Return the nearest-rank percentile of values in any order; 0 for no values.
 
-    Args:
-        values: Values in any order.
-        percent: Rank of the result in percent of the number of values, from 0 to 100.
+    ``percent`` is the rank of the result in percent of the number of values, from 0 to
+    100.
     """
     ordered = sorted(values)
     if not ordered:
--- a/figstep/operations.py
+++ b/figstep/operations.py
@@ -59,7 +59,6 @@
     """Status of one entry of the instance list.
 
     Attributes:
-        name: Name of the entry.
         address: Base URL of the entry.
         status: Document from ``GET /status``, or None if the entry gave no valid
             answer.
@@ -148,13 +147,8 @@
 ) -> int:
     """Append a document to the log and return its offset once it is accepted.
 
-    Args:
-        log: Client of the log service.
-        document: Inventory document.
-        author: Author of the edit.
-        reason: Reason for the edit.
-        read_back_timeout: Maximum time to look for the appended edit in the log, in
-            seconds.
+    The appended edit is looked for in the log for at most ``read_back_timeout``
+    seconds.
 
     Raises:
         InventoryError: The document is not valid; nothing was appended.
@@ -184,12 +178,8 @@
 ) -> int:
     """Append an edit that is based on the reader's trail and return its offset.
 
-    Args:
-        log: Client of the log service.
-        reader: Reader that has read the configuration stream to its end.
-        edit: Edit to append.
-        read_back_timeout: Maximum time to look for the appended edit in the log, in
-            seconds.
+    The reader must have read the configuration stream to its end. The appended edit is
+    looked for in the log for at most ``read_back_timeout`` seconds.
 
     Raises:
         PublishRefusedError: The edit is refused, for example because another edit
@@ -266,12 +256,7 @@
 ) -> int:
     """Publish the document in force with a target added to or removed from draining.
 
-    Args:
-        log: Client of the log service.
-        target: Name of the target.
-        author: Author of the edit.
-        reason: Reason for the edit.
-        drain: Whether to start the drain; False ends it.
+    The drain ends if ``drain`` is False.
 
     Returns:
         Offset of the accepted edit.
@@ -300,12 +285,7 @@
 ) -> int:
     """Publish the document in force with a domain added to or removed from evacuated.
 
-    Args:
-        log: Client of the log service.
-        domain: Name of the failure domain.
-        author: Author of the edit.
-        reason: Reason for the edit.
-        evacuate: Whether to start the evacuation; False ends it.
+    The evacuation ends if ``evacuate`` is False.
 
     Returns:
         Offset of the accepted edit.
--- a/figstep/reporting.py
+++ b/figstep/reporting.py
@@ -59,11 +59,8 @@
 def report_load(metrics: Metrics, load: Load, lag: float) -> None:
     """Report the current gauges of an entry.
 
-    Args:
-        metrics: Receiver of the gauges.
-        load: Current load of the entry.
-        lag: Delay with which the event loop ran a timer, in seconds. The gauge is
-            in milliseconds.
+    ``lag`` is the delay with which the event loop ran a timer, in seconds. The gauge is
+    in milliseconds.
     """
     metrics.gauge("requests.open", load.requests)
     metrics.gauge("requests.queued", load.queued)
--- a/figstep/settings.py
+++ b/figstep/settings.py
@@ -33,8 +33,6 @@
     """Addresses of the platform's services, as base URLs.
 
     Attributes:
-        log: The log service.
-        instances: The instance list.
         weights: The weight store, or None; no code reads this setting.
         log_retention_seconds: Minimum time that the log keeps a record, in seconds.
     """
@@ -114,12 +112,8 @@
 
     Attributes:
         node: Name of this instance.
-        failure_domain: Failure domain of this instance.
         region: Region of this instance; no code reads this setting.
         callers: Address on which callers connect.
-        platform: Addresses of the platform's services.
-        peers: Addresses and keys for other entries.
-        limits: Limits on requests, answers and connections of callers.
         statsd: Metrics server, or None.
         tls: Certificate for callers, or None for plain HTTP.
         notice_seconds: How long new requests are still accepted after the entry
