--- a/figstep/standins/engine.py
+++ b/figstep/standins/engine.py
@@ -121,7 +121,6 @@
         cancelled: Ids of the generations that were cancelled, in order.
         fencing: Highest fencing number received, or 0 before the first order.
         orders: Orders that were executed, in order.
-        model: Simulation of batching, memory and preemption.
         models: Loaded models, as "model@version" and "model+adapter"; every model
             is served while no model version is loaded.
     """
@@ -527,14 +526,9 @@
 ) -> bytes:
     """Return the server-sent event of one token of a generation.
 
-    Args:
-        generation: Generation id.
-        index: Index of the token in the generation, from 1.
-        text: Text of the token.
-        finish: Finish reason on the last token, None on all others.
-        model: Name of the model.
-        chat: Whether the event is a chunk of a chat completion, instead of a text
-            completion.
+    The index of the first token is 1. ``finish`` is the finish reason on the last
+    token, and None on all others. With ``chat``, the event is a chunk of a chat
+    completion instead of a text completion.
     """
     choice: dict[str, Any] = {"index": 0, "finish_reason": finish}
     if chat:
--- a/figstep/standins/engine_model.py
+++ b/figstep/standins/engine_model.py
@@ -77,16 +77,13 @@
         length: Number of tokens after which the generation ends, including those
             of ``produced`` at its start; only the engine knows this number.
         finish: Finish reason, "stop" or "length".
-        prompt_tokens: Length of the prompt, in tokens.
         priority: Sequences of higher priority are preempted later.
         prefix: Digest of the shared prefix of the prompt, or "".
-        prefix_tokens: Length of the shared prefix, in tokens.
         produced: Number of tokens so far, including those that the generation
             continues from.
         to_prefill: Tokens to prefill before the next token is decoded.
         held: Cache memory held, in tokens.
         order: Position in the order of arrival.
-        preemptions: Number of times that the sequence was preempted.
         ended: Time of the end in milliseconds, or None before the end.
     """
 
@@ -158,7 +155,6 @@
     """Seeded heavy-tailed distribution: many short answers, few very long ones.
 
     Attributes:
-        rng: Source of randomness.
         median: Median of a log-normal distribution, in tokens.
         sigma: Standard deviation of the logarithm; 1.2 gives a 99th percentile of
             16 times the median.
@@ -181,12 +177,10 @@
     """One engine; times are in milliseconds on the caller's clock.
 
     Attributes:
-        profile: Sizes and costs of the engine.
         rng: Source of randomness, used only for lost cache events.
         incarnation: Number that increases with each crash.
         slow: Factor on the duration of every step, to simulate a degraded engine.
         frozen: Whether the engine makes no progress; see ``freeze`` and ``thaw``.
-        preemptions: Number of preemptions.
         produced: Number of tokens decoded; tokens that are prefilled again do not
             count.
         prefilled: Number of tokens prefilled, including those prefilled again.
--- a/figstep/standins/instances.py
+++ b/figstep/standins/instances.py
@@ -5,9 +5,8 @@
 instance has ``name``, ``kind`` ("entry" or "target"), ``address``,
 ``failure_domain``, ``state`` ("live" or "leaving"), ``incarnation`` and, for an
 entry, ``peers``; the stand-in does not check them. ``PUT /standin/faults`` sets
-``lag_ms``, the delay in
-milliseconds until a change takes effect, and ``available``; while it is false,
-the list answers 503.
+``lag_ms``, the delay in milliseconds until a change takes effect, and
+``available``; while it is false, the list answers 503.
 """
 
 import asyncio
@@ -47,10 +46,8 @@
     def list_entry(self, name: str, address: str, peers: str) -> None:
         """Add an entry as live, without the delay ``lag_ms``.
 
-        Args:
-            name: Name of the entry.
-            address: Base URL of the entry for callers.
-            peers: "host:port" on which the entry listens for peers.
+        ``address`` is the base URL for callers, and ``peers`` is the "host:port" on
+        which the entry listens for peers.
         """
         self.instances[name] = {
             "name": name,
--- a/figstep/standins/log.py
+++ b/figstep/standins/log.py
@@ -62,7 +62,6 @@
     """Log service in memory, with faults that a test or an operator sets.
 
     Attributes:
-        faults: Injected faults and retention.
         appends: Number of appends that took effect.
         appended_records: Number of records in these appends.
     """
--- a/figstep/standins/weights.py
+++ b/figstep/standins/weights.py
@@ -16,7 +16,6 @@
     """Answers at most ``limit`` calls in a sliding window.
 
     Attributes:
-        limit: Maximum number of calls answered in a window.
         window: Length of the window, in seconds.
         served: Model and version of each answered call, in order.
         refused: Number of calls rejected with 429.
