--- a/figstep/experiment/cost.py
+++ b/figstep/experiment/cost.py
@@ -51,7 +51,6 @@
     All times are elapsed real time, in microseconds.
 
     Attributes:
-        targets: Number of known targets.
         requests: Number of requests, started or queued.
         waiting: Number of these requests that wait in the queue.
         token: Time for an event with one token.
@@ -71,12 +70,7 @@
 
 
 def measure_cost(targets: int, requests: int) -> Cost:
-    """Measure the mean time per event with the given number of targets and requests.
-
-    Args:
-        targets: Number of known targets.
-        requests: Number of requests in flight, started or queued.
-    """
+    """Measure the mean time per event with the given number of targets and requests."""
     meter = _CostMeter(targets)
     while len(meter.state.requests) < requests:
         meter.arrive()
--- a/figstep/experiment/harness.py
+++ b/figstep/experiment/harness.py
@@ -107,18 +107,14 @@
     """One simulated run; ``simulate`` returns its measures.
 
     Attributes:
-        deployment: Engines and workload.
-        policy: Policy that the reducer applies.
         seed: Seed of the arrivals, of the reducers, and of the choice of the entry
             that a submission reaches.
         load: Requested tokens per millisecond.
         duration: Time during which requests arrive, in milliseconds.
-        fault: Injected fault.
         entries: Number of entries that share the engines. An entry counts the
             requests of the others only through ``gossip``.
         gossip: Time between two exchanges of in-flight counts among the entries,
             in milliseconds; 0 for none.
-        statistics: Statistics of the streams.
         now: Simulated time, in milliseconds.
     """
 
--- a/figstep/experiment/measures.py
+++ b/figstep/experiment/measures.py
@@ -24,7 +24,6 @@
 
     Attributes:
         bins: Counts by number of the bin.
-        count: Number of gaps.
         longest: Longest gap, in milliseconds.
     """
 
@@ -62,7 +61,6 @@
     """One request as its caller observes it; all times are in milliseconds.
 
     Attributes:
-        customer: Name of the customer.
         asked: Time of the first submission.
         length: Number of tokens of the whole answer.
         last: Time of the last delivery; before the first delivery, time of the first
@@ -96,11 +94,10 @@
 
 
 def find_quantile(values: list[float], share: float) -> float:
-    """Return a quantile of values; 0 for no values.
+    """Return a quantile of values in any order; 0 for no values.
 
-    Args:
-        values: Values in any order.
-        share: Fraction of the values that are not above the quantile, from 0 to 1.
+    ``share`` is the fraction, from 0 to 1, of the values that are not above the
+    quantile.
     """
     if not values:
         return 0.0
@@ -135,13 +132,7 @@
     late_refusals: int = 0
 
     def deliver(self, stream: Stream, now: float, tokens: int) -> None:
-        """Record the delivery of tokens to a caller.
-
-        Args:
-            stream: Stream of the caller.
-            now: Simulated time of the delivery, in milliseconds.
-            tokens: Number of tokens delivered.
-        """
+        """Record the delivery of tokens to a caller at ``now``, in milliseconds."""
         gap = now - stream.last
         if stream.first is None:
             stream.first = now
--- a/figstep/experiment/scenarios.py
+++ b/figstep/experiment/scenarios.py
@@ -61,10 +61,6 @@
     """Engines and workload of one association.
 
     Attributes:
-        name: Name of the deployment.
-        profiles: Profiles of the engines.
-        short: Kind of the requests with short answers.
-        long: Kind of the requests with long answers.
         long_share: Expected fraction of long answers of a customer, from 0 to 1. The
             fraction of each customer is 0.4 to 1.6 times as large.
         mixed: Fraction of requests that declare the other kind, from 0 to 1.
@@ -117,7 +113,6 @@
     """A customer and its workload.
 
     Attributes:
-        name: Name of the customer.
         weight: Relative weight of the customer among the arrivals.
         long_share: Fraction of long answers among the customer's requests.
         prefixes: Length of each prefix that the customer's prompts share, in tokens,
@@ -137,11 +132,9 @@
     Attributes:
         at: Time of the first submission, in milliseconds of simulated time.
         request: Request id.
-        customer: Name of the customer.
         kind: Name of the kind that the request declares.
         prompt_tokens: Length of the prompt with its prefix, in tokens.
         prefix: Name of the shared prefix of the prompt.
-        prefix_tokens: Length of the shared prefix, in tokens.
         length: Length of the answer, in tokens; only the engines know it.
     """
 
@@ -178,12 +171,8 @@
 ) -> Arrival:
     """Draw one request of a customer.
 
-    Args:
-        rng: Source of randomness.
-        deployment: Deployment whose workload is drawn.
-        customer: Customer that sends the request.
-        at: Time of the first submission, in milliseconds.
-        name: Request id.
+    ``at`` is the time of the first submission, in milliseconds, and ``name`` is the
+    request id.
     """
     long = rng.random() < customer.long_share
     actual = deployment.long if long else deployment.short
@@ -216,11 +205,8 @@
     requests are drawn until the sum of their answers' lengths reaches ``load`` times
     ``duration``, and their times are then scaled to the duration.
 
-    Args:
-        deployment: Deployment whose workload is drawn.
-        seed: The same seed, load and duration give the same arrivals.
-        load: Requested tokens per millisecond.
-        duration: Time during which requests arrive, in milliseconds.
+    The same seed, load and duration give the same arrivals. ``load`` is the number of
+    requested tokens per millisecond; ``duration`` is in milliseconds.
     """
     rng = random.Random(f"{deployment.name}/{seed}")
     customers = build_customers(deployment)
@@ -263,14 +249,8 @@
 ) -> list[Arrival]:
     """Return the additional requests of one small customer, in order of arrival.
 
-    The lengths of the answers add up to at least ``load`` times the duration.
-
-    Args:
-        deployment: Deployment whose workload is drawn.
-        seed: Seed of the requests.
-        load: Requested tokens per millisecond.
-        start: Start of the flood, in milliseconds.
-        end: End of the flood, in milliseconds.
+    The lengths of the answers add up to at least ``load`` tokens per millisecond of the
+    flood, which lasts from ``start`` to ``end``, both in milliseconds.
     """
     rng = random.Random(f"flood/{deployment.name}/{seed}")
     customer = build_customers(deployment)[9]
@@ -289,12 +269,9 @@
 ) -> Inventory:
     """Return the inventory that is applied to the reducer's state.
 
-    Args:
-        deployment: Engines and customers.
-        routing: Name of the routing policy.
-        deadline: Deadline of requests, in milliseconds.
-        copies: Number of times that the deployment's engines are listed. The names
-            of the copies continue the numbering.
+    ``routing`` names the routing policy; ``deadline`` is in milliseconds. The engines
+    of the deployment are listed ``copies`` times; the names of the copies continue the
+    numbering.
     """
     engines = []
     for copy in range(copies):
@@ -365,13 +342,8 @@
 ) -> Sequence:
     """Return the sequence by which an engine runs a request.
 
-    Args:
-        arrival: The request.
-        name: Generation id.
-        priority: Priority of the sequence; sequences of higher priority are
-            preempted later.
-        produced: Number of tokens that were already produced elsewhere; the sequence
-            continues after them.
+    ``name`` is the generation id. Sequences of higher priority are preempted later. The
+    sequence continues after ``produced`` tokens, which were produced elsewhere.
     """
     return Sequence(
         name,
--- a/figstep/experiment/trials.py
+++ b/figstep/experiment/trials.py
@@ -56,7 +56,6 @@
     """One row of the table: a policy under one load and fault.
 
     Attributes:
-        deployment: Name of the deployment.
         load: Requested load as a fraction of the engines' capacity.
         policy: Name of the row: the policy, or "with" or "without" and the switch
             that differs from the policy "figstep".
@@ -79,7 +78,6 @@
     """Options of an experiment, which runs every combination of them.
 
     Attributes:
-        deployments: Names of deployments.
         loads: Requested loads as fractions of the engines' capacity.
         faults: Kinds of faults; "" for none.
         policies: Names of rows, as ``list_policies`` returns them; empty for all.
@@ -129,13 +127,9 @@
 ) -> dict[str, Any]:
     """Run one trial with every seed.
 
-    Args:
-        trial: Deployment, load, fault, entries and gossip of the runs. Its name of
-            the policy is only copied into the result.
-        policy: Policy that the reducer applies.
-        seeds: Seeds of the arrivals.
-        seconds: Time during which requests arrive, in seconds.
-        capacity: Capacity of the engines, in tokens per millisecond.
+    Requests arrive for ``seconds``; ``capacity`` is in tokens per millisecond. The runs
+    apply ``policy``; the name of the policy in the trial is only copied into the
+    result.
 
     Returns:
         A dictionary with the trial as ``trial``, the seeds as ``seeds``, the mean of
@@ -160,11 +154,7 @@
 
 
 def read_capacity(deployment: str) -> float:
-    """Measure the capacity of a deployment's engines, in tokens per millisecond.
-
-    Args:
-        deployment: Name of the deployment.
-    """
+    """Measure the capacity of a deployment's engines, in tokens per millisecond."""
     return measure_capacity(DEPLOYMENTS[deployment])
 
 
@@ -173,9 +163,7 @@
 ) -> list[dict[str, Any]]:
     """Run every trial that the options name, one after the other.
 
-    Args:
-        options: Combinations to run.
-        report: Callback that receives each result when its trial is done.
+    ``report`` receives each result when its trial is done.
 
     Returns:
         The results of all trials, as ``run_trial`` returns them.
@@ -202,10 +190,7 @@
 
 
 def find_best(results: list[dict[str, Any]], measure: str) -> float | None:
-    """Return the lowest mean of a measure among the baselines.
-
-    The result is None if there is no baseline among ``results``.
-    """
+    """Return a measure's lowest mean among the baselines, or None without baselines."""
     means = []
     for result in results:
         if result["trial"]["policy"] in BASELINES:
