--- a/benchmarks/binary.py
+++ b/benchmarks/binary.py
@@ -26,10 +26,6 @@
 async def start_once(command: list[str], environment: dict[str, str]) -> str:
     """Start an entry, stop it, and return its measurements as a line of text.
 
-    Args:
-        command: Command that starts the entry.
-        environment: Environment variables of the entry.
-
     Raises:
         SystemExit: If the first line that the process prints is not an entry's.
     """
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -32,7 +32,6 @@
         p50: Median duration of the calls answered with 200, in milliseconds.
         p99: 99th percentile of these durations, in milliseconds.
         appends: Number of appends to the log, each with a batch of records.
-        records: Number of records appended.
         seconds: Time from the first call to the last answer, in seconds.
     """
 
@@ -46,13 +45,9 @@
 
 
 async def apply_load(fleet: Fleet, path: str, rate: float, seconds: float) -> Result:
-    """Send calls at a fixed rate, to the entries in turn.
+    """Send ``rate`` calls per second for ``seconds``, to the entries in turn.
 
-    Args:
-        fleet: Fleet to send to.
-        path: Path of the calls at the service.
-        rate: Calls per second.
-        seconds: Time during which calls are sent, in seconds.
+    ``path`` is the path of the calls at the service.
     """
     urls = [entry.url for entry in fleet.entries.values()]
     times: list[float] = []
@@ -95,13 +90,9 @@
 async def measure(entries: int, rate: float, seconds: float, delay: int) -> None:
     """Print the append rate of an idle fleet, and compare claimed calls with others.
 
-    Calls of ``/orders`` are claimed, and calls of ``/menus`` are not.
-
-    Args:
-        entries: Number of entries.
-        rate: Calls per second.
-        seconds: Duration of each measurement, in seconds.
-        delay: Delay of every answer of the log, in milliseconds.
+    Calls of ``/orders`` are claimed, and calls of ``/menus`` are not. Each measurement
+    lasts ``seconds``, with ``rate`` calls per second. Every answer of the log is
+    delayed by ``delay`` milliseconds.
     """
     with TemporaryDirectory() as folder:
         fleet = Fleet(Path(folder))
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -135,12 +135,7 @@
     """Entry processes, and the platform stand-ins in this process.
 
     Attributes:
-        log: Log service.
-        instances: Instance list.
-        client: Client of the log service.
         urls: Base URLs of the entries.
-        processes: Processes of the entries.
-        session: HTTP session for status queries.
     """
 
     log: StoppableLog
@@ -250,12 +245,9 @@
 
 
 def summarize(label: str, values: list[float], **fields: Any) -> None:
-    """Print the median and maximum of ``values`` as a JSON line.
+    """Print the median and maximum of ``values``, in seconds, as a JSON line.
 
-    Args:
-        label: Name of the measure.
-        values: Values in seconds.
-        fields: Further members of the JSON object.
+    ``fields`` are further members of the JSON object.
     """
     line = {
         "measure": label,
--- a/benchmarks/hot_path.py
+++ b/benchmarks/hot_path.py
@@ -184,14 +184,10 @@
     ramp: float,
     seconds: float,
 ) -> Figures:
-    """Run a load through ``child`` and another one directly from the source.
-
-    Args:
-        child: Measured process.
-        source: Token source.
-        load: Load through the measured process.
-        ramp: Time over which the streams are started, in seconds.
-        seconds: Duration of the measurement after the ramp, in seconds.
+    """Run ``load`` through ``child`` and another one directly from the source.
+
+    The streams are started over ``ramp`` seconds, and the measurement lasts ``seconds``
+    after that.
     """
     direct_load = Workload(source.url, "", MODEL, DIRECT_STREAMS, load.tokens, 50.0)
     through, direct = LoadGenerator(load), LoadGenerator(direct_load)
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -59,12 +59,9 @@
 async def run_rounds(rounds: int, freeze: bool, folder: Path) -> list[float]:
     """Run the rounds and return the duration of each, in seconds.
 
-    A round lasts from the publication of a version until the engine has loaded it.
-
-    Args:
-        rounds: Number of rounds.
-        freeze: Whether to freeze the lease holder before each round.
-        folder: Folder for the settings of the entries.
+    A round lasts from the publication of a version until the engine has loaded it. With
+    ``freeze``, the lease holder is frozen before each round. The settings of the
+    entries are written to ``folder``.
     """
     fleet = Fleet(folder)
     engine = EngineServer("engine-1")
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -133,12 +133,9 @@
 ) -> tuple[Summary, int]:
     """Run the load with one policy.
 
-    Args:
-        policy: Name of the routing policy.
-        rate: Mean number of requests per second.
-        seconds: Time during which requests are sent, in seconds.
-        seed: Seed of the arrivals.
-        folder: Folder for the settings of the entries.
+    ``rate`` is the mean number of requests per second, which are sent for ``seconds``.
+    The arrivals are drawn with ``seed``. The settings of the entries are written to
+    ``folder``.
 
     Returns:
         The measures of the load and the total number of preemptions.
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -49,10 +49,7 @@
 async def stream_once(url: str, proxies: list[TcpProxy], fault: str) -> float:
     """Stream an answer and inject a fault after ``FAULT_AFTER_TOKENS`` tokens.
 
-    Args:
-        url: Base URL of the entry.
-        proxies: Proxies in front of the engines.
-        fault: "cut", "frozen" or "none".
+    ``fault`` is "cut", "frozen" or "none".
 
     Returns:
         The longest gap between two tokens in milliseconds, including the wait from the
@@ -90,9 +87,7 @@
 def inject_fault(proxies: list[TcpProxy], fault: str) -> None:
     """Inject a fault into the open connections of all proxies.
 
-    Args:
-        proxies: Proxies in front of the engines.
-        fault: "cut", "frozen" or "none".
+    ``fault`` is "cut", "frozen" or "none".
     """
     for proxy in proxies:
         match fault:
@@ -105,11 +100,7 @@
 
 
 async def measure(runs: int) -> None:
-    """Print the median and maximum of the longest gap for each kind of fault.
-
-    Args:
-        runs: Number of streams for each kind of fault.
-    """
+    """Print the median and maximum longest gap of ``runs`` streams for each fault."""
     async with run_deployment(entries=1) as deployment:
         proxies = await relay_engines(deployment)
         url = deployment.entries[0].callers.address
--- a/tools/compare_days.py
+++ b/tools/compare_days.py
@@ -41,7 +41,6 @@
     """Scores of a day on both checkouts.
 
     Attributes:
-        day_run: Site, day and seed.
         before: Score on the first checkout.
         after: Score on the second checkout.
         broken: Names of the rules that were broken, for the first checkout and then
