--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -160,9 +160,7 @@
     ) -> list[float]:
         """Wait until the status of every entry fulfils a condition.
 
-        Args:
-            condition: Condition on the status of an entry.
-            start: Monotonic time from which the delays count, in seconds.
+        The delays count from ``start``, a monotonic time in seconds.
 
         Returns:
             For each entry, the delay in seconds until the condition was first
@@ -264,12 +262,9 @@
 ) -> list[float]:
     """Publish a document and measure when every entry has the document in force.
 
-    Args:
-        fleet: Fleet to publish to.
-        document: Document that is published with one more customer.
-        number: Number of the change, which names that customer.
-        wait: Whether the log works; if not, it is restored after the measurement so
-            that the publication can finish.
+    The document is published with one more customer, which ``number`` names. ``wait``
+    tells whether the log works; if not, it is restored after the measurement so that
+    the publication can finish.
 
     Returns:
         For each entry, the time in seconds from the start of the publication until
--- a/figstep/demo.py
+++ b/figstep/demo.py
@@ -92,11 +92,9 @@
 ) -> AsyncIterator[Deployment]:
     """Run stand-ins and entries with a published inventory that is in force.
 
-    Args:
-        entries: Number of entry applications.
-        limits: Limits for callers; None for the defaults.
-        tls: Certificate for callers; None for plain HTTP.
-        gaps: Time between two tokens of each engine, in seconds.
+    The default limits apply if ``limits`` is None, and callers use plain HTTP if
+    ``tls`` is None. ``gaps`` holds the time between two tokens of each engine, in
+    seconds.
     """
     async with AsyncExitStack() as stack:
         log, instances = LogService(), InstanceList()
--- a/figstep/experiment/measures.py
+++ b/figstep/experiment/measures.py
@@ -153,11 +153,9 @@
         is added to its stall time. A stream that was finally refused or lost counts
         as such, with its stall time until then.
 
-        Args:
-            end: End of the run, in milliseconds.
-            arrivals_end: End of the arrivals, in milliseconds. Answers that were
-                complete by then count for "tokens_in_time".
-            preemptions: Number of preemptions of all engines.
+        The run ends at ``end`` and its arrivals at ``arrivals_end``, both in
+        milliseconds. Answers that were complete by ``arrivals_end`` count for
+        "tokens_in_time". ``preemptions`` is the number of preemptions of all engines.
         """
         streams = list(self.streams.values())
         for stream in streams:
--- a/figstep/experiment/trials.py
+++ b/figstep/experiment/trials.py
@@ -103,9 +103,8 @@
 def list_policies(ablate: bool) -> dict[str, Policy]:
     """Return the policies to compare, by name of the row.
 
-    Args:
-        ablate: Whether to return figstep with one switch changed in each row
-            instead of all policies.
+    With ``ablate``, the result is figstep with one switch changed in each row instead
+    of all policies.
     """
     if not ablate:
         return dict(POLICIES)
--- a/figstep/logs.py
+++ b/figstep/logs.py
@@ -103,9 +103,8 @@
 def install_logs(level: str = "INFO", stream: TextIO | None = None) -> None:
     """Write all log records to a stream, including those of the ``logging`` module.
 
-    Args:
-        level: Name of the lowest level that is written, in any case.
-        stream: Stream to write to; standard error if None.
+    ``level`` is the name of the lowest level that is written, in any case. If
+    ``stream`` is None, records go to standard error.
     """
     handler = JsonLinesHandler(stream or sys.stderr, level=level.upper())
     handler.push_application()
@@ -115,10 +114,8 @@
 def install_bounded_logs(level: str = "INFO") -> None:
     """Write log records to standard output, rate-limited and without blocking.
 
-    Records of the ``logging`` module are included.
-
-    Args:
-        level: Name of the lowest level that is written, in any case.
+    Records of the ``logging`` module are included. ``level`` is the name of the lowest
+    level that is written, in any case.
     """
     handler = BoundedLinesHandler(sys.stdout.fileno(), level.upper())
     handler.push_application()
--- a/figstep/operations.py
+++ b/figstep/operations.py
@@ -412,12 +412,9 @@
 ) -> int:
     """Wait until an edit is in force on the required number of live entries.
 
-    Args:
-        instances_url: Base URL of the instance list.
-        offset: Offset of the accepted edit.
-        seconds: Maximum time to wait, in seconds.
-        required_entries: Number of entries that must show the offset or a later one;
-            all listed entries that are not leaving if None or 0.
+    The wait lasts at most ``seconds``. ``required_entries`` is the number of entries
+    that must show the offset of the edit or a later one; if it is None or 0, all listed
+    entries that are not leaving must show it.
 
     Returns:
         Number of entries that show the offset or a later one.
--- a/figstep/standins/process.py
+++ b/figstep/standins/process.py
@@ -24,11 +24,9 @@
 ) -> web.Application:
     """Return the application of one kind of stand-in.
 
-    Args:
-        kind: One of ``KINDS`` except "proxy".
-        name: Target name, for engines and services.
-        gap: Time between tokens of an engine without a profile, in seconds.
-        profile: Sizes and costs of an engine, or None for a fixed gap.
+    ``kind`` is one of ``KINDS`` except "proxy"; ``name`` is the target name of an
+    engine or a service. If ``profile`` is None, an engine has a fixed gap between
+    tokens of ``gap`` seconds.
 
     Raises:
         ValueError: If the kind is unknown.
@@ -51,13 +49,10 @@
 
 
 async def run_proxy(target: str, port: int) -> None:
-    """Relay to ``target`` until SIGTERM or SIGINT.
-
-    Prints the URL of the proxy and that of its control interface first.
+    """Relay to ``target``, a ``host:port``, until SIGTERM or SIGINT.
 
-    Args:
-        target: ``host:port`` of the target.
-        port: Port to listen on; 0 selects a free port.
+    Prints the URL of the proxy and that of its control interface first. Port 0 selects
+    a free port.
     """
     host, _, number = target.rpartition(":")
     proxy = TcpProxy(host, int(number))
--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -22,8 +22,7 @@
 def list_distributions(name: str) -> list[Distribution]:
     """Return the installed distributions that ``name`` depends on at run time.
 
-    Args:
-        name: Name of an installed distribution, which is not in the result.
+    ``name`` is an installed distribution, which is not in the result.
     """
     found: dict[str, Distribution] = {}
     pending = [name]
--- a/tools/compare_days.py
+++ b/tools/compare_days.py
@@ -86,11 +86,7 @@
 ) -> dict[str, object]:
     """Run a day on a checkout and return the report of the bench.
 
-    Args:
-        bench: Program of the bench.
-        checkout: Directory in which the bench is run.
-        day_run: Site, day and seed.
-        why: Reason that is passed to the bench.
+    The bench is run in the directory ``checkout`` and gets ``why`` as its reason.
 
     Raises:
         RuntimeError: If the bench wrote no report.
