--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -135,12 +135,7 @@
     """Entry processes, and the platform stand-ins in this process.
 
     Attributes:
-        log: Log service.
-        instances: Instance list.
-        client: Client of the log service.
         urls: Base URLs of the entries.
-        processes: Processes of the entries.
-        session: HTTP session for status queries.
     """
 
     log: StoppableLog
@@ -165,9 +160,7 @@
     ) -> list[float]:
         """Wait until the status of every entry fulfils a condition.
 
-        Args:
-            condition: Condition on the status of an entry.
-            start: Monotonic time from which the delays count, in seconds.
+        The delays count from ``start``, a monotonic time in seconds.
 
         Returns:
             For each entry, the delay in seconds until the condition was first
@@ -250,12 +243,9 @@
 
 
 def summarize(label: str, values: list[float], **fields: Any) -> None:
-    """Print the median and maximum of ``values`` as a JSON line.
+    """Print the median and maximum of ``values``, in seconds, as a JSON line.
 
-    Args:
-        label: Name of the measure.
-        values: Values in seconds.
-        fields: Further members of the JSON object.
+    ``fields`` are further members of the JSON object.
     """
     line = {
         "measure": label,
@@ -272,12 +262,9 @@
 ) -> list[float]:
     """Publish a document and measure when every entry has the document in force.
 
-    Args:
-        fleet: Fleet to publish to.
-        document: Document that is published with one more customer.
-        number: Number of the change, which names that customer.
-        wait: Whether the log works; if not, it is restored after the measurement so
-            that the publication can finish.
+    The document is published with one more customer, which ``number`` names. ``wait``
+    tells whether the log works; if not, it is restored after the measurement so that
+    the publication can finish.
 
     Returns:
         For each entry, the time in seconds from the start of the publication until
--- a/tools/compare_days.py
+++ b/tools/compare_days.py
@@ -41,7 +41,6 @@
     """Scores of a day on both checkouts.
 
     Attributes:
-        day_run: Site, day and seed.
         before: Score on the first checkout.
         after: Score on the second checkout.
         broken: Names of the rules that were broken, for the first checkout and then
@@ -87,11 +86,7 @@
 ) -> dict[str, object]:
     """Run a day on a checkout and return the report of the bench.
 
-    Args:
-        bench: Program of the bench.
-        checkout: Directory in which the bench is run.
-        day_run: Site, day and seed.
-        why: Reason that is passed to the bench.
+    The bench is run in the directory ``checkout`` and gets ``why`` as its reason.
 
     Raises:
         RuntimeError: If the bench wrote no report.
