--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -29,11 +29,10 @@
     Attributes:
         answered: Number of calls answered with 200.
         failed: Number of calls answered with another status.
-        p50: Median time of a successful call, in milliseconds.
-        p99: 99th percentile of the time of a successful call, in milliseconds.
+        p50: Median duration of the calls answered with 200, in milliseconds.
+        p99: 99th percentile of these durations, in milliseconds.
         appends: Number of appends to the log, each with a batch of records.
-        records: Number of records appended.
-        seconds: Duration of the load.
+        seconds: Time from the first call to the last answer, in seconds.
     """
 
     answered: int
@@ -46,13 +45,9 @@
 
 
 async def apply_load(fleet: Fleet, path: str, rate: float, seconds: float) -> Result:
-    """Send calls at a fixed rate, to the entries in turn.
+    """Send ``rate`` calls per second for ``seconds``, to the entries in turn.
 
-    Args:
-        fleet: Fleet to send to.
-        path: Path of the calls at the service.
-        rate: Calls per second.
-        seconds: Duration of the load.
+    ``path`` is the path of the calls at the service.
     """
     urls = [entry.url for entry in fleet.entries.values()]
     times: list[float] = []
@@ -93,13 +88,11 @@
 
 
 async def measure(entries: int, rate: float, seconds: float, delay: int) -> None:
-    """Compare claimed calls with others and print the append rate of an idle fleet.
+    """Print the append rate of an idle fleet, and compare claimed calls with others.
 
-    Args:
-        entries: Number of entries.
-        rate: Calls per second.
-        seconds: Duration of each measurement.
-        delay: Delay of every answer of the log, in milliseconds.
+    Calls of ``/orders`` are claimed, and calls of ``/menus`` are not. Each measurement
+    lasts ``seconds``, with ``rate`` calls per second. Every answer of the log is
+    delayed by ``delay`` milliseconds.
     """
     with TemporaryDirectory() as folder:
         fleet = Fleet(Path(folder))
--- a/figstep/bench.py
+++ b/figstep/bench.py
@@ -30,10 +30,10 @@
     Attributes:
         url: Base URL of an entry or of a target.
         key: Key of the customer.
-        model: Name of the model.
         streams: Number of parallel streams.
         tokens: Length of each answer, in tokens.
-        gap: Requested time between two tokens of the token source, in milliseconds.
+        gap: Time between two tokens that is requested from a token source, in
+            milliseconds.
     """
 
     url: str
@@ -49,11 +49,13 @@
     """Results that the callers of a workload collect.
 
     Attributes:
-        tokens: Number of events received.
+        tokens: Number of token events received.
         requests: Number of complete answers.
         failures: Number of incomplete answers by reason.
-        first: Times to the first bytes of an answer, in milliseconds.
-        delays: Times from the target's write to the caller's read, in milliseconds.
+        first: Time from sending each request to the first bytes of its answer, in
+            milliseconds.
+        delays: Time from the target's write of each event with ``sent_ns`` to the
+            caller's read, in milliseconds.
     """
 
     tokens: int = 0
@@ -63,7 +65,7 @@
     delays: list[float] = field(default_factory=list)
 
     def clear(self) -> None:
-        """Reset all results, as at the end of a warm-up."""
+        """Reset all results."""
         self.tokens = self.requests = 0
         self.failures.clear()
         self.first.clear()
@@ -71,11 +73,9 @@
 
 
 def find_quantile(values: list[float], share: float) -> float:
-    """Return a quantile of values; 0 for no values.
+    """Return a quantile of values in any order; 0 for no values.
 
-    Args:
-        values: Values in any order.
-        share: Fraction of the values below the quantile, from 0 to 1.
+    ``share`` is the fraction of the values below the quantile, from 0 to 1.
     """
     if not values:
         return 0.0
@@ -84,7 +84,10 @@
 
 
 class LoadGenerator:
-    """Keeps the streams of a workload open; a stream that ends is replaced."""
+    """Keeps the streams of a workload open; a stream that ends is replaced.
+
+    After an incomplete answer, the next request is sent 0.5 seconds later.
+    """
 
     def __init__(self, workload: Workload) -> None:
         self.workload = workload
@@ -163,12 +166,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """Results of a workload.
-
-    Attributes:
-        seconds: Duration of the measurement, in seconds.
-        tally: Results of the callers over that time.
-    """
+    """Results of a workload and the duration of its measurement, in seconds."""
 
     seconds: float
     tally: Tally
@@ -190,10 +188,8 @@
 async def measure(workload: Workload, warm_up: float, seconds: float) -> Report:
     """Run a workload and return its results.
 
-    Args:
-        workload: Parameters of the benchmark.
-        warm_up: Time over which the streams are opened, in seconds; not measured.
-        seconds: Duration of the measurement, in seconds.
+    The streams are opened over ``warm_up`` seconds, which are not measured. The
+    measurement lasts ``seconds`` after that.
 
     Raises:
         BenchmarkError: If no token was received.
--- a/figstep/checker.py
+++ b/figstep/checker.py
@@ -19,7 +19,6 @@
     Attributes:
         generation: Generation in the event's id.
         index: Index in the event's id, from 1.
-        text: Text of the token.
         finish: Reason why the generation ended, or "" before its last token.
     """
 
@@ -38,7 +37,8 @@
         ended: Whether the answer was complete; for a stream, whether its end marker
             was received.
         problem: Code of the problem, or "".
-        ran: Whether the request ran according to the problem, or None.
+        ran: Whether the request ran according to the problem, or None if the
+            problem does not state it.
     """
 
     status: int
@@ -73,13 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExecutedGeneration:
-    """A generation that an engine started.
-
-    Attributes:
-        target: Name of the engine.
-        generation: Id of the generation.
-        tag: Tag of the request that started it.
-    """
+    """A generation that an engine started, with the tag of its request."""
 
     target: str
     generation: str
@@ -92,7 +86,6 @@
 
     Attributes:
         target: Name of the service's replica.
-        tag: Tag of the request that caused the call.
         identity: Idempotency key of the request, or "".
     """
 
@@ -112,7 +105,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OutOfOrder:
-    """A caller received event ``index`` where ``expected`` was next."""
+    """A caller received an event out of order.
+
+    Attributes:
+        expected: Index that was expected next.
+        index: Index of the event that was received.
+    """
 
     tag: str
     expected: int
@@ -144,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Truncated:
-    """An answer was marked complete without ending at the last token."""
+    """A stream was marked complete, but its last event is not the only last token."""
 
     tag: str
     events: int
@@ -152,10 +150,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Misdelivered:
-    """A caller received the answer to another request, or to none.
+    """A caller received the answer to another or to an unknown request.
 
     Attributes:
-        tag: Tag of the caller's request.
         source: Tag of the request that the answer belongs to, or "" if unknown.
     """
 
@@ -173,7 +170,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RanAgain:
-    """A non-idempotent request was executed more than once."""
+    """A non-idempotent request was executed more than once.
+
+    Attributes:
+        targets: Name of the target of each execution.
+    """
 
     identity: str
     targets: tuple[str, ...]
--- a/figstep/core/effects.py
+++ b/figstep/core/effects.py
@@ -15,12 +15,12 @@
     """Send a request's body to a target.
 
     Attributes:
-        request: Id of the request.
         attempt: Number of the attempt, unique in this process.
-        target: Name of the target.
         generation: Generation id that the target is to use.
-        priority: Priority that the target is to use; higher goes first.
-        once: Whether the bytes may be sent only once.
+        priority: Priority by which the engine orders its queue and its preemptions;
+            higher ones are preferred. It is not sent to a plain service.
+        once: Whether the request may run only once. A plain service call is then
+            sent over a new connection, and a 429 counts as a refusal like a 503.
     """
 
     request: str
@@ -36,10 +36,6 @@
     """Resume a generation over a new connection.
 
     Attributes:
-        request: Id of the request.
-        attempt: Number of the attempt, unique in this process.
-        target: Name of the target.
-        generation: Id of the generation to resume.
         after: Index of the last event that was delivered; later ones are wanted.
     """
 
@@ -59,14 +55,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplacePool:
-    """Close the idle connections to a target and open new ones from now on."""
+    """Use new connections for all later requests to a target.
+
+    Requests in progress keep the old ones, which close when the last of these
+    requests ends.
+    """
 
     target: str
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeTarget:
-    """Check whether a target still listens at its address."""
+    """Check whether a process listens at a target's address.
+
+    ``TargetDown`` follows if the connection is refused; nothing follows otherwise.
+    """
 
     target: str
 
@@ -81,7 +84,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Deliver:
-    """Send events to the caller, in order."""
+    """Deliver the next events of a request, in order.
+
+    A stream is sent to the caller as it arrives; the events of any other answer are
+    gathered until it is whole.
+    """
 
     request: str
     frames: list[bytes]
@@ -89,20 +96,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscardDelivered:
-    """Discard the events gathered for a caller that has received none of them."""
+    """Discard the events that are gathered for a request and not sent to its caller."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Complete:
-    """End the caller's response, as the answer is whole.
-
-    Attributes:
-        request: Id of the request.
-        attempt: Number of the attempt whose gathered service answer is delivered,
-            if any.
-    """
+    """End the caller's response, as the answer is whole."""
 
     request: str
     attempt: int
@@ -110,14 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplayAnswer:
-    """Answer a duplicate request with the recorded answer of the first one.
-
-    Attributes:
-        request: Id of the duplicate request.
-        status: HTTP status of the recorded answer.
-        content_type: Content type of the recorded answer.
-        body: Body of the recorded answer.
-    """
+    """Answer a duplicate request with the recorded answer of the first one."""
 
     request: str
     status: int
@@ -127,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """End a request with a problem as its final answer."""
+    """End a request, on arrival or later, with a problem as its final answer."""
 
     request: str
     problem: Problem
@@ -140,9 +134,7 @@
     Answered by ``AppendConfirmed`` or ``AppendUncertain`` with the same key.
 
     Attributes:
-        stream: Name of the stream.
         key: Key that the answer carries; appends whose answer is not used share one.
-        records: Records to append, as JSON objects.
     """
 
     stream: str
@@ -160,29 +152,30 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchCheckpoint:
-    """Request the checkpoint of the peer at "host:port"."""
+    """Fetch the checkpoint of the peer at "host:port", unless a fetch is running.
+
+    ``CheckpointOffered`` follows if the fetch succeeds; nothing follows otherwise.
+    """
 
     address: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReadConfigurationFrom:
-    """Continue to read the configuration stream from ``offset``."""
+    """Continue to read the configuration stream at ``offset``."""
 
     offset: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendOrder:
-    """Send an order to an engine.
+    """Send an order to an engine; ``OrderAnswered`` follows.
 
     Attributes:
         number: Number of the order, unique in this process.
-        target: Name of the target.
-        order: State that the engine is to reach.
         fencing: Fencing number of the lease that covers the order.
-        until: End of the lease (monotonic), in milliseconds; the order is not sent
-            after that.
+        until: Time from which the order is no longer sent (monotonic), in
+            milliseconds. It precedes the end of the lease by ``leases.MARGIN``.
     """
 
     number: int
@@ -194,10 +187,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WakeAt:
-    """Set a timer, in place of an equal one that is set already.
+    """Set a timer; an equal one that is set already is replaced.
 
     Attributes:
-        timer: Timer to fire.
         at: Time at which it fires (monotonic), in milliseconds.
     """
 
@@ -215,10 +207,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """Write one line to the structured log.
+    """Write one line of level INFO to the structured log.
 
     Attributes:
-        message: Message of the line.
         fields: Fields such as the request, generation, attempt, target and customer.
     """
 
--- a/figstep/core/events.py
+++ b/figstep/core/events.py
@@ -14,15 +14,15 @@
 
 
 class Loss(Enum):
-    """Way in which an attempt was lost, as its edge observed it."""
+    """Way in which an attempt was lost, as its edge or the reducer observed it."""
 
     CONNECT_FAILED = "connect_failed"  # no byte was handed to a connection
     REFUSED = "refused"  # the target refused before running
     NOT_FOUND = "not_found"  # the target does not have the generation to resume
-    BROKEN = "broken"  # the connection broke after bytes were sent
-    TRUNCATED = "truncated"  # the stream was closed cleanly without the end marker
+    BROKEN = "broken"  # an open connection broke, or its events have a gap
+    TRUNCATED = "truncated"  # the stream ended without an end marker or finish reason
     WRONG_GENERATION = "crossed"  # the answer belongs to another generation
-    FAILED = "failed"  # the target answered with a server error
+    FAILED = "failed"  # a server error, or a refusal that does not prove "not run"
     SILENT = "silent"  # no data arrived for longer than the silence limit
     EMPTY = "empty"  # an end marker arrived without an event before it
     SHUTDOWN = "shutdown"  # this process closed the connection on shutdown
@@ -58,7 +58,6 @@
     """The caller closed its connection before the answer ended.
 
     Attributes:
-        request: Id of the request.
         cancel: Whether the generation is to be cancelled at its target.
     """
 
@@ -81,7 +80,6 @@
     """Consecutive token events of one generation, from one read of a connection.
 
     Attributes:
-        attempt: Number of the attempt whose connection carried the events.
         generation: Id of the generation that the events name.
         first: Index of the first event, from 1.
         frames: The events as they are sent to the caller, one per index.
@@ -105,8 +103,6 @@
     """An attempt ended without a whole answer.
 
     Attributes:
-        attempt: Number of the attempt.
-        loss: How it was lost.
         retry_after: Pause that the target requested, in milliseconds, or None.
         detail: Description for the log.
     """
@@ -119,14 +115,18 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetDown:
-    """A probe found that no process listens at a target's address."""
+    """A probe was refused: no process listens at the target's address."""
 
     target: str
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptRejected:
-    """The target answered that the request itself is invalid (4xx)."""
+    """The target rejected the request itself as invalid.
+
+    That is any status except 200, the refusals 429 and 503, server errors, and 404
+    as the answer to a resume.
+    """
 
     attempt: int
     problem: Problem
@@ -137,9 +137,6 @@
     """A plain service answered; the edge holds the body until delivery.
 
     Attributes:
-        attempt: Number of the attempt.
-        status: HTTP status of the answer.
-        content_type: Content type of the answer.
         body: Body of the answer if it is small enough to be recorded, else None.
     """
 
@@ -151,18 +148,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReported:
-    """A target reported its load, as it was some time ago.
+    """A target reported its load, as it was ``age`` milliseconds ago.
 
     Attributes:
-        target: Name of the target.
         incarnation: Number that grows each time the target starts.
         leaving: Whether the target takes no new work.
         running: Number of generations that are decoding.
         waiting: Number of generations in the engine's queue.
         memory_used: Cache memory in use, in tokens.
         memory_total: Cache memory, in tokens.
-        models: Loaded models, each as "name@version".
-        age: Age of the report, in milliseconds.
+        models: Loaded models and adapters, each as "model@version" or
+            "model+adapter".
     """
 
     target: str
@@ -184,10 +180,7 @@
     """An edit in the configuration stream.
 
     Attributes:
-        offset: Offset of the record.
-        base: Accepted offset that the edit was based on; -1 for none.
-        author: Author who published the edit.
-        reason: Reason that the author gave.
+        base: Offset of the edit in force that this edit was made from; -1 for none.
         inventory: The validated document, or None if it is not valid or its
             validation version is not known here.
         problems: Reasons why the document is not valid.
@@ -211,14 +204,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Checkpoint:
-    """Result of the fold over every record up to a position.
+    """Result of folding all records of the configuration stream up to a position.
 
     Attributes:
         accepted: Offset of the edit in force.
         position: Offset of the last record that was folded.
         edit: Unique id of the edit in force.
-        author: Author who published the edit.
-        reason: Reason that the author gave.
         validation: Version of the validation rules that the edit was made for.
         document: The document as published.
         inventory: The validated document, or None if this program cannot read it.
@@ -239,8 +230,6 @@
     """A snapshot record in the configuration stream.
 
     Attributes:
-        offset: Offset of the record.
-        checkpoint: The checkpoint in the record.
         age: Time since the log stored the record, in milliseconds.
     """
 
@@ -261,12 +250,11 @@
     """An entry of the platform's instance list.
 
     Attributes:
-        name: Name of the instance.
         kind: "entry" for entries of this system, "target" for all others.
         address: Base URL of the instance.
-        failure_domain: Name of the instance's failure domain.
         leaving: Whether the platform is about to stop the instance.
-        incarnation: Number that grows each time the instance starts.
+        incarnation: Number that grows each time the instance starts; 0 if the list
+            does not name it.
         peers: Address at which an entry listens for peers, as "host:port", or "".
     """
 
@@ -352,11 +340,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderAnswered:
-    """An order to an engine was answered, or abandoned.
+    """An order to an engine was answered, failed without an answer or was not sent.
 
     Attributes:
         order: Number of the ``SendOrder`` effect.
-        outcome: Result of the order.
     """
 
     order: int
@@ -375,7 +362,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryTimer:
-    """Timer for the end of the backoff before a request's next attempt."""
+    """Timer for the end of the backoff before a request is resumed."""
 
     request: str
 
@@ -394,7 +381,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptTimer:
-    """Timer to check that an attempt still makes progress."""
+    """Timer to check an attempt, which is lost if it was silent beyond its limit."""
 
     attempt: int
 
@@ -452,7 +439,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownRequested:
-    """The process was asked to end; running requests continue."""
+    """The process was asked to end: it refuses new requests; open ones continue."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/figstep/core/inventory.py
+++ b/figstep/core/inventory.py
@@ -11,7 +11,6 @@
 
     Attributes:
         name: Unique name.
-        region: Name of the region.
     """
 
     name: str
@@ -25,16 +24,15 @@
     Attributes:
         name: Unique target name.
         address: Base URL.
-        failure_domain: Name of the engine's failure domain.
         models: Names of the models that the engine may serve.
         kind: Type of the engine, as the operators name it.
-        speed: Decode speed relative to the slowest class, which has 1.0.
+        speed: Decode speed, as a multiple of the speed for which the assumed gaps
+            between tokens hold (``figstep.core.pacing``).
         memory_tokens: Cache memory, in tokens.
-        max_running: Most generations that the engine decodes at once.
+        max_running: Maximum number of generations that the engine decodes at once.
         resume: Whether a stream can be resumed by generation and index.
         continuation: Whether the engine continues a generation exactly from given
-            tokens. It is only recorded: nothing acts on it
-            (docs/design/requests.md).
+            tokens. The value is stored but not used (docs/design/requests.md).
         checks_fencing: Whether the engine refuses orders with an old fencing number.
     """
 
@@ -59,7 +57,6 @@
         name: Unique target name.
         service: Name of the service that callers use.
         address: Base URL.
-        failure_domain: Name of the replica's failure domain.
         refusals_not_run: Whether an answer with status 429 or 503 proves that the
             call did not run.
     """
@@ -80,7 +77,6 @@
 
     Attributes:
         name: Unique name.
-        version: Wanted version.
         adapters: Names of the adapters that should be loaded with the model.
     """
 
@@ -111,7 +107,6 @@
     """Number of replicas of a model that are wanted in some failure domains.
 
     Attributes:
-        model: Model name.
         replicas: Number of replicas wanted in each of the failure domains.
         failure_domains: Names of the failure domains; empty for all.
     """
@@ -143,7 +138,6 @@
     Attributes:
         name: Name in the platform's instance list.
         kind: "entry" for entry instances, "target" for engines and services.
-        failure_domain: Name of the machine's failure domain.
         size: Size class, as the operators name it.
     """
 
@@ -155,12 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainMark:
-    """Mark that drains one target: it gets no new work.
-
-    Attributes:
-        target: Name of the target.
-        reason: Why the operators drain it.
-    """
+    """Mark that drains one target: it gets no new work."""
 
     target: str
     reason: str = ""
@@ -168,12 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EvacuationMark:
-    """Mark that evacuates one failure domain: its targets get no new work.
-
-    Attributes:
-        failure_domain: Name of the failure domain.
-        reason: Why the operators evacuate it.
-    """
+    """Mark that evacuates one failure domain: its targets get no new work."""
 
     failure_domain: str
     reason: str = ""
@@ -184,13 +168,13 @@
     """Rule that makes matching requests non-idempotent: they run at most once.
 
     Attributes:
-        service: Name of the plain service.
         method: HTTP method in capitals; None matches all.
         path: Prefix of the path below the service; "" matches all.
         customer: Name of the customer; None matches all.
-        digest_window: Time within which requests without an Idempotency-Key are
-            the same if their digests of method, path and body are equal, in
-            milliseconds; None to treat each such request as a different one.
+        digest_window: Time for which a request without an Idempotency-Key is
+            remembered by its digest of method, path and body, in milliseconds. A
+            request of the customer with the same digest counts as the same request
+            within this time. None if each such request counts as a different one.
     """
 
     service: str
@@ -205,17 +189,16 @@
     """Rules that the operators set.
 
     Attributes:
-        non_idempotent: Rules for requests that run at most once.
-        deadline: Longest time that a request may wait for its first byte, in
-            milliseconds.
-        load_interval: Least time between two reads of the weight store by the
+        deadline: Longest time that a request without its own deadline may wait for
+            its first byte, in milliseconds.
+        load_interval: Minimum time between two reads of the weight store by the
             whole fleet, in milliseconds.
         routing: Name of the routing policy.
-        priorities: Priorities by customer and model; the first match applies.
-        placement: Rules for the number of replicas of models.
+        priorities: Priorities by customer and model. They are stored but not used; a
+            request has the priority of its customer.
         gap_goal: Gap between two tokens above which a target gets less work, in
             milliseconds.
-        subset: Most targets of a pool that an entry sends to; 0 for all.
+        subset: Maximum number of targets of a pool that an entry sends to; 0 for all.
     """
 
     non_idempotent: tuple[NonIdempotentRule, ...] = ()
@@ -230,7 +213,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Inventory:
-    """Document of the operators: the inventory of the fleet and its rules."""
+    """Document of the operators: the inventory of the fleet and its rules.
+
+    Attributes:
+        customers: Customers whose requests are accepted.
+        instances: Asset register of the machines.
+    """
 
     failure_domains: tuple[FailureDomain, ...] = ()
     engines: tuple[EngineInfo, ...] = ()
--- a/figstep/core/problems.py
+++ b/figstep/core/problems.py
@@ -1,4 +1,4 @@
-"""Problems: final answers to callers other than success."""
+"""Refusals and failures of requests, as reported to callers."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,7 +7,7 @@
 
 
 class Ran(Enum):
-    """Whether a request ran on a target."""
+    """Whether a request ran on a target, as far as it is known."""
 
     NO = "no"
     UNKNOWN = "unknown"
@@ -19,10 +19,8 @@
     """Refusal or failure of a request.
 
     Attributes:
-        status: HTTP status.
         code: Stable machine-readable kind of the problem, in snake case.
         detail: What was wrong, and the remedy.
-        ran: Whether the request ran.
         retry_after: Delay after which a retry may succeed, in milliseconds; None if
             a retry does not help.
     """
--- a/figstep/demo.py
+++ b/figstep/demo.py
@@ -25,7 +25,7 @@
 MODEL = "langar-8b"
 # Time between two tokens of each engine, in seconds.
 ENGINE_TOKEN_GAPS = (0.01, 0.02, 0.04)
-# Interval at which the start checks whether the inventory is in force.
+# Interval at which ``run_deployment`` checks whether the inventory is in force.
 READY_POLL_SECONDS = 0.02
 
 
@@ -36,11 +36,6 @@
     Attributes:
         document: Published inventory document.
         offset: Offset at which the inventory was accepted.
-        entries: Applications of the entries.
-        engines: Stand-ins of the engines.
-        service: Stand-in of the plain service.
-        log: Stand-in of the log service.
-        instances: Stand-in of the instance list.
     """
 
     document: dict[str, Any]
@@ -55,9 +50,7 @@
 def build_document(engines: dict[str, str], service_url: str) -> dict[str, Any]:
     """Return the inventory document of the demo.
 
-    Args:
-        engines: Base URL by engine name.
-        service_url: Base URL of the plain service.
+    ``engines`` holds the base URL of each engine by name.
     """
     listed = []
     for name, url in engines.items():
@@ -99,11 +92,9 @@
 ) -> AsyncIterator[Deployment]:
     """Run stand-ins and entries with a published inventory that is in force.
 
-    Args:
-        entries: Number of entry applications.
-        limits: Limits for callers; None for the defaults.
-        tls: Certificate for callers; None for plain HTTP.
-        gaps: Time between two tokens of each engine, in seconds.
+    The default limits apply if ``limits`` is None, and callers use plain HTTP if
+    ``tls`` is None. ``gaps`` holds the time between two tokens of each engine, in
+    seconds.
     """
     async with AsyncExitStack() as stack:
         log, instances = LogService(), InstanceList()
@@ -156,7 +147,7 @@
 
 
 async def show_demo() -> None:
-    """Publish an inventory, stream one answer and print which target served it."""
+    """Publish an inventory, stream and print one answer, and name its target."""
     async with run_deployment() as deployment:
         print(f"published inventory at offset {deployment.offset}")
         url = deployment.entries[0].callers.address
@@ -189,7 +180,10 @@
 
 
 async def hold_demo() -> None:
-    """Run the demo until SIGTERM or SIGINT; print addresses, a key and ``ready``."""
+    """Run the demo until SIGTERM or SIGINT.
+
+    Prints the addresses of the entries, the customer's key and ``ready`` first.
+    """
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/figstep/gateway/effects.py
+++ b/figstep/gateway/effects.py
@@ -29,13 +29,12 @@
     Attributes:
         number: Number of the request.
         attempt: Number of the attempt, unique in this process.
-        target: Target to send the request to.
         customer: Name of the request's customer, or "".
-        deadline: Monotonic time at which the target may stop work.
+        deadline: Monotonic time in milliseconds at which the target may stop work.
         priority: Urgency for the engine; 0 is the most urgent. None for plain services.
-        backup: Target that gets a running backup, or "".
+        backup: Target that is to keep a running backup of the run, or "".
         source: Copy of the run to resume from, or None.
-        after: Id of the last event that is not needed again, or None.
+        after: Id of the last event that the caller has received; None if it has none.
         stream: Whether the answer is a stream of events.
     """
 
@@ -60,13 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CopyRun:
-    """Order the engine that runs a request to copy the run to another engine.
-
-    Attributes:
-        number: Number of the request.
-        source: Target that runs it.
-        holder: Target that is to hold the copy.
-    """
+    """Order the engine that runs a request to copy the run to another engine."""
 
     number: int
     source: str
@@ -103,12 +96,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Announce:
-    """Report to the other entries at once what this one knows and has open."""
+    """Send this entry's state and open work to its local entries at once.
+
+    They are all other entries in a small fleet, and those of the entry's own failure
+    domain in a large one.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class AnnounceTarget:
-    """Report to other failure domains at once what this one has open at a target."""
+    """Send other failure domains this one's open work at a target, at once.
+
+    The work is summed over the entries of this failure domain.
+    """
 
     target: str
 
@@ -145,7 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Send the caller the whole answer that an attempt received."""
+    """Send the caller the complete answer that an attempt received."""
 
     number: int
     attempt: int
@@ -161,12 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Count:
-    """Increment a counter by one.
-
-    Attributes:
-        name: Name of the counter.
-        labels: Values of its labels.
-    """
+    """Increment a counter by one."""
 
     name: str
     labels: tuple[str, ...] = ()
@@ -174,13 +169,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Observe:
-    """Add a duration to a histogram.
-
-    Attributes:
-        name: Name of the histogram.
-        millis: Duration in milliseconds.
-        label: Value of its label.
-    """
+    """Add a duration to a histogram."""
 
     name: str
     millis: int
--- a/figstep/gateway/requests.py
+++ b/figstep/gateway/requests.py
@@ -117,13 +117,13 @@
 
 
 def _find_first_arrival(state: State, digest: str, now: Millis) -> Millis:
-    # A caller counts its wait from its first try, whichever entry refused it.
+    # A caller's wait begins with its first arrival, whichever entry refused it.
     refused = state.refused.pop_first_arrival(digest)
     return now if refused is None else refused
 
 
 def _must_finish_here(route: Route) -> bool:
-    # A stream that can't resume on another engine is cut when the process ends.
+    # A stream that can't restart on another engine is cut when the process ends.
     return route.kind is RouteKind.STREAM and not route.resumable
 
 
@@ -150,12 +150,16 @@
 
 
 def start_queued(state: State, now: Millis) -> list[Effect]:
-    """Start queued requests that now fit, the most urgent and oldest first.
+    """Start queued requests that now fit.
+
+    The most urgent are considered first, among these the ones that can still meet their
+    objective, and then the oldest.
 
     At most one request of a service starts in a call, so that other entries learn of
     it before they start theirs: when an engine joins, all entries have requests that
     waited for it, and together they would fill it at once. Requests that have waited
-    for too long, or have no eligible target left, are refused.
+    for too long are refused, and so are those whose targets are all evacuated or
+    outside their allowed regions.
     """
     if not state.queue:
         return []
@@ -199,7 +203,10 @@
 
 
 def finish_answer(state: State, event: AnswerArrived, now: Millis) -> list[Effect]:
-    """Pass a target's whole answer to the caller unchanged."""
+    """Pass a target's complete answer to the caller unchanged.
+
+    An answer to an attempt that is no longer open is ignored.
+    """
     attempt = state.attempts.get(event.attempt)
     if attempt is None:
         return []
@@ -216,12 +223,11 @@
 def deliver_answer(
     state: State, request: Request, attempt: int, status: int, now: Millis
 ) -> list[Effect]:
-    """Deliver the whole answer that an attempt received, and end the request.
+    """Deliver the complete answer that an attempt received, and end the request.
 
-    A stream that has begun is cut instead.
+    A stream that has begun can't be replaced by another answer: it is cut.
     """
     if request.stream_begun:
-        # A stream that has begun can't be replaced by another answer.
         return break_stream(state, request, "answered_in_mid_stream", now)
     effects = attempts.close_request(state, request, now)
     duration = now - request.arrived
@@ -239,8 +245,9 @@
 ) -> list[Effect]:
     """End a request with a problem answer of this entry.
 
-    "Not run" is reported only if no target can have begun to run the request. A
-    stream that has begun is cut instead.
+    "Not run", with a Retry-After, is reported only if no target can have begun to run
+    the request. Otherwise the status is 502, or 504 after the deadline. A stream that
+    has begun is cut instead.
     """
     effects = attempts.close_request(state, request, now)
     if request.stream_begun:
@@ -288,7 +295,7 @@
 def break_stream(
     state: State, request: Request, reason: str, now: Millis
 ) -> list[Effect]:
-    """Cut the caller's connection: the stream can't go on and must not look whole."""
+    """Cut the caller's connection: an incomplete stream must not look complete."""
     effects = attempts.close_request(state, request, now)
     return [
         *effects,
@@ -311,7 +318,7 @@
 
 
 def expire_requests(state: State, now: Millis) -> list[Effect]:
-    """End the requests whose deadline has passed."""
+    """End the requests whose deadline has passed; any that was sent may have run."""
     effects: list[Effect] = []
     for request in list(state.requests.values()):
         if now < request.deadline:
--- a/figstep/net/deliveries.py
+++ b/figstep/net/deliveries.py
@@ -27,7 +27,8 @@
     """Waits between deliveries to one caller, in seconds.
 
     Attributes:
-        last: Time of the last delivery.
+        last: Monotonic time of the last delivery; before the first one, that at which
+            the stream began.
         longest: Longest wait so far.
         stalled: Sum of the waits that count as stalls.
     """
@@ -37,11 +38,7 @@
     stalled: float = 0.0
 
     def add(self, now: float) -> None:
-        """Record a delivery.
-
-        Args:
-            now: Monotonic time, in seconds.
-        """
+        """Record a delivery."""
         gap = now - self.last
         self.last = now
         if gap > self.longest:
@@ -55,7 +52,6 @@
 
     Attributes:
         finished: Whether nothing more will be written.
-        gaps: Waits between deliveries to the caller.
     """
 
     def __init__(
@@ -109,6 +105,8 @@
     def keep_alive(self) -> bool:
         """Write a comment if nothing was written since the last call.
 
+        None is written after the stream has finished or while bytes are unsent.
+
         Returns:
             Whether a comment was written.
         """
@@ -119,11 +117,9 @@
         return True
 
     def abort_if_stalled(self, now: float, stalled_seconds: float) -> bool:
-        """Abort the connection if its reader has read nothing for too long.
+        """Abort the connection if its reader has read nothing for ``stalled_seconds``.
 
-        Args:
-            now: Monotonic time, in seconds.
-            stalled_seconds: Time without progress after which to abort.
+        ``now`` is a monotonic time, in seconds.
 
         Returns:
             Whether the connection was aborted.
@@ -146,7 +142,6 @@
 
     Attributes:
         kept_alive: Number of streams that got a keep-alive comment.
-        aborted: Number of connections aborted.
     """
 
     kept_alive: int
--- a/figstep/net/probes.py
+++ b/figstep/net/probes.py
@@ -6,16 +6,14 @@
 async def is_listening(host: str, port: int, seconds: float) -> bool:
     """Return whether a process accepts connections at an address.
 
-    Args:
-        host: IP address.
-        port: Port.
-        seconds: Timeout of the connection attempt.
+    The host is an IP address. The attempt times out after ``seconds``.
 
     Returns:
         False only if the connection was refused.
 
     Raises:
-        OSError: If the link fails or the timeout expires, so that neither is known.
+        OSError: If the attempt fails otherwise or times out, so that it is unknown
+            whether a process listens.
     """
     try:
         async with asyncio.timeout(seconds):
